--- /dev/null
+++ b/tests/golden_test.cpp
@@ -0,0 +1,943 @@
+// Golden tests: the bytes and texts that others rely on (datagrams, files, answers of both programs) stay as
+// the files in tests/golden/ have them, whatever is renamed or restructured. A failure here is a change of a
+// format.
+//
+// With BROOKRELAY_UPDATE_GOLDEN set in the environment the files are written in place of being compared, and
+// every test that writes one fails, so that no such run passes for a check. The labels in the files are only
+// labels.
+#include <fcntl.h>
+#include <glib.h>
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+#include <sys/stat.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <array>
+#include <charconv>
+#include <cstdio>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <map>
+#include <memory>
+#include <set>
+#include <sstream>
+#include <string>
+#include <string_view>
+#include <type_traits>
+#include <utility>
+#include <vector>
+
+#include "by_hand.h"
+#include "http1.h"
+#include "json.h"
+#include "learned.h"
+#include "log.h"
+#include "memcache_text.h"
+#include "operator.h"
+#include "origin.h"
+#include "scenario.h"
+#include "station.h"
+#include "talk.h"
+#include "timers.h"
+#include "words.h"
+
+namespace {
+
+gint64 clock_us = 1'000'000'000;
+
+}  // namespace
+
+// The program's clocks, in this binary only: ages and stamps in the operators' JSON are then the same in each
+// run.
+extern "C" gint64 g_get_monotonic_time() { return clock_us; }
+extern "C" gint64 g_get_real_time() { return 1'790'000'000'000'000 + clock_us; }
+
+namespace {
+
+using namespace brookrelay;
+
+constexpr const char* kRoot = BROOKRELAY_ROOT;
+
+// ---- golden files ---------------------------------------------------------------------------------------
+
+std::string golden_path(const std::string& name) { return std::string(kRoot) + "/tests/golden/" + name; }
+
+std::string content(const std::string& path) {
+    std::ifstream file(path, std::ios::binary);
+    return {std::istreambuf_iterator<char>(file), {}};
+}
+
+std::string golden(const std::string& name) {
+    if (!std::filesystem::exists(golden_path(name))) ADD_FAILURE() << "no golden file " << name;
+    return content(golden_path(name));
+}
+
+std::string shown(std::string_view bytes);
+
+// Where the two begin to differ, by its line: the whole of both may be hundreds of kilobytes.
+std::string difference(const std::string& wanted, const std::string& found) {
+    std::istringstream a(wanted), b(found);
+    std::string x, y;
+    for (int line = 1;; ++line) {
+        const bool more_a = static_cast<bool>(std::getline(a, x)),
+                   more_b = static_cast<bool>(std::getline(b, y));
+        if (more_a && more_b && x == y) continue;
+        if (!more_a && !more_b) return "the same lines, but another end";
+        const std::size_t both = more_a && more_b ? std::min(x.size(), y.size()) : 0;
+        const auto at = static_cast<std::size_t>(
+            std::mismatch(x.begin(), x.begin() + static_cast<std::ptrdiff_t>(both), y.begin()).first -
+            x.begin());
+        const std::size_t from = at < 40 ? 0 : at - 40;
+        return "line " + std::to_string(line) + ", byte " + std::to_string(at) +
+               "\n  golden: " + (more_a ? shown(x.substr(from, 120)) : "(ends)") +
+               "\n  now:    " + (more_b ? shown(y.substr(from, 120)) : "(ends)");
+    }
+}
+
+void expect_golden(const std::string& name, const std::string& found) {
+    if (std::getenv("BROOKRELAY_UPDATE_GOLDEN") != nullptr) {
+        std::ofstream(golden_path(name), std::ios::binary) << found;
+        ADD_FAILURE() << "update mode: wrote " << name << " and compared nothing; run again without "
+                      << "BROOKRELAY_UPDATE_GOLDEN";
+        return;
+    }
+    const std::string wanted = golden(name);
+    if (wanted != found) ADD_FAILURE() << name << ": " << difference(wanted, found);
+}
+
+// A folder of this test's own, gone at the end of the test.
+class Folder {
+  public:
+    Folder() {
+        std::string name = testing::TempDir() + "golden-XXXXXX";
+        if (mkdtemp(name.data()) == nullptr) ADD_FAILURE() << "cannot make " << name;
+        path_ = name;
+    }
+    ~Folder() { std::filesystem::remove_all(path_); }
+    Folder(const Folder&) = delete;
+    Folder& operator=(const Folder&) = delete;
+    std::string at(const std::string& name) const { return path_ + "/" + name; }
+
+  private:
+    std::string path_;
+};
+
+// ---- values as text -------------------------------------------------------------------------------------
+
+std::string hex(std::string_view bytes) {
+    std::string out;
+    for (const char c : bytes) {
+        char two[3];
+        std::snprintf(two, sizeof two, "%02x", static_cast<unsigned>(static_cast<unsigned char>(c)));
+        out += two;
+    }
+    return out;
+}
+
+std::string unhex(std::string_view text) {
+    std::string out;
+    for (std::size_t i = 0; i + 1 < text.size(); i += 2) {
+        unsigned byte = 0;
+        std::from_chars(text.data() + i, text.data() + i + 2, byte, 16);
+        out += static_cast<char>(byte);
+    }
+    return out;
+}
+
+// Printable ASCII as it is, every other byte as \xNN.
+std::string shown(std::string_view bytes) {
+    std::string out = "\"";
+    for (const char c : bytes) {
+        if (c == '"' || c == '\\') {
+            (out += '\\') += c;
+        } else if (c >= 0x20 && c < 0x7f) {
+            out += c;
+        } else {
+            out += "\\x" + hex({&c, 1});
+        }
+    }
+    return out + "\"";
+}
+
+template <typename T>
+std::string said(const T& value);
+
+std::string said(const std::pair<double, double>& point) {
+    return "(" + said(point.first) + ", " + said(point.second) + ")";
+}
+
+template <typename T>
+std::string said(const T& value) {
+    if constexpr (std::is_same_v<T, bool>) {
+        return value ? "true" : "false";
+    } else if constexpr (std::is_enum_v<T>) {
+        return std::to_string(static_cast<int>(value));
+    } else if constexpr (std::is_arithmetic_v<T>) {
+        char room[64];
+        return {room,
+                std::to_chars(room, room + sizeof room, value).ptr};  // the shortest that reads back the same
+    } else if constexpr (std::is_convertible_v<T, std::string_view>) {
+        return shown(value);
+    } else {  // a list
+        std::string all = "[";
+        for (const auto& one : value) all += (all.size() > 1 ? ", " : "") + said(one);
+        return all + "]";
+    }
+}
+
+// One field a line, in the order in which they are put.
+struct Fields {
+    std::string text;
+    template <typename T>
+    Fields& put(const char* label, const T& value) {
+        text.append(label).append(" = ").append(said(value)).append("\n");
+        return *this;
+    }
+    Fields& head(const std::string& title) {
+        text.append("[").append(title).append("]\n");
+        return *this;
+    }
+};
+
+// ---- gossip datagrams -----------------------------------------------------------------------------------
+
+fleet::Datagram headed() {
+    fleet::Datagram d;
+    d.node = 513;
+    d.stamp = {1'790'000'123, 70'001};
+    d.zone = 7;
+    d.start_of_yours = 1'790'000'456;
+    return d;
+}
+
+std::vector<std::pair<std::string, fleet::Datagram>> datagrams() {
+    const fleet::Subject cache = fleet::subject_of("10.0.0.1:9000"), other = fleet::subject_of("cache-2");
+    fleet::Datagram empty = headed(), alive = headed(), sights = headed(), findings = headed(),
+                    zones = headed(), wants = headed(), grants = headed(), beyond = headed(), least;
+    alive.alive = {{3, 0.375, 2}, {300, 15.875, -1}, {65'000, 1.01, 31}};
+    sights.sights = {{cache, 12, 3}, {other, 0, 127}};
+    findings.findings = {{cache, 5, {1'790'000'001, 255}, 0b101, 4, 0.5},
+                         {other, 260, {1'790'000'002, 65'536}, 0x80000000U, 300, 7.25}};
+    zones.zones = {{1, fleet::ZoneSight::lost, 0, 3},
+                   {2, fleet::ZoneSight::answers, 4, 0},
+                   {31, fleet::ZoneSight::strained, 2, 15},
+                   {0, fleet::ZoneSight::nothing, 5, 1}};
+    wants.wants = {{fleet::subject_of("origin"), 250'000}, {fleet::subject_of("tenant first"), 1}};
+    grants.grants = {{fleet::subject_of("origin"), 125'000, 70'000},
+                     {fleet::subject_of("cold"), 1'000'000, 3}};
+    fleet::Datagram all = alive;
+    all.sights = sights.sights;
+    all.findings = findings.findings;
+    all.zones = zones.zones;
+    all.wants = wants.wants;
+    all.grants = grants.grants;
+    beyond.zone = 40;  // what goes past its bound is said as the bound
+    beyond.alive = {{1, 1000, 50}};
+    beyond.sights = {{cache, 1000, 128}};
+    beyond.zones = {{3, fleet::ZoneSight::lost, 9, 99}};
+    return {{"least", least},       {"empty", empty},         {"alive", alive}, {"sights", sights},
+            {"findings", findings}, {"zones", zones},         {"wants", wants}, {"grants", grants},
+            {"all", all},           {"beyond bounds", beyond}};
+}
+
+std::string fields_of(const fleet::Datagram& d) {
+    Fields f;
+    f.put("node", d.node)
+        .put("stamp.start", d.stamp.start)
+        .put("stamp.number", d.stamp.number)
+        .put("zone", d.zone);
+    f.put("start_of_yours", d.start_of_yours);
+    for (const auto& a : d.alive)
+        f.put("alive.node", a.node).put("alive.age", a.age).put("alive.zone", a.zone);
+    for (const auto& s : d.sights)
+        f.put("sight.subject", s.subject).put("sight.good", s.good).put("sight.bad", s.bad);
+    for (const auto& x : d.findings) {
+        f.put("finding.subject", x.subject)
+            .put("finding.keeper", x.keeper)
+            .put("finding.stamp.start", x.stamp.start);
+        f.put("finding.stamp.number", x.stamp.number)
+            .put("finding.zones", x.zones)
+            .put("finding.voices", x.voices);
+        f.put("finding.age", x.age);
+    }
+    for (const auto& z : d.zones)
+        f.put("zone.zone", z.zone)
+            .put("zone.sight", z.sight)
+            .put("zone.step", z.step)
+            .put("zone.falls", z.falls);
+    for (const auto& w : d.wants) f.put("want.limit", w.limit).put("want.crumbs", w.crumbs);
+    for (const auto& g : d.grants)
+        f.put("grant.limit", g.limit).put("grant.crumbs", g.crumbs).put("grant.of", g.of);
+    return f.text;
+}
+
+TEST(Golden, GossipDatagramsHaveTheSameBytes) {
+    std::string bytes;
+    for (const auto& [name, d] : datagrams()) bytes += name + ": " + hex(fleet::encode(d)) + "\n";
+    expect_golden("datagrams.txt", bytes);
+}
+
+TEST(Golden, GossipDatagramsAreReadAsTheSameFields) {
+    std::istringstream lines(golden("datagrams.txt"));
+    std::string fields;
+    std::size_t count = 0;
+    for (std::string line; std::getline(lines, line); ++count) {
+        const std::size_t colon = line.find(": ");
+        const std::string bytes = unhex(line.substr(colon + 2));
+        fleet::Datagram d;
+        EXPECT_TRUE(fleet::decode(bytes, d)) << line;
+        EXPECT_EQ(hex(fleet::encode(d)), hex(bytes)) << line;
+        fields += "[" + line.substr(0, colon) + "]\n" + fields_of(d);
+    }
+    EXPECT_EQ(count, datagrams().size());
+    expect_golden("datagram-fields.txt", fields);
+}
+
+// ---- the warm-start snapshot ----------------------------------------------------------------------------
+
+const std::vector<std::string> kKinds{"box", "big \"x\"", "origin"};
+const std::vector<std::string> kCaches{"cache-1", "10.0.0.1:9000", "odd \"name\"\\/\n\x01\xc3\xbc"};
+
+Learned learned_values() {
+    Learned l;
+    l.reach = 0.1;
+    l.pressure = 1.0 / 3;
+    l.admitted = 0.875;
+    l.origin_limit = 1234.5;
+    l.origin_pace = 2e-7;
+    l.kind_shares = {0.25, 1.5, 3};
+    l.caches = {{0, 12.75, 0.0625, true}, {2, 1e21, 3, false}, {1, 0, 1e-9, true}};
+    return l;
+}
+
+std::string snapshot_text(const Learned& l) {
+    return learned_text(l, kKinds, [](int cache) { return kCaches[static_cast<std::size_t>(cache)]; });
+}
+
+TEST(Golden, WarmStartSnapshotHasTheSameBytes) {
+    expect_golden("snapshot.json", snapshot_text(learned_values()));
+}
+
+TEST(Golden, WarmStartSnapshotIsReadAsTheSameValues) {
+    const std::string text = golden("snapshot.json");
+    const auto read =
+        read_learned(text, kKinds, [](const std::string& name) { return index_of(kCaches, name); });
+    ASSERT_TRUE(read.has_value());
+    EXPECT_EQ(snapshot_text(*read), text);
+    Fields f;
+    f.put("reach", read->reach).put("pressure", read->pressure).put("admitted", read->admitted);
+    f.put("origin_limit", read->origin_limit)
+        .put("origin_pace", read->origin_pace)
+        .put("kind_shares", read->kind_shares);
+    for (const auto& c : read->caches)
+        f.put("cache", c.cache).put("limit", c.limit).put("rest", c.rest).put("suspect", c.suspect);
+    expect_golden("snapshot-fields.txt", f.text);
+}
+
+// ---- the administrative state on disk -------------------------------------------------------------------
+
+constexpr double kWall = 1'790'000'000;
+const std::vector<std::string> kNames{
+    "cache-1", "10.0.0.1:9000", "a b/c%d", "..", "\xc3\xbc\xe2\x88\x85", "\x01zone:room-a", "line\nend"};
+
+// All files of a folder with their modes, times and bytes, by name.
+std::string folder_text(const std::string& path) {
+    std::map<std::string, std::string> files;
+    for (const auto& entry : std::filesystem::directory_iterator(path)) {
+        struct stat told {};
+        EXPECT_EQ(stat(entry.path().c_str(), &told), 0);
+        char line[160];
+        std::snprintf(line, sizeof line, " mode %o, time %lld.%09ld, bytes ",
+                      static_cast<unsigned>(told.st_mode & 0777), static_cast<long long>(told.st_mtim.tv_sec),
+                      told.st_mtim.tv_nsec);
+        files[entry.path().filename()] = line + hex(content(entry.path()));
+    }
+    std::string all;
+    for (const auto& [name, line] : files) all += name + line + "\n";
+    return all;
+}
+
+void set_time(const std::string& path, long long seconds, long nanoseconds) {
+    const timespec times[2] = {{static_cast<time_t>(seconds), nanoseconds},
+                               {static_cast<time_t>(seconds), nanoseconds}};
+    EXPECT_EQ(utimensat(AT_FDCWD, path.c_str(), times, 0), 0) << path;
+}
+
+std::string state_of(const ByHand& by_hand) {
+    Fields f;
+    for (const std::string& name : kNames) {
+        const ByHand::State s = by_hand.of(name);
+        f.put("name", name)
+            .put("out", s.out)
+            .put("back_at", s.back_at)
+            .put("ever_listed", by_hand.ever_listed(name));
+    }
+    return f.text;
+}
+
+TEST(Golden, AdministrativeStateIsTheSameFiles) {
+    const Folder folder;
+    ByHand by_hand(folder.at("state"));
+    by_hand.listed({kNames[0], kNames[1]});
+    by_hand.listed({kNames[1], kNames[2], kNames[3], kNames[4], kNames[6]});
+    for (const std::string& name : kNames) {
+        if (name == kNames[1]) continue;
+        EXPECT_TRUE(by_hand.take_out(name)) << name;
+    }
+    EXPECT_TRUE(by_hand.call_back(kNames[1], kWall));  // was not out: nothing is left of it
+    EXPECT_TRUE(by_hand.call_back(kNames[2], kWall));
+    EXPECT_TRUE(by_hand.call_back(kNames[5], kWall));
+    EXPECT_TRUE(by_hand.call_back(kNames[0], kWall));
+    EXPECT_TRUE(by_hand.take_out(kNames[0]));
+    // When they were taken out or called back is the time of the file: the only thing here that is not fixed.
+    int at = 0;
+    std::set<std::string> files;
+    for (const auto& entry : std::filesystem::directory_iterator(folder.at("state")))
+        files.insert(entry.path());
+    for (const std::string& file : files)
+        set_time(file, static_cast<long long>(kWall) + 10 * ++at, 250'000'000);
+    expect_golden("by-hand-folder.txt", folder_text(folder.at("state")));
+}
+
+TEST(Golden, AdministrativeStateIsReadTheSame) {
+    const Folder folder;
+    std::filesystem::create_directory(folder.at("state"));
+    std::istringstream lines(golden("by-hand-folder.txt"));
+    std::string line;
+    while (std::getline(lines, line)) {
+        char name[200], bytes[800] = "";
+        unsigned mode = 0;
+        long long seconds = 0;
+        long nanoseconds = 0;
+        ASSERT_GE(std::sscanf(line.c_str(), "%199s mode %o, time %lld.%ld, bytes %799s", name, &mode,
+                              &seconds, &nanoseconds, bytes),
+                  4)
+            << line;
+        const std::string path = folder.at("state/" + std::string(name));
+        std::ofstream(path, std::ios::binary) << unhex(bytes);
+        std::filesystem::permissions(path, static_cast<std::filesystem::perms>(mode));
+        set_time(path, seconds, nanoseconds);
+    }
+    ByHand by_hand(folder.at("state"));
+    std::vector<std::string> changed = by_hand.look(kWall + 100);
+    std::sort(changed.begin(), changed.end());
+    const std::string early = state_of(by_hand);
+    std::vector<std::string> later =
+        by_hand.look(kWall + 615);  // one of those called back is forgotten by then
+    std::sort(later.begin(), later.end());
+    Fields f;
+    f.put("changed", changed).text += early;
+    f.put("changed later", later).text += state_of(by_hand);
+    expect_golden("by-hand-state.txt", f.text + folder_text(folder.at("state")));
+}
+
+// ---- files that are read --------------------------------------------------------------------------------
+
+TEST(Golden, OperatorsFileIsReadAsTheSameFields) {
+    const OperatorFile o = read_operator_file(golden_path("operator.toml"));
+    Fields f;
+    f.put("json_log", o.json_log).put("log_lines_a_second", o.log_lines_a_second);
+    f.put("registry_addresses", o.registry_addresses)
+        .put("registry_path", o.registry_path)
+        .put("registry_session", o.registry_session);
+    f.put("fleet_talk", o.fleet_talk)
+        .put("fleet_verdicts", o.fleet_verdicts)
+        .put("fleet_zones", o.fleet_zones);
+    f.put("fleet_regions", o.fleet_regions);
+    f.put("fleet_limits.tenants", o.fleet_limits.tenants).put("fleet_limits.origin", o.fleet_limits.origin);
+    f.put("fleet_limits.cold", o.fleet_limits.cold)
+        .put("fleet_limits.connections", o.fleet_limits.connections);
+    f.put("fleet_bytes_a_second", o.fleet_bytes_a_second).put("fleet_price_part", o.fleet_price_part);
+    expect_golden("operator-fields.txt", f.text);
+}
+
+void put_operation(Fields& f, const Operation& o) {
+    f.put("repeat", o.repeat).put("scope", o.scope).put("dedup_window", o.dedup_window);
+    f.put("latency_objective", o.latency_objective).put("client_timeout", o.client_timeout);
+    f.put("billed_value", o.billed_value).put("tardy_part", o.tardy_part).put("streamed", o.streamed);
+}
+
+std::string fields_of(const Scenario& s) {
+    Fields f;
+    f.put("path", std::filesystem::path(s.path).filename().string())
+        .put("name", s.name)
+        .put("about", s.about)
+        .put("seed", s.seed);
+    f.put("length", s.length).put("count_from", s.count_from).put("nodes", s.nodes).put("zones", s.zones);
+    for (const auto& k : s.kinds) {
+        f.head("kind")
+            .put("name", k.name)
+            .put("count", k.count)
+            .put("slots", k.slots)
+            .put("queue", k.queue)
+            .put("speed", k.speed);
+        f.put("keys", k.keys)
+            .put("connections", k.connections)
+            .put("handshake", k.handshake)
+            .put("crowded_from", k.crowded_from);
+        f.put("crowding", k.crowding).put("warm_after", k.warm_after);
+    }
+    const auto& o = s.origin;
+    f.head("origin")
+        .put("slots", o.slots)
+        .put("queue", o.queue)
+        .put("speed", o.speed)
+        .put("fall_multiple", o.fall_multiple);
+    f.put("fall_time", o.fall_time).put("halt", o.halt).put("limit_marked", o.limit_marked);
+    f.head("more")
+        .put("discovery_lag", s.discovery_lag)
+        .put("discovery_asked", s.discovery_asked)
+        .put("ask_every", s.ask_every);
+    f.put("discovery_calls", s.discovery_calls)
+        .put("node_memory_mb", s.node_memory_mb)
+        .put("node_descriptors", s.node_descriptors);
+    f.put("most_forwards", s.most_forwards)
+        .put("most_open", s.most_open)
+        .put("connect_timeout", s.connect_timeout);
+    f.put("connection_idle", s.connection_idle)
+        .put("talk", s.talk)
+        .put("talk_bytes", s.talk_bytes)
+        .put("talk_tenants", s.talk_tenants);
+    f.put("talk_origin", s.talk_origin)
+        .put("talk_cold", s.talk_cold)
+        .put("talk_connections", s.talk_connections);
+    f.put("talk_zones", s.talk_zones).put("answer_grace", s.answer_grace).put("drain_grace", s.drain_grace);
+    f.put("cold_from", s.cold_from).put("warm_within", s.warm_within).put("fall_multiple", s.fall_multiple);
+    f.put("fall_time", s.fall_time)
+        .put("longest_advice", s.longest_advice)
+        .put("beyond_share_part", s.beyond_share_part);
+    for (const auto& p : s.operations) {
+        f.head("operation")
+            .put("name", p.name)
+            .put("write", p.write)
+            .put("share", p.share)
+            .put("work", p.work);
+        f.put("origin_work", p.origin_work).put("value_bytes", p.value_bytes);
+        put_operation(f, p.promised);
+    }
+    for (const auto& t : s.tenants) {
+        f.head("tenant")
+            .put("name", t.name)
+            .put("share", t.share)
+            .put("quota", t.quota)
+            .put("nodes", t.nodes)
+            .put("then", t.then);
+        f.put("moves", t.moves);
+    }
+    const auto& c = s.clients;
+    f.head("clients").put("rate", c.rate).put("curve", c.curve).put("retries", c.retries).put("wait", c.wait);
+    f.put("patience_least", c.patience_least).put("patience_most", c.patience_most).put("leave", c.leave);
+    f.put("mark_repeats", c.mark_repeats).put("front_notices", c.front_notices);
+    f.head("keys")
+        .put("count", s.keys.count)
+        .put("skew", s.keys.skew)
+        .put("drift", s.keys.drift)
+        .put("filled", s.keys.filled);
+    for (const auto& t : s.troubles) {
+        f.head("trouble")
+            .put("kind", t.kind)
+            .put("at", t.at)
+            .put("lasts", t.lasts)
+            .put("who", t.who)
+            .put("node", t.node);
+        f.put("factor", t.factor)
+            .put("part", t.part)
+            .put("count", t.count)
+            .put("nodes", t.nodes)
+            .put("from", t.from);
+        f.put("to", t.to).put("one_way", t.one_way).put("delay", t.delay).put("origin", t.origin);
+    }
+    f.head("of it")
+        .put("server_names", s.server_names())
+        .put("capacity", s.capacity())
+        .put("kind_of", s.kind_of(4));
+    for (const double time : {0.0, 0.25, 30.0, 70.0}) f.put("curve at", at(c.curve, time, -1));
+    return f.text;
+}
+
+TEST(Golden, ScenarioIsReadAsTheSameFields) {
+    const Scenario s = read_scenario(golden_path("scenario.toml"));
+    for (int k = 0; k < static_cast<int>(TroubleKind::count); ++k) {
+        EXPECT_TRUE(s.has(static_cast<TroubleKind>(k)))
+            << "the golden scenario lacks " << trouble_words()[static_cast<std::size_t>(k)];
+    }
+    expect_golden("scenario-fields.txt", Fields{}.put("trouble_words", trouble_words()).text + fields_of(s));
+}
+
+TEST(Golden, ScenarioWithOverridesIsReadAsTheSameFields) {
+    const std::vector<std::string> overrides{"day.length=2m", "clients.rate=12.5", "server.1.speed=0.5",
+                                             "name=other words", "trouble.0.at=\"7s\""};
+    expect_golden("scenario-overrides-fields.txt",
+                  fields_of(read_scenario(golden_path("scenario.toml"), overrides)));
+}
+
+void put_list(Fields& f, const ServerList& list) {
+    f.put("version", list.version).put("whole", list.whole).put("complaints", list.complaints);
+    for (const auto& s : list.servers) {
+        f.head("server")
+            .put("name", s.name)
+            .put("address", s.address)
+            .put("zone", s.zone)
+            .put("kind", s.kind)
+            .put("cell", s.cell);
+        f.put("size", s.size).put("standing", s.standing).put("born", s.born);
+    }
+}
+
+TEST(Golden, NodesConfigurationIsReadAsTheSameFields) {
+    const Station s = read_station(golden_path("station.json"));
+    Fields f;
+    f.put("name", s.name)
+        .put("listen", s.listen)
+        .put("discovery", s.discovery)
+        .put("management", s.management);
+    f.put("peer_listen", s.peer_listen)
+        .put("peers", s.peers)
+        .put("peer_price", s.peer_price)
+        .put("scratch", s.scratch);
+    f.put("seed", s.seed)
+        .put("descriptors", s.descriptors)
+        .put("memory_mb", s.memory_mb)
+        .put("most_open", s.most_open);
+    const auto& d = s.deployment;
+    f.head("deployment")
+        .put("zone", d.zone)
+        .put("zones", d.zones)
+        .put("node", d.node)
+        .put("nodes", d.nodes)
+        .put("tick", d.tick);
+    f.put("ask_for_list", d.ask_for_list).put("ask_every", d.ask_every).put("origin_kind", d.origin_kind);
+    f.put("origin_fall_multiple", d.origin_fall_multiple)
+        .put("may_duplicate", d.may_duplicate)
+        .put("may_cancel", d.may_cancel);
+    f.put("may_probe", d.may_probe)
+        .put("may_tell_peers", d.may_tell_peers)
+        .put("most_forwards", d.most_forwards);
+    f.put("longest_retry_advice", d.longest_retry_advice).put("connect_timeout", d.connect_timeout);
+    f.put("connection_idle", d.connection_idle)
+        .put("answer_grace", d.answer_grace)
+        .put("drain_grace", d.drain_grace);
+    f.put("cold_from", d.cold_from).put("warm_within", d.warm_within).put("fall_multiple", d.fall_multiple);
+    f.put("fall_time", d.fall_time).put("sizes", d.sizes).put("beyond_share_part", d.beyond_share_part);
+    for (const auto& o : d.operations) put_operation(f.head("operation"), o);
+    for (const auto& t : d.tenants) f.head("tenant").put("quota", t.quota);
+    f.head("names")
+        .put("zones", s.names.zones)
+        .put("kinds", s.names.kinds)
+        .put("operations", s.names.operations);
+    f.put("tenants", s.names.tenants);
+    put_list(f.head("known"), s.known);
+    f.head("given");
+    for (const auto& [path, keys] : s.given) f.put(path.c_str(), keys);
+    expect_golden("station-fields.txt", f.text);
+}
+
+TEST(Golden, ServerListIsReadAsTheSameFieldsAndComplaints) {
+    rapidjson::Document root;
+    root.Parse(golden("server-list.json").c_str());
+    ASSERT_FALSE(root.HasParseError());
+    Fields f;
+    put_list(f, read_server_list(root, read_station(golden_path("station.json")).names));
+    expect_golden("server-list-fields.txt", f.text);
+}
+
+// ---- the state that operators are shown -----------------------------------------------------------------
+
+// One socket for datagrams on a free port of the loopback.
+class Datagrams {
+  public:
+    Datagrams() : socket_(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)) {
+        sockaddr_in here{};
+        here.sin_family = AF_INET;
+        here.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        socklen_t size = sizeof here;
+        if (bind(socket_, reinterpret_cast<const sockaddr*>(&here), sizeof here) != 0 ||
+            getsockname(socket_, reinterpret_cast<sockaddr*>(&here), &size) != 0)
+            ADD_FAILURE() << "no socket on the loopback";
+        port_ = ntohs(here.sin_port);
+    }
+    ~Datagrams() { close(); }
+    Datagrams(const Datagrams&) = delete;
+    Datagrams& operator=(const Datagrams&) = delete;
+    void close() {
+        if (socket_ >= 0) ::close(socket_);
+        socket_ = -1;
+    }
+    std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+    void send(const Datagrams& to, const std::string& bytes) {
+        sockaddr_in there{};
+        there.sin_family = AF_INET;
+        there.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        there.sin_port = htons(to.port_);
+        EXPECT_EQ(sendto(socket_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&there),
+                         sizeof there),
+                  static_cast<ssize_t>(bytes.size()));
+    }
+
+  private:
+    int socket_;
+    std::uint16_t port_ = 0;
+};
+
+// Node 2 of five in the golden configuration, with peers that the test plays; its clock moves by hand.
+struct TalkingNode {
+    std::array<Datagrams, 5> peers;
+    Station station = read_station(golden_path("station.json"));
+    OperatorFile operator_file = read_operator_file(golden_path("operator.toml"));
+    Timers timers;
+    Log log{"golden"};
+    std::unique_ptr<Talk> talk;
+    int sent = 0;
+
+    explicit TalkingNode(bool with_socket) {
+        clock_us = 1'000'000'000;
+        operator_file.fleet_verdicts = operator_file.fleet_zones = true;
+        station.peers.clear();
+        for (const Datagrams& peer : peers) station.peers.push_back(peer.address());
+        station.peer_listen = with_socket ? peers[2].address() : std::string();
+        peers[2].close();
+        EXPECT_EQ(Talk::against(station), with_socket ? "" : "the configuration has no peer_listen");
+        talk = std::make_unique<Talk>(
+            timers, log, station, operator_file, [] {}, [](double, const std::string&, bool, double) {},
+            [](double, const fleet::Zones::Order&) {}, [](double, int, double) {});
+        talk->listed({"cache-1", "cache-2", "origin"}, 2);
+    }
+    double now() const { return monotonic(); }
+    void step() {
+        clock_us += 125'000;
+        talk->step(now());
+    }
+    void hear(int from, const std::string& bytes) {
+        peers[static_cast<std::size_t>(from)].send(peers[2], bytes);
+        const std::string wanted = "\"received\":" + std::to_string(++sent) + ",";
+        for (int tries = 0; tries < 5000 && talk->state_text(now()).find(wanted) == std::string::npos;
+             ++tries) {
+            if (g_main_context_iteration(nullptr, FALSE) == FALSE) usleep(1000);
+        }
+        EXPECT_NE(talk->state_text(now()).find(wanted), std::string::npos)
+            << "a datagram from node " << from << " did not come";
+    }
+    // What this node itself does in one step.
+    void work(int step) {
+        talk->asked(now());
+        for (int t = 0; t < 3; ++t) talk->tenant_asked(now(), 0);
+        talk->origin_may(now());
+        talk->cold_may(now(), "cache-2");
+        talk->connections_most(now(), "cache-1", 30);
+        const auto forward = static_cast<std::uint64_t>(2 * step);
+        talk->began(now(), forward, "cache-1", 1, 0.4);
+        talk->began(now(), forward + 1, "cache-2", 0, 0.4);
+        talk->ended(now(), forward + 1, "cache-2", 0, step % 3 == 0 ? Ending::busy : Ending::succeeded, 0.05,
+                    0.4);
+        if (step % 2 == 0) talk->ended(now(), forward, "cache-1", 1, Ending::refused, 0.05, 0.4);
+    }
+};
+
+// One line a key, so that a difference is found by its line; no text in there has commas or brackets of its
+// own.
+std::string in_lines(const std::string& json) {
+    std::string out;
+    for (const char c : json) {
+        out += c;
+        if (c == ',' || c == '{' || c == '[') out += '\n';
+    }
+    return out + "\n";
+}
+
+TEST(Golden, FleetStateOfANodeAloneIsTheSameJson) {
+    TalkingNode node(false);
+    for (int s = 0; s < 40; ++s) {
+        node.work(s);
+        node.step();
+    }
+    node.talk->zone_by_hand(node.now(), 2, true);
+    node.step();
+    expect_golden("fleet-state-alone.txt", in_lines(node.talk->state_text(node.now())));
+}
+
+TEST(Golden, FleetStateOfANodeThatHearsOthersIsTheSameJson) {
+    TalkingNode node(true);
+    const fleet::Subject bad = fleet::subject_of("cache-1");
+    for (int s = 0; s < 48; ++s) {
+        node.work(s);
+        node.step();
+        for (const int from : {0, 1, 3, 4}) {
+            if ((s + from) % 4 != 0) continue;
+            fleet::Datagram d;
+            d.node = from;
+            d.stamp = {1'790'000'500U + static_cast<std::uint32_t>(from),
+                       1000U + static_cast<std::uint32_t>(s) * 32};
+            d.zone = from == 0 ? 0 : 1;
+            if (from != 4 || s < 16) d.alive = {{1, 0.25, 1}, {3, 0.5, 1}};
+            d.sights = {{bad, 1, 9}};
+            d.findings = {{bad, from, d.stamp, 0b11, 3, 0.125}};
+            if (from != 0) d.zones = {{2, fleet::ZoneSight::lost, 5, 2}};
+            d.wants = {{fleet::subject_of("origin"), 20'000}};
+            if (from != 4 || s < 36) node.hear(from, fleet::encode(d));
+        }
+    }
+    node.hear(1, "no datagram");
+    fleet::Datagram dead;
+    dead.node = 3;
+    dead.stamp = {1'789'000'000, 1};
+    node.hear(3, fleet::encode(dead));
+    const std::string text = node.talk->state_text(node.now());
+    for (const char* filled : {"\"said_by\":[{", "\"said_lost\":[1", "\"takers\":4"})
+        EXPECT_NE(text.find(filled), std::string::npos) << filled;
+    expect_golden("fleet-state.txt", in_lines(text));
+}
+
+// ---- the programs ---------------------------------------------------------------------------------------
+
+struct Ran {
+    int code = -1;
+    std::string out, err;
+};
+
+// In the project's root, so that the paths that a program prints are the same everywhere.
+Ran run(const std::string& command) {
+    const Folder folder;
+    const std::string line = "cd '" + std::string(kRoot) + "' && unset GW_CONFIG && " + command + " >'" +
+                             folder.at("out") + "' 2>'" + folder.at("err") + "'";
+    const int status = std::system(line.c_str());
+    return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, content(folder.at("out")),
+            content(folder.at("err"))};
+}
+
+TEST(Golden, AdapterGivesTheSameAnswersToABatch) {
+    const Ran r = run("'" BROOKRELAY_ADAPTER "' <tests/golden/adapter-input.jsonl");
+    EXPECT_EQ(r.code, 0);
+    EXPECT_EQ(r.err, "");
+    expect_golden("adapter-replies.jsonl", r.out);
+}
+
+TEST(Golden, AdapterSaysTheSameOfWrongInput) {
+    const Folder folder;
+    std::istringstream lines(golden("adapter-wrong.jsonl"));
+    std::string all;
+    for (std::string line; std::getline(lines, line);) {
+        std::ofstream(folder.at("line")) << line << "\n";
+        const Ran r = run("'" BROOKRELAY_ADAPTER "' <'" + folder.at("line") + "'");
+        all += "code " + std::to_string(r.code) + ", out " + shown(r.out) + ", err " + shown(r.err) + "\n";
+    }
+    expect_golden("adapter-wrong.txt", all);
+}
+
+TEST(Golden, ProgramPrintsTheSameLinesAndEndsWithTheSameCode) {
+    std::string all;
+    for (const char* arguments : {
+             "--version",
+             "check tests/golden/operator.toml",
+             "check tests/golden/operator-misspelt.toml",
+             "check tests/golden/operator-no-toml.toml",
+             "check tests/golden/scenario.toml",
+             "check tests/golden/scenario-wrong.toml",
+             "check tests/golden/station.json",
+             "check tests/golden/station-wrong.json",
+             "check tests/golden/no-such-file.toml",
+             "check tests/golden/no-such-file.json",
+             "check tests/golden",
+             "check",
+             "check one two",
+             "",
+             "dance",
+             "--dance",
+             "serve --log-format xml",
+             "serve --config tests/golden/no-such-file.json",
+             "serve --operator tests/golden/operator-misspelt.toml --config tests/golden/station.json",
+             "registry",
+             "explore --depth 20",
+             "fleet status",
+             "fleet status --address here:1",
+             "fleet zones --address 127.0.0.1:1 --leave a --take-back a",
+         }) {
+        const Ran r = run("'" BROOKRELAY_PROGRAM "' " + std::string(arguments));
+        all += "$ brookrelay " + std::string(arguments) + "\n" + r.out +
+               (r.err.empty() ? "" : "-- standard error\n" + r.err);
+        all += "-- code " + std::to_string(r.code) + "\n";
+    }
+    expect_golden("command-line.txt", all);
+}
+
+// ---- memcache and HTTP ----------------------------------------------------------------------------------
+
+TEST(Golden, CodecsWriteTheSameBytes) {
+    Fields f;
+    const std::string inputs[] = {
+        "mg key-1 v Oid-7 Pc=read,d=1500,t=first,r=1\r\n",
+        "mg a/b?c%20\xc3\xbc v Pd=20,x=y,c=lookup Oq\n",
+        "ms key-2 5 Ow1 Pc=write,t=second,d=86400000\r\nab\r\nc\r\n",
+        "ms empty 0 Pc=write,d=1 Ow2\r\n\r\n",
+        "mn\r\n",
+        "mg key-3 v Oid\r\n",
+        "ms key-4 x Ow3 Pc=write,d=1\r\n",
+        "get old\r\n",
+    };
+    for (const std::string& input : inputs) {
+        Command c;
+        f.head(shown(input))
+            .put("taken", read_command(input, c))
+            .put("kind", c.kind)
+            .put("key", c.key)
+            .put("id", c.id);
+        f.put("value", c.value).put("complaint", c.complaint).put("framing_lost", c.framing_lost);
+        f.put("operation", c.properties.operation)
+            .put("tenant", c.properties.tenant)
+            .put("repeat", c.properties.repeat);
+        f.put("time_left", c.properties.time_left);
+        if (c.kind != Command::Kind::read && c.kind != Command::Kind::write) continue;
+        for (const double left : {0.0, 0.0004, 1.2345, 3600.0}) {
+            f.put("properties_text", properties_text(c.properties, left))
+                .put("command_text", command_text(c, left));
+            f.put("origin_request", origin_request(c, left, "127.0.0.1:8080"));
+        }
+    }
+    f.head("answers")
+        .put("value_head", value_head("id-7", 4'194'304))
+        .put("value_text", value_text("id-7", "a\r\nb"));
+    f.put("value_text", value_text("", ""))
+        .put("receipt_text", receipt_text("w1", "77"))
+        .put("busy_text", busy_text(0));
+    f.put("busy_text", busy_text(0.25))
+        .put("busy_text", busy_text(0.0004))
+        .put("busy_text", busy_text(12.3456));
+    f.head("http").put("path_of", path_of("a b/c?d#e%f:@~\xc3\xbc")).put("path_of", path_of(""));
+    f.put("http_request", http_request("POST", "/x", "[::1]:80", {{"A", "1"}, {"B-c", "two words"}}, "body"));
+    f.put("http_request", http_request("GET", "/", "h", {}, ""));
+    expect_golden("codecs.txt", f.text);
+}
+
+TEST(Golden, CodecsReadTheSameFields) {
+    Fields f;
+    for (const std::string input : {"VA 3 Oid-7\r\nabc\r\n", "HD Ow1 c77\r\n", "EN Oid\r\n", "EN\r\n",
+                                    "MN\r\n", "SERVER_ERROR busy\r\n", "SERVER_ERROR out of memory\r\n",
+                                    "VA 3 Oid\r\nabcd\r\n", "VA 3 Oid\r\nab", "what\r\n"}) {
+        Reply r;
+        f.head(shown(input))
+            .put("taken", read_reply(input, r))
+            .put("kind", r.kind)
+            .put("id", r.id)
+            .put("body", r.body);
+    }
+    for (const std::string input :
+         {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
+          "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+          "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+          "HTTP/1.0 200 OK\r\n\r\nabc", "no http\r\n\r\n"}) {
+        Answer a;
+        f.head(shown(input))
+            .put("taken", read_origin_answer(input, a))
+            .put("sound", a.sound)
+            .put("reusable", a.reusable);
+        f.put("unsized", a.unsized).put("ending", a.ending).put("body", a.body);
+    }
+    expect_golden("codec-fields.txt", f.text);
+}
+
+}  // namespace
