--- a/tests/host.h
+++ b/tests/host.h
@@ -1,8 +1,7 @@
 // The tests' one helper: a host written by hand that keeps what the module did, and a small fleet.
 #pragma once
 
-#include <cassert>
-#include <cstdio>
+#include <memory>
 #include <string>
 #include <vector>
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,9 +1,13 @@
-// The four rules: final answers, further forwards by outcome and operation kind, drains, cold caches.
+// The four rules: final answers, retries by outcome and operation kind, drains, cold caches.
+#include <gtest/gtest.h>
+
+#include <cctype>
 #include <cmath>
 #include <cstdio>
 #include <deque>
 #include <memory>
 #include <random>
+#include <string>
 #include <utility>
 
 #include "host.h"
@@ -12,12 +16,12 @@
 
 namespace {
 
-void rule_2_by_outcome_and_operation() {
+TEST(Retry, DependsOnTheOutcomeAndTheOperation) {
     struct Case {
         int operation;
         Ending ending;
-        bool forwarded;  // again
-        bool throttled;  // when it is not, or when that fails too and the client's time is up
+        bool retried;
+        bool rejected;  // when it is not, or when that fails too and the client's time is up
     };
     const Case cases[] = {
         {0, Ending::errored, true, true},   {0, Ending::timed_out, true, true},
@@ -28,76 +32,81 @@
         {2, Ending::busy, true, true},      {2, Ending::refused, true, true},
     };
     for (const Case& c : cases) {
+        SCOPED_TRACE(testing::Message()
+                     << "operation " << c.operation << ", outcome " << static_cast<int>(c.ending));
         Fleet fleet(4);
         fleet.start();
         const int inv = fleet.arrive(11, c.operation);
-        assert(fleet.host.sent.size() == 1);
+        ASSERT_EQ(fleet.host.sent.size(), 1U);
         fleet.now += 0.1;
         fleet.end(inv, 0, c.ending);
-        assert((fleet.host.sent.size() == 2) == c.forwarded);
-        if (c.forwarded) {
-            assert(fleet.host.sent[1].cache != fleet.host.sent[0].cache);
+        ASSERT_EQ(fleet.host.sent.size() == 2, c.retried);
+        if (c.retried) {
+            EXPECT_NE(fleet.host.sent[1].cache, fleet.host.sent[0].cache);
             fleet.now += 1.2;
             fleet.end(inv, 1, c.ending);
         }
-        assert(fleet.finals(inv) == 1);
-        assert((fleet.host.throttled.size() == 1) == c.throttled);
+        EXPECT_EQ(fleet.finals(inv), 1);
+        EXPECT_EQ(fleet.host.throttled.size() == 1, c.rejected);
     }
 }
 
-void a_repeat_stays_in_its_group_and_window() {
+TEST(Retry, OfADeduplicatedRequestStaysInItsGroupAndWindow) {
     struct Case {
         Scope scope;
         double after;
-        bool forwarded, throttled;
+        bool retried, rejected;
     };
     for (const Case& c : {Case{Scope::all, 0.3, true, true}, Case{Scope::zone, 0.3, true, false},
                           Case{Scope::all, 1.5, false, true}, Case{Scope::zone, 1.5, false, false}}) {
+        SCOPED_TRACE(testing::Message() << (c.scope == Scope::all ? "all" : "zone") << ", after " << c.after);
         Fleet fleet(6, 2);
         fleet.deployment.operations[1].scope = c.scope;
         fleet.start();
         const int inv = fleet.arrive(11, 1, false, 5.0);
         fleet.now += c.after;
         fleet.end(inv, 0, Ending::timed_out);
-        assert((fleet.host.sent.size() == 2) == c.forwarded);
-        if (c.forwarded) {
-            assert(fleet.host.sent[1].cache % 2 == fleet.host.sent[0].cache % 2);
+        ASSERT_EQ(fleet.host.sent.size() == 2, c.retried);
+        if (c.retried) {
+            EXPECT_EQ(fleet.host.sent[1].cache % 2, fleet.host.sent[0].cache % 2);
         } else {
-            assert(fleet.finals(inv) == 1 && (fleet.host.throttled.size() == 1) == c.throttled);
+            EXPECT_EQ(fleet.finals(inv), 1);
+            EXPECT_EQ(fleet.host.throttled.size() == 1, c.rejected);
         }
     }
 }
 
-void one_final_answer_whatever_comes_after() {
+TEST(FinalAnswer, IsGivenOnceWhateverComesAfter) {
     Fleet fleet(4);
     fleet.start();
     const int left = fleet.arrive(5);
     fleet.node->client_left(fleet.now, left);
     fleet.end(left, 0, Ending::timed_out, 0.05, true);
-    assert(fleet.finals(left) == 0 && fleet.host.sent.size() == 1);
+    EXPECT_EQ(fleet.finals(left), 0);
+    EXPECT_EQ(fleet.host.sent.size(), 1U);
     const int late = fleet.arrive(6);
     fleet.now += 1.2;
     fleet.end(late, 0, Ending::timed_out, 1.2);
-    assert(fleet.finals(late) == 1);
+    EXPECT_EQ(fleet.finals(late), 1);
     fleet.end(late, 0, Ending::timed_out, 1.2);
-    assert(fleet.finals(late) == 1);
+    EXPECT_EQ(fleet.finals(late), 1);
     Fleet none(0);
     none.list.clear();
     none.start();
-    assert(none.finals(none.arrive(5)) == 1);
+    EXPECT_EQ(none.finals(none.arrive(5)), 1);
 }
 
-void a_draining_or_gone_cache_gets_nothing_new() {
+TEST(Draining, ADrainingOrRemovedCacheGetsNoNewRequests) {
     Fleet fleet(2);
     fleet.start();
     fleet.list[1].standing = Standing::draining;
     fleet.list[2].standing = Standing::gone;
     fleet.tell(ListKind::change);
     for (std::uint64_t k = 0; k < 50; ++k) fleet.arrive(k);
-    for (const Sent& s : fleet.host.sent) assert(s.cache == kOrigin);
+    for (const Sent& s : fleet.host.sent) EXPECT_EQ(s.cache, kOrigin);
 }
 
-void a_cold_cache_gets_a_growing_share_within_a_budget() {
+TEST(SlowStart, GivesAColdCacheAGrowingShareWithinABudget) {
     Fleet fleet(4);
     fleet.deployment.warm_within = 100;
     fleet.start();
@@ -108,6 +117,7 @@
     double last = 0;
     for (double age : {1.0, 50.0, 120.0}) {
         int owned = 0, kept = 0;
+        SCOPED_TRACE(age);
         fleet.now = 100 + age;
         for (std::uint64_t k = 0; k < 800; ++k) {
             fleet.now += 0.01;
@@ -117,11 +127,13 @@
             kept += at == 2;
         }
         const double share = static_cast<double>(kept) / owned;
-        assert(share > last);
+        EXPECT_GT(share, last);
         last = share;
-        if (age < 50) assert(share < 0.4);
+        if (age < 50) {
+            EXPECT_LT(share, 0.4);
+        }
     }
-    assert(last == 1);
+    EXPECT_EQ(last, 1);
     // However many at once ask for its keys, the budget holds.
     fleet.list[2].started = fleet.now;
     fleet.tell(ListKind::change);
@@ -129,27 +141,30 @@
     for (std::uint64_t k = 0; k < 4000; ++k) fleet.owner(k);
     int at_cold = 0;
     for (; sent < fleet.host.sent.size(); ++sent) at_cold += fleet.host.sent[sent].cache == 2;
-    assert(at_cold > 0 && at_cold < 300);
+    EXPECT_GT(at_cold, 0);
+    EXPECT_LT(at_cold, 300);
 }
 
-void one_forward_at_a_time_where_two_are_forbidden() {
+TEST(Retry, AttemptsDoNotOverlapWhereDuplicatesAreForbidden) {
     Fleet fleet(4);
     fleet.deployment.may_duplicate = false;
     fleet.start();
     const int inv = fleet.arrive(3);
     fleet.end(inv, 0, Ending::miss);
-    assert(fleet.host.sent.size() == 2 && fleet.host.sent[1].cache == kOrigin);
+    ASSERT_EQ(fleet.host.sent.size(), 2U);
+    EXPECT_EQ(fleet.host.sent[1].cache, kOrigin);
     fleet.now += 0.3;
     for (const auto& timer : std::vector<RecordingHost::Wake>(fleet.host.timers)) {
         fleet.node->woken(fleet.now, timer.token);
     }
-    assert(fleet.host.sent.size() == 2);
+    EXPECT_EQ(fleet.host.sent.size(), 2U);
 }
 
 // Seen with 1,790 nodes: the first caches of a zone to come back cold had all of the zone's traffic, and keys
 // that no node sees often enough to call hot were one cold cache's alone.
-void a_cold_cache_takes_no_key_whole_from_nodes_that_know_nothing() {
+TEST(SlowStart, GivesAColdCacheNoWholeKeyFromNodesThatKnowNothing) {
     for (int zone_caches : {1, 2}) {  // of 40 in two zones; all of the own zone's have just started
+        SCOPED_TRACE(testing::Message() << zone_caches << " caches of the own zone");
         int there = 0;
         for (int n = 0; n < 400; ++n) {
             Fleet fleet(40, 2);
@@ -164,7 +179,7 @@
             const int at = fleet.owner(static_cast<std::uint64_t>(n));
             there += at >= 1 && at <= zone_caches;
         }
-        assert(there <= 4);
+        EXPECT_LE(there, 4);
     }
     Fleet warm(200);
     warm.start();
@@ -178,37 +193,27 @@
         fleet.start(ListKind::whole, static_cast<std::uint64_t>(n) + 7);
         nodes += fleet.owner(77) == home;
     }
-    assert(nodes <= 4);  // one of all nodes is meant, and chance
+    EXPECT_LE(nodes, 4);  // one of all nodes is meant, and chance
 }
 
-// What all nodes together send a cold cache in any fall time: no more than it is allowed then, N, and chance, 2 x root
-// of N + 2; and not so little that it cannot warm by use.
-void the_sum_of_all_nodes_at_a_cold_cache_is_bounded() {
-    struct Case {
-        const char* name;
-        int nodes, caches;
-        double rate;      // invocations a second, all nodes'
-        double hot;       // part of them for one key of the cold cache, from its start on
-        bool uneven;      // a tenth of the nodes has half of the traffic
-        bool restarted;   // all nodes know nothing when it starts
-    };
-    for (const Case& c :
-         {Case{"few nodes", 4, 12, 200, 0, false, false}, Case{"few nodes, hot key", 4, 12, 200, 0.3, false, false},
-          Case{"20 nodes", 20, 12, 200, 0, false, false}, Case{"20 nodes, hot key", 20, 12, 200, 0.3, false, false},
-          Case{"30 nodes, small caches, hot key", 30, 30, 150, 0.3, false, false},
-          Case{"20 nodes, slow caches, hot key", 20, 20, 50, 0.5, false, false},
-          Case{"30 nodes, slow caches, hot key", 30, 30, 90, 0.5, false, false},
-          Case{"30 nodes, slow caches", 30, 30, 90, 0, false, false},
-          Case{"30 uneven nodes, slow caches, hot key", 30, 30, 90, 0.5, true, false},
-          Case{"100 nodes, slow caches, hot key", 100, 40, 200, 0.5, false, false},
-          Case{"30 uneven nodes, hot key", 30, 12, 200, 0.3, true, false},
-          Case{"300 nodes", 300, 60, 3000, 0, false, false}, Case{"300 nodes, hot key", 300, 60, 3000, 0.2, false, false},
-          Case{"300 uneven nodes, hot key", 300, 60, 3000, 0.2, true, false},
-          Case{"300 nodes, many caches, hot key", 300, 200, 3000, 0.2, false, false},
-          Case{"300 nodes that all restart, hot key", 300, 60, 3000, 0.2, false, true},
-          Case{"30 nodes that all restart, hot key", 30, 12, 200, 0.3, false, true}}) {
-      int least = 1 << 30, most = 0;
-      for (int run = 1; run <= 6; ++run) {  // another hot key each, since a cold cache takes some of its keys at first
+// What all nodes together send a cold cache in any fall time: no more than it is allowed then, N, and chance,
+// 2 x root of N + 2; and not so little that it cannot warm by use.
+struct ColdStart {
+    const char* name;
+    int nodes, caches;
+    double rate;     // requests a second, all nodes'
+    double hot;      // part of them for one key of the cold cache, from its start on
+    bool uneven;     // a tenth of the nodes has half of the traffic
+    bool restarted;  // all nodes know nothing when it starts
+};
+
+class SlowStartTotal : public testing::TestWithParam<ColdStart> {};
+
+TEST_P(SlowStartTotal, OfAllNodesStaysWithinTheBudget) {
+    const ColdStart& c = GetParam();
+    int least = 1 << 30, most = 0;
+    for (int run = 1; run <= 6;
+         ++run) {  // another hot key each, since a cold cache takes some of its keys at first
         constexpr double kUsualLoad = 0.6;
         std::vector<std::unique_ptr<Fleet>> nodes;
         const auto fresh = [&c](int n, double now, double started) {
@@ -249,28 +254,51 @@
             Fleet& f = *nodes[static_cast<std::size_t>(n)];
             f.now = now;
             const bool hot = told && draw() < c.hot;
-            if (f.owner(hot ? hot_key : static_cast<std::uint64_t>(draw() * 1e6) + 10) != 1 || !told) continue;
+            if (f.owner(hot ? hot_key : static_cast<std::uint64_t>(draw() * 1e6) + 10) != 1 || !told)
+                continue;
             ++in_all;
             window.push_back(now);
             while (window.front() < now - d.fall_time) window.pop_front();
             const double warm = d.cold_from + (1 - d.cold_from) * (now - start) / d.warm_within;
             const double n_allowed = d.fall_multiple * warm * capacity * d.fall_time;
-            if (static_cast<double>(window.size()) > n_allowed + 2 * std::sqrt(n_allowed) + 2) {
-                std::printf("%s: %zu sent, %.1f allowed, %.1f s after the start\n", c.name, window.size(), n_allowed, now - start);
-                assert(!"a cold cache was pushed over");
-            }
+            ASSERT_LE(static_cast<double>(window.size()), n_allowed + 2 * std::sqrt(n_allowed) + 2)
+                << "run " << run << ": " << n_allowed << " allowed, " << now - start << " s after the start";
         }
         least = std::min(least, in_all);
         most = std::max(most, in_all);
-      }
-      const double even = c.rate / c.caches * 10;
-      std::printf("%-40s %4d to %4d sent while it warms, %.0f an even share\n", c.name, least, most, even);
-      assert(least > 0.03 * even);
     }
+    const double even = c.rate / c.caches * 10;
+    std::printf("%-40s %4d to %4d sent while it warms, %.0f an even share\n", c.name, least, most, even);
+    EXPECT_GT(least, 0.03 * even);
 }
 
-// Fewer forwards from now on: what is open may still have as many as it came with, what comes later may not.
-void open_invocations_keep_the_forwards_they_came_with() {
+INSTANTIATE_TEST_SUITE_P(
+    ColdStarts, SlowStartTotal,
+    testing::Values(ColdStart{"few nodes", 4, 12, 200, 0, false, false},
+                    ColdStart{"few nodes, hot key", 4, 12, 200, 0.3, false, false},
+                    ColdStart{"20 nodes", 20, 12, 200, 0, false, false},
+                    ColdStart{"20 nodes, hot key", 20, 12, 200, 0.3, false, false},
+                    ColdStart{"30 nodes, small caches, hot key", 30, 30, 150, 0.3, false, false},
+                    ColdStart{"20 nodes, slow caches, hot key", 20, 20, 50, 0.5, false, false},
+                    ColdStart{"30 nodes, slow caches, hot key", 30, 30, 90, 0.5, false, false},
+                    ColdStart{"30 nodes, slow caches", 30, 30, 90, 0, false, false},
+                    ColdStart{"30 uneven nodes, slow caches, hot key", 30, 30, 90, 0.5, true, false},
+                    ColdStart{"100 nodes, slow caches, hot key", 100, 40, 200, 0.5, false, false},
+                    ColdStart{"30 uneven nodes, hot key", 30, 12, 200, 0.3, true, false},
+                    ColdStart{"300 nodes", 300, 60, 3000, 0, false, false},
+                    ColdStart{"300 nodes, hot key", 300, 60, 3000, 0.2, false, false},
+                    ColdStart{"300 uneven nodes, hot key", 300, 60, 3000, 0.2, true, false},
+                    ColdStart{"300 nodes, many caches, hot key", 300, 200, 3000, 0.2, false, false},
+                    ColdStart{"300 nodes that all restart, hot key", 300, 60, 3000, 0.2, false, true},
+                    ColdStart{"30 nodes that all restart, hot key", 30, 12, 200, 0.3, false, true}),
+    [](const auto& row) {
+        std::string name = row.param.name;
+        for (char& ch : name) ch = std::isalnum(static_cast<unsigned char>(ch)) != 0 ? ch : '_';
+        return name;
+    });
+
+// Fewer attempts from now on: what is open may still have as many as it came with, what comes later may not.
+TEST(Retry, OpenRequestsKeepTheAttemptLimitTheyArrivedWith) {
     Fleet fleet(4);
     fleet.start();
     const int early = fleet.arrive(1);
@@ -279,21 +307,12 @@
     fleet.tell(ListKind::whole);
     const int late = fleet.arrive(2);
     fleet.end(early, 0, Ending::refused);
-    assert(fleet.host.sent.size() == 3 && fleet.host.sent.back().inv == early && fleet.finals(early) == 0);
+    ASSERT_EQ(fleet.host.sent.size(), 3U);
+    EXPECT_EQ(fleet.host.sent.back().inv, early);
+    EXPECT_EQ(fleet.finals(early), 0);
     fleet.end(late, 0, Ending::refused);
-    assert(fleet.host.sent.size() == 3 && fleet.finals(late) == 1);
+    EXPECT_EQ(fleet.host.sent.size(), 3U);
+    EXPECT_EQ(fleet.finals(late), 1);
 }
 
 }  // namespace
-
-int main() {
-    open_invocations_keep_the_forwards_they_came_with();
-    rule_2_by_outcome_and_operation();
-    a_repeat_stays_in_its_group_and_window();
-    one_final_answer_whatever_comes_after();
-    a_draining_or_gone_cache_gets_nothing_new();
-    a_cold_cache_gets_a_growing_share_within_a_budget();
-    one_forward_at_a_time_where_two_are_forbidden();
-    a_cold_cache_takes_no_key_whole_from_nodes_that_know_nothing();
-    the_sum_of_all_nodes_at_a_cold_cache_is_bounded();
-}
--- a/tests/text_test.cpp
+++ b/tests/text_test.cpp
@@ -1,5 +1,6 @@
 // The parsers, each case whole and at every split: what is not whole must never pass for a message.
-#include <cassert>
+#include <gtest/gtest.h>
+
 #include <cmath>
 #include <string>
 #include <string_view>
@@ -14,7 +15,7 @@
 
 constexpr std::string_view kList = "Pc=put,t=acme,d=480,k=5c0f,size=12.5";
 
-void commands() {
+TEST(MemcacheText, CommandsAreReadOnlyWhenWhole) {
     using Kind = Command::Kind;
     struct Case {
         std::string in;
@@ -49,19 +50,26 @@
         {std::string(kLineMost, 'x'), Kind::malformed, "", "", true},
     };
     for (const Case& c : cases) {
+        SCOPED_TRACE(c.in);
         Command command;
         const bool closes = c.framing_lost;
         for (std::size_t n = 0; !closes && n < c.in.size(); ++n)
-            assert(read_command(std::string_view(c.in).substr(0, n), command) == 0);
+            EXPECT_EQ(read_command(std::string_view(c.in).substr(0, n), command), 0U);
         const std::size_t taken = read_command(c.in + (closes ? "" : "mn\r\n"), command);
-        assert(closes ? taken > 0 : taken == c.in.size());
-        assert(command.kind == c.kind && command.framing_lost == c.framing_lost);
+        if (closes) {
+            EXPECT_GT(taken, 0U);
+        } else {
+            EXPECT_EQ(taken, c.in.size());
+        }
+        EXPECT_EQ(command.kind, c.kind);
+        EXPECT_EQ(command.framing_lost, c.framing_lost);
         if (command.kind == Kind::malformed) continue;
-        assert(command.key == c.key && command.value == c.value);
+        EXPECT_EQ(command.key, c.key);
+        EXPECT_EQ(command.value, c.value);
     }
 }
 
-void a_command_goes_on_unchanged_but_for_its_time() {
+TEST(MemcacheText, ACommandIsPassedOnUnchangedExceptForItsTimeout) {
     struct Case {
         std::string in, out;
     };
@@ -69,18 +77,22 @@
          {Case{"mg a v O9b Pc=read,t=x,d=480,z=1\r\n", "mg a v O9b Pc=read,t=x,d=125,z=1\r\n"},
           Case{"mg a v Pd=9,c=read O9b\r\n", "mg a v O9b Pd=125,c=read\r\n"},
           Case{"ms a 3 O1 Pc=w,d=480,k=d=7\r\nxyz\r\n", "ms a 3 O1 Pc=w,d=125,k=d=7\r\nxyz\r\n"}}) {
+        SCOPED_TRACE(c.in);
         Command command;
-        assert(read_command(c.in, command) == c.in.size());
-        assert(command_text(command, 0.125) == c.out);
+        EXPECT_EQ(read_command(c.in, command), c.in.size());
+        EXPECT_EQ(command_text(command, 0.125), c.out);
     }
     Command command;
     read_command("ms a 3 O1 Pc=w,t=acme,r=1,d=480\r\nxyz\r\n", command);
     const Properties& p = command.properties;
-    assert(p.operation == "w" && p.tenant == "acme" && p.repeat && std::abs(p.time_left - 0.48) < 1e-9);
-    assert(properties_text(p, 0).find("d=1") != std::string::npos);  // never "no time at all"
+    EXPECT_EQ(p.operation, "w");
+    EXPECT_EQ(p.tenant, "acme");
+    EXPECT_TRUE(p.repeat);
+    EXPECT_LT(std::abs(p.time_left - 0.48), 1e-9);
+    EXPECT_NE(properties_text(p, 0).find("d=1"), std::string::npos);  // never "no time at all"
 }
 
-void replies() {
+TEST(MemcacheText, RepliesAreReadOnlyWhenWhole) {
     using Kind = Reply::Kind;
     struct Case {
         std::string in;
@@ -97,18 +109,23 @@
           Case{"SERVER_ERROR failed\r\n", Kind::errored, "", ""}, Case{"hello\r\n", Kind::nonsense, "", ""},
           Case{"VA x O9b\r\n", Kind::nonsense, "", ""},
           Case{"VA 3000000000 O9b\r\n", Kind::nonsense, "", ""}}) {
+        SCOPED_TRACE(c.in);
         Reply reply;
         for (std::size_t n = 0; n < c.in.size(); ++n)
-            assert(read_reply(std::string_view(c.in).substr(0, n), reply) == 0);
-        assert(read_reply(c.in + "EN", reply) == c.in.size());
-        assert(reply.kind == c.kind && reply.id == c.id && reply.body == c.body);
+            EXPECT_EQ(read_reply(std::string_view(c.in).substr(0, n), reply), 0U);
+        EXPECT_EQ(read_reply(c.in + "EN", reply), c.in.size());
+        EXPECT_EQ(reply.kind, c.kind);
+        EXPECT_EQ(reply.id, c.id);
+        EXPECT_EQ(reply.body, c.body);
     }
     Reply wrong;
-    assert(read_reply("VA 3 O9b\r\nhello\r\n", wrong) > 0 && wrong.kind == Kind::nonsense);
-    assert(busy_text(0) == "SERVER_ERROR busy\r\n" && busy_text(0.25) == "SERVER_ERROR busy 250\r\n");
+    EXPECT_GT(read_reply("VA 3 O9b\r\nhello\r\n", wrong), 0U);
+    EXPECT_EQ(wrong.kind, Kind::nonsense);
+    EXPECT_EQ(busy_text(0), "SERVER_ERROR busy\r\n");
+    EXPECT_EQ(busy_text(0.25), "SERVER_ERROR busy 250\r\n");
 }
 
-void responses() {
+TEST(HttpResponses, AreReadOnlyWhenWhole) {
     struct Case {
         std::string in;
         bool sound;
@@ -137,33 +154,45 @@
           Case{ok + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false, 200, "", true},
           Case{ok + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", false, 200, "", true},
           Case{"HTTP/1.1 101 Switching\r\n\r\n" + ok + "Content-Length: 0\r\n\r\n", false, 101, "", true}}) {
+        SCOPED_TRACE(c.in);
         HttpResponse r;
         for (std::size_t n = 0; c.sound && n < c.in.size(); ++n)
-            assert(read_response(std::string_view(c.in).substr(0, n), kWholeMost, r) == 0);
-        assert(read_response(c.in, kWholeMost, r) == c.in.size());
-        assert(r.sound == c.sound && r.status == c.status);
-        if (c.sound) assert(r.body == c.body && r.keep_open == c.keep_open);
+            EXPECT_EQ(read_response(std::string_view(c.in).substr(0, n), kWholeMost, r), 0U);
+        EXPECT_EQ(read_response(c.in, kWholeMost, r), c.in.size());
+        EXPECT_EQ(r.sound, c.sound);
+        EXPECT_EQ(r.status, c.status);
+        if (c.sound) {
+            EXPECT_EQ(r.body, c.body);
+            EXPECT_EQ(r.keep_open, c.keep_open);
+        }
     }
     HttpResponse r;
     // Without a length a body is whole at the orderly end of its connection, and never before.
     for (const std::string body : {"", "h", "hello\r\n\r\n"}) {
+        SCOPED_TRACE(body);
         const std::string in = ok + "A: b\r\n\r\n" + body;
         for (std::size_t n = 0; n <= in.size(); ++n)
-            assert(read_response(std::string_view(in).substr(0, n), kWholeMost, r) == 0);
-        assert(read_response(in, kWholeMost, r, true) == in.size());
-        assert(r.sound && r.body == body && !r.keep_open && r.unsized());
+            EXPECT_EQ(read_response(std::string_view(in).substr(0, n), kWholeMost, r), 0U);
+        EXPECT_EQ(read_response(in, kWholeMost, r, true), in.size());
+        EXPECT_TRUE(r.sound);
+        EXPECT_EQ(r.body, body);
+        EXPECT_FALSE(r.keep_open);
+        EXPECT_TRUE(r.unsized());
     }
-    assert(read_response(ok + "Content-Length: 5\r\n\r\nhell", kWholeMost, r, true) == 0);
-    assert(read_response(ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n", kWholeMost, r, true) == 0);
-    assert(read_response(ok + "A: b", kWholeMost, r, true) == 0);
-    assert(read_response(ok + "\r\n" + std::string(9, 'x'), {99, 8}, r) > 0 && !r.sound);
-    assert(read_response("SSH-2.0", kWholeMost, r) > 0 && !r.sound);
+    EXPECT_EQ(read_response(ok + "Content-Length: 5\r\n\r\nhell", kWholeMost, r, true), 0U);
+    EXPECT_EQ(read_response(ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n", kWholeMost, r, true), 0U);
+    EXPECT_EQ(read_response(ok + "A: b", kWholeMost, r, true), 0U);
+    EXPECT_GT(read_response(ok + "\r\n" + std::string(9, 'x'), {99, 8}, r), 0U);
+    EXPECT_FALSE(r.sound);
+    EXPECT_GT(read_response("SSH-2.0", kWholeMost, r), 0U);
+    EXPECT_FALSE(r.sound);
     std::string endless;
     for (int n = 0; n < 400; ++n) endless += "HTTP/1.1 102 Processing\r\n\r\n";
-    assert(read_response(endless, kWholeMost, r) > 0 && !r.sound);
+    EXPECT_GT(read_response(endless, kWholeMost, r), 0U);
+    EXPECT_FALSE(r.sound);
 }
 
-void what_the_origin_answers() {
+TEST(OriginProtocol, MapsResponsesToOutcomesAndCommandsToRequests) {
     struct Case {
         const char* head;
         Ending ending;
@@ -175,32 +204,29 @@
           Case{"HTTP/1.1 503 B\r\n", Ending::errored},  // it does not say that it never ran
           Case{"HTTP/1.1 500 E\r\nX-Never-Ran: 1\r\n", Ending::errored},
           Case{"HTTP/1.1 404 N\r\n", Ending::errored}}) {
+        SCOPED_TRACE(c.head);
         Answer answer;
-        assert(read_origin_answer(std::string(c.head) + "Content-Length: 1\r\n\r\nx", answer) > 0);
-        assert(answer.sound && answer.ending == c.ending);
+        EXPECT_GT(read_origin_answer(std::string(c.head) + "Content-Length: 1\r\n\r\nx", answer), 0U);
+        EXPECT_TRUE(answer.sound);
+        EXPECT_EQ(answer.ending, c.ending);
         // No length: a success waits for the end, of the others the head says all.
         const std::string open = std::string(c.head) + "\r\nx";
         const bool success = c.ending == Ending::succeeded;
-        assert((read_origin_answer(open, answer) == 0) == success);
-        assert(read_origin_answer(open, answer, true) > 0);
-        assert(answer.sound && answer.ending == c.ending && !answer.reusable && answer.body == (success ? "x" : ""));
+        EXPECT_EQ(read_origin_answer(open, answer) == 0, success);
+        EXPECT_GT(read_origin_answer(open, answer, true), 0U);
+        EXPECT_TRUE(answer.sound);
+        EXPECT_EQ(answer.ending, c.ending);
+        EXPECT_FALSE(answer.reusable);
+        EXPECT_EQ(answer.body, success ? "x" : "");
     }
     Command command;
     read_command("ms a/b? 3 O9b Pc=w,d=480\r\nxyz\r\n", command);
-    assert(origin_request(command, 0.1, "h:1") ==
-           "PUT /a%2Fb%3F HTTP/1.1\r\nHost: h:1\r\nX-Trace-Id: 9b\r\nX-Props: c=w,d=100\r\n"
-           "Content-Length: 3\r\n\r\nxyz");
+    EXPECT_EQ(origin_request(command, 0.1, "h:1"),
+              "PUT /a%2Fb%3F HTTP/1.1\r\nHost: h:1\r\nX-Trace-Id: 9b\r\nX-Props: c=w,d=100\r\n"
+              "Content-Length: 3\r\n\r\nxyz");
     read_command("mg k1 v O9b Pc=r,d=480\r\n", command);
-    assert(origin_request(command, 0.1, "h:1") ==
-           "GET /k1 HTTP/1.1\r\nHost: h:1\r\nX-Trace-Id: 9b\r\nX-Props: c=r,d=100\r\n\r\n");
+    EXPECT_EQ(origin_request(command, 0.1, "h:1"),
+              "GET /k1 HTTP/1.1\r\nHost: h:1\r\nX-Trace-Id: 9b\r\nX-Props: c=r,d=100\r\n\r\n");
 }
 
 }  // namespace
-
-int main() {
-    commands();
-    a_command_goes_on_unchanged_but_for_its_time();
-    replies();
-    responses();
-    what_the_origin_answers();
-}
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -1,4 +1,6 @@
 // Each case is a trouble met on the bench, played on the module alone.
+#include <gtest/gtest.h>
+
 #include <algorithm>
 
 #include "host.h"
@@ -7,36 +9,37 @@
 
 namespace {
 
-// Of 400 reads, how many are turned away at once; writes are not.
-int turned_away(Fleet& fleet) {
+// Of 400 reads, how many are rejected at once; writes are not.
+int rejected(Fleet& fleet) {
     const std::size_t before = fleet.host.throttled.size();
     for (int n = 0; n < 400; ++n) fleet.owner(static_cast<std::uint64_t>(n) * 7919);
     return static_cast<int>(fleet.host.throttled.size() - before);
 }
 
-// At full size the caches of a live list held 7 to 28 invocations a core, and no node alone could hold that off.
-void reads_are_turned_away_while_the_list_shows_all_crowded() {
+// At full size the caches of a live list held 7 to 28 requests a core, and no node alone could hold that off.
+TEST(LoadShedding, RejectsReadsWhileTheListShowsAllCachesOverloaded) {
     Fleet fleet(6);
     fleet.deployment.sizes = Sizes::live;
     for (Listing& l : fleet.list) l.size = 2;
     fleet.start();
-    assert(turned_away(fleet) == 0);
+    EXPECT_EQ(rejected(fleet), 0);
     for (Listing& l : fleet.list) l.size = 0.1;
     for (int n = 0; n < 4; ++n) fleet.tell(ListKind::change);
-    assert(turned_away(fleet) > 150);
+    EXPECT_GT(rejected(fleet), 150);
     const int write = fleet.arrive(5, 1, true);
-    assert(fleet.finals(write) == 0);
+    EXPECT_EQ(fleet.finals(write), 0);
     for (Listing& l : fleet.list) l.size = 2;
     for (int n = 0; n < 12; ++n) fleet.tell(ListKind::change);
-    assert(turned_away(fleet) == 0);
+    EXPECT_EQ(rejected(fleet), 0);
 }
 
-void reads_are_turned_away_while_forwards_come_too_late() {
+TEST(LoadShedding, RejectsReadsWhileAttemptsTakeTooLong) {
     struct Case {
         double took;
         int least, most;
     };
     for (const Case& c : {Case{0.1, 0, 0}, Case{0.7, 40, 400}}) {
+        SCOPED_TRACE(testing::Message() << "took " << c.took);
         Fleet fleet(6);
         fleet.start();
         for (int n = 0; n < 400; ++n) {
@@ -46,32 +49,35 @@
             if (fleet.host.sent.size() > before) fleet.end(inv, 0, Ending::succeeded, c.took, true);
         }
         const int n = static_cast<int>(fleet.host.throttled.size());
-        assert(n >= c.least && n <= c.most);
+        EXPECT_GE(n, c.least);
+        EXPECT_LE(n, c.most);
     }
 }
 
-// What is open ends by the operation that it came with, and a suspect stays one.
-void new_settings_leave_open_invocations_and_caches_as_they_are() {
+// What is open ends by the operation that it came with, and an ejected cache stays ejected.
+TEST(Reconfiguration, LeavesOpenRequestsAndEjectedCachesAsTheyAre) {
     Fleet fleet(6);
     fleet.start();
-    const int inv = fleet.arrive(77);  // idempotent as it came: may be forwarded again though it may have run
+    const int inv = fleet.arrive(77);  // idempotent as it came: may be retried though it may have run
     const int owner = fleet.host.sent.back().cache;
     Deployment other = fleet.deployment;
     std::swap(other.operations[0], other.operations[2]);
     other.sizes = Sizes::live;
     for (int round = 0; round < 2; ++round) {
+        SCOPED_TRACE(round);
         fleet.node->redeployed(fleet.now, round == 0 ? other : fleet.deployment);
         fleet.tell(ListKind::whole);
         if (round == 0) {
             fleet.end(inv, 0, Ending::timed_out, 0.4);
-            assert(fleet.host.sent.back().inv == inv && fleet.host.sent.back().cache != owner);
+            EXPECT_EQ(fleet.host.sent.back().inv, inv);
+            EXPECT_NE(fleet.host.sent.back().cache, owner);
             const int later = fleet.arrive(78);  // and this one is non-idempotent
             fleet.end(later, 0, Ending::timed_out, 0.4);
-            assert(fleet.host.errored == std::vector<int>{later});
+            EXPECT_EQ(fleet.host.errored, std::vector<int>{later});
         }
     }
     fleet.end(inv, 1, Ending::succeeded, 0.05, true);
-    assert(fleet.finals(inv) == 0);
+    EXPECT_EQ(fleet.finals(inv), 0);
     for (int n = 0; n < 3; ++n) {
         const int lost = fleet.arrive(77, 1);
         fleet.now += 0.4;
@@ -81,10 +87,11 @@
     const int without = fleet.owner(77);
     fleet.node->redeployed(fleet.now, other);
     fleet.tell(ListKind::whole);
-    assert(without != owner && fleet.owner(77) == without);
+    EXPECT_NE(without, owner);
+    EXPECT_EQ(fleet.owner(77), without);
 }
 
-void a_silent_cache_is_passed_over_and_let_back_by_a_trial() {
+TEST(Ejection, OfAnUnresponsiveCacheIsEndedByATrial) {
     Fleet fleet(4);
     fleet.start();
     const int owner = fleet.owner(77);
@@ -96,43 +103,45 @@
         fleet.end(inv, 0, Ending::timed_out, 0.4);
         ++failures;
     }
-    assert(failures == 3);
-    fleet.now += 0.3;  // its gate's pause is over, so only suspicion keeps it out
-    assert(fleet.owner(77) != owner);
+    EXPECT_EQ(failures, 3);
+    fleet.now += 0.3;  // its gate's pause is over, so only its ejection keeps it out
+    EXPECT_NE(fleet.owner(77), owner);
     bool back = false;
     for (int n = 0; n < 50; ++n) {
         fleet.now += 0.4;
         back = back || fleet.owner(77) == owner;
     }
-    assert(back);
+    EXPECT_TRUE(back);
 }
 
-void what_a_silent_cache_holds_is_called_back() {
+TEST(Ejection, CancelsTheAttemptsAnUnresponsiveCacheHolds) {
     Fleet fleet(4);
     fleet.start();
     const int owner = fleet.owner(77);
     const int held = fleet.arrive(77);
     const int other = fleet.arrive(77, 2);  // non-idempotent: it may have run, so it stays
     fleet.now += 0.5;
-    assert(fleet.owner(77) != owner);
-    assert(fleet.host.cancelled == std::vector<int>{held});
+    EXPECT_NE(fleet.owner(77), owner);
+    EXPECT_EQ(fleet.host.cancelled, std::vector<int>{held});
     fleet.end(held, 0, Ending::cancelled);
-    assert(fleet.host.sent.back().inv == held && fleet.host.sent.back().cache != owner);
-    assert(fleet.finals(other) == 0);
+    EXPECT_EQ(fleet.host.sent.back().inv, held);
+    EXPECT_NE(fleet.host.sent.back().cache, owner);
+    EXPECT_EQ(fleet.finals(other), 0);
 }
 
-void load_displaces_a_key_by_one_cache_then_throttles() {
+TEST(LoadShedding, MovesAKeyByOneCacheAndThenRejects) {
     Fleet fleet(6);
     fleet.deployment.most_forwards = 1;
     fleet.start();
     std::vector<int> used;
     for (int round = 0; round < 12; ++round) {
+        SCOPED_TRACE(round);
         // Each cache that takes the key answers full until its gate pauses.
         fleet.now += 0.01;
         const std::size_t before = fleet.host.sent.size();
         const int inv = fleet.arrive(5);
         if (fleet.host.sent.size() == before) {
-            assert(fleet.finals(inv) == 1);
+            EXPECT_EQ(fleet.finals(inv), 1);
             continue;
         }
         const int at = fleet.host.sent.back().cache;
@@ -144,10 +153,11 @@
         }
         fleet.end(inv, 0, Ending::busy);
     }
-    assert(!used.empty() && used.size() <= 2);
+    EXPECT_FALSE(used.empty());
+    EXPECT_LE(used.size(), 2U);
 }
 
-void misses_of_one_key_share_a_fetch() {
+TEST(OriginFetches, AreSharedByMissesOfOneKey) {
     Fleet fleet(4);
     fleet.start();
     const int first = fleet.arrive(9);
@@ -156,18 +166,20 @@
     fleet.end(second, 0, Ending::miss);
     int fetches = 0;
     for (const Sent& s : fleet.host.sent) fetches += s.cache == kOrigin;
-    assert(fetches == 1);
+    EXPECT_EQ(fetches, 1);
     fleet.end(first, 1, Ending::succeeded, 0.1, true);
-    assert(fleet.host.sent.back().inv == second && fleet.host.sent.back().cache != kOrigin);
+    EXPECT_EQ(fleet.host.sent.back().inv, second);
+    EXPECT_NE(fleet.host.sent.back().cache, kOrigin);
 }
 
-void idle_connections_are_closed_sooner_after_full_tables() {
+TEST(IdleConnections, AreClosedSoonerAfterFullConnectionTables) {
     struct Case {
         int refusals;
         double took, idle;
         bool closed;
     };
     for (const Case& c : {Case{0, 0, 50, false}, Case{8, 0.01, 20, true}, Case{8, 0.25, 20, false}}) {
+        SCOPED_TRACE(testing::Message() << c.refusals << " refusals in " << c.took << ", idle " << c.idle);
         Fleet fleet(4);
         fleet.deployment.most_forwards = 1;
         fleet.deployment.connect_timeout = 0.25;
@@ -180,17 +192,18 @@
         fleet.now += c.idle;
         fleet.owner(other);
         const auto& closed = fleet.host.released;
-        assert((std::find(closed.begin(), closed.end(), owner) != closed.end()) == c.closed);
+        EXPECT_EQ(std::find(closed.begin(), closed.end(), owner) != closed.end(), c.closed);
     }
 }
 
-void a_tenant_is_over_its_share_by_more_than_chance() {
+TEST(TenantQuota, IsExceededOnlyByMoreThanChance) {
     struct Case {
-        int invocations;
-        bool throttled;
+        int requests;
+        bool rejected;
     };
-    // A hundred nodes, so a tenant's share here is one invocation in two seconds.
+    // A hundred nodes, so a tenant's share here is one request in two seconds.
     for (const Case& c : {Case{5, false}, Case{9, false}, Case{60, true}}) {
+        SCOPED_TRACE(testing::Message() << c.requests << " requests");
         Fleet fleet(4);
         fleet.deployment.nodes = 100;
         fleet.deployment.tenants = {{50}, {50}};
@@ -201,23 +214,24 @@
             if (fleet.finals(inv) == 0) fleet.end(inv, 0, Ending::succeeded, 0.25, true);
         }
         fleet.now += 9;  // no gate pauses any more; the pressure falls by one step a look
-        bool throttled = false;
-        for (int n = 0; n < c.invocations; ++n) {
+        bool rejected = false;
+        for (int n = 0; n < c.requests; ++n) {
             const int inv = fleet.arrive(1, 0, false, 1.2, false, 1);
-            throttled = throttled || fleet.finals(inv) > 0;
+            rejected = rejected || fleet.finals(inv) > 0;
             if (fleet.finals(inv) == 0) fleet.end(inv, 0, Ending::succeeded, 0.05, true);
         }
-        assert(throttled == c.throttled);
+        EXPECT_EQ(rejected, c.rejected);
     }
 }
 
-void few_endings_a_second_still_tell_strain_from_chance() {
+TEST(LoadShedding, TellsOverloadFromChanceAtFewCompletionsASecond) {
     struct Case {
         int strained_of_ten;
         bool shed;
     };
     // Two endings a second: a second alone shows all or nothing.
     for (const Case& c : {Case{0, false}, Case{1, false}, Case{2, true}, Case{5, true}}) {
+        SCOPED_TRACE(testing::Message() << c.strained_of_ten << " of ten strained");
         Fleet fleet(4);
         fleet.deployment.nodes = 100;
         fleet.deployment.tenants = {{50}, {50}};
@@ -234,45 +248,52 @@
             if (fleet.finals(inv) == 0) fleet.end(inv, 0, Ending::succeeded, 0.05, true);
         }
         shed = fleet.host.throttled.size() - shed;
-        assert(c.shed ? shed >= 40 : shed == 0);
+        if (c.shed) {
+            EXPECT_GE(shed, 40U);
+        } else {
+            EXPECT_EQ(shed, 0U);
+        }
     }
 }
 
-void all_nodes_together_start_gently_at_the_origin() {
+TEST(OriginFetches, OfAllNodesTogetherStartAtALowConcurrency) {
     struct Case {
         int nodes, fetches;
     };
     for (const Case& c : {Case{1, 4}, Case{4, 4}, Case{8, 2}, Case{16, 1}, Case{700, 1}}) {
+        SCOPED_TRACE(testing::Message() << c.nodes << " nodes");
         Fleet fleet(4);
         fleet.deployment.nodes = c.nodes;
         fleet.start();
         for (std::uint64_t key = 0; key < 6; ++key) fleet.end(fleet.arrive(key), 0, Ending::miss);
         const auto& sent = fleet.host.sent;
-        assert(std::count_if(sent.begin(), sent.end(), [](const Sent& s) { return s.cache == kOrigin; }) ==
-               c.fetches);
+        EXPECT_EQ(std::count_if(sent.begin(), sent.end(), [](const Sent& s) { return s.cache == kOrigin; }),
+                  c.fetches);
     }
 }
 
-void further_forwards_are_saved_up_by_all_nodes_together() {
+TEST(RetryBudget, IsSavedUpByAllNodesTogether) {
     struct Case {
         int nodes, again;
     };
-    // Each of twelve invocations finds one full cache; so many of them are forwarded again.
+    // Each of twelve requests finds one full cache; so many of them are retried.
     for (const Case& c : {Case{1, 12}, Case{5, 12}, Case{700, 3}}) {
+        SCOPED_TRACE(testing::Message() << c.nodes << " nodes");
         Fleet fleet(200);
         fleet.deployment.nodes = c.nodes;
         fleet.start();
         for (std::uint64_t key = 0; key < 12; ++key) fleet.end(fleet.arrive(key), 0, Ending::busy);
-        assert(static_cast<int>(fleet.host.sent.size()) == 12 + c.again);
+        EXPECT_EQ(static_cast<int>(fleet.host.sent.size()), 12 + c.again);
     }
 }
 
-void in_a_jam_nothing_is_forwarded_again() {
+TEST(RetryBudget, AllowsNoRetryUnderCongestion) {
     struct Case {
         int full_of_ten;
         bool again;
     };
     for (const Case& c : {Case{0, true}, Case{4, true}, Case{8, false}, Case{10, false}}) {
+        SCOPED_TRACE(testing::Message() << c.full_of_ten << " of ten full");
         Fleet fleet(200);
         fleet.start();
         for (int n = 0; n < 20; ++n) {
@@ -284,14 +305,14 @@
         fleet.now += 0.1;
         const int inv = fleet.arrive(1000);
         fleet.end(inv, 0, Ending::busy);
-        assert((fleet.finals(inv) == 0) == c.again);
+        EXPECT_EQ(fleet.finals(inv) == 0, c.again);
     }
 }
 
 // Connections that fall silent one by one. Each would halve the gate, and at the origin close it for a while,
 // though the server answers all others: on the bench the origin idled while most misses and writes were
-// throttled.
-void what_is_lost_alone_tells_nothing_of_its_server() {
+// rejected.
+TEST(Ejection, IsNotCausedByLostConnectionsOfAServerThatAnswers) {
     struct Case {
         bool answers;  // the server answers others in the meantime
         Ending ending;
@@ -302,6 +323,9 @@
                           Case{true, Ending::reset, 0, true}, Case{true, Ending::refused, 1, false},
                           Case{false, Ending::timed_out, 1, false}, Case{false, Ending::reset, 0, false}}) {
         for (const bool write : {true, false}) {  // at the origin, and at the owner of a key
+            SCOPED_TRACE(testing::Message() << (c.answers ? "answers others, " : "answers nobody, ")
+                                            << "outcome " << static_cast<int>(c.ending) << ", out " << c.out
+                                            << (write ? ", origin" : ", cache"));
             Fleet fleet(3);
             fleet.start();
             std::vector<int> lost;
@@ -319,12 +343,12 @@
             const std::size_t before = fleet.host.sent.size();
             fleet.arrive(5, 0, write);
             const bool trusted = fleet.host.sent.size() > before && fleet.host.sent.back().cache == at;
-            assert(trusted == c.trusted);
+            EXPECT_EQ(trusted, c.trusted);
         }
     }
 }
 
-void the_list_is_asked_for_again_after_a_failure() {
+TEST(ServerListRequests, AreSpreadOutAndRepeatedAfterAFailure) {
     // What many that start together ask for is spread out, first calls and those after a failure.
     struct Case {
         int nodes;
@@ -332,6 +356,7 @@
         double first_least, first_most, again_least, again_most;
     };
     for (const Case& c : {Case{1, 0, 0.2, 0, 0.3}, Case{48, 2, 5, 3, 4}, Case{1000, 2, 5, 3, 4}}) {
+        SCOPED_TRACE(testing::Message() << c.nodes << " nodes");
         double first = 0, again = 0;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             Fleet fleet(2);
@@ -339,23 +364,27 @@
             fleet.deployment.nodes = c.nodes;
             fleet.node = make_balancer(fleet.deployment, seed, fleet.host);
             fleet.tell(ListKind::disk);
-            assert(fleet.host.watches == 0 && fleet.host.timers.size() == 1);
+            EXPECT_EQ(fleet.host.watches, 0);
+            ASSERT_EQ(fleet.host.timers.size(), 1U);
             fleet.node->woken(fleet.now + 5, fleet.host.timers[0].token);
-            assert(fleet.host.watches == 1);
+            EXPECT_EQ(fleet.host.watches, 1);
             fleet.node->list_failed(fleet.now + 7);
-            assert(fleet.host.timers.size() == 2);
+            ASSERT_EQ(fleet.host.timers.size(), 2U);
             fleet.node->woken(fleet.now + 13, fleet.host.timers[1].token);
-            assert(fleet.host.watches == 2);
+            EXPECT_EQ(fleet.host.watches, 2);
             first = std::max(first, fleet.host.timers[0].after);
             again = std::max(again, fleet.host.timers[1].after);
         }
-        assert(first >= c.first_least && first <= c.first_most);
-        assert(again >= c.again_least && again <= c.again_most);
+        EXPECT_GE(first, c.first_least);
+        EXPECT_LE(first, c.first_most);
+        EXPECT_GE(again, c.again_least);
+        EXPECT_LE(again, c.again_most);
     }
 }
 
-// A process that takes another's place knows a silent cache and a slow one at once; figures out of all bounds are bounded.
-void what_another_process_learned_holds_from_the_first_invocation() {
+// A process that takes another's place knows a silent cache and a slow one at once; figures out of all bounds
+// are bounded.
+TEST(LearnedState, OfAnotherProcessHoldsFromTheFirstRequest) {
     Fleet old(4);
     old.start();
     const std::uint64_t key = 5;
@@ -366,39 +395,50 @@
     old.now += 1.2;
     for (int k = 0; k < 3; ++k) old.end(first + k, 0, Ending::timed_out, 1.2, true);
     const Learned learned = old.node->learned(old.now);
-    assert(learned.caches.size() == 4);
-    int suspects = 0;
+    EXPECT_EQ(learned.caches.size(), 4U);
+    int ejected = 0;
     for (const Learned::OfCache& c : learned.caches) {
-        suspects += c.suspect;
-        assert(c.suspect == (c.cache == silent));
+        ejected += c.suspect;
+        EXPECT_EQ(c.suspect, c.cache == silent);
     }
-    assert(suspects == 1);
+    EXPECT_EQ(ejected, 1);
     Fleet fresh(4);
     fresh.start();
-    assert(fresh.owner(key) == silent);
+    EXPECT_EQ(fresh.owner(key), silent);
     Fleet next(4);
     next.start();
     next.node->recall(next.now, learned);
-    assert(next.owner(key) > 0 && next.owner(key) != silent);
+    EXPECT_GT(next.owner(key), 0);
+    EXPECT_NE(next.owner(key), silent);
     Learned wild{7, -3, 0, 1e9, -1, {50, -50}, {{silent, -9, 1e9, false}}};
     Fleet bounded(4);
     bounded.start();
     bounded.node->recall(bounded.now, wild);
     const Learned kept = bounded.node->learned(bounded.now);
-    assert(kept.reach == 1 && kept.pressure == 0 && kept.admitted > 0 && kept.origin_limit < 100 && kept.origin_pace == 0);
-    for (const Learned::OfCache& c : kept.caches) assert(c.limit >= 1 && c.rest < 10);
+    EXPECT_EQ(kept.reach, 1);
+    EXPECT_EQ(kept.pressure, 0);
+    EXPECT_GT(kept.admitted, 0);
+    EXPECT_LT(kept.origin_limit, 100);
+    EXPECT_EQ(kept.origin_pace, 0);
+    for (const Learned::OfCache& c : kept.caches) {
+        EXPECT_GE(c.limit, 1);
+        EXPECT_LT(c.rest, 10);
+    }
 }
 
-// In a fleet of hundreds a node meets each cache of a lost zone once, and no cache was suspect by itself: over half of the
-// forwards failed, which passed for a jam, and the refusals for full tables.
-void a_lost_zone_is_passed_over_as_one() {
+// In a fleet of hundreds a node meets each cache of a lost zone once, and no cache was ejected by itself:
+// over half of the attempts failed, which passed for a jam, and the refusals for full tables.
+TEST(ZoneEjection, OfALostZoneIsOfTheWholeZone) {
     struct Case {
         int answered_before;  // in a row in both zones, and after that over and over:
         int refused, answered;
         bool doubted;
     };
     // A zone that refuses three in a row by chance, as with full tables, is not lost.
-    for (const Case& c : {Case{20, 3, 0, true}, Case{20, 2, 0, false}, Case{0, 3, 1, false}, Case{0, 8, 5, false}}) {
+    for (const Case& c :
+         {Case{20, 3, 0, true}, Case{20, 2, 0, false}, Case{0, 3, 1, false}, Case{0, 8, 5, false}}) {
+        SCOPED_TRACE(testing::Message() << c.answered_before << " answered before, then " << c.refused
+                                        << " refused and " << c.answered << " answered");
         Fleet fleet(96, 2);
         fleet.deployment.nodes = 300;
         fleet.deployment.most_forwards = 2;
@@ -406,7 +446,7 @@
         fleet.deployment.connect_timeout = 0.25;
         fleet.start();
         std::uint64_t key = 0;
-        // Where the next invocation goes, which ends so there and is not forwarded again; the own zone is 0.
+        // Where the next request goes, which ends so there and is not retried; the own zone is 0.
         const auto next = [&](Ending ending) {
             fleet.now += 0.002;  // all of a case within one look, or reach moves keys too
             const std::size_t before = fleet.host.sent.size();
@@ -416,18 +456,19 @@
             fleet.end(inv, 0, ending, 0.001, true);
             return zone;
         };
-        for (int n = 0; n < c.answered_before; ++n) assert(next(Ending::succeeded) == 0);
+        for (int n = 0; n < c.answered_before; ++n) EXPECT_EQ(next(Ending::succeeded), 0);
         for (int round = 0; round < (c.answered > 0 ? 6 : 1); ++round) {
-            for (int n = 0; n < c.refused; ++n) assert(next(Ending::refused) == 0);
-            for (int n = 0; n < c.answered; ++n) assert(next(Ending::succeeded) == 0);
+            for (int n = 0; n < c.refused; ++n) EXPECT_EQ(next(Ending::refused), 0);
+            for (int n = 0; n < c.answered; ++n) EXPECT_EQ(next(Ending::succeeded), 0);
         }
-        assert(next(Ending::succeeded) == (c.doubted ? 1 : 0));
+        EXPECT_EQ(next(Ending::succeeded), c.doubted ? 1 : 0);
         if (!c.doubted) continue;
         // What its refusals say of tables is taken back: connections rest as long as before.
         fleet.now += 5;
-        assert(next(Ending::refused) == 0);
-        assert(fleet.host.released.empty());
-        // Trials go on elsewhere, whatever tokens are left and however strained the rest is; an answer ends it.
+        EXPECT_EQ(next(Ending::refused), 0);
+        EXPECT_TRUE(fleet.host.released.empty());
+        // Trials go on elsewhere, whatever tokens are left and however strained the rest is; an answer ends
+        // it.
         int trials = 0, in_zone = 0;
         for (int n = 0; n < 200; ++n) {
             fleet.now += 0.02;
@@ -440,18 +481,20 @@
             }
             ++trials;
             fleet.end(inv, 0, Ending::refused, 0.25);
-            assert(fleet.host.sent.back().inv == inv && (fleet.host.sent.back().cache - 1) % 2 == 1);
+            EXPECT_EQ(fleet.host.sent.back().inv, inv);
+            EXPECT_EQ((fleet.host.sent.back().cache - 1) % 2, 1);
             fleet.end(inv, 1, Ending::succeeded, 0.05, true);
         }
-        assert(trials >= 2 && trials <= 10);
+        EXPECT_GE(trials, 2);
+        EXPECT_LE(trials, 10);
         fleet.now += 5;
         for (int n = 0; n < 200; ++n) in_zone += next(Ending::succeeded) == 0;
-        assert(in_zone > 80);
+        EXPECT_GT(in_zone, 80);
     }
 }
 
-// A node that reaches nobody had no bound on its further forwards but the most an invocation may have.
-void with_every_zone_lost_further_forwards_need_tokens() {
+// A node that reaches nobody had no bound on its retries but the most attempts that a request may have.
+TEST(RetryBudget, BoundsRetriesWhenEveryZoneIsLost) {
     Fleet fleet(96, 2);
     fleet.deployment.nodes = 300;
     fleet.deployment.most_forwards = 2;
@@ -460,27 +503,33 @@
     const auto next = [&](Ending ending) {
         fleet.now += 0.002;
         const int inv = fleet.arrive(++key * 7919);
-        for (int n = 0; n < 2 && fleet.finals(inv) == 0; ++n) fleet.end(inv, n, ending, 0.001, ending == Ending::succeeded);
+        for (int n = 0; n < 2 && fleet.finals(inv) == 0; ++n)
+            fleet.end(inv, n, ending, 0.001, ending == Ending::succeeded);
     };
     for (int n = 0; n < 20; ++n) next(Ending::succeeded);
     for (int n = 0; n < 10; ++n) next(Ending::refused);
     const std::size_t before = fleet.host.sent.size();
     for (int n = 0; n < 40; ++n) next(Ending::refused);
     const int further = static_cast<int>(fleet.host.sent.size() - before) - 40;
-    assert(further >= 0 && further <= 2 + 8);  // what is saved up, and a fifth of those that came
+    EXPECT_GE(further, 0);
+    EXPECT_LE(further, 2 + 8);  // what is saved up, and a fifth of those that came
 }
 
-// What other nodes find of a cache is a doubt here, tried seldom; own quick answers go before it, and a slow one at a
-// trial does not end it.
-void what_other_nodes_find_is_a_doubt_unless_own_answers_speak_against_it() {
+// What other nodes find of a cache is a doubt here, tried seldom; own quick answers go before it, and a slow
+// one at a trial does not end it.
+TEST(Ejection, ByOtherNodesFindingsYieldsToOwnAnswers) {
     struct Case {
         bool answered_here;  // quickly, a moment ago
         Ending trial;
         double took;
         bool stays;
     };
-    for (const Case& c : {Case{true, Ending::succeeded, 0, false}, Case{false, Ending::succeeded, 0.05, false},
-                          Case{false, Ending::succeeded, 0.5, true}, Case{false, Ending::timed_out, 0.6, true}}) {
+    for (const Case& c :
+         {Case{true, Ending::succeeded, 0, false}, Case{false, Ending::succeeded, 0.05, false},
+          Case{false, Ending::succeeded, 0.5, true}, Case{false, Ending::timed_out, 0.6, true}}) {
+        SCOPED_TRACE(testing::Message()
+                     << (c.answered_here ? "answered here" : "not answered here") << ", trial's outcome "
+                     << static_cast<int>(c.trial) << ", took " << c.took);
         Fleet fleet(4);
         fleet.start();
         // Many keys of one cache, or each would be hot and have several points.
@@ -493,7 +542,7 @@
         fleet.node->vouched(fleet.now, bad, true, 10);
         const auto tell = [&] { fleet.node->vouched(fleet.now, bad, true, 10); };
         if (c.answered_here) {
-            assert(fleet.owner(keys[0]) == bad);
+            EXPECT_EQ(fleet.owner(keys[0]), bad);
             continue;
         }
         int trials = 0;
@@ -511,23 +560,32 @@
             ended = trials > 20;
             fleet.end(inv, 0, c.trial, c.took, true);
         }
-        assert(c.stays ? trials >= 2 && trials <= 6 : trials > 20);
+        if (c.stays) {
+            EXPECT_GE(trials, 2);
+            EXPECT_LE(trials, 6);
+        } else {
+            EXPECT_GT(trials, 20);
+        }
         // Once they no longer find it, it is in use again as a cache that may have restarted meanwhile.
         fleet.node->vouched(fleet.now, bad, false, 0);
         fleet.now += fleet.deployment.warm_within + 1;
-        if (c.trial == Ending::succeeded) assert(fleet.owner(keys[0]) == bad);
+        if (c.trial == Ending::succeeded) {
+            EXPECT_EQ(fleet.owner(keys[0]), bad);
+        }
     }
 }
 
-// What the fleet says of a zone: left, it is tried seldom and one answer does not end that; on the way back the same
-// part of the keys goes there at every node; and what was out there is called back at once.
-void a_zone_is_left_and_taken_back_by_the_fleets_word() {
+// What the fleet says of a zone: left, it is tried seldom and one answer does not end that; on the way back
+// the same part of the keys goes there at every node; and what was out there is called back at once.
+TEST(ZoneEjection, FollowsTheFleetsDecisionsOutAndBack) {
     Fleet fleet(16, 2);
     fleet.deployment.may_cancel = true;
     fleet.start();
     std::vector<std::uint64_t> keys;
     for (std::uint64_t k = 1; k <= 400; ++k) keys.push_back(k * 7919);
-    const auto in_zone = [&](int inv) { return (fleet.host.sent.back().inv == inv) && (fleet.host.sent.back().cache - 1) % 2 == 0; };
+    const auto in_zone = [&](int inv) {
+        return (fleet.host.sent.back().inv == inv) && (fleet.host.sent.back().cache - 1) % 2 == 0;
+    };
     const auto part_there = [&](double apart_each) {
         int there = 0;
         for (const std::uint64_t key : keys) {
@@ -538,55 +596,62 @@
         }
         return there / static_cast<double>(keys.size());
     };
-    assert(part_there(0.01) == 1);
+    EXPECT_EQ(part_there(0.01), 1);
     const int out = fleet.arrive(keys[0]);
-    assert(in_zone(out));
+    EXPECT_TRUE(in_zone(out));
     fleet.now += 0.05;
     const std::size_t cancelled = fleet.host.cancelled.size();
     fleet.node->zone_share(fleet.now, 0, 0, 1.0);
-    assert(fleet.host.cancelled.size() == cancelled + 1);
+    EXPECT_EQ(fleet.host.cancelled.size(), cancelled + 1);
     fleet.end(out, 0, Ending::cancelled, 0.05);
-    assert(fleet.host.sent.back().inv == out && !in_zone(out));
+    EXPECT_EQ(fleet.host.sent.back().inv, out);
+    EXPECT_FALSE(in_zone(out));
     fleet.end(out, 1, Ending::succeeded, 0.01, true);
     const double tried = part_there(0.02) * static_cast<double>(keys.size());
-    assert(tried >= 5 && tried <= 12);  // 8 s, one a second, each answered
+    EXPECT_GE(tried, 5);
+    EXPECT_LE(tried, 12);  // 8 s, one a second, each answered
     fleet.node->zone_share(fleet.now, 0, 0, 1e6);
-    assert(part_there(0.01) == 0);
+    EXPECT_EQ(part_there(0.01), 0);
     for (const double part : {0.0625, 0.25, 0.5}) {
+        SCOPED_TRACE(part);
         fleet.node->zone_share(fleet.now, 0, part, 0);
         const double there = part_there(0.01);
-        assert(there > part * 0.6 && there < part * 1.5);
+        EXPECT_GT(there, part * 0.6);
+        EXPECT_LT(there, part * 1.5);
     }
     fleet.node->zone_share(fleet.now, 0, 1, 0);
-    assert(part_there(0.01) == 1);
+    EXPECT_EQ(part_there(0.01), 1);
 }
 
-// Past its part of the fleet's limit the node sends nothing to the origin: who asked is answered at once, and what is saved
-// up for further forwards stays for those that failed.
-void what_was_not_sent_to_the_origin_is_answered_at_once() {
+// Past its part of the fleet's limit the node sends nothing to the origin: who asked is answered at once, and
+// what is saved up for retries stays for those that failed.
+TEST(OriginQuota, ARequestNotSentBecauseOfItIsAnsweredAtOnce) {
     for (const Ending ending : {Ending::not_sent, Ending::errored}) {
+        SCOPED_TRACE(ending == Ending::not_sent ? "not sent" : "failed");
         Fleet fleet(4);
         fleet.start();
-        for (int n = 0; n < 40; ++n) {  // they earn further forwards
+        for (int n = 0; n < 40; ++n) {  // they earn retries
             fleet.now += 0.01;
             fleet.end(fleet.arrive(static_cast<std::uint64_t>(n) * 7919), 0, Ending::succeeded, 0.01, true);
         }
         const int write = fleet.arrive(5, 1, true);
         const std::size_t sent = fleet.host.sent.size();
         fleet.end(write, 0, ending, 0);
-        assert(fleet.finals(write) == (ending == Ending::not_sent ? 1 : 0));
-        assert(fleet.host.sent.size() == sent + (ending == Ending::not_sent ? 0 : 1));
+        EXPECT_EQ(fleet.finals(write), ending == Ending::not_sent ? 1 : 0);
+        EXPECT_EQ(fleet.host.sent.size(), sent + (ending == Ending::not_sent ? 0 : 1));
     }
 }
 
-// A tenant within its share that comes to one node alone looks greedy there; what other nodes leave to this one tells.
-void a_tenants_part_is_what_other_nodes_leave_to_this_one() {
+// A tenant within its share that comes to one node alone looks greedy there; what other nodes leave to this
+// one tells.
+TEST(TenantQuota, OfOneNodeIsWhatOtherNodesLeaveToIt) {
     for (const bool told : {false, true}) {
+        SCOPED_TRACE(told ? "told" : "not told");
         Fleet fleet(4);
         fleet.deployment.nodes = 12;
         fleet.deployment.tenants = {{60}, {60}, {60}};
         fleet.start();
-        int throttled = 0, came = 0;
+        int rejected = 0, came = 0;
         for (int n = 0; n < 600; ++n) {  // 12 s: the first one 40 a second, the others 5 each
             fleet.now += 0.02;
             const int tenant = n % 5 == 4 ? 1 + n / 5 % 2 : 0;
@@ -594,38 +659,17 @@
             const int inv = fleet.arrive(static_cast<std::uint64_t>(n) * 7919, 0, false, 1.2, false, tenant);
             came += tenant == 0 && n > 300;
             if (fleet.finals(inv) > 0) {
-                throttled += tenant == 0 && n > 300;
+                rejected += tenant == 0 && n > 300;
                 continue;
             }
             fleet.end(inv, 0, Ending::succeeded, n % 4 == 0 ? 0.25 : 0.05, true);  // the caches are strained
         }
-        assert(told ? throttled == 0 : throttled > came / 4);
+        if (told) {
+            EXPECT_EQ(rejected, 0);
+        } else {
+            EXPECT_GT(rejected, came / 4);
+        }
     }
 }
 
 }  // namespace
-
-int main() {
-    what_was_not_sent_to_the_origin_is_answered_at_once();
-    a_tenants_part_is_what_other_nodes_leave_to_this_one();
-    a_zone_is_left_and_taken_back_by_the_fleets_word();
-    what_other_nodes_find_is_a_doubt_unless_own_answers_speak_against_it();
-    with_every_zone_lost_further_forwards_need_tokens();
-    a_lost_zone_is_passed_over_as_one();
-    what_another_process_learned_holds_from_the_first_invocation();
-    reads_are_turned_away_while_the_list_shows_all_crowded();
-    reads_are_turned_away_while_forwards_come_too_late();
-    new_settings_leave_open_invocations_and_caches_as_they_are();
-    a_silent_cache_is_passed_over_and_let_back_by_a_trial();
-    what_a_silent_cache_holds_is_called_back();
-    load_displaces_a_key_by_one_cache_then_throttles();
-    misses_of_one_key_share_a_fetch();
-    idle_connections_are_closed_sooner_after_full_tables();
-    a_tenant_is_over_its_share_by_more_than_chance();
-    few_endings_a_second_still_tell_strain_from_chance();
-    all_nodes_together_start_gently_at_the_origin();
-    further_forwards_are_saved_up_by_all_nodes_together();
-    in_a_jam_nothing_is_forwarded_again();
-    what_is_lost_alone_tells_nothing_of_its_server();
-    the_list_is_asked_for_again_after_a_failure();
-}
