--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -1,14 +1,14 @@
-// A node of the program before scripted caches, an origin and discovery, for the tests that speak to it as clients
-// and operators would. Nothing here hangs on how fast the machine is: each wait is for something to happen, and
-// its limit is only there to end a test that has already failed.
+// A node of the program before scripted caches, an origin and discovery, for the tests that speak to it as
+// clients and operators would. Nothing here hangs on how fast the machine is: each wait is for something to
+// happen, and its limit is only there to end a test that has already failed.
 #pragma once
 
+#include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <unistd.h>
 
 #include <atomic>
-#include <cassert>
 #include <chrono>
 #include <csignal>
 #include <cstdio>
@@ -18,6 +18,7 @@
 #include <list>
 #include <memory>
 #include <mutex>
+#include <source_location>
 #include <sstream>
 #include <string>
 #include <thread>
@@ -30,14 +31,15 @@
 
 namespace brookrelay::kit {
 
-
+// What never comes fails the test at the line that waits for it, and the test goes on: returning from its
+// middle would leave scripts waiting for what only it tells them.
 template <typename Condition>
-void wait_for(Condition condition) {
+void wait_for(Condition condition, std::source_location from = std::source_location::current()) {
     for (int ms = 0; ms < kPatienceMs; ms += 5) {
         if (condition()) return;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    assert(!"what was waited for never came");
+    ADD_FAILURE_AT(from.file_name(), static_cast<int>(from.line())) << "what was waited for never came";
 }
 
 inline std::string id_in(const std::string& command) {
@@ -70,7 +72,7 @@
     std::string tmp = {};    // its TMPDIR; empty: the test's
     bool may_cancel = true;
     const char* put = R"("deduplicated","group":"all","key_ttl_us":3000000)";  // the effect of a write
-    bool asked = false;      // lists come only when they are asked for, not pushed
+    bool asked = false;  // lists come only when they are asked for, not pushed
     int drain_grace_ms = 0;
 };
 
@@ -103,32 +105,38 @@
             listener_ = -1;
         }
         tmp_ = around.tmp;
-        daemon_ = std::make_unique<Daemon>(Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_});
+        daemon_ = std::make_unique<Daemon>(
+            Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_});
         if (around.managed) management_ = free_address();
         std::string hosts = around.aside ? entry("origin", origin, "SERVING") : "";
         for (ScriptedPeer& c : caches) hosts += (hosts.empty() ? "" : ",") + entry(name(c), c, "SERVING");
         std::ostringstream told;
-        told << R"({"name":"n1","listen":")" << own_loopback() << ":" << port_ << R"(","discovery":")"
-             << discovery.address() << '"' << managed_at(management_) << R"(,"seed":"1f","limits":{"sockets":)" << around.descriptors
-             << R"(,"memory_mb":)" << around.memory_mb << R"(},"known":{"seq":7,"whole":true,"hosts":[)"
-             << hosts << R"(]},"settings":{"az":0,"balancers":2,"localities":["a"],"kinds":["m","origin"],
- "discovery":")" << (around.asked ? "on_request" : "pushed")
-             << R"(","granularity_us":5000,"guarantees":{"grace_to_answer_us":20000,"ask_every_us":4000000,"stop_sending_within_us":)"
-             << 1000 * around.drain_grace_ms << R"(},
- "permissions":{"cancel":)" << (around.may_cancel ? "true" : "false") << R"(,"most_forwards":5,"connect_timeout_us":)"
-             << around.connect_timeout_ms << R"(000,"conn_idle_us":15000000},
+        told
+            << R"({"name":"n1","listen":")" << own_loopback() << ":" << port_ << R"(","discovery":")"
+            << discovery.address() << '"' << managed_at(management_) << R"(,"seed":"1f","limits":{"sockets":)"
+            << around.descriptors << R"(,"memory_mb":)" << around.memory_mb
+            << R"(},"known":{"seq":7,"whole":true,"hosts":[)" << hosts
+            << R"(]},"settings":{"az":0,"balancers":2,"localities":["a"],"kinds":["m","origin"],
+ "discovery":")"
+            << (around.asked ? "on_request" : "pushed")
+            << R"(","granularity_us":5000,"guarantees":{"grace_to_answer_us":20000,"ask_every_us":4000000,"stop_sending_within_us":)"
+            << 1000 * around.drain_grace_ms << R"(},
+ "permissions":{"cancel":)"
+            << (around.may_cancel ? "true" : "false") << R"(,"most_forwards":5,"connect_timeout_us":)"
+            << around.connect_timeout_ms << R"(000,"conn_idle_us":15000000},
  "specifics":{"mode":")"
-             << (around.aside ? "aside" : "through") << R"(","origin_kind":1},"operations":[
+            << (around.aside ? "aside" : "through") << R"(","origin_kind":1},"operations":[
  {"name":"read","repeat":"idempotent","client_timeout_us":2000000,"latency_objective_us":1000000,
   "tardy_billed_value":0.2},
- {"name":"put","repeat":)" << around.put << R"(,"client_timeout_us":2000000}]}})";
+ {"name":"put","repeat":)"
+            << around.put << R"(,"client_timeout_us":2000000}]}})";
         told_ = told.str();
         configure(told_);
         daemon_->start();
         wait_for([this] { return Line(own_loopback(), port_).up(); });
         Line line(own_loopback(), port_);
         line.send("mn\r\n");
-        assert(line.until("\r\n") == "MN\r\n");
+        EXPECT_EQ(line.until("\r\n"), "MN\r\n") << "the program does not serve";
     }
     ~Fleet() {
         daemon_->kill();
@@ -158,7 +166,9 @@
     }
     // Another process of this node, with the same files and listener.
     Process second() const {
-        Process p(std::make_unique<Daemon>(Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_}), free_address());
+        Process p(std::make_unique<Daemon>(
+                      Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_}),
+                  free_address());
         p.daemon->configure(told_with(managed_at(management_), managed_at(p.management)));
         p.daemon->start();
         return p;
@@ -177,7 +187,8 @@
     std::string told_with(const std::string& from, const std::string& to) const {
         std::string text = told_;
         const std::size_t at = text.find(from);
-        assert(at != std::string::npos);
+        EXPECT_NE(at, std::string::npos) << "not in the configuration: " << from;
+        if (at == std::string::npos) return text;
         return text.replace(at, from.size(), to);
     }
     bool logged(const std::string& text) const {
@@ -231,7 +242,8 @@
             const std::string hosts = next < news_.size() ? news_[next] : "";
             const bool whole = hosts.starts_with('!');
             return Act{http(R"({"seq":)" + std::to_string(next < news_.size() ? held + 1 : held) +
-                            R"(,"whole":)" + (whole ? "true" : "false") + R"(,"hosts":[)" + hosts.substr(whole) + "]}")};
+                            R"(,"whole":)" + (whole ? "true" : "false") + R"(,"hosts":[)" +
+                            hosts.substr(whole) + "]}")};
         };
     }
     // And waits until the node has it: its next call says so. After a '!' come all the servers there are.
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -1,4 +1,6 @@
-// The node as its operators meet it: their address, a new process in the place of the old one.
+// The node as its operators meet it: their management address, a new process in the place of the old one.
+#include <gtest/gtest.h>
+
 #include <filesystem>
 
 #include "fleet.h"
@@ -13,7 +15,23 @@
     return around;
 }
 
-void operators_calls_and_what_is_none() {
+// A command that lay in the socket of a stopped process is past its time when it is read: answered at once,
+// and nothing is sent for it. One whose client still waits is served.
+TEST(Operations, RequestsReceivedWhileStoppedKeepTheirAge) {
+    Fleet fleet(2);
+    Line lapsed(own_loopback(), fleet.port()), waits(own_loopback(), fleet.port());
+    EXPECT_TRUE(fleet.ask(read_of("a", "1")).starts_with("VA 5 O1"));
+    fleet.signal(SIGSTOP);
+    lapsed.send(read_of("b", "2", 500));
+    waits.send(read_of("c", "3", 10000));
+    std::this_thread::sleep_for(std::chrono::milliseconds(1200));
+    fleet.signal(SIGCONT);
+    EXPECT_TRUE(lapsed.until("\r\n").starts_with("SERVER_ERROR busy"));
+    EXPECT_TRUE(waits.until("\r\n").starts_with("VA 5 O3"));
+    EXPECT_TRUE(fleet.logged("stood still for"));
+}
+
+TEST(Operations, ManagementCallsGetTheirStatusAndMalformedOnes400) {
     Fleet fleet(1, run_by_operators());
     struct Case {
         const char* method;
@@ -26,19 +44,21 @@
                                                      {"GET", "/control", 404},
                                                      {"GET", "control/ready", 400},
                                                      {"GET", "/", 404}})
-        assert(Fleet::call(fleet.management(), c.method, c.target) == c.status);
+        EXPECT_EQ(Fleet::call(fleet.management(), c.method, c.target), c.status)
+            << c.method << " " << c.target;
     for (const std::string& text :
-         {std::string("nonsense\r\n"), std::string("GET /control/ready SPDY/3\r\n\r\n"), std::string(5000, 'x'),
-          std::string("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n"),
+         {std::string("nonsense\r\n"), std::string("GET /control/ready SPDY/3\r\n\r\n"),
+          std::string(5000, 'x'), std::string("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n"),
           "GET /control/ready HTTP/1.1\r\nA: " + std::string(5000, 'x')}) {
+        SCOPED_TRACE(text.substr(0, 80));
         Line line(own_loopback(), fleet.management());
         line.send(text);
-        assert(line.until("\r\n") == "HTTP/1.1 400 Bad Request\r\n");
+        EXPECT_EQ(line.until("\r\n"), "HTTP/1.1 400 Bad Request\r\n");
     }
 }
 
 // Who connects and finishes no call holds up nobody, however many they are, nor at the limit of descriptors.
-void who_finishes_no_call_holds_up_nobody() {
+TEST(Operations, UnfinishedManagementCallsBlockNobody) {
     Around around = run_by_operators();
     around.descriptors = 64;
     Fleet fleet(1, around);
@@ -53,11 +73,11 @@
         mute.emplace_back(own_loopback(), fleet.management());
         if (k % 2 == 0) mute.back().send("POST /control/cache-ser");
     }
-    for (int k = 0; k < 5; ++k) assert(Fleet::call(fleet.management(), "GET", "/control/ready") == 200);
+    for (int k = 0; k < 5; ++k) EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 200);
 }
 
 // Two processes on one listener: what the old one has it answers, whoever comes later meets the new one.
-void a_new_process_takes_the_place_of_the_old_one() {
+TEST(Operations, ANewProcessTakesOverFromTheOldOne) {
     Around around = run_by_operators();
     around.inherited = true;
     Fleet fleet(1, around);
@@ -68,7 +88,7 @@
     });
     Line idle(own_loopback(), fleet.port());
     idle.send("mn\r\n");
-    assert(idle.until("\r\n") == "MN\r\n");
+    EXPECT_EQ(idle.until("\r\n"), "MN\r\n");
     Line held(own_loopback(), fleet.port());
     held.send(read_of("7f3a", "held") + read_of("7f3a", "behind"));
     Line half(own_loopback(), fleet.port());
@@ -76,44 +96,48 @@
     wait_for([&] { return !fleet.caches.front().heard().empty(); });
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
-    assert(Fleet::call(fleet.management(), "GET", "/control/ready") == 200);
+    EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 200);
     fleet.signal(SIGTERM);
-    assert(idle.closed_by_peer());
-    assert(Fleet::call(fleet.management(), "GET", "/control/ready") == 503);
+    EXPECT_TRUE(idle.closed_by_peer());
+    EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 503);
     for (int k = 0; k < 20; ++k) {
         const std::string id = "n" + std::to_string(k);
-        assert(fleet.ask(read_of("k" + std::to_string(k), id)) == "VA 5 O" + id + "\r\n");
+        EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
     half.send("ad,d=900\r\n");
-    assert(half.until("hello\r\n") == "VA 5 Ohalf\r\nhello\r\n" && half.closed_by_peer());
-    assert(fleet.alive());
+    EXPECT_EQ(half.until("hello\r\n"), "VA 5 Ohalf\r\nhello\r\n");
+    EXPECT_TRUE(half.closed_by_peer());
+    EXPECT_TRUE(fleet.alive());
     go = true;
-    assert(held.until("hello\r\n") == "VA 5 Oheld\r\nhello\r\n");
-    assert(held.until("hello\r\n") == "VA 5 Obehind\r\nhello\r\n" && held.closed_by_peer());
-    assert(fleet.exit_code() == 0);
-    assert(fleet.ask(read_of("last", "l1")) == "VA 5 Ol1\r\n");
+    EXPECT_EQ(held.until("hello\r\n"), "VA 5 Oheld\r\nhello\r\n");
+    EXPECT_EQ(held.until("hello\r\n"), "VA 5 Obehind\r\nhello\r\n");
+    EXPECT_TRUE(held.closed_by_peer());
+    EXPECT_EQ(fleet.exit_code(), 0);
+    EXPECT_EQ(fleet.ask(read_of("last", "l1")), "VA 5 Ol1\r\n");
 }
 
 // A second process that is killed, or cannot start, leaves the first one serving.
-void a_second_process_that_fails_leaves_the_first() {
+TEST(Operations, ASecondProcessThatFailsLeavesTheFirstServing) {
     Around around = run_by_operators();
     around.inherited = true;
     Fleet fleet(1, around);
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     next.daemon->kill();
-    for (int k = 0; k < 5; ++k) assert(fleet.ask("mn\r\n") == "MN\r\n");
+    for (int k = 0; k < 5; ++k) EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
     int fd[2];
-    assert(pipe(fd) == 0);
-    Process made(std::make_unique<Daemon>(Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}), 0);
+    ASSERT_EQ(pipe(fd), 0);
+    Process made(std::make_unique<Daemon>(Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
+                 0);
     Daemon& wrong = *made.daemon;
     wrong.configure(fleet.told_with("\"pushed\"", "\"pushed\""));
     wrong.start();
     wait_for([&] { return !wrong.running(); });
-    assert(wrong.exit_code() == 1 && fleet.ask("mn\r\n") == "MN\r\n");
+    EXPECT_EQ(wrong.exit_code(), 1);
+    EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
     std::ifstream log(wrong.log_path());
     const std::string said(std::istreambuf_iterator<char>(log), {});
-    assert(said.find("GW_ACCEPT_FD: descriptor 5 is no listening socket") != std::string::npos);
+    EXPECT_NE(said.find("GW_ACCEPT_FD: descriptor 5 is no listening socket"), std::string::npos);
 }
 
 // A folder of its own for the processes of one node, as the platform's TMPDIR is.
@@ -137,13 +161,13 @@
     Line line(own_loopback(), fleet.port());
     for (int k = 0; k < 40; ++k) {
         line.send(read_of("k" + std::to_string(k), prefix + std::to_string(k)));
-        assert(line.until("hello\r\n").ends_with("hello\r\n"));
+        EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
     }
     return cache.heard().size() - before;
 }
 
 // From the yes on nothing goes there, whatever the list says meanwhile; one call back ends it.
-void a_cache_out_by_hand_gets_nothing_whatever_the_list_says() {
+TEST(Operations, ACacheTakenOfflineGetsNothingWhateverTheListSays) {
     const Scratch scratch;
     Told told;
     Around around = run_by_operators();
@@ -152,31 +176,35 @@
     Fleet fleet(2, around);
     ScriptedPeer& cache = fleet.caches.front();
     const std::string name = Fleet::name(cache);
-    const std::string other = Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING") + "," +
-                              Fleet::entry("origin", fleet.origin, "SERVING");
+    const std::string other = Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING") +
+                              "," + Fleet::entry("origin", fleet.origin, "SERVING");
     const auto call = [&](const std::string& id, const char* what) {
         return Fleet::call(fleet.management(), "POST", server_call(id, what));
     };
-    assert(heard_of_forty(fleet, cache, "a") > 0);
-    assert(call(name, "offline") == 200);
+    EXPECT_GT(heard_of_forty(fleet, cache, "a"), 0U);
+    EXPECT_EQ(call(name, "offline"), 200);
     const std::string deleted = R"({"host":")" + name + R"(","health":"DELETED"})";
     int round = 0;
     for (const std::string& news :
          {std::string(), Fleet::entry(name, cache, "SERVING"), Fleet::entry(name, cache, "DRAINING"), deleted,
-          Fleet::entry(name, cache, "SERVING"), "!" + other, "!" + other + "," + Fleet::entry(name, cache, "SERVING")}) {
+          Fleet::entry(name, cache, "SERVING"), "!" + other,
+          "!" + other + "," + Fleet::entry(name, cache, "SERVING")}) {
+        SCOPED_TRACE(testing::Message() << "round " << round);
         if (!news.empty()) told.tell(news);
-        assert(heard_of_forty(fleet, cache, "b" + std::to_string(round++) + "-") == 0);
+        EXPECT_EQ(heard_of_forty(fleet, cache, "b" + std::to_string(round++) + "-"), 0U);
     }
-    assert(call(name, "offline") == 200 && call(name, "offline") == 200 && call(name, "online") == 200);
-    assert(heard_of_forty(fleet, cache, "c") > 0);
-    assert(call(name, "online") == 200);
+    EXPECT_EQ(call(name, "offline"), 200);
+    EXPECT_EQ(call(name, "offline"), 200);
+    EXPECT_EQ(call(name, "online"), 200);
+    EXPECT_GT(heard_of_forty(fleet, cache, "c"), 0U);
+    EXPECT_EQ(call(name, "online"), 200);
     wait_for([&] {
         told.tell("!" + other);
         return fleet.logged(" 2 known (whole list)");
     });
-    assert(call(name, "offline") == 200);  // forgotten, but it was listed once
+    EXPECT_EQ(call(name, "offline"), 200);  // forgotten, but it was listed once
     told.tell(Fleet::entry(name, cache, "SERVING"));
-    assert(heard_of_forty(fleet, cache, "d") == 0);
+    EXPECT_EQ(heard_of_forty(fleet, cache, "d"), 0U);
     struct Case {
         std::string target;
         int status;
@@ -187,13 +215,13 @@
                                                      {server_call("", "offline"), 404},
                                                      {server_call("%zz", "offline"), 400},
                                                      {server_call(name, "away"), 404}})
-        assert(Fleet::call(fleet.management(), "POST", c.target) == c.status);
-    assert(Fleet::call(fleet.management(), "GET", server_call(name, "online")) == 405);
-    assert(heard_of_forty(fleet, cache, "e") == 0);
+        EXPECT_EQ(Fleet::call(fleet.management(), "POST", c.target), c.status) << c.target;
+    EXPECT_EQ(Fleet::call(fleet.management(), "GET", server_call(name, "online")), 405);
+    EXPECT_EQ(heard_of_forty(fleet, cache, "e"), 0U);
 }
 
 // What one process is told the other keeps to, also one that starts later, or after the first was killed.
-void a_ban_holds_for_all_processes_of_the_node() {
+TEST(Operations, ACacheTakenOfflineIsSoForAllProcessesOfTheNode) {
     const Scratch scratch;
     Around around = run_by_operators();
     around.inherited = true;
@@ -201,24 +229,24 @@
     Fleet fleet(2, around);
     ScriptedPeer& first = fleet.caches.front();
     ScriptedPeer& last = fleet.caches.back();
-    assert(Fleet::call(fleet.management(), "POST", server_call(Fleet::name(first), "offline")) == 200);
+    EXPECT_EQ(Fleet::call(fleet.management(), "POST", server_call(Fleet::name(first), "offline")), 200);
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
-    assert(Fleet::call(next.management, "POST", server_call(Fleet::name(first), "online")) == 200);
-    assert(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "offline")) == 200);
+    EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(first), "online")), 200);
+    EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "offline")), 200);
     // Both processes serve: each has to have looked by now.
     wait_for([&] { return fleet.logged(Fleet::name(last) + " is out by hand"); });
-    for (int k = 0; k < 5; ++k) assert(heard_of_forty(fleet, last, "x" + std::to_string(k) + "-") == 0);
-    assert(heard_of_forty(fleet, first, "y") > 0);
+    for (int k = 0; k < 5; ++k) EXPECT_EQ(heard_of_forty(fleet, last, "x" + std::to_string(k) + "-"), 0U);
+    EXPECT_GT(heard_of_forty(fleet, first, "y"), 0U);
     fleet.signal(SIGKILL);
-    assert(fleet.exit_code() == 128 + SIGKILL);
-    assert(heard_of_forty(fleet, last, "z") == 0);
-    assert(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "online")) == 200);
+    EXPECT_EQ(fleet.exit_code(), 128 + SIGKILL);
+    EXPECT_EQ(heard_of_forty(fleet, last, "z"), 0U);
+    EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "online")), 200);
     wait_for([&] { return heard_of_forty(fleet, last, "v") > 0; });
 }
 
 // Clients of both count: together they hold no more than one process may, and who was killed holds nothing.
-void descriptors_are_one_budget_for_two_processes() {
+TEST(Operations, TwoProcessesShareOneDescriptorLimit) {
     const Scratch scratch;
     Around around = run_by_operators();
     around.inherited = true;
@@ -234,20 +262,24 @@
     }
     const int both = fleet.daemon().figures().descriptors + next.daemon->figures().descriptors;
     std::printf("two processes: %d descriptors\n", both);
-    assert(both > 50 && both <= 128);
+    EXPECT_GT(both, 50);
+    EXPECT_LE(both, 128);
     next.daemon->kill();
     wait_for([&] { return fleet.daemon().figures().descriptors > 65; });
 }
 
-// Turned away it has lost nothing: it asks on for news of the version that it holds, and serves meanwhile.
-void a_discovery_that_turns_callers_away_is_asked_for_news() {
+// Rejected it has lost nothing: it asks on for news of the version that it holds, and serves meanwhile.
+TEST(Operations, DiscoveryThatRejectsCallersIsAskedForUpdates) {
     std::atomic<int> calls{0};
     Around around;
-    around.watch = [&](const std::string&) { return ++calls <= 3 ? Act{http("", "503 Service Unavailable")} : Act{}; };
+    around.watch = [&](const std::string&) {
+        return ++calls <= 3 ? Act{http("", "503 Service Unavailable")} : Act{};
+    };
     Fleet fleet(1, around);
-    assert(fleet.ask(read_of("7f3a", "t1")) == "VA 5 Ot1\r\n");
+    EXPECT_EQ(fleet.ask(read_of("7f3a", "t1")), "VA 5 Ot1\r\n");
     wait_for([&] { return fleet.discovery.heard().size() >= 4; });
-    for (const std::string& asked : fleet.discovery.heard()) assert(asked.find("index=7&") != std::string::npos);
+    for (const std::string& asked : fleet.discovery.heard())
+        EXPECT_NE(asked.find("index=7&"), std::string::npos);
 }
 
 constexpr std::size_t kLong = 4 * 1024 * 1024;
@@ -266,8 +298,9 @@
 }
 
 // From a cache and, after a miss, from the origin: the first bytes before the rest is there, then all of it.
-void long_values_pass_as_they_come() {
+TEST(Operations, LongValuesAreStreamed) {
     for (const bool missed : {false, true}) {
+        SCOPED_TRACE(missed ? "from the origin" : "from a cache");
         Fleet fleet(2, run_by_operators());
         std::atomic<bool> go{false};
         const auto held = [&go] {
@@ -276,47 +309,58 @@
         const std::string first = long_value().substr(0, 100'000);
         const std::string rest = long_value().substr(100'000);
         for (ScriptedPeer& c : fleet.caches)
-            c.plays([&](const std::string& m) { return missed ? miss(m) : Act{long_head(m) + first, false, held, rest + "\r\n"}; });
+            c.plays([&](const std::string& m) {
+                return missed ? miss(m) : Act{long_head(m) + first, false, held, rest + "\r\n"};
+            });
         fleet.origin.plays([&](const std::string&) {
-            return Act{"HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLong) + "\r\n\r\n" + first, true, held, rest};
+            return Act{"HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLong) + "\r\n\r\n" + first,
+                       true, held, rest};
         });
         Line line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "l1") + read_of("7f3a", "l2"));
-        assert(line.until("\r\n") == "VA " + std::to_string(kLong) + " Ol1\r\n" && line.bytes(first.size()) == first);
-        assert(fleet.ask("mn\r\n") == "MN\r\n");
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Ol1\r\n");
+        EXPECT_TRUE(line.bytes(first.size()) == first);
+        EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
         go = true;
-        assert(line.bytes(rest.size()) == rest && line.bytes(2) == "\r\n");
-        assert(line.until("\r\n") == "VA " + std::to_string(kLong) + " Ol2\r\n");
-        assert(line.bytes(kLong) == long_value() && line.bytes(2) == "\r\n");
-        assert(fleet.ask("mn\r\n") == "MN\r\n");
+        EXPECT_TRUE(line.bytes(rest.size()) == rest);
+        EXPECT_EQ(line.bytes(2), "\r\n");
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Ol2\r\n");
+        EXPECT_TRUE(line.bytes(kLong) == long_value());
+        EXPECT_EQ(line.bytes(2), "\r\n");
+        EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
     }
 }
 
 // Once some of it is written nothing else may answer, and the client can tell that it is not whole.
-void a_long_value_that_breaks_off_is_seen_to() {
+TEST(Operations, ATruncatedLongValueIsNoticedByTheClient) {
     struct Case {
         std::string sent;  // behind the head
     };
     const std::string half = long_value().substr(0, kLong / 2);
     for (const Case& c : {Case{half}, Case{long_value()}, Case{long_value() + "xx"}}) {
+        SCOPED_TRACE(testing::Message() << c.sent.size() << " bytes behind the head");
         Fleet fleet(2, run_by_operators());
         for (ScriptedPeer& cache : fleet.caches)
             cache.plays([&](const std::string& m) { return Act{long_head(m) + c.sent, true}; });
         Line line(own_loopback(), fleet.port());
         line.send("mn\r\n" + read_of("7f3a", "b1") + read_of("7f3a", "b2"));
-        assert(line.until("\r\n") == "MN\r\n");
-        assert(line.until("\r\n") == "VA " + std::to_string(kLong) + " Ob1\r\n");
+        EXPECT_EQ(line.until("\r\n"), "MN\r\n");
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Ob1\r\n");
         const std::string got = line.bytes(kLong + 2);
-        assert(got.size() < kLong && got == long_value().substr(0, got.size()) && line.closed_by_peer());
-        assert(fleet.origin.heard().empty() && fleet.alive());
+        EXPECT_LT(got.size(), kLong);
+        EXPECT_TRUE(got == long_value().substr(0, got.size()));
+        EXPECT_TRUE(line.closed_by_peer());
+        EXPECT_TRUE(fleet.origin.heard().empty());
+        EXPECT_TRUE(fleet.alive());
     }
     // The other way round, the server is let go.
     Fleet fleet(1, run_by_operators());
-    fleet.caches.front().plays([&](const std::string& m) { return Act{long_head(m) + half + half + "\r\n"}; });
+    fleet.caches.front().plays(
+        [&](const std::string& m) { return Act{long_head(m) + half + half + "\r\n"}; });
     {
         Line line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "g1"));
-        assert(line.until("\r\n") == "VA " + std::to_string(kLong) + " Og1\r\n");
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Og1\r\n");
     }
     wait_for([&] { return fleet.caches.front().ended == 1; });
     // Behind an answer that waits, nothing of it is written yet: then it is an error line.
@@ -329,13 +373,14 @@
     line.send(read_of("7f3a", "first") + read_of("7f3b", "second"));
     wait_for([&] { return fleet.caches.front().ended == 2; });
     go = true;
-    assert(line.until("hello\r\n") == "VA 5 Ofirst\r\nhello\r\n");
+    EXPECT_EQ(line.until("hello\r\n"), "VA 5 Ofirst\r\nhello\r\n");
     const std::string second = line.until("\r\n");
-    assert(second == "SERVER_ERROR failed\r\n" || (second.starts_with("VA ") && line.closed_by_peer()));
+    EXPECT_TRUE(second == "SERVER_ERROR failed\r\n" || (second.starts_with("VA ") && line.closed_by_peer()))
+        << second.substr(0, 80);
 }
 
 // More at once than the node's memory, with clients that take them late and writers that pause.
-void many_long_values_fit_in_little_memory() {
+TEST(Operations, ManyLongValuesFitInLittleMemory) {
     Around around = run_by_operators();
     around.memory_mb = 48;
     Fleet fleet(2, around);
@@ -352,7 +397,8 @@
     for (int k = 0; k < 6; ++k) {
         const std::string id = "w" + std::to_string(k);
         writers.emplace_back(own_loopback(), fleet.port());
-        writers.back().send("ms " + id + " " + std::to_string(kLong) + " O" + id + " Pc=put,d=9000,k=" + id + "\r\n");
+        writers.back().send("ms " + id + " " + std::to_string(kLong) + " O" + id + " Pc=put,d=9000,k=" + id +
+                            "\r\n");
     }
     std::vector<std::thread> writing;
     for (Line& writer : writers) {
@@ -365,53 +411,24 @@
     }
     for (int k = 0; k < 5; ++k) {
         const std::string id = "short" + std::to_string(k);
-        assert(fleet.ask(read_of("s" + std::to_string(k), id)) == "VA 5 O" + id + "\r\n");
+        EXPECT_EQ(fleet.ask(read_of("s" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
     for (std::thread& t : writing) t.join();
     int k = 0;
-    for (Line& writer : writers) assert(writer.until("\r\n") == "HD Ow" + std::to_string(k++) + " cmade\r\n");
+    for (Line& writer : writers)
+        EXPECT_EQ(writer.until("\r\n"), "HD Ow" + std::to_string(k++) + " cmade\r\n");
     k = 0;
     for (Line& reader : readers) {
-        assert(reader.until("\r\n") == "VA " + std::to_string(kLong) + " Or" + std::to_string(k++) + "\r\n");
-        assert(reader.bytes(kLong) == long_value() && reader.bytes(2) == "\r\n");
+        EXPECT_EQ(reader.until("\r\n"), "VA " + std::to_string(kLong) + " Or" + std::to_string(k++) + "\r\n");
+        EXPECT_TRUE(reader.bytes(kLong) == long_value());
+        EXPECT_EQ(reader.bytes(2), "\r\n");
     }
     for (const std::string& message : fleet.origin.heard())
-        assert(message.substr(message.find("\r\n\r\n") + 4) == long_value());
-    assert(fleet.origin.heard().size() == 6);
+        EXPECT_TRUE(message.substr(message.find("\r\n\r\n") + 4) == long_value());
+    EXPECT_EQ(fleet.origin.heard().size(), 6U);
     const double most = fleet.daemon().figures().rss_most_mb;
     std::printf("long values: %.1f MB at the most\n", most);
-    assert(most < 40);
-}
-
-// A command that lay in the socket of a stopped process is past its time when it is read: answered at once, and
-// nothing is sent for it. One whose client still waits is served.
-void what_came_while_the_process_stood_still_is_as_old() {
-    Fleet fleet(2);
-    Line lapsed(own_loopback(), fleet.port()), waits(own_loopback(), fleet.port());
-    assert(fleet.ask(read_of("a", "1")).starts_with("VA 5 O1"));
-    fleet.signal(SIGSTOP);
-    lapsed.send(read_of("b", "2", 500));
-    waits.send(read_of("c", "3", 10000));
-    std::this_thread::sleep_for(std::chrono::milliseconds(1200));
-    fleet.signal(SIGCONT);
-    assert(lapsed.until("\r\n").starts_with("SERVER_ERROR busy"));
-    assert(waits.until("\r\n").starts_with("VA 5 O3"));
-    assert(fleet.logged("stood still for"));
+    EXPECT_LT(most, 40);
 }
 
 }  // namespace
-
-int main() {
-    what_came_while_the_process_stood_still_is_as_old();
-    operators_calls_and_what_is_none();
-    who_finishes_no_call_holds_up_nobody();
-    a_new_process_takes_the_place_of_the_old_one();
-    a_second_process_that_fails_leaves_the_first();
-    a_cache_out_by_hand_gets_nothing_whatever_the_list_says();
-    a_ban_holds_for_all_processes_of_the_node();
-    descriptors_are_one_budget_for_two_processes();
-    a_discovery_that_turns_callers_away_is_asked_for_news();
-    long_values_pass_as_they_come();
-    a_long_value_that_breaks_off_is_seen_to();
-    many_long_values_fit_in_little_memory();
-}
