--- a/src/kit/links.cpp
+++ b/src/kit/links.cpp
@@ -57,7 +57,8 @@
         if (server != named.end()) side.servers.insert(static_cast<int>(server - named.begin()));
         const auto zone = std::find(s.zones.begin(), s.zones.end(), name);
         for (int n = 0; n < s.nodes; ++n) {
-            if (zone != s.zones.end() ? n % zones == zone - s.zones.begin() : name == "n" + std::to_string(n)) side.nodes.insert(n);
+            if (zone != s.zones.end() ? n % zones == zone - s.zones.begin() : name == "n" + std::to_string(n))
+                side.nodes.insert(n);
         }
         for (int i = 0; zone != s.zones.end() && i < servers; ++i) {
             const int stands = i == servers - 1 ? 0 : i % zones;  // the origin stands in the first zone
@@ -68,7 +69,9 @@
 }
 
 bool Links::Fault::strikes(int a, int b, int nodes) const {
-    const auto holds = [nodes](const Side& s, int who) { return who < nodes ? s.nodes.contains(who) : s.servers.contains(who - nodes); };
+    const auto holds = [nodes](const Side& s, int who) {
+        return who < nodes ? s.nodes.contains(who) : s.servers.contains(who - nodes);
+    };
     return (holds(from, a) && holds(to, b)) || (!one_way && holds(from, b) && holds(to, a));
 }
 
@@ -101,12 +104,14 @@
 
 void Links::receive(int node) {
     Relay& r = *relays_[index(node)];
-    r.socket.async_receive_from(boost::asio::buffer(r.room), r.from, [this, node, &r](const Code& bad, std::size_t size) {
-        if (bad == boost::asio::error::operation_aborted) return;
-        const auto sender = senders_.find(r.from);
-        if (!bad && sender != senders_.end()) pass(sender->second, node, std::string(r.room.data(), size));
-        receive(node);  // an error here is a peer's port that nobody listens at
-    });
+    r.socket.async_receive_from(boost::asio::buffer(r.room), r.from,
+                                [this, node, &r](const Code& bad, std::size_t size) {
+                                    if (bad == boost::asio::error::operation_aborted) return;
+                                    const auto sender = senders_.find(r.from);
+                                    if (!bad && sender != senders_.end())
+                                        pass(sender->second, node, std::string(r.room.data(), size));
+                                    receive(node);  // an error here is a peer's port that nobody listens at
+                                });
 }
 
 void Links::pass(int from, int to, std::string bytes) {
@@ -120,15 +125,25 @@
         if (!struck) continue;
         switch (f.kind) {
             case TroubleKind::cut:
-            case TroubleKind::lossy: ++counts_.lost; return;
-            case TroubleKind::late: after += f.delay, ++counts_.late; break;
-            case TroubleKind::reordered: after += f.delay * static_cast<double>(chance_() >> 11) / 9007199254740992.0; break;
-            case TroubleKind::doubled: ++copies, ++counts_.doubled; break;
+            case TroubleKind::lossy:
+                ++counts_.lost;
+                return;
+            case TroubleKind::late:
+                after += f.delay, ++counts_.late;
+                break;
+            case TroubleKind::reordered:
+                after += f.delay * static_cast<double>(chance_() >> 11) / 9007199254740992.0;
+                break;
+            case TroubleKind::doubled:
+                ++copies, ++counts_.doubled;
+                break;
             case TroubleKind::garbled:
                 ++counts_.spoilt;
-                for (int flips = 0; flips < 3 && !bytes.empty(); ++flips) bytes[chance_() % bytes.size()] = static_cast<char>(chance_());
+                for (int flips = 0; flips < 3 && !bytes.empty(); ++flips)
+                    bytes[chance_() % bytes.size()] = static_cast<char>(chance_());
+                break;
+            default:
                 break;
-            default: break;
         }
     }
     for (int c = 0; c < copies; ++c) {
@@ -155,7 +170,8 @@
         way->node = node;
         way->server = server;
         Way& w = *way;
-        w.listener = std::make_unique<Listener>(world_.io, host_, [this, &w](Tcp::socket s) { accept(w, std::move(s)); });
+        w.listener = std::make_unique<Listener>(world_.io, host_,
+                                                [this, &w](Tcp::socket s) { accept(w, std::move(s)); });
     }
     way->real = address;
     return way->listener->address();
@@ -189,7 +205,8 @@
     if (w.back_cut) pair->far->pause();
 }
 
-// A cut way is silent: what is written to it goes nowhere, nothing comes up, and once it is mended all is reset.
+// A cut way is silent: what is written to it goes nowhere, nothing comes up, and once it is mended all is
+// reset.
 void Links::settle_ways() {
     const int nodes = world_.scenario.nodes;
     for (auto& [key, way] : ways_) {
--- a/src/kit/links.h
+++ b/src/kit/links.h
@@ -1,7 +1,7 @@
-// The network between the nodes of a day, and between nodes and servers, that the kit owns: a relay address stands
-// for each node to all others, and, on days with cuts, one for each server to each node. It owns the relays'
-// sockets and the faults that are on, changes nothing else, and judges nothing. A datagram goes on from the relay
-// address of whoever sent it, so that nodes know one another by those addresses alone.
+// The network between the nodes of a day, and between nodes and servers, that the kit owns: a relay address
+// stands for each node to all others, and, on days with cuts, one for each server to each node. It owns the
+// relays' sockets and the faults that are on, changes nothing else, and judges nothing. A datagram goes on
+// from the relay address of whoever sent it, so that nodes know one another by those addresses alone.
 #pragma once
 
 #include <array>
@@ -50,7 +50,8 @@
         bool strikes(int a, int b, int nodes) const;
     };
     struct Relay {  // of one node's datagrams
-        explicit Relay(Io& io, const std::string& host) : socket(io, Udp::endpoint(boost::asio::ip::make_address(host), 0)) {}
+        explicit Relay(Io& io, const std::string& host)
+            : socket(io, Udp::endpoint(boost::asio::ip::make_address(host), 0)) {}
         Udp::socket socket;
         Udp::endpoint node;  // where it really listens
         Udp::endpoint from;
--- a/src/kit/load.cpp
+++ b/src/kit/load.cpp
@@ -44,7 +44,8 @@
 class QuickCache {
   public:
     QuickCache(Io& io, const Clock& clock, const std::string& host, int bytes)
-        : clock_(clock), value_(value_text(0, 0, 0, static_cast<std::size_t>(bytes))),
+        : clock_(clock),
+          value_(value_text(0, 0, 0, static_cast<std::size_t>(bytes))),
           listener_(io, host, [this](Tcp::socket s) {
               conns_.insert(Conn::accepted(std::move(s), clock_,
                                            {nullptr, [this](Conn& c) { input(c); },
@@ -56,7 +57,8 @@
     void input(Conn& conn) {
         Command command;
         std::string out;
-        for (std::size_t n = read_command(conn.input(), command); n > 0; n = read_command(conn.input(), command)) {
+        for (std::size_t n = read_command(conn.input(), command); n > 0;
+             n = read_command(conn.input(), command)) {
             if (command.kind == Command::Kind::hello) {
                 out += "MN\r\n";
             } else {
@@ -76,9 +78,15 @@
 // Some of the clients, on one loop.
 class Askers {
   public:
-    Askers(const LoadPlan& plan, const Clock& clock, Tcp::endpoint where, int clients, int first_id, double rate)
-        : plan_(plan), clock_(clock), where_(std::move(where)), next_id_(first_id), rate_(rate),
-          chance_(static_cast<std::uint64_t>(first_id) + 1), arrivals_(loop_.io) {
+    Askers(const LoadPlan& plan, const Clock& clock, Tcp::endpoint where, int clients, int first_id,
+           double rate)
+        : plan_(plan),
+          clock_(clock),
+          where_(std::move(where)),
+          next_id_(first_id),
+          rate_(rate),
+          chance_(static_cast<std::uint64_t>(first_id) + 1),
+          arrivals_(loop_.io) {
         boost::asio::post(loop_.io, [this, clients] { begin(clients); });
     }
     void count(bool yes) {
@@ -100,7 +108,8 @@
         for (int i = 0; i < clients; ++i) {
             Client& c = clients_.emplace_back();
             c.conn = Conn::to(loop_.io, where_, clock_,
-                              {[this, &c](Conn&) { free(c); }, [this, &c](Conn&) { input(c); }, [this](Conn&) { ++other; }});
+                              {[this, &c](Conn&) { free(c); }, [this, &c](Conn&) { input(c); },
+                               [this](Conn&) { ++other; }});
         }
         if (rate_ > 0) next_arrival(clock_.now());
     }
@@ -204,8 +213,9 @@
     for (int i = 0; i < plan.caches; ++i) {
         Loop& loop = *loops[static_cast<std::size_t>(i % plan.threads)];
         caches.push_back(std::make_unique<QuickCache>(loop.io, clock, host, plan.value_bytes));
-        hosts += (i == 0 ? "" : ",") + std::string(R"({"host":"box-)") + std::to_string(i + 1) + R"(","dial":")" +
-                 caches.back()->address() + R"(","site":"room-a","class":"box","block":0,"health":"SERVING"})";
+        hosts += (i == 0 ? "" : ",") + std::string(R"({"host":"box-)") + std::to_string(i + 1) +
+                 R"(","dial":")" + caches.back()->address() +
+                 R"(","site":"room-a","class":"box","block":0,"health":"SERVING"})";
     }
     // Discovery has nothing to say: it listens, and that is all.
     Io io;
@@ -261,12 +271,13 @@
 std::string load_line(const LoadPlan& plan, const LoadResult& r) {
     if (!r.failed.empty()) return "not played: " + r.failed;
     char line[240];
-    std::snprintf(line, sizeof line,
-                  "%4d clients %s %8.0f/s  p50 %.3f  p99 %.3f  p99.9 %.3f ms  %.1f us of processor an invocation  "
-                  "RSS %.1f MB (idle %.1f)  throttled %llu  other %llu",
-                  plan.clients, plan.rate > 0 ? "open  " : "closed", r.per_second(), 1e3 * r.latency.quantile(0.5),
-                  1e3 * r.latency.quantile(0.99), 1e3 * r.latency.quantile(0.999), r.cpu_us(), r.rss_mb, r.idle_rss_mb,
-                  static_cast<unsigned long long>(r.throttled), static_cast<unsigned long long>(r.other));
+    std::snprintf(
+        line, sizeof line,
+        "%4d clients %s %8.0f/s  p50 %.3f  p99 %.3f  p99.9 %.3f ms  %.1f us of processor an invocation  "
+        "RSS %.1f MB (idle %.1f)  throttled %llu  other %llu",
+        plan.clients, plan.rate > 0 ? "open  " : "closed", r.per_second(), 1e3 * r.latency.quantile(0.5),
+        1e3 * r.latency.quantile(0.99), 1e3 * r.latency.quantile(0.999), r.cpu_us(), r.rss_mb, r.idle_rss_mb,
+        static_cast<unsigned long long>(r.throttled), static_cast<unsigned long long>(r.other));
     return line;
 }
 
--- a/src/kit/load.h
+++ b/src/kit/load.h
@@ -1,6 +1,7 @@
-// The load mode: one daemon on one core, before caches that answer at once, asked by so many clients as fast as
-// they are answered (closed loop) or at a given rate (open loop: an answer's time counts from when it was due to
-// be asked, so that a slow daemon cannot hide what it kept waiting). It judges no rule; it measures the node.
+// The load mode: one daemon on one core, before caches that answer at once, asked by so many clients as fast
+// as they are answered (closed loop) or at a given rate (open loop: an answer's time counts from when it was
+// due to be asked, so that a slow daemon cannot hide what it kept waiting). It judges no rule; it measures
+// the node.
 #pragma once
 
 #include <string>
@@ -14,14 +15,14 @@
     std::string program;
     std::string folder;
     int clients = 16;
-    double rate = 0;        // invocations a second; 0: closed loop
+    double rate = 0;  // invocations a second; 0: closed loop
     double seconds = 5;
     double warm_up = 1;
     int caches = 4;
     int value_bytes = 200;
     int keys = 10000;
-    int cpu = -1;           // the daemon's core; -1: the last one
-    int threads = 2;        // of clients, and as many of caches
+    int cpu = -1;     // the daemon's core; -1: the last one
+    int threads = 2;  // of clients, and as many of caches
 };
 
 struct LoadResult {
@@ -29,9 +30,9 @@
     double seconds = 0;
     std::uint64_t succeeded = 0, throttled = 0, other = 0;
     LatencyHistogram latency;
-    double cpu = 0;         // seconds of the daemon in that time
-    double rss_mb = 0;      // at its end
-    double idle_rss_mb = 0; // before the first client
+    double cpu = 0;          // seconds of the daemon in that time
+    double rss_mb = 0;       // at its end
+    double idle_rss_mb = 0;  // before the first client
     double per_second() const { return seconds > 0 ? static_cast<double>(succeeded) / seconds : 0; }
     double cpu_us() const { return succeeded > 0 ? 1e6 * cpu / static_cast<double>(succeeded) : 0; }
 };
--- a/src/kit/origin_server.cpp
+++ b/src/kit/origin_server.cpp
@@ -25,8 +25,9 @@
 
 void OriginServer::accept(Tcp::socket socket) {
     const std::uint64_t id = ++last_peer_;
-    peers_[id].conn = Conn::accepted(std::move(socket), world_.clock,
-                                     {nullptr, [this, id](Conn&) { input(id); }, [this, id](Conn&) { peer_gone(id); }});
+    peers_[id].conn =
+        Conn::accepted(std::move(socket), world_.clock,
+                       {nullptr, [this, id](Conn&) { input(id); }, [this, id](Conn&) { peer_gone(id); }});
 }
 
 void OriginServer::peer_gone(std::uint64_t peer) {
@@ -70,7 +71,8 @@
     job.key = key.key;
     const bool sound = request.sound && operation >= 0 && read_id(request.id, world_.day, job.inv) &&
                        (job.write || request.method == "GET") && request.target.starts_with('/');
-    const double work = sound ? world_.scenario.operations[static_cast<std::size_t>(operation)].origin_work : 0;
+    const double work =
+        sound ? world_.scenario.operations[static_cast<std::size_t>(operation)].origin_work : 0;
     ++(job.write ? counts_.writes : counts_.reads);
     meter_.offered(now, work);
     world_.auditor.forwarded(first_byte, now, forward, sound ? job.inv : -1, number_, work);
@@ -116,8 +118,9 @@
         for (const int server : missed->second) world_.fill(server, job.key, version);
         world_.missed.erase(missed);
     }
-    answer(job.peer, forward,
-           http_response(200, value_text(forward, job.key, version, static_cast<std::size_t>(op.value_bytes))));
+    answer(
+        job.peer, forward,
+        http_response(200, value_text(forward, job.key, version, static_cast<std::size_t>(op.value_bytes))));
 }
 
 void OriginServer::answer(std::uint64_t peer, int forward, std::string text) {
--- a/src/kit/origin_server.h
+++ b/src/kit/origin_server.h
@@ -1,5 +1,5 @@
-// The slow origin (an activation master), as the protocol's page has it: HTTP/1.1 on a port of its own, with a
-// capacity, a queue, marks of repeats, and a stop when it is asked for far more than it can do. It owns the
+// The slow origin (an activation master), as the protocol's page has it: HTTP/1.1 on a port of its own, with
+// a capacity, a queue, marks of repeats, and a stop when it is asked for far more than it can do. It owns the
 // versions' growth: a write that ran drops all copies, a read that ran is stored where it had missed.
 #pragma once
 
@@ -28,8 +28,8 @@
         std::uint64_t reads = 0, writes = 0, busy = 0, halts = 0;
     };
     const Counts& counts() const { return counts_; }
-    double capacity() const;              // work a second, now
-    double asked() const;                 // work a second it was asked for, over the last half second
+    double capacity() const;  // work a second, now
+    double asked() const;     // work a second it was asked for, over the last half second
     bool halted() const { return world_.now() < halted_until_; }
 
   private:
--- a/src/kit/rehearsal.cpp
+++ b/src/kit/rehearsal.cpp
@@ -1,12 +1,12 @@
 #include "rehearsal.h"
 
+#include <rapidjson/document.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <array>
 #include <boost/asio/signal_set.hpp>
 #include <cmath>
-#include <rapidjson/document.h>
 #include <csignal>
 #include <fstream>
 #include <iterator>
@@ -24,25 +24,26 @@
 namespace brookrelay::kit {
 namespace {
 
-constexpr double kStartMost = 15;       // s for a daemon to answer at all
-constexpr double kAnswerMost = 0.5;     // s for an answer to the question whether it serves
-constexpr int kCannotListen = 1;        // the exit code of a daemon whose port is taken
+constexpr double kStartMost = 15;    // s for a daemon to answer at all
+constexpr double kAnswerMost = 0.5;  // s for an answer to the question whether it serves
+constexpr int kCannotListen = 1;     // the exit code of a daemon whose port is taken
 constexpr std::uint64_t kStartsMost = 4;
-constexpr double kLookAtSelf = 0.005;   // s between looks at the own lateness
+constexpr double kLookAtSelf = 0.005;  // s between looks at the own lateness
 constexpr double kLookAtDaemons = 0.05;
-constexpr double kFrontMovesAway = 0.3; // s after SIGTERM until the front deals a node nothing new
-constexpr double kKillAfter = 0.7;      // s more than the longest client timeout, after SIGTERM
+constexpr double kFrontMovesAway = 0.3;  // s after SIGTERM until the front deals a node nothing new
+constexpr double kKillAfter = 0.7;       // s more than the longest client timeout, after SIGTERM
 constexpr double kKillMost = 3.0;
-constexpr double kNodeAwayUnsaid = 1.0; // s until a killed node starts again
-constexpr double kRemoveUnsaid = 2.0;   // s from draining to gone
+constexpr double kNodeAwayUnsaid = 1.0;  // s until a killed node starts again
+constexpr double kRemoveUnsaid = 2.0;    // s from draining to gone
 constexpr double kCrashUnsaid = 2.0;
 constexpr double kReloadBadFor = 1.0;
 constexpr double kAfterStop = 0.2;      // s after a stop in which what it held meanwhile still comes late
 constexpr double kStarvedUnsaid = 0.8;  // part of the time that it is stopped
 constexpr double kStarvedTurn = 1.0;    // s
-constexpr double kLookAtViews = 0.25;   // s between the times that nodes are asked what they think of the fleet
+constexpr double kLookAtViews =
+    0.25;  // s between the times that nodes are asked what they think of the fleet
 constexpr double kViewMost = 1.0;
-constexpr double kScheduleFrom = 0.5;   // s between the nodes' being ready and the day's begin
+constexpr double kScheduleFrom = 0.5;  // s between the nodes' being ready and the day's begin
 
 std::size_t index(int i) { return static_cast<std::size_t>(i); }
 
@@ -103,7 +104,9 @@
     void kill_node(int node, double away);
     void freeze(int node, double lasts);
     void starve(int node, double part, double until);
-    std::string operator_path(int node) const { return plan_.folder + "/operator-n" + std::to_string(node) + ".toml"; }
+    std::string operator_path(int node) const {
+        return plan_.folder + "/operator-n" + std::to_string(node) + ".toml";
+    }
     void write_operator_file(int node, double origin) const;
     void ask_for_views();
     void ask_for_view(int node);
@@ -159,7 +162,8 @@
     world_.day = any();  // ids of days that run side by side must not meet; nothing that counts hangs on it
     const int servers = static_cast<int>(scenario_.server_names().size()) - 1;
     for (int i = 0; i < servers; ++i) {
-        caches_.push_back(std::make_unique<CacheServer>(world_, i, scenario_.kinds[index(scenario_.kind_of(i))]));
+        caches_.push_back(
+            std::make_unique<CacheServer>(world_, i, scenario_.kinds[index(scenario_.kind_of(i))]));
     }
     origin_ = std::make_unique<OriginServer>(world_, servers);
     discovery_ = std::make_unique<DiscoveryServer>(world_, scenario_.nodes);
@@ -175,7 +179,8 @@
     if (!scenario_.keys.filled) return;
     for (const auto& c : caches_) {
         const int most = scenario_.kinds[index(scenario_.kind_of(c->number()))].keys;
-        const std::uint64_t keys = std::min<std::uint64_t>(scenario_.keys.count, static_cast<std::uint64_t>(most));
+        const std::uint64_t keys =
+            std::min<std::uint64_t>(scenario_.keys.count, static_cast<std::uint64_t>(most));
         for (std::uint64_t rank = keys; rank > 0; --rank) c->store(key_of_rank(rank - 1), 0);
     }
 }
@@ -195,7 +200,8 @@
 
 void Day::place_node(int node, unsigned short port) {
     Node& n = nodes_[index(node)];
-    // A port that is free now may be another node's that has not started yet: that one's answer would pass for this one's.
+    // A port that is free now may be another node's that has not started yet: that one's answer would pass
+    // for this one's.
     const auto taken = [&](const Node& other) {
         const std::string address = world_.host + ":" + std::to_string(port);
         return &other != &n && (other.listen == address || other.talk.management == address);
@@ -205,7 +211,8 @@
     crowd_->node_at(node, {boost::asio::ip::make_address(world_.host), port});
 }
 
-// Apart from all that the day's nodes are told already: a port that is free now is not held until its node starts.
+// Apart from all that the day's nodes are told already: a port that is free now is not held until its node
+// starts.
 void Day::place_management(int node) {
     if (!scenario_.talk) return;
     std::string address;
@@ -218,14 +225,16 @@
 
 std::string Day::configuration(int node, std::uint64_t seed) const {
     const Node& n = nodes_[index(node)];
-    return station_json(scenario_, node, n.listen, discovery_->agent(node), discovery_->whole_list(node), seed, n.talk);
+    return station_json(scenario_, node, n.listen, discovery_->agent(node), discovery_->whole_list(node),
+                        seed, n.talk);
 }
 
 void Day::start_node(int node) {
     Node& n = nodes_[index(node)];
     n.ready = false;
     ++n.starts;
-    const std::uint64_t seed = key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.starts);
+    const std::uint64_t seed =
+        key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.starts);
     n.daemon->configure(configuration(node, seed));
     auditor_.node_up(world_.now(), node);
     n.daemon->expected_to_end = false;
@@ -245,8 +254,8 @@
             place_management(node);
             return start_node(node);
         }
-        return fail("the daemon ended at its start with exit code " + std::to_string(n.daemon->exit_code()) + "; see " +
-                    n.daemon->log_path());
+        return fail("the daemon ended at its start with exit code " + std::to_string(n.daemon->exit_code()) +
+                    "; see " + n.daemon->log_path());
     }
     if (world_.now() > until) return fail("the daemon does not answer; see " + n.daemon->log_path());
     const std::size_t colon = n.listen.find(':');
@@ -313,7 +322,8 @@
     n.daemon->expected_to_end = true;
     n.daemon->signal(SIGTERM);
     double longest = 0;
-    for (const OperationPlan& o : scenario_.operations) longest = std::max(longest, o.promised.client_timeout);
+    for (const OperationPlan& o : scenario_.operations)
+        longest = std::max(longest, o.promised.client_timeout);
     const double kill_at = world_.now() + std::min(longest, kKillMost) + kKillAfter;
     world_.at(world_.now() + kFrontMovesAway, [this, node] { crowd_->front_uses(node, false); });
     when_ended(node, kill_at);
@@ -384,7 +394,8 @@
                 world_.at(world_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
             });
             break;
-        default: break;
+        default:
+            break;
     }
 }
 
@@ -395,10 +406,13 @@
     auditor_.node_killed(world_.now(), node);
     n.daemon->kill();
     n.bury();
-    world_.at(world_.now() + scenario_.clients.front_notices,
-              [this, node] { if (!nodes_[index(node)].ready) crowd_->front_uses(node, false); });
+    world_.at(world_.now() + scenario_.clients.front_notices, [this, node] {
+        if (!nodes_[index(node)].ready) crowd_->front_uses(node, false);
+    });
     n.ready = false;
-    world_.at(world_.now() + away, [this, node] { if (!ended_) start_node(node); });
+    world_.at(world_.now() + away, [this, node] {
+        if (!ended_) start_node(node);
+    });
 }
 
 // Stopped as a machine that pages or is moved: its sockets stand, and nothing is read from them.
@@ -406,8 +420,9 @@
     const double until = world_.now() + lasts;
     auditor_.node_stands_still(until + kAfterStop, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
-    world_.at(world_.now() + scenario_.clients.front_notices,
-              [this, node, until] { if (world_.now() < until) crowd_->front_uses(node, false); });
+    world_.at(world_.now() + scenario_.clients.front_notices, [this, node, until] {
+        if (world_.now() < until) crowd_->front_uses(node, false);
+    });
     world_.at(until, [this, node] {
         nodes_[index(node)].daemon->signal(SIGCONT);
         if (!ended_) crowd_->front_uses(node, true);
@@ -419,13 +434,15 @@
     if (ended_ || world_.now() >= until) return;
     auditor_.node_stands_still(until + kAfterStop, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
-    world_.at(world_.now() + part * kStarvedTurn, [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
+    world_.at(world_.now() + part * kStarvedTurn,
+              [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
     world_.at(world_.now() + kStarvedTurn, [this, node, part, until] { starve(node, part, until); });
 }
 
 void Day::write_operator_file(int node, double origin) const {
     std::ofstream file(operator_path(node));
-    file << "[fleet]\ntalk = true\nbytes_a_second = " << scenario_.talk_bytes << "\nzones = " << (scenario_.talk_zones ? "true" : "false")
+    file << "[fleet]\ntalk = true\nbytes_a_second = " << scenario_.talk_bytes
+         << "\nzones = " << (scenario_.talk_zones ? "true" : "false")
          << "\n[fleet.limits]\ntenants = " << (scenario_.talk_tenants ? "true" : "false") << "\n";
     if (origin > 0) file << "origin = " << origin << "\n";
     if (scenario_.talk_cold > 0) file << "cold = " << scenario_.talk_cold << "\n";
@@ -446,9 +463,10 @@
     const Tcp::endpoint where(boost::asio::ip::make_address(address.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(address.substr(colon + 1))));
     const double asked = world_.now();
-    const auto conn = Conn::to(io_, where, clock_,
-                               {[](Conn& c) { c.write("GET /control/fleet HTTP/1.1\r\nHost: node\r\n\r\n"); }, nullptr,
-                                [this, node, asked](Conn& c) { take_view(node, asked, c.input()); }});
+    const auto conn =
+        Conn::to(io_, where, clock_,
+                 {[](Conn& c) { c.write("GET /control/fleet HTTP/1.1\r\nHost: node\r\n\r\n"); }, nullptr,
+                  [this, node, asked](Conn& c) { take_view(node, asked, c.input()); }});
     world_.at(asked + kViewMost, [conn] { conn->close(); });
 }
 
@@ -475,7 +493,8 @@
     }
     for (const auto& l : d["limits"].GetArray()) {
         const bool strict = l.HasMember("declined");
-        v.limits[l["limit"].GetString()] = {l["part"].GetDouble(), l["need"].GetDouble(), strict ? l["declined"].GetDouble() : 0};
+        v.limits[l["limit"].GetString()] = {l["part"].GetDouble(), l["need"].GetDouble(),
+                                            strict ? l["declined"].GetDouble() : 0};
     }
     v.oldest_word = d["words"]["oldest_s"].GetDouble();
     v.sent_bytes = d["datagrams"]["sent_bytes"].GetDouble();
@@ -506,7 +525,9 @@
             origin_->slow(t.factor);
             world_.at(until, [this] { origin_->slow(1); });
             break;
-        case TroubleKind::origin_stop: origin_->halt(t.lasts); break;
+        case TroubleKind::origin_stop:
+            origin_->halt(t.lasts);
+            break;
         case TroubleKind::discovery_down:
             discovery_->down(true);
             world_.at(until, [this] { discovery_->down(false); });
@@ -577,16 +598,23 @@
             }
             break;
         }
-        case TroubleKind::tricklers: crowd_->trickle(t.node, t.count, until); break;
-        case TroubleKind::non_readers: crowd_->never_read(t.node, t.count, until); break;
+        case TroubleKind::tricklers:
+            crowd_->trickle(t.node, t.count, until);
+            break;
+        case TroubleKind::non_readers:
+            crowd_->never_read(t.node, t.count, until);
+            break;
         case TroubleKind::hot_key:
         case TroubleKind::scan:
         case TroubleKind::over_share:
-        case TroubleKind::count: break;  // drawn into the schedule
+        case TroubleKind::count:
+            break;  // drawn into the schedule
     }
     mark(text);
     if (t.lasts > 0) {
-        world_.at(until, [this, text] { if (!ended_) mark("end of " + text); });
+        world_.at(until, [this, text] {
+            if (!ended_) mark("end of " + text);
+        });
     }
 }
 
@@ -609,11 +637,14 @@
         if (n.daemon->pid() == 0) continue;
         if (!n.daemon->running() && !n.daemon->expected_to_end) {
             ++result_.crashes;
-            mark("node " + std::to_string(i) + " CRASHED, exit code " + std::to_string(n.daemon->exit_code()));
+            mark("node " + std::to_string(i) + " CRASHED, exit code " +
+                 std::to_string(n.daemon->exit_code()));
             n.ready = false;
             n.daemon->expected_to_end = true;
             n.bury();
-            world_.at(now + kNodeAwayUnsaid, [this, i] { if (!ended_) start_node(static_cast<int>(i)); });
+            world_.at(now + kNodeAwayUnsaid, [this, i] {
+                if (!ended_) start_node(static_cast<int>(i));
+            });
             continue;
         }
         const ProcessFigures f = n.daemon->figures();
@@ -631,7 +662,8 @@
     const double now = world_.now();
     s.forwards.resize(caches_.size() + 1);
     s.connections.resize(caches_.size());
-    for (std::size_t i = 0; i < caches_.size(); ++i) s.connections[i].push_back(caches_[i]->most_connections());
+    for (std::size_t i = 0; i < caches_.size(); ++i)
+        s.connections[i].push_back(caches_[i]->most_connections());
     for (std::size_t i = 0; i <= caches_.size(); ++i) {
         const std::uint64_t all = i < caches_.size() ? caches_[i]->counts().forwards
                                                      : origin_->counts().reads + origin_->counts().writes;
@@ -653,8 +685,9 @@
     result_.daemon_cpu = cpu;
     if (plan_.progress) {
         char line[160];
-        std::snprintf(line, sizeof line, "%4.0f s of %.0f  asked %llu  succeeded %llu  open %d  origin %.0f%%",
-                      of_day(now), scenario_.length, static_cast<unsigned long long>(crowd_->asked()),
+        std::snprintf(line, sizeof line,
+                      "%4.0f s of %.0f  asked %llu  succeeded %llu  open %d  origin %.0f%%", of_day(now),
+                      scenario_.length, static_cast<unsigned long long>(crowd_->asked()),
                       static_cast<unsigned long long>(crowd_->succeeded()), crowd_->open(),
                       100 * origin_->asked() / std::max(1e-9, origin_->capacity()));
         plan_.progress(of_day(now), line);
@@ -665,7 +698,8 @@
 // The day is over once whoever asked has been answered, or has waited as long as anyone waits.
 void Day::look_whether_over() {
     double longest = 0;
-    for (const OperationPlan& o : scenario_.operations) longest = std::max(longest, o.promised.client_timeout);
+    for (const OperationPlan& o : scenario_.operations)
+        longest = std::max(longest, o.promised.client_timeout);
     const bool long_enough = of_day(world_.now()) > scenario_.length + 2 * longest + 1;
     if (crowd_->all_over() || long_enough) {
         ended_ = true;
@@ -683,7 +717,9 @@
     crowd_ = std::make_unique<Crowd>(world_, schedule_, plan_.seed);
     if (scenario_.talk || scenario_.has(TroubleKind::cut)) {
         links_ = std::make_unique<Links>(world_, plan_.seed, scenario_.has(TroubleKind::cut));
-        discovery_->dial = [this](int node, int to, const std::string& address) { return links_->dial(node, to, address); };
+        discovery_->dial = [this](int node, int to, const std::string& address) {
+            return links_->dial(node, to, address);
+        };
     }
     for (int n = 0; n < scenario_.nodes; ++n) {
         Daemon::Place place{plan_.program, plan_.folder, "n" + std::to_string(n), -1};
--- a/src/kit/rehearsal.h
+++ b/src/kit/rehearsal.h
@@ -1,6 +1,7 @@
-// One day played on loopback sockets: starts the stand-ins and the daemons, lets the clients come, brings about
-// the troubles at their times, watches its own lateness, and hands what was seen to the judge. It owns all of
-// it and leaves nothing behind: no process, no port, whether the day ended, was interrupted or broke off.
+// One day played on loopback sockets: starts the stand-ins and the daemons, lets the clients come, brings
+// about the troubles at their times, watches its own lateness, and hands what was seen to the judge. It owns
+// all of it and leaves nothing behind: no process, no port, whether the day ended, was interrupted or broke
+// off.
 #pragma once
 
 #include <cstdint>
@@ -19,25 +20,27 @@
 struct DayPlan {
     Scenario scenario;
     std::uint64_t seed = 1;
-    std::string program;   // the daemon under rehearsal
-    std::string folder;    // for its configuration and logs; must exist
+    std::string program;            // the daemon under rehearsal
+    std::string folder;             // for its configuration and logs; must exist
     unsigned short first_port = 0;  // the first that node 0 is told to listen on; 0: any that is free
     std::function<void(double now, const std::string& line)> progress;  // about once a second; may be empty
     std::function<bool()> interrupted;                                  // may be empty
-    std::function<std::vector<std::string>(int node)> environment;      // NAME=VALUE for its daemon; may be empty
+    std::function<std::vector<std::string>(int node)> environment;  // NAME=VALUE for its daemon; may be empty
     // May be empty; as the day begins: where nodes that talk listen for peers, and for operators.
-    std::function<void(const std::vector<std::string>& peer_listens, const std::vector<std::string>& managements)> begun;
+    std::function<void(const std::vector<std::string>& peer_listens,
+                       const std::vector<std::string>& managements)>
+        begun;
 };
 
 // What was seen, second by second, for pictures.
 struct Series {
     std::vector<std::string> servers;
-    std::vector<std::vector<double>> forwards;    // [server][second]
-    std::vector<std::vector<int>> connections;    // [cache server][second], the most open at a time
-    std::vector<double> list_calls;               // [second], at discovery, of all nodes
+    std::vector<std::vector<double>> forwards;          // [server][second]
+    std::vector<std::vector<int>> connections;          // [cache server][second], the most open at a time
+    std::vector<double> list_calls;                     // [second], at discovery, of all nodes
     std::vector<double> origin_asked, origin_capacity;  // work a second
-    std::vector<double> cpu;                      // of all daemons, seconds a second
-    std::vector<double> rss_mb;                   // of the largest
+    std::vector<double> cpu;                            // of all daemons, seconds a second
+    std::vector<double> rss_mb;                         // of the largest
 };
 
 // What one node said of the fleet at its operators' address, on days on which nodes talk.
@@ -45,8 +48,8 @@
     double time = 0;
     int node = 0;
     bool doubts_itself = false;
-    std::vector<std::string> found;  // servers whose finding counts there
-    std::vector<std::string> states; // of all nodes: fresh, late, gone
+    std::vector<std::string> found;   // servers whose finding counts there
+    std::vector<std::string> states;  // of all nodes: fresh, late, gone
     std::vector<std::uint32_t> starts;
     std::vector<std::string> zones;  // state of each, and the part of its keys that may go there
     std::vector<double> parts;
@@ -60,9 +63,9 @@
 struct DayResult {
     audit::Verdict verdict;
     bool was_interrupted = false;
-    std::string failed;             // the day could not be played: why
-    double length = 0;              // of what was played
-    std::uint64_t digest = 0;       // of schedule and troubles
+    std::string failed;        // the day could not be played: why
+    double length = 0;         // of what was played
+    std::uint64_t digest = 0;  // of schedule and troubles
     std::size_t planned = 0;
     Series series;
     std::vector<std::pair<double, std::string>> marks;  // troubles as they were brought about
@@ -72,8 +75,8 @@
     std::vector<FleetView> views;
     std::uint64_t peer_bytes = 0, peer_datagrams = 0;  // that nodes sent one another
     double daemon_cpu = 0, daemon_rss_mb = 0;
-    int daemon_descriptors = 0;     // the most that one held
-    int crashes = 0;                // daemons that ended by themselves
+    int daemon_descriptors = 0;  // the most that one held
+    int crashes = 0;             // daemons that ended by themselves
 };
 
 DayResult play_day(const DayPlan& plan);
--- a/src/kit/report.cpp
+++ b/src/kit/report.cpp
@@ -19,8 +19,12 @@
 using Json = rapidjson::PrettyWriter<rapidjson::StringBuffer>;
 
 constexpr std::size_t kFindingsShown = 20;
-constexpr const char* kRules[] = {"", "one final answer in time", "no effect twice", "drains kept",
-                                  "nothing cold pushed over", "limits of the whole fleet kept"};
+constexpr const char* kRules[] = {"",
+                                  "one final answer in time",
+                                  "no effect twice",
+                                  "drains kept",
+                                  "nothing cold pushed over",
+                                  "limits of the whole fleet kept"};
 
 std::string format(const char* how, double a) {
     char room[64];
@@ -150,7 +154,8 @@
             const double times = r.series.forwards[s][t] * static_cast<double>(caches) / sum;
             const double at = static_cast<double>(t) + 0.5;
             one.points.emplace_back(at, times);
-            if (highest.points.empty() || highest.points.back().first < at) highest.points.emplace_back(at, 0.0);
+            if (highest.points.empty() || highest.points.back().first < at)
+                highest.points.emplace_back(at, 0.0);
         }
         c.curves.push_back(std::move(one));
     }
@@ -168,7 +173,8 @@
 
 std::string origin_chart(const DayPlan& plan, const DayResult& r) {
     Chart c = over_time(plan, r, "Work asked of the origin against its limit", "work a second");
-    Curve2d asked{"asked", "", {}}, capacity{"capacity", "#588157", {}}, limit{"limit", "#b08900", {}, 1.2, true, true, {}},
+    Curve2d asked{"asked", "", {}}, capacity{"capacity", "#588157", {}},
+        limit{"limit", "#b08900", {}, 1.2, true, true, {}},
         stop{"stops from here", "#9b2226", {}, 1.2, true, true, {}};
     for (std::size_t i = 0; i < r.series.origin_asked.size(); ++i) {
         const double t = static_cast<double>(i) + 0.5;
@@ -198,7 +204,8 @@
         double seen = 0;
         for (const auto& [time, count] : r.latencies[i].bins()) {
             seen += count;
-            curve.points.emplace_back(time * 1e3, seen / static_cast<double>(std::max<std::uint64_t>(1, r.latencies[i].count())));
+            curve.points.emplace_back(
+                time * 1e3, seen / static_cast<double>(std::max<std::uint64_t>(1, r.latencies[i].count())));
         }
         if (!curve.points.empty()) c.curves.push_back(std::move(curve));
     }
@@ -208,40 +215,46 @@
 std::string cost_chart(const DayPlan& plan, const DayResult& r) {
     Chart c = over_time(plan, r, "Processor time of all daemons", "seconds a second");
     Curve2d cpu{"processor time", "", {}};
-    for (std::size_t i = 0; i < r.series.cpu.size(); ++i) cpu.points.emplace_back(static_cast<double>(i) + 0.5, r.series.cpu[i]);
+    for (std::size_t i = 0; i < r.series.cpu.size(); ++i)
+        cpu.points.emplace_back(static_cast<double>(i) + 0.5, r.series.cpu[i]);
     c.curves = {cpu};
     return svg_text(c);
 }
 
 std::string finding_html(const audit::Finding& f) {
-    std::string out = "<details><summary><b>rule " + std::to_string(f.rule) + "</b> at " + format("%.3f s", f.at) +
-                      (f.inv >= 0 ? ", invocation " + std::to_string(f.inv) : "") + ": " + html_escaped(f.what) +
-                      "</summary><pre>";
+    std::string out = "<details><summary><b>rule " + std::to_string(f.rule) + "</b> at " +
+                      format("%.3f s", f.at) + (f.inv >= 0 ? ", invocation " + std::to_string(f.inv) : "") +
+                      ": " + html_escaped(f.what) + "</summary><pre>";
     for (const std::string& line : f.trace) out += html_escaped(line) + "\n";
     return out + "</pre></details>";
 }
 
 std::string row(std::initializer_list<std::string> cells, const char* tag = "td") {
     std::string out = "<tr>";
-    for (const std::string& c : cells) out += std::string("<") + tag + ">" + html_escaped(c) + "</" + tag + ">";
+    for (const std::string& c : cells)
+        out += std::string("<") + tag + ">" + html_escaped(c) + "</" + tag + ">";
     return out + "</tr>";
 }
 
 constexpr const char* kStyle =
     "body{font:15px/1.5 system-ui,sans-serif;color:#222;max-width:980px;margin:24px auto;padding:0 16px}"
     "h1{font-size:23px;margin:0 0 4px}h2{font-size:17px;margin:28px 0 6px}"
-    "svg{width:100%;height:auto;margin:6px 0 12px;font:11px system-ui,sans-serif}svg .title{font-size:13px;font-weight:600}"
+    "svg{width:100%;height:auto;margin:6px 0 12px;font:11px system-ui,sans-serif}svg "
+    ".title{font-size:13px;font-weight:600}"
     "svg .label{fill:#666}svg .mark{fill:#b5651d;font-size:9px}"
-    "table{border-collapse:collapse;margin:8px 0}td,th{padding:3px 12px 3px 0;text-align:left;border-bottom:1px solid #eee}"
+    "table{border-collapse:collapse;margin:8px 0}td,th{padding:3px 12px 3px "
+    "0;text-align:left;border-bottom:1px solid #eee}"
     "td:not(:first-child),th:not(:first-child){font-variant-numeric:tabular-nums}"
     ".badge{display:inline-block;padding:2px 10px;border-radius:4px;color:#fff;font-weight:600}"
     ".kept{background:#588157}.broken{background:#9b2226}.void,.not{background:#b08900}"
     "pre{background:#f6f6f6;padding:8px;overflow-x:auto}details{margin:4px 0}.soft{color:#666}"
-    ".tiles{display:flex;flex-wrap:wrap;gap:10px;margin:14px 0}.tile{border:1px solid #ddd;border-radius:6px;padding:8px 14px}"
+    ".tiles{display:flex;flex-wrap:wrap;gap:10px;margin:14px 0}.tile{border:1px solid "
+    "#ddd;border-radius:6px;padding:8px 14px}"
     ".tile b{display:block;font-size:21px}";
 
 std::string tile(const std::string& value, const std::string& name) {
-    return "<div class='tile'><b>" + html_escaped(value) + "</b><span class='soft'>" + html_escaped(name) + "</span></div>";
+    return "<div class='tile'><b>" + html_escaped(value) + "</b><span class='soft'>" + html_escaped(name) +
+           "</span></div>";
 }
 
 }  // namespace
@@ -263,23 +276,25 @@
         (r.was_interrupted ? " (interrupted)" : ""));
     for (std::size_t rule = 1; rule < v.broken.size(); ++rule) {
         if (v.broken[rule] > 0) {
-            say("  rule " + std::to_string(rule) + " (" + kRules[rule] + "): broken " + std::to_string(v.broken[rule]) +
-                " times");
+            say("  rule " + std::to_string(rule) + " (" + kRules[rule] + "): broken " +
+                std::to_string(v.broken[rule]) + " times");
         }
     }
     if (r.crashes > 0) say("  daemons ended by themselves " + std::to_string(r.crashes) + " times");
     const Worst op = worst(v.operations, operation_names(s)), tenant = worst(v.tenants, tenant_names(s));
     say("billed service   " + format("%.4f", v.whole.part()) + " whole,  " + format("%.4f", v.worst_ten) +
-        " worst 10 s (from " + format("%.0f s", v.worst_ten_from) + "),  " + format("%.4f ", op.part) + op.name + ",  " +
-        format("%.4f ", tenant.part) + tenant.name);
-    say("invocations      " + std::to_string(v.invocations) + " of " + std::to_string(v.users) + " users: " +
-        std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.throttled) + " throttled, " +
-        std::to_string(v.errored) + " errored, " + std::to_string(v.cut) + " cut, " + std::to_string(v.unanswered) +
-        " unanswered, " + std::to_string(v.left) + " left, " + std::to_string(v.lost_with_node) + " lost with their node");
-    say("servers          " + std::to_string(v.forwards) + " forwards, " + std::to_string(r.hits) + " hits, " +
-        std::to_string(r.misses) + " misses, " + std::to_string(r.server_busy) + " busy; origin " +
-        std::to_string(r.origin_reads) + " reads, " + std::to_string(r.origin_writes) + " writes, " +
-        std::to_string(r.origin_halts) + " stops; " + std::to_string(v.dropped_repeats) + " repeats dropped");
+        " worst 10 s (from " + format("%.0f s", v.worst_ten_from) + "),  " + format("%.4f ", op.part) +
+        op.name + ",  " + format("%.4f ", tenant.part) + tenant.name);
+    say("invocations      " + std::to_string(v.invocations) + " of " + std::to_string(v.users) +
+        " users: " + std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.throttled) +
+        " throttled, " + std::to_string(v.errored) + " errored, " + std::to_string(v.cut) + " cut, " +
+        std::to_string(v.unanswered) + " unanswered, " + std::to_string(v.left) + " left, " +
+        std::to_string(v.lost_with_node) + " lost with their node");
+    say("servers          " + std::to_string(v.forwards) + " forwards, " + std::to_string(r.hits) +
+        " hits, " + std::to_string(r.misses) + " misses, " + std::to_string(r.server_busy) +
+        " busy; origin " + std::to_string(r.origin_reads) + " reads, " + std::to_string(r.origin_writes) +
+        " writes, " + std::to_string(r.origin_halts) + " stops; " + std::to_string(v.dropped_repeats) +
+        " repeats dropped");
     std::string times = "latency (ms)     ";
     for (std::size_t i = 0; i < r.latencies.size(); ++i) {
         const LatencyHistogram& h = r.latencies[i];
@@ -287,9 +302,11 @@
                  ms(h.quantile(0.99)) + " p99.9 " + ms(h.quantile(0.999));
     }
     say(times);
-    say("daemons          " + format("%.1f us", v.invocations > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.invocations) : 0) +
-        " of processor an invocation, " + format("%.1f MB", r.daemon_rss_mb) + " at the most; the kit was late " +
-        format("%.1f ms", 1e3 * v.late_worst) + " at the worst, " + percent(v.late_share) + " of the day");
+    say("daemons          " +
+        format("%.1f us", v.invocations > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.invocations) : 0) +
+        " of processor an invocation, " + format("%.1f MB", r.daemon_rss_mb) +
+        " at the most; the kit was late " + format("%.1f ms", 1e3 * v.late_worst) + " at the worst, " +
+        percent(v.late_share) + " of the day");
     out += zones_text(s, r);
     for (std::size_t i = 0; i < std::min(v.findings.size(), std::size_t{3}); ++i) {
         const audit::Finding& f = v.findings[i];
@@ -350,13 +367,27 @@
     json.EndObject();
     json.Key("counts");
     json.StartObject();
-    const std::pair<const char*, std::uint64_t> counts[] = {
-        {"planned", r.planned}, {"users", v.users}, {"invocations", v.invocations}, {"succeeded", v.succeeded},
-        {"throttled", v.throttled}, {"errored", v.errored}, {"cut", v.cut}, {"unanswered", v.unanswered},
-        {"left", v.left}, {"lost_with_node", v.lost_with_node}, {"forwards", v.forwards}, {"effects", v.effects},
-        {"dropped_repeats", v.dropped_repeats}, {"hits", r.hits}, {"misses", r.misses},
-        {"server_busy", r.server_busy}, {"origin_reads", r.origin_reads}, {"origin_writes", r.origin_writes},
-        {"origin_busy", r.origin_busy}, {"origin_halts", r.origin_halts}, {"server_connections", r.connections}};
+    const std::pair<const char*, std::uint64_t> counts[] = {{"planned", r.planned},
+                                                            {"users", v.users},
+                                                            {"invocations", v.invocations},
+                                                            {"succeeded", v.succeeded},
+                                                            {"throttled", v.throttled},
+                                                            {"errored", v.errored},
+                                                            {"cut", v.cut},
+                                                            {"unanswered", v.unanswered},
+                                                            {"left", v.left},
+                                                            {"lost_with_node", v.lost_with_node},
+                                                            {"forwards", v.forwards},
+                                                            {"effects", v.effects},
+                                                            {"dropped_repeats", v.dropped_repeats},
+                                                            {"hits", r.hits},
+                                                            {"misses", r.misses},
+                                                            {"server_busy", r.server_busy},
+                                                            {"origin_reads", r.origin_reads},
+                                                            {"origin_writes", r.origin_writes},
+                                                            {"origin_busy", r.origin_busy},
+                                                            {"origin_halts", r.origin_halts},
+                                                            {"server_connections", r.connections}};
     for (const auto& [name, count] : counts) put(json, name, count);
     json.EndObject();
     json.Key("latency_ms");
@@ -367,7 +398,8 @@
         put(json, "operation", s.operations[i].name);
         put(json, "count", h.count());
         put(json, "mean", 1e3 * h.mean());
-        for (const auto& [name, part] : {std::pair{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p999", 0.999}}) {
+        for (const auto& [name, part] :
+             {std::pair{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p999", 0.999}}) {
             put(json, name, 1e3 * h.quantile(part));
         }
         put(json, "most", 1e3 * h.most());
@@ -377,7 +409,8 @@
     json.Key("daemons");
     json.StartObject();
     put(json, "cpu", r.daemon_cpu);
-    put(json, "cpu_us_an_invocation", v.invocations > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.invocations) : 0.0);
+    put(json, "cpu_us_an_invocation",
+        v.invocations > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.invocations) : 0.0);
     put(json, "rss_mb_most", r.daemon_rss_mb);
     put(json, "descriptors_most", static_cast<std::uint64_t>(r.daemon_descriptors));
     json.EndObject();
@@ -428,13 +461,14 @@
     const audit::Verdict& v = r.verdict;
     const Scenario& s = plan.scenario;
     const std::string word = verdict_word(r);
-    std::string out = "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>" + html_escaped(s.name) +
-                      " - rehearsal</title><style>" + kStyle + "</style></head><body>";
-    out += "<h1>" + html_escaped(s.name) + " <span class='badge " + word.substr(0, word.find(' ')) + "'>rules " + word +
-           "</span></h1>";
+    std::string out = "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>" +
+                      html_escaped(s.name) + " - rehearsal</title><style>" + kStyle + "</style></head><body>";
+    out += "<h1>" + html_escaped(s.name) + " <span class='badge " + word.substr(0, word.find(' ')) +
+           "'>rules " + word + "</span></h1>";
     out += "<p class='soft'>" + html_escaped(s.about) + "</p>";
     if (!r.failed.empty()) out += "<p>The day was not played: " + html_escaped(r.failed) + "</p>";
-    if (r.was_interrupted) out += "<p>Interrupted after " + format("%.1f s", r.length) + ": what follows is of that part.</p>";
+    if (r.was_interrupted)
+        out += "<p>Interrupted after " + format("%.1f s", r.length) + ": what follows is of that part.</p>";
     if (v.void_run) out += "<p>Void: " + html_escaped(v.void_why) + ".</p>";
     const Worst op = worst(v.operations, operation_names(s)), tenant = worst(v.tenants, tenant_names(s));
     out += "<div class='tiles'>" + tile(format("%.4f", v.whole.part()), "billed service, whole") +
@@ -447,39 +481,45 @@
            cost_chart(plan, r);
     out += "<h2>Broken rules</h2>";
     if (v.findings.empty()) out += "<p>None.</p>";
-    for (std::size_t i = 0; i < std::min(kFindingsShown, v.findings.size()); ++i) out += finding_html(v.findings[i]);
+    for (std::size_t i = 0; i < std::min(kFindingsShown, v.findings.size()); ++i)
+        out += finding_html(v.findings[i]);
     if (v.findings.size() > kFindingsShown) {
         out += "<p>" + std::to_string(v.findings.size() - kFindingsShown) + " more are in report.json.</p>";
     }
     if (!v.set_aside.empty()) {
         out += "<h2>Set aside, as the kit itself was late then</h2>";
-        for (std::size_t i = 0; i < std::min(kFindingsShown, v.set_aside.size()); ++i) out += finding_html(v.set_aside[i]);
+        for (std::size_t i = 0; i < std::min(kFindingsShown, v.set_aside.size()); ++i)
+            out += finding_html(v.set_aside[i]);
     }
     out += "<h2>Troubles</h2><table>" + row({"", "at", "what"}, "th");
     int number = 0;
     for (const auto& [at, text] : r.marks) out += row({std::to_string(++number), format("%.2f s", at), text});
     out += "</table><h2>Operations</h2><table>" +
-           row({"operation", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "objective ms"}, "th");
+           row({"operation", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "objective ms"},
+               "th");
     for (std::size_t i = 0; i < s.operations.size(); ++i) {
         const audit::Account account = i < v.operations.size() ? v.operations[i] : audit::Account{};
         const LatencyHistogram h = i < r.latencies.size() ? r.latencies[i] : LatencyHistogram{};
-        out += row({s.operations[i].name, format("%.0f", account.asked), format("%.4f", account.part()), ms(h.quantile(0.5)),
-                    ms(h.quantile(0.9)), ms(h.quantile(0.99)), ms(h.quantile(0.999)),
+        out += row({s.operations[i].name, format("%.0f", account.asked), format("%.4f", account.part()),
+                    ms(h.quantile(0.5)), ms(h.quantile(0.9)), ms(h.quantile(0.99)), ms(h.quantile(0.999)),
                     ms(s.operations[i].promised.latency_objective)});
     }
     out += "</table><h2>Tenants</h2><table>" + row({"tenant", "asked", "service"}, "th");
     for (std::size_t i = 0; i < v.tenants.size(); ++i) {
-        out += row({s.tenants[i].name, format("%.0f", v.tenants[i].asked), format("%.4f", v.tenants[i].part())});
+        out +=
+            row({s.tenants[i].name, format("%.0f", v.tenants[i].asked), format("%.4f", v.tenants[i].part())});
     }
     out += "</table><h2>All counts</h2><pre>" + html_escaped(summary_text(plan, r)) + "</pre>";
-    out += "<p class='soft'>" + html_escaped(head.version) + "; daemon " + html_escaped(head.program) + "; seed " +
-           std::to_string(plan.seed) + "; play it again: <code>" + html_escaped(head.command) + "</code></p>";
+    out += "<p class='soft'>" + html_escaped(head.version) + "; daemon " + html_escaped(head.program) +
+           "; seed " + std::to_string(plan.seed) + "; play it again: <code>" + html_escaped(head.command) +
+           "</code></p>";
     return out + "</body></html>\n";
 }
 
 void write_reports(const ReportHead& head, const DayPlan& plan, const DayResult& r) {
-    const std::pair<std::string, std::string> files[] = {{plan.folder + "/report.json", report_json(head, plan, r)},
-                                                         {plan.folder + "/report.html", report_html(head, plan, r)}};
+    const std::pair<std::string, std::string> files[] = {
+        {plan.folder + "/report.json", report_json(head, plan, r)},
+        {plan.folder + "/report.html", report_html(head, plan, r)}};
     for (const auto& [path, content] : files) {
         std::ofstream file(path);
         if (!(file << content << std::flush)) throw std::runtime_error("cannot write " + path);
--- a/src/kit/report.h
+++ b/src/kit/report.h
@@ -11,9 +11,9 @@
 constexpr int kReportSchema = 1;
 
 struct ReportHead {
-    std::string version;   // of the kit
-    std::string program;   // the daemon
-    std::string command;   // how to play it again
+    std::string version;  // of the kit
+    std::string program;  // the daemon
+    std::string command;  // how to play it again
 };
 
 // "kept", "broken", "void" or "not played".
--- a/src/kit/schedule.cpp
+++ b/src/kit/schedule.cpp
@@ -116,13 +116,14 @@
         const double until = std::min(s.length, t.at + t.lasts);
         if (t.kind == TroubleKind::scan) {
             std::uint64_t next = kScanRank + (static_cast<std::uint64_t>(i) << 30);
-            draw_stream({t.at, until, s.clients.rate * t.part, [&](double) { return s.clients.rate * t.part; },
-                         [&](Planned& p, Engine& e) {
-                             common(p, e);
-                             if (!read.probabilities().empty()) p.operation = read(e);
-                             p.key = key_of_rank(next++);
-                         }},
-                        own, all);
+            draw_stream(
+                {t.at, until, s.clients.rate * t.part, [&](double) { return s.clients.rate * t.part; },
+                 [&](Planned& p, Engine& e) {
+                     common(p, e);
+                     if (!read.probabilities().empty()) p.operation = read(e);
+                     p.key = key_of_rank(next++);
+                 }},
+                own, all);
         }
         if (t.kind == TroubleKind::over_share && t.factor > 1) {
             for (const std::string& name : t.who) {
--- a/src/kit/schedule.h
+++ b/src/kit/schedule.h
@@ -1,5 +1,6 @@
 // Who asks for what and when, on one day: drawn ahead from the scenario and a seed, without I/O, so that the
-// same seed gives the same day whatever the fleet does. Further tries are not in it: they hang on the answers.
+// same seed gives the same day whatever the fleet does. Further tries are not in it: they hang on the
+// answers.
 #pragma once
 
 #include <cstdint>
--- a/src/kit/scripted_peer.cpp
+++ b/src/kit/scripted_peer.cpp
@@ -107,7 +107,9 @@
     script_ = std::move(script);
 }
 
-void ScriptedPeer::takes_at_most(int bytes) { setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
+void ScriptedPeer::takes_at_most(int bytes) {
+    setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
+}
 
 void ScriptedPeer::reads_bodies_after(std::function<double()> seconds) { body_waits_ = std::move(seconds); }
 
@@ -150,7 +152,8 @@
     if (http_) {
         const std::size_t at = text.find("Content-Length: ");
         if (at != std::string::npos) body = std::stoul(text.substr(at + 16));
-        if (body > 0 && body_waits_) std::this_thread::sleep_for(std::chrono::duration<double>(body_waits_()));
+        if (body > 0 && body_waits_)
+            std::this_thread::sleep_for(std::chrono::duration<double>(body_waits_()));
     } else if (text.starts_with("ms ")) {
         body = std::stoul(text.substr(text.find(' ', 3) + 1)) + 2;
     }
--- a/src/kit/scripted_peer.h
+++ b/src/kit/scripted_peer.h
@@ -40,7 +40,8 @@
     std::string in_;
 };
 
-// What a peer does with one message: sends a text, if there is one, may wait and send the rest, and may then close.
+// What a peer does with one message: sends a text, if there is one, may wait and send the rest, and may then
+// close.
 struct Act {
     std::string text;
     bool close = false;
--- a/src/kit/server_model.cpp
+++ b/src/kit/server_model.cpp
@@ -135,7 +135,8 @@
     }
     const auto [at, is_new] = marks_.try_emplace(mark, now + window);
     if (!is_new) return true;
-    // Windows differ by operation, so a long one may hold later, shorter ones here a little beyond their time.
+    // Windows differ by operation, so a long one may hold later, shorter ones here a little beyond their
+    // time.
     order_.emplace_back(now + window, mark);
     return false;
 }
--- a/src/kit/svg.cpp
+++ b/src/kit/svg.cpp
@@ -36,7 +36,9 @@
                                   : (v - x0) / (x1 - x0);
         return kLeft + part * (kWidth - kLeft - kRight);
     }
-    double y(double v) const { return kHeight - kBottom - std::clamp(v / y1, 0.0, 1.0) * (kHeight - kTop - kBottom); }
+    double y(double v) const {
+        return kHeight - kBottom - std::clamp(v / y1, 0.0, 1.0) * (kHeight - kTop - kBottom);
+    }
 };
 
 Frame frame_of(const Chart& c) {
@@ -66,9 +68,10 @@
            coordinate(y2) + "' style='" + style + "'/>";
 }
 
-std::string text_at(double x, double y, const std::string& anchor, const std::string& text, const char* more = "") {
-    return "<text x='" + coordinate(x) + "' y='" + coordinate(y) + "' text-anchor='" + anchor + "' " + more + ">" +
-           html_escaped(text) + "</text>";
+std::string text_at(double x, double y, const std::string& anchor, const std::string& text,
+                    const char* more = "") {
+    return "<text x='" + coordinate(x) + "' y='" + coordinate(y) + "' text-anchor='" + anchor + "' " + more +
+           ">" + html_escaped(text) + "</text>";
 }
 
 std::string axes(const Chart& c, const Frame& f) {
@@ -91,8 +94,9 @@
     }
     out += line(kLeft, kHeight - kBottom, kWidth - kRight, kHeight - kBottom, "stroke:#888");
     out += text_at((kLeft + kWidth) / 2, kHeight - 6, "middle", c.x_label, "class='label'");
-    out += "<text class='label' text-anchor='middle' transform='translate(13," + coordinate((kTop + kHeight - kBottom) / 2) +
-           ") rotate(-90)'>" + html_escaped(c.y_label) + "</text>";
+    out += "<text class='label' text-anchor='middle' transform='translate(13," +
+           coordinate((kTop + kHeight - kBottom) / 2) + ") rotate(-90)'>" + html_escaped(c.y_label) +
+           "</text>";
     return out;
 }
 
@@ -102,12 +106,23 @@
     std::string out;
     for (const char c : text) {
         switch (c) {
-            case '<': out += "&lt;"; break;
-            case '>': out += "&gt;"; break;
-            case '&': out += "&amp;"; break;
-            case '\'': out += "&#39;"; break;
-            case '"': out += "&quot;"; break;
-            default: out += c;
+            case '<':
+                out += "&lt;";
+                break;
+            case '>':
+                out += "&gt;";
+                break;
+            case '&':
+                out += "&amp;";
+                break;
+            case '\'':
+                out += "&#39;";
+                break;
+            case '"':
+                out += "&quot;";
+                break;
+            default:
+                out += c;
         }
     }
     return out;
@@ -136,7 +151,8 @@
         if (x < f.x0 || x > f.x1) continue;
         out += line(f.x(x), kTop, f.x(x), kHeight - kBottom, "stroke:#b5651d;stroke-dasharray:2 3");
         // Close marks are set on rows, so that their numbers can be read.
-        out += text_at(f.x(x) + 2, kTop + 8 + 9 * ((number - 1) % 3), "start", std::to_string(number), "class='mark'");
+        out += text_at(f.x(x) + 2, kTop + 8 + 9 * ((number - 1) % 3), "start", std::to_string(number),
+                       "class='mark'");
     }
     std::size_t next_colour = 0;
     double legend_x = kWidth - kRight;
@@ -147,10 +163,12 @@
         if (curve.band.size() == curve.points.size() && !curve.band.empty()) {
             std::string area;
             for (std::size_t i = 0; i < curve.points.size(); ++i) {
-                area += coordinate(f.x(curve.points[i].first)) + "," + coordinate(f.y(curve.band[i].second)) + " ";
+                area += coordinate(f.x(curve.points[i].first)) + "," + coordinate(f.y(curve.band[i].second)) +
+                        " ";
             }
             for (std::size_t i = curve.points.size(); i-- > 0;) {
-                area += coordinate(f.x(curve.points[i].first)) + "," + coordinate(f.y(curve.band[i].first)) + " ";
+                area +=
+                    coordinate(f.x(curve.points[i].first)) + "," + coordinate(f.y(curve.band[i].first)) + " ";
             }
             out += "<polygon points='" + area + "' style='fill:" + colour + ";opacity:.18'/>";
         }
@@ -159,8 +177,9 @@
             if (c.log_x && x <= 0) continue;
             points += coordinate(f.x(x)) + "," + coordinate(f.y(y)) + " ";
         }
-        out += "<polyline points='" + points + "' style='fill:none;stroke:" + colour + ";stroke-width:" +
-               coordinate(curve.width) + (curve.dashed ? ";stroke-dasharray:5 4" : "") + "'/>";
+        out += "<polyline points='" + points + "' style='fill:none;stroke:" + colour +
+               ";stroke-width:" + coordinate(curve.width) + (curve.dashed ? ";stroke-dasharray:5 4" : "") +
+               "'/>";
         if (!curve.in_legend) continue;
         legend += text_at(legend_x, 16, "end", curve.name, ("fill='" + colour + "'").c_str());
         legend_x -= 8.0 + 6.4 * static_cast<double>(curve.name.size());
--- a/src/kit/svg.h
+++ b/src/kit/svg.h
@@ -9,7 +9,7 @@
 
 struct Curve2d {
     std::string name;
-    std::string colour = "";      // "" takes the next of a fixed row
+    std::string colour = "";  // "" takes the next of a fixed row
     std::vector<std::pair<double, double>> points = {};
     double width = 1.6;
     bool dashed = false;
@@ -22,8 +22,8 @@
     std::vector<Curve2d> curves;
     std::vector<std::pair<double, std::string>> marks;  // upright lines, numbered in their order
     bool log_x = false;
-    double y_least_top = 0;  // the axis goes at least to here
-    double y_top = 0;        // and exactly to here, if it is above 0
+    double y_least_top = 0;       // the axis goes at least to here
+    double y_top = 0;             // and exactly to here, if it is above 0
     double x_from = 0, x_to = 0;  // both 0: as the points have it
 };
 
--- a/src/kit/wire.cpp
+++ b/src/kit/wire.cpp
@@ -175,7 +175,8 @@
 
 std::string value_text(int forward, std::uint64_t key, std::uint32_t version, std::size_t bytes) {
     char room[80];
-    std::snprintf(room, sizeof room, "f%d;v%u;k%016llx;", forward, version, static_cast<unsigned long long>(key));
+    std::snprintf(room, sizeof room, "f%d;v%u;k%016llx;", forward, version,
+                  static_cast<unsigned long long>(key));
     std::string value = room;
     if (value.size() < bytes) value.append(bytes - value.size(), '.');
     return value;
@@ -194,8 +195,8 @@
 
 std::string http_response(int status, std::string_view body, std::string_view header) {
     const char* reason = status == 200 ? "OK" : status == 503 ? "Service Unavailable" : "Error";
-    std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\nContent-Length: " +
-                      std::to_string(body.size()) + "\r\n";
+    std::string out = "HTTP/1.1 " + std::to_string(status) + " " + reason +
+                      "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
     if (!header.empty()) out.append(header).append("\r\n");
     return out.append("\r\n").append(body);
 }
--- a/src/kit/wire.h
+++ b/src/kit/wire.h
@@ -1,6 +1,7 @@
 // The protocols as servers and clients of a node see them: what a cache server and an origin read, what a
-// client reads, and what each writes. Written from the protocol's page and apart from the daemon's own parsers,
-// so that a mistake in those is not made twice. No I/O; a reader says how much of the bytes makes one message.
+// client reads, and what each writes. Written from the protocol's page and apart from the daemon's own
+// parsers, so that a mistake in those is not made twice. No I/O; a reader says how much of the bytes makes
+// one message.
 #pragma once
 
 #include <cstddef>
@@ -43,7 +44,7 @@
 };
 std::size_t read_heard(std::string_view in, Heard& out);
 
-std::string id_text(std::uint32_t day, int inv);             // unique over days that run side by side
+std::string id_text(std::uint32_t day, int inv);                   // unique over days that run side by side
 bool read_id(std::string_view text, std::uint32_t day, int& inv);  // false: it is none of this day's
 std::string key_text(std::uint64_t key);
 // A value that says which forward made it, of what, and in which version; at least so many bytes.
--- a/src/kit/world.h
+++ b/src/kit/world.h
@@ -21,8 +21,8 @@
     const Clock& clock;
     const Scenario& scenario;
     audit::Auditor& auditor;
-    std::string host;          // the loopback address of all stand-ins
-    std::uint32_t day = 0;     // marks this day's ids
+    std::string host;       // the loopback address of all stand-ins
+    std::uint32_t day = 0;  // marks this day's ids
     int forwards = 0;
     std::unordered_map<std::uint64_t, std::uint32_t> versions;  // at the origin; absent: 0
     // Where a forward of an invocation missed, until the origin's answer is stored there.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -22,8 +22,9 @@
     if (path.empty()) {
         const char* told = std::getenv("GW_CONFIG");
         if (told == nullptr) {
-            std::fprintf(stderr, "brookrelay: GW_CONFIG is not set: it names the configuration file "
-                                 "(or give --config FILE; --help says more)\n");
+            std::fprintf(stderr,
+                         "brookrelay: GW_CONFIG is not set: it names the configuration file "
+                         "(or give --config FILE; --help says more)\n");
             return brookrelay::kWrongUse;
         }
         path = told;
@@ -40,8 +41,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"brookrelay: a proxy that spreads keys over cache servers before a slow origin.\n"
-                 "Without a command it serves, by the file that GW_CONFIG names."};
+    CLI::App app{
+        "brookrelay: a proxy that spreads keys over cache servers before a slow origin.\n"
+        "Without a command it serves, by the file that GW_CONFIG names."};
     app.set_version_flag("--version", std::string("brookrelay ") + BROOKRELAY_VERSION);
     app.footer("Exit codes: 0 done, 1 a rule was broken or a check failed, 2 wrong usage or a wrong file.");
     app.require_subcommand(0, 1);
@@ -58,26 +60,35 @@
     check->add_option("FILE", to_check, "a station's, operators' or scenario file")->required();
 
     brookrelay::RehearseWish wish;
-    CLI::App* rehearse = app.add_subcommand("rehearse", "play a scenario's day against stand-ins and judge it by the rules");
+    CLI::App* rehearse =
+        app.add_subcommand("rehearse", "play a scenario's day against stand-ins and judge it by the rules");
     rehearse->add_option("SCENARIO", wish.scenario, "a file, or the name of one below scenarios/")
         ->capture_default_str();
-    rehearse->add_option("--daemon", wish.daemons, "the program to rehearse, this one if left out; several are compared")
+    rehearse
+        ->add_option("--daemon", wish.daemons,
+                     "the program to rehearse, this one if left out; several are compared")
         ->allow_extra_args(false);
     rehearse->add_option("--seeds", wish.seeds, "3, 1..5 or 1,4,9; the scenario's own if left out");
     rehearse->add_option("--set", wish.sets, "PATH=VALUE over the scenario's file; PATH=V1,V2 plays each")
         ->allow_extra_args(false);
-    rehearse->add_option("--jobs", wish.jobs, "days of an experiment at the same time")->check(CLI::Range(1, 64));
-    rehearse->add_option("--out", wish.out, "the folder for logs and reports; a new one below rehearsals/ if left out");
+    rehearse->add_option("--jobs", wish.jobs, "days of an experiment at the same time")
+        ->check(CLI::Range(1, 64));
+    rehearse->add_option("--out", wish.out,
+                         "the folder for logs and reports; a new one below rehearsals/ if left out");
     rehearse->add_flag("--quiet", wish.quiet, "no progress");
 
     brookrelay::LoadWish load_wish;
-    CLI::App* load = rehearse->add_subcommand("load", "measure one daemon on one core before caches that answer at once");
-    load->add_option("--daemon", load_wish.daemons, "the program, this one if left out; several are measured in turn")
+    CLI::App* load =
+        rehearse->add_subcommand("load", "measure one daemon on one core before caches that answer at once");
+    load->add_option("--daemon", load_wish.daemons,
+                     "the program, this one if left out; several are measured in turn")
         ->allow_extra_args(false);
-    load->add_option("--clients", load_wish.clients, "how many clients; several are measured one after another")
+    load->add_option("--clients", load_wish.clients,
+                     "how many clients; several are measured one after another")
         ->delimiter(',')
         ->check(CLI::Range(1, 10000));
-    load->add_option("--rate", load_wish.rate, "invocations a second; closed loop if left out")->check(CLI::PositiveNumber);
+    load->add_option("--rate", load_wish.rate, "invocations a second; closed loop if left out")
+        ->check(CLI::PositiveNumber);
     load->add_option("--seconds", load_wish.seconds, "of each measurement")->check(CLI::Range(0.1, 3600.0));
     load->add_option("--rounds", load_wish.rounds, "how many times in all")->check(CLI::Range(1, 1000));
     load->add_option("--value-bytes", load_wish.value_bytes, "of each value")->check(CLI::Range(64, 60000));
@@ -86,32 +97,46 @@
     CLI::App* registry = app.add_subcommand("registry", "server lists kept as ephemeral nodes");
     registry->require_subcommand(1);
     CLI::App* watch = registry->add_subcommand("watch", "print what a daemon would be told, until ended");
-    watch->add_option("--address", registry_wish.addresses, "HOST:PORT of the coordination service; several of an ensemble")
+    watch
+        ->add_option("--address", registry_wish.addresses,
+                     "HOST:PORT of the coordination service; several of an ensemble")
         ->delimiter(',')
         ->required();
-    watch->add_option("--path", registry_wish.path, "the path whose children are the registrations")->required();
+    watch->add_option("--path", registry_wish.path, "the path whose children are the registrations")
+        ->required();
     watch->add_option("--session", registry_wish.session_timeout, "the session's time-out in seconds")
         ->check(CLI::Range(0.1, 60.0));
 
     brookrelay::ExploreWish explore_wish;
-    CLI::App* exploring = app.add_subcommand("explore", "every order of faults of a small fleet of three, in simulated time");
+    CLI::App* exploring =
+        app.add_subcommand("explore", "every order of faults of a small fleet of three, in simulated time");
     exploring->add_flag("--zones", explore_wish.zones, "a zone left and taken back");
     exploring->add_flag("--limits", explore_wish.limits, "parts of a limit lent");
-    exploring->add_option("--depth", explore_wish.depth, "happenings one after another; each more takes eight to ten times as long")
+    exploring
+        ->add_option("--depth", explore_wish.depth,
+                     "happenings one after another; each more takes eight to ten times as long")
         ->check(CLI::Range(1, 9));
     brookrelay::FleetWish fleet_wish;
     CLI::App* fleet = app.add_subcommand("fleet", "what nodes know of one another and of the cache servers");
     fleet->require_subcommand(1);
-    CLI::App* status = fleet->add_subcommand("status", "what one running node thinks: peers, words, findings");
-    status->add_option("--address", fleet_wish.address, "HOST:PORT of the node's operators' address")->required();
+    CLI::App* status =
+        fleet->add_subcommand("status", "what one running node thinks: peers, words, findings");
+    status->add_option("--address", fleet_wish.address, "HOST:PORT of the node's operators' address")
+        ->required();
     status->add_flag("--json", fleet_wish.json, "as the node says it");
-    CLI::App* limits = fleet->add_subcommand("limits", "one running node's parts of the limits that are the whole fleet's");
-    limits->add_option("--address", fleet_wish.address, "HOST:PORT of the node's operators' address")->required();
+    CLI::App* limits =
+        fleet->add_subcommand("limits", "one running node's parts of the limits that are the whole fleet's");
+    limits->add_option("--address", fleet_wish.address, "HOST:PORT of the node's operators' address")
+        ->required();
     limits->add_flag("--json", fleet_wish.json, "as the node says it");
-    CLI::App* zones = fleet->add_subcommand("zones", "which zones one running node uses, and why; a zone left or taken back by hand");
-    zones->add_option("--address", fleet_wish.address, "HOST:PORT of the node's operators' address")->required();
-    CLI::Option* leave = zones->add_option("--leave", fleet_wish.leave, "a zone that this node is to leave until it is taken back");
-    zones->add_option("--take-back", fleet_wish.take_back, "a zone left by hand, back into use in steps")->excludes(leave);
+    CLI::App* zones = fleet->add_subcommand(
+        "zones", "which zones one running node uses, and why; a zone left or taken back by hand");
+    zones->add_option("--address", fleet_wish.address, "HOST:PORT of the node's operators' address")
+        ->required();
+    CLI::Option* leave = zones->add_option("--leave", fleet_wish.leave,
+                                           "a zone that this node is to leave until it is taken back");
+    zones->add_option("--take-back", fleet_wish.take_back, "a zone left by hand, back into use in steps")
+        ->excludes(leave);
     zones->add_flag("--json", fleet_wish.json, "as the node says it");
 
     try {
--- a/src/membership/by_hand.h
+++ b/src/membership/by_hand.h
@@ -1,7 +1,7 @@
 // Which caches operators have taken out, and when they called back the others. It owns one file a cache in a
 // folder that all processes of the node share, and the names ever listed in another; a change is one step of
-// the file system, so a process that dies in the middle leaves it done or not done. It knows no list of servers
-// and tells nobody: its owner looks, and merges.
+// the file system, so a process that dies in the middle leaves it done or not done. It knows no list of
+// servers and tells nobody: its owner looks, and merges.
 #pragma once
 
 #include <string>
--- a/src/membership/registrations.cpp
+++ b/src/membership/registrations.cpp
@@ -49,7 +49,9 @@
     k.since = now;
     std::erase_if(lately_gone_, [&](const auto& gone) { return gone.second == r.name; });
     const double wait =
-        k.flaps < 2 ? 0 : std::min(bounds_.trust_most, bounds_.trust_after * std::pow(2.0, std::min(k.flaps - 2, 30)));
+        k.flaps < 2
+            ? 0
+            : std::min(bounds_.trust_most, bounds_.trust_after * std::pow(2.0, std::min(k.flaps - 2, 30)));
     if (wait <= 0) {
         k.state = State::ready;
         return tell(k, Standing::ready, true);
@@ -59,7 +61,9 @@
 }
 
 void Registrations::went(double now, Known& k) {
-    k.flaps = now - k.since <= bounds_.flap_within ? k.flaps + 1 : now - k.since >= bounds_.forgiven_after ? 0 : k.flaps;
+    k.flaps = now - k.since <= bounds_.flap_within      ? k.flaps + 1
+              : now - k.since >= bounds_.forgiven_after ? 0
+                                                        : k.flaps;
     const bool stood = k.state == State::ready || k.state == State::doubted;
     k.state = State::gone;
     k.since = now;
@@ -117,7 +121,8 @@
             tell(k, Standing::gone, false);
         }
         // What is long gone is forgotten, so that names that never return do not fill the table.
-        const bool forgotten = k.state == State::gone && now - k.since > std::max(bounds_.forgiven_after, bounds_.trust_most);
+        const bool forgotten =
+            k.state == State::gone && now - k.since > std::max(bounds_.forgiven_after, bounds_.trust_most);
         at = forgotten ? known_.erase(at) : std::next(at);
     }
 }
@@ -150,8 +155,8 @@
 }
 
 std::size_t Registrations::doubted() const {
-    return static_cast<std::size_t>(
-        std::count_if(known_.begin(), known_.end(), [](const auto& one) { return one.second.state == State::doubted; }));
+    return static_cast<std::size_t>(std::count_if(
+        known_.begin(), known_.end(), [](const auto& one) { return one.second.state == State::doubted; }));
 }
 
 double Registrations::age(double now) const { return connected_ || order_ < 0 ? 0 : now - lost_at_; }
--- a/src/membership/registrations.h
+++ b/src/membership/registrations.h
@@ -1,14 +1,15 @@
-// What a list of ephemeral registrations means: it turns the views that a coordination service gives (children,
-// each with when it was created there) into the changes that the decision module is told. It owns what is
-// known of each registration and decides what counts as gone, what a flapping one is worth, and what is not
-// believed of a coordinator. No I/O and no clock: `now` is told, in seconds, and never goes back. It never
-// empties the list because the coordinator cannot be reached, and never holds back news that one server alone
-// is gone: rule 3's grace begins for the node when it learns of it.
+// What a list of ephemeral registrations means: it turns the views that a coordination service gives
+// (children, each with when it was created there) into the changes that the decision module is told. It owns
+// what is known of each registration and decides what counts as gone, what a flapping one is worth, and what
+// is not believed of a coordinator. No I/O and no clock: `now` is told, in seconds, and never goes back. It
+// never empties the list because the coordinator cannot be reached, and never holds back news that one server
+// alone is gone: rule 3's grace begins for the node when it learns of it.
 //
 // The rules, with their bounds (Bounds below has the figures):
 //   gone      a registration that is missing from a newer view is gone at once.
 //   new       one that appears, or stands there under another creation id, is a fresh start: cold.
-//   flapping  each time one goes soon after it came, its next coming is trusted later, up to a bound; its going
+//   flapping  each time one goes soon after it came, its next coming is trusted later, up to a bound; its
+//   going
 //             is never told later. Long enough steady, and it is forgiven.
 //   order     a view older than the last one taken (a follower that lags) is no news.
 //   lost      without the coordinator the last list stands, whatever its age.
@@ -32,7 +33,7 @@
     std::int64_t created = 0;  // the coordinator's id of its creation: another one is another start
     std::string address;
     int zone = 0, kind = 0, cell = 0;
-    double started = 0;        // wall clock, as the registration says; 0: long ago
+    double started = 0;  // wall clock, as the registration says; 0: long ago
 };
 
 struct RegistrationChange {
@@ -57,10 +58,11 @@
     explicit Registrations(Bounds bounds) : bounds_(bounds) {}
     Registrations() : Registrations(Bounds{}) {}
 
-    // A whole view as of `order` (the coordinator's transaction id): false if it is older than one taken before.
+    // A whole view as of `order` (the coordinator's transaction id): false if it is older than one taken
+    // before.
     bool view(double now, std::int64_t order, const std::vector<Registration>& all);
     void connected(double now);
-    void lost(double now);  // the session is gone, or the coordinator out of reach
+    void lost(double now);     // the session is gone, or the coordinator out of reach
     void believe(double now);  // an operator says that those who are doubted are gone indeed
     void tick(double now);     // what waits for its time; call it at next_at()
     double next_at() const;    // infinity: nothing waits
@@ -77,8 +79,8 @@
     struct Known {
         Registration registration;
         State state = State::gone;
-        double since = 0;       // when it came, or went
-        double waits_until = 0; // for trust, or for doubt to end
+        double since = 0;        // when it came, or went
+        double waits_until = 0;  // for trust, or for doubt to end
         int flaps = 0;
     };
 
--- a/src/model/explorer.h
+++ b/src/model/explorer.h
@@ -1,9 +1,10 @@
-// Plays every order of a small world's happenings to a depth, each from a copy: no state is taken for another, so what
-// it does not find is not there at that depth. It knows nothing of what the worlds are about.
+// Plays every order of a small world's happenings to a depth, each from a copy: no state is taken for
+// another, so what it does not find is not there at that depth. It knows nothing of what the worlds are
+// about.
 //
-// A World is copied and has: `acts`, how many happenings there are; `names()`, what they are called; `kLong`, seconds of
-// a step; `step(act)`, empty or what was broken by it; `at_rest()`, whether it is where it must come to once faults stop,
-// within `kRest` steps.
+// A World is copied and has: `acts`, how many happenings there are; `names()`, what they are called; `kLong`,
+// seconds of a step; `step(act)`, empty or what was broken by it; `at_rest()`, whether it is where it must
+// come to once faults stop, within `kRest` steps.
 #pragma once
 
 #include <algorithm>
@@ -16,9 +17,9 @@
 
 struct Explored {
     std::uint64_t states = 0, ends = 0;
-    double rest_most = 0;   // s from the last happening until it came to rest, at the most
-    double took = 0;        // s
-    std::string broken;     // the first promise that was, and by which happenings; empty: none
+    double rest_most = 0;  // s from the last happening until it came to rest, at the most
+    double took = 0;       // s
+    std::string broken;    // the first promise that was, and by which happenings; empty: none
 };
 
 namespace detail {
--- a/src/model/finding_fleet.h
+++ b/src/model/finding_fleet.h
@@ -1,5 +1,5 @@
-// Many nodes in simulated time that tell each other which subjects fail: the real exchange, on a network that loses,
-// doubles, delays and cuts by a seed. What it says is simulated, never measured.
+// Many nodes in simulated time that tell each other which subjects fail: the real exchange, on a network that
+// loses, doubles, delays and cuts by a seed. What it says is simulated, never measured.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,8 @@
   public:
     Network network;
     static constexpr fleet::Subject kSick = 5;  // the one that gates may let little to
-    FindingFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024) : zones_(zones), network(seed) {
+    FindingFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024)
+        : zones_(zones), network(seed) {
         for (int n = 0; n < nodes; ++n) {
             terms_.push_back({n, nodes, n % zones, zones, bytes, 0, 0.004});
             starts_.push_back(1000);
@@ -33,7 +34,8 @@
     }
     void start(int n) {
         nodes_.resize(terms_.size());
-        nodes_[at(n)] = std::make_unique<fleet::Exchange>(terms_[at(n)], starts_[at(n)]++, network.draw(), now_);
+        nodes_[at(n)] =
+            std::make_unique<fleet::Exchange>(terms_[at(n)], starts_[at(n)]++, network.draw(), now_);
         nodes_[at(n)]->caches(kCaches);
         stands_[n].clear();
     }
@@ -44,7 +46,8 @@
         while (now_ < until) {
             now_ += fleet::Exchange::kStep;
             network.deliver(now_, [this](int from, int to, const std::string& bytes) {
-                if (nodes_[at(to)] != nullptr && !frozen.contains(to)) nodes_[at(to)]->received(now_, from, bytes);
+                if (nodes_[at(to)] != nullptr && !frozen.contains(to))
+                    nodes_[at(to)]->received(now_, from, bytes);
             });
             for (int n = 0; n < count(); ++n) {
                 if (nodes_[at(n)] == nullptr || frozen.contains(n)) continue;
@@ -55,20 +58,24 @@
                     const auto subject = static_cast<fleet::Subject>(unit() * kCaches) + 1;
                     if (subject == kSick && unit() > part_to_sick) continue;
                     // Who has a verdict tries it seldom, as the module does.
-                    if (stands_[n].contains(subject) && unit() > 2.0 / (rate / kCaches * count() / zones_)) continue;
+                    if (stands_[n].contains(subject) && unit() > 2.0 / (rate / kCaches * count() / zones_))
+                        continue;
                     e.ended(now_, subject, fate(n, subject) ? fleet::Seen::good : fleet::Seen::bad);
                 }
                 for (fleet::Outgoing& o : e.tick(now_)) send(n, o.to, std::move(o.bytes));
                 for (const fleet::Exchange::Verdict& v : e.verdicts(now_)) {
-                    if (v.bad) stands_[n].insert(v.subject);
-                    else stands_[n].erase(v.subject);
+                    if (v.bad)
+                        stands_[n].insert(v.subject);
+                    else
+                        stands_[n].erase(v.subject);
                 }
             }
         }
     }
     void send(int from, int to, std::string bytes) { network.send(now_, from, to, std::move(bytes)); }
     // Part of the nodes that are up, and for which `of` holds, with a verdict on the subject.
-    double told(fleet::Subject subject, const std::function<bool(int)>& of = [](int) { return true; }) const {
+    double told(
+        fleet::Subject subject, const std::function<bool(int)>& of = [](int) { return true; }) const {
         int all = 0, those = 0;
         for (int n = 0; n < count(); ++n) {
             if (nodes_[at(n)] == nullptr || frozen.contains(n) || !of(n)) continue;
@@ -90,7 +97,7 @@
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
 
     static constexpr int kCaches = 12;
-    double rate = 10;  // endings a second at each node
+    double rate = 10;         // endings a second at each node
     double part_to_sick = 1;  // of what would go there, that its gates let through
     std::set<int> frozen;
     std::function<bool(int node, fleet::Subject)> fate = [](int, fleet::Subject) { return true; };
--- a/src/model/limit_fleet.h
+++ b/src/model/limit_fleet.h
@@ -1,5 +1,6 @@
-// Many nodes in simulated time and one limit that is theirs together, with a demand at each: the real exchange, on a
-// network that loses, doubles, delays and cuts by a seed. What it says is simulated, never measured.
+// Many nodes in simulated time and one limit that is theirs together, with a demand at each: the real
+// exchange, on a network that loses, doubles, delays and cuts by a seed. What it says is simulated, never
+// measured.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +17,8 @@
 
 namespace brookrelay::model {
 
-// One limit, and a demand that is a part of it at each node; a node uses what it may, in steps of an eighth of a second.
+// One limit, and a demand that is a part of it at each node; a node uses what it may, in steps of an eighth
+// of a second.
 class LimitFleet {
   public:
     LimitFleet(int nodes, std::uint64_t seed) : network(seed), demand(static_cast<std::size_t>(nodes)) {
@@ -49,7 +51,8 @@
             nodes_[at(to)]->received(now_, from, bytes);
         });
         if (frozen.empty() && !asleep_.empty()) {  // what lay in their sockets, read first
-            for (const auto& [from, to, what] : std::exchange(asleep_, {})) nodes_[at(to)]->received(now_, from, what);
+            for (const auto& [from, to, what] : std::exchange(asleep_, {}))
+                nodes_[at(to)]->received(now_, from, what);
         }
         std::uint64_t all = 0;
         double used = 0, wanted = 0;
@@ -86,7 +89,8 @@
     Network network;
     std::vector<double> demand;
     std::set<int> frozen;
-    double most = 0, use = 1;  // parts in force together, at the most so far; and of what could be used, what is
+    double most = 0,
+           use = 1;  // parts in force together, at the most so far; and of what could be used, what is
 };
 
 }  // namespace brookrelay::model
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -1,5 +1,5 @@
-// Datagrams under way in simulated time: lost, doubled, delayed and cut by a seed. It owns them and the chance, and
-// knows nothing of what they say.
+// Datagrams under way in simulated time: lost, doubled, delayed and cut by a seed. It owns them and the
+// chance, and knows nothing of what they say.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,15 @@
         sent_bytes += static_cast<double>(bytes.size());
         if (cut(from, to)) return;
         for (int copies = unit() < doubled ? 2 : 1; copies > 0; --copies) {
-            if (unit() >= loss) flying_.emplace(now + quickest + (slowest - quickest) * unit(), std::tuple{from, to, bytes});
+            if (unit() >= loss)
+                flying_.emplace(now + quickest + (slowest - quickest) * unit(), std::tuple{from, to, bytes});
         }
     }
     // In the order of their times, those due: `take(from, to, bytes)`.
     template <typename Take>
     void deliver(double now, Take take) {
-        for (auto in = flying_.begin(); in != flying_.end() && in->first <= now; in = flying_.erase(in)) std::apply(take, in->second);
+        for (auto in = flying_.begin(); in != flying_.end() && in->first <= now; in = flying_.erase(in))
+            std::apply(take, in->second);
     }
     double unit() { return std::uniform_real_distribution<>(0, 1)(chance_); }
     std::uint64_t draw() { return chance_(); }
--- a/src/model/small_limits.h
+++ b/src/model/small_limits.h
@@ -10,15 +10,36 @@
 
 namespace brookrelay::model {
 
-// Three nodes, one limit; the first needs it all. In steps of 0.75 s: a lease is over four steps after it was asked.
+// Three nodes, one limit; the first needs it all. In steps of 0.75 s: a lease is over four steps after it was
+// asked.
 class SmallLimits {
   public:
-    enum Act { nothing, need_moves, all_lost, all_late, answers_late, all_doubled, giver_restarts, taker_restarts, taker_frozen, cut_one, acts };
+    enum Act {
+        nothing,
+        need_moves,
+        all_lost,
+        all_late,
+        answers_late,
+        all_doubled,
+        giver_restarts,
+        taker_restarts,
+        taker_frozen,
+        cut_one,
+        acts
+    };
     static constexpr double kLong = 0.75;
     static constexpr int kRest = 40;
     static const std::vector<std::string>& names() {
-        static const std::vector<std::string> all{"nothing", "the demand moves", "all words lost", "all words late", "answers late", "all words doubled",
-                                                  "a lender starts anew", "the taker starts anew", "the taker stands still", "one cut off"};
+        static const std::vector<std::string> all{"nothing",
+                                                  "the demand moves",
+                                                  "all words lost",
+                                                  "all words late",
+                                                  "answers late",
+                                                  "all words doubled",
+                                                  "a lender starts anew",
+                                                  "the taker starts anew",
+                                                  "the taker stands still",
+                                                  "one cut off"};
         return all;
     }
     SmallLimits() {
@@ -49,9 +70,11 @@
         for (int round = 0; round < 2; ++round) {  // questions, then their answers
             std::vector<Message> answers;
             for (const Message& m : in) {
-                const bool lost = act == all_lost || (act == cut_one && (m.from == 2 || m.to == 2)) || m.to == frozen_ || m.from == frozen_;
+                const bool lost = act == all_lost || (act == cut_one && (m.from == 2 || m.to == 2)) ||
+                                  m.to == frozen_ || m.from == frozen_;
                 if (lost && m.to != frozen_) continue;
-                if (m.to == frozen_ || act == all_late || (act == answers_late && !m.asks)) {  // it lies there until it wakes, or is on its way
+                if (m.to == frozen_ || act == all_late ||
+                    (act == answers_late && !m.asks)) {  // it lies there until it wakes, or is on its way
                     late_.push_back(m);
                     continue;
                 }
--- a/src/model/small_zones.h
+++ b/src/model/small_zones.h
@@ -10,16 +10,27 @@
 
 namespace brookrelay::model {
 
-// Three nodes of one zone that ask another, in steps of half a second. At each step one of these happens; then each
-// node asks as it may, says what it has to say, and what is not lost is heard.
+// Three nodes of one zone that ask another, in steps of half a second. At each step one of these happens;
+// then each node asks as it may, says what it has to say, and what is not lost is heard.
 class SmallZones {
   public:
-    enum Act { nothing, zone_turns, words_lost, one_deaf, one_mute, words_late, one_restarts, one_frozen, acts };
+    enum Act {
+        nothing,
+        zone_turns,
+        words_lost,
+        one_deaf,
+        one_mute,
+        words_late,
+        one_restarts,
+        one_frozen,
+        acts
+    };
     static constexpr double kLong = 0.5;
     static constexpr int kRest = 80;
     static const std::vector<std::string>& names() {
-        static const std::vector<std::string> all{"nothing", "the zone goes or comes back", "all words lost", "one hears nobody", "nobody hears one",
-                                                  "an old word comes again", "one starts anew", "one stands still"};
+        static const std::vector<std::string> all{
+            "nothing",          "the zone goes or comes back", "all words lost",  "one hears nobody",
+            "nobody hears one", "an old word comes again",     "one starts anew", "one stands still"};
         return all;
     }
     SmallZones(bool liar, bool lost) : liar_(liar) {
@@ -38,8 +49,11 @@
             nodes_[0] = fleet::Zones({0, 0, 2, 4, {}}, now_);
             orders_[0] = {1, 1, 0};
         }
-        if (act == words_lost || act == one_deaf || act == one_mute || act == one_restarts || act == one_frozen || act == words_late) disturbed_ = now_;
-        const std::vector<fleet::ZoneVoice> late = act == words_late ? nodes_[1].voices(now_ - kLong) : std::vector<fleet::ZoneVoice>{};
+        if (act == words_lost || act == one_deaf || act == one_mute || act == one_restarts ||
+            act == one_frozen || act == words_late)
+            disturbed_ = now_;
+        const std::vector<fleet::ZoneVoice> late =
+            act == words_late ? nodes_[1].voices(now_ - kLong) : std::vector<fleet::ZoneVoice>{};
         for (int n = 0; n < 3; ++n) {
             if (act == one_frozen && n == 0) continue;
             fleet::Zones& z = nodes_[at(n)];
@@ -47,14 +61,18 @@
             z.ended(now_, 0, 1, fleet::ZoneEnd::well);
             const bool asks = o.part > 0 || o.apart < 10;
             const bool lies = liar_ && n == 2;
-            for (int k = 0; asks && k < 3; ++k) z.ended(now_, 1, static_cast<fleet::Subject>(10 + k), up_ && !lies ? fleet::ZoneEnd::well : fleet::ZoneEnd::silent);
+            for (int k = 0; asks && k < 3; ++k)
+                z.ended(now_, 1, static_cast<fleet::Subject>(10 + k),
+                        up_ && !lies ? fleet::ZoneEnd::well : fleet::ZoneEnd::silent);
         }
         if (act == one_frozen) nodes_[0].stood_still(now_);
         for (int from = 0; from < 3; ++from) {
             const std::vector<fleet::ZoneVoice> all = nodes_[at(from)].voices(now_);
             const fleet::Stamp stamp{1, ++number_};
             for (int to = 0; to < 3; ++to) {
-                const bool lost = act == words_lost || (act == one_deaf && to == 0) || (act == one_mute && from == 0) || (act == one_frozen && (from == 0 || to == 0));
+                const bool lost = act == words_lost || (act == one_deaf && to == 0) ||
+                                  (act == one_mute && from == 0) ||
+                                  (act == one_frozen && (from == 0 || to == 0));
                 if (to != from && !lost) nodes_[at(to)].heard(now_, from, stamp, all, 0);
             }
         }
@@ -62,18 +80,23 @@
         if (act == words_late) nodes_[0].heard(now_, 1, {1, number_ - 5}, late, kLong);
         for (int n = 0; n < 3; ++n) {
             const double before = orders_[at(n)].part;
-            for (const fleet::Zones::Order& o : nodes_[at(n)].tick(now_, {0, 1, 2}, static_cast<std::int64_t>(now_ / 2))) {
+            for (const fleet::Zones::Order& o :
+                 nodes_[at(n)].tick(now_, {0, 1, 2}, static_cast<std::int64_t>(now_ / 2))) {
                 if (o.zone == 1) orders_[at(n)] = o;
             }
             const bool leaves = before > 0 && orders_[at(n)].part <= 0;
             // By whom it leaves: never while the zone has been up for longer than any word is kept.
-            if (leaves && up_ && now_ - turned_ > 3 + 2 * kLong && !(liar_ && n == 2)) return "left a zone that answers, by node " + std::to_string(n);
+            if (leaves && up_ && now_ - turned_ > 3 + 2 * kLong && !(liar_ && n == 2))
+                return "left a zone that answers, by node " + std::to_string(n);
             if (orders_[at(n)].part > 1) return "more than all";
         }
-        // On the way back nobody is more than two steps from the others, two seconds after the last disturbance.
+        // On the way back nobody is more than two steps from the others, two seconds after the last
+        // disturbance.
         double least = 1, most = 0;
-        for (int n = 0; n < (liar_ ? 2 : 3); ++n) least = std::min(least, orders_[at(n)].part), most = std::max(most, orders_[at(n)].part);
-        if (up_ && now_ - disturbed_ > 4 && now_ - turned_ > 4 && least > 0 && most / least > 4) return "one ramps by itself";
+        for (int n = 0; n < (liar_ ? 2 : 3); ++n)
+            least = std::min(least, orders_[at(n)].part), most = std::max(most, orders_[at(n)].part);
+        if (up_ && now_ - disturbed_ > 4 && now_ - turned_ > 4 && least > 0 && most / least > 4)
+            return "one ramps by itself";
         return {};
     }
     bool at_rest() const {
@@ -91,7 +114,8 @@
     double now_ = 0, turned_ = -100, disturbed_ = -100;
     std::uint32_t number_ = 0;
     std::vector<fleet::Zones> nodes_;
-    std::array<fleet::Zones::Order, 3> orders_{fleet::Zones::Order{1, 1, 0}, fleet::Zones::Order{1, 1, 0}, fleet::Zones::Order{1, 1, 0}};
+    std::array<fleet::Zones::Order, 3> orders_{fleet::Zones::Order{1, 1, 0}, fleet::Zones::Order{1, 1, 0},
+                                               fleet::Zones::Order{1, 1, 0}};
 };
 
 }  // namespace brookrelay::model
--- a/src/model/zone_fleet.h
+++ b/src/model/zone_fleet.h
@@ -1,5 +1,6 @@
-// Many nodes of several zones in simulated time, which ask caches and tell each other whether zones answer: the real
-// exchange, on a network that loses, doubles and cuts by a seed. What it says is simulated, never measured.
+// Many nodes of several zones in simulated time, which ask caches and tell each other whether zones answer:
+// the real exchange, on a network that loses, doubles and cuts by a seed. What it says is simulated, never
+// measured.
 #pragma once
 
 #include <functional>
@@ -28,7 +29,8 @@
     Network network;
     static constexpr double kStep = fleet::Exchange::kStep;
     static constexpr int kCaches = 6;  // a zone
-    ZoneFleet(int nodes, int zones, std::uint64_t seed, std::vector<int> regions = {}) : zones_(zones), regions_(std::move(regions)), network(seed) {
+    ZoneFleet(int nodes, int zones, std::uint64_t seed, std::vector<int> regions = {})
+        : zones_(zones), regions_(std::move(regions)), network(seed) {
         for (int n = 0; n < nodes; ++n) {
             nodes_.emplace_back();
             start(n, nodes);
@@ -68,14 +70,16 @@
     }
     int count() const { return static_cast<int>(nodes_.size()); }
     double now() const { return now_; }
-    fleet::Zones::View view(int n, int zone) const { return nodes_[at(n)].exchange->zone_views(now_)[at(zone)]; }
+    fleet::Zones::View view(int n, int zone) const {
+        return nodes_[at(n)].exchange->zone_views(now_)[at(zone)];
+    }
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
     double unit() { return network.unit(); }
 
     std::function<bool(int node, int zone, int cache)> answers = [](int, int, int) { return true; };
     std::set<int> frozen;
     double rate = 20;             // asked a second at each node
-    std::map<int, double> asked;              // forwards to each zone so far
+    std::map<int, double> asked;  // forwards to each zone so far
 
   private:
     struct Node {
@@ -95,11 +99,13 @@
             for (double left = rate * kStep; left > 0; left -= 1) {
                 if (unit() < left) ask(n, it);
             }
-            for (auto e = it.ending.begin(); e != it.ending.end() && e->first <= now_; e = it.ending.erase(e)) {
+            for (auto e = it.ending.begin(); e != it.ending.end() && e->first <= now_;
+                 e = it.ending.erase(e)) {
                 const auto& [zone, subject, end] = e->second;
                 it.exchange->zone_ended(now_, zone, subject, end);
             }
-            for (fleet::Outgoing& o : it.exchange->tick(now_)) network.send(now_, n, o.to, std::move(o.bytes));
+            for (fleet::Outgoing& o : it.exchange->tick(now_))
+                network.send(now_, n, o.to, std::move(o.bytes));
             for (const fleet::Zones::Order& o : it.exchange->zone_orders()) {
                 it.orders[at(o.zone)] = o;
                 it.next_trial[at(o.zone)] = now_ + o.apart * unit();
@@ -117,7 +123,9 @@
             const int cache = static_cast<int>(unit() * kCaches);
             const bool up = answers(n, z, cache);
             ++asked[z];
-            it.ending.emplace(now_ + (up ? 0.03 : 0.2), std::tuple{z, static_cast<fleet::Subject>(z * 100 + cache), up ? fleet::ZoneEnd::well : fleet::ZoneEnd::silent});
+            it.ending.emplace(now_ + (up ? 0.03 : 0.2),
+                              std::tuple{z, static_cast<fleet::Subject>(z * 100 + cache),
+                                         up ? fleet::ZoneEnd::well : fleet::ZoneEnd::silent});
             return;
         }
     }
--- a/src/net/beside.h
+++ b/src/net/beside.h
@@ -1,6 +1,6 @@
-// Other processes of this node: what they hold of the one budget that all share. It owns a file of this process's
-// that is locked as long as it lives, so that one that was killed is not counted, and as long as its size says how
-// many descriptors are in use. It limits nothing itself.
+// Other processes of this node: what they hold of the one budget that all share. It owns a file of this
+// process's that is locked as long as it lives, so that one that was killed is not counted, and as long as
+// its size says how many descriptors are in use. It limits nothing itself.
 #pragma once
 
 #include <string>
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -18,7 +18,7 @@
 // the last byte: whoever is slow but goes on is served.
 constexpr double kSilent = 2.5;  // s that a new client may say nothing, and any may stop within a command
 constexpr double kSilentLong = 10.0;  // and within a long value
-constexpr double kIdle = 30.0;   // s between two commands
+constexpr double kIdle = 30.0;        // s between two commands
 // Clients may hold only so many connections. Those who ask once and stay would hold them all, and nobody
 // could ask any more: the longest idle go beyond a part of the places, unless the next command may already be
 // on its way.
@@ -27,8 +27,9 @@
 constexpr double kUntaken = 10.0;  // s in which a client takes no byte of its answers
 constexpr double kAgeEvery = 0.05;
 constexpr const char* kNoMemory = "SERVER_ERROR out of memory";
-// A close over bytes that are not read resets the connection, and what is still on its way out goes with it. So the end
-// of sending comes first, and what the client sends behind it is read and thrown away for so long, s.
+// A close over bytes that are not read resets the connection, and what is still on its way out goes with it.
+// So the end of sending comes first, and what the client sends behind it is read and thrown away for so long,
+// s.
 constexpr double kLinger = 1.0;
 
 }  // namespace
@@ -92,8 +93,9 @@
         const ErrorRef why(error);
         if (socket == nullptr) {
             if (room && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) return;
-            log_.line(Topic::client, "accepting_waits", std::string("accepting waits: ") +
-                                         (room ? why->message : "all client connections are in use"));
+            log_.line(Topic::client, "accepting_waits",
+                      std::string("accepting waits: ") +
+                          (room ? why->message : "all client connections are in use"));
             watch_listener(false);
             timers_.call_off(accept_again_);
             accept_again_ = timers_.at(monotonic() + kAcceptPause, [this] {
@@ -140,7 +142,8 @@
     read_commands(id, c);
     if (what == Stream::News::drained && !c.pending.empty() && c.pending.front().relay != 0)
         relayed_.room(c.pending.front().relay);
-    if (budget_.over() && c.reserved == 0 && c.stream->input().size() > kLineMost) return turn_away(id, c, kNoMemory);
+    if (budget_.over() && c.reserved == 0 && c.stream->input().size() > kLineMost)
+        return turn_away(id, c, kNoMemory);
     close_if_done(id, c);
 }
 
@@ -176,8 +179,8 @@
     }
 }
 
-// Long values are read by a few at a time, each with room for all of its own: the others are not read from, and
-// nobody is cut off half-way for those.
+// Long values are read by a few at a time, each with room for all of its own: the others are not read from,
+// and nobody is cut off half-way for those.
 bool Clients::may_go_on_reading(Client& c) {
     if (c.reserved > 0) return true;
     const std::size_t length = long_write(c.stream->input());
@@ -308,8 +311,10 @@
     budget_.used -= p.text.size();
     p.text.clear();
     if (!whole && p.begun) {
-        log_.line(Topic::client, "value_broken_off", "closed: the rest of a value that was begun is not to be had");
-        // What was answered before it still goes out; then the end comes too early, by which the client can tell.
+        log_.line(Topic::client, "value_broken_off",
+                  "closed: the rest of a value that was begun is not to be had");
+        // What was answered before it still goes out; then the end comes too early, by which the client can
+        // tell.
         p.ready = true;
         c->last = true;
         forget_pending(asker.connection, *c);
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -30,7 +30,7 @@
     };
     static constexpr int kNoInvocation = -1;
     using Asked = std::function<int(Asker, Command&&)>;  // which invocation the command is, if it is one
-    using Left = std::function<void(Asker, int inv)>;  // one call for each invocation without its answer
+    using Left = std::function<void(Asker, int inv)>;    // one call for each invocation without its answer
     // For long values: there is room for more of it, or nobody wants the rest any more.
     struct Relayed {
         std::function<void(std::uint64_t relay)> room;
@@ -46,20 +46,21 @@
     void listen(SocketRef listener);
     void stop_accepting();  // the listener may be another process's too, which goes on
     void answer(const Asker& asker, std::string text);
-    // An answer in pieces, which follow while there is room. Not whole at its end, the client is let go, unless
-    // nothing of it has been written: then it gets the line instead.
+    // An answer in pieces, which follow while there is room. Not whole at its end, the client is let go,
+    // unless nothing of it has been written: then it gets the line instead.
     void begin_long(const Asker& asker, std::string head, std::uint64_t relay);
     std::size_t room(const Asker& asker) const;
     void piece(const Asker& asker, std::string_view bytes);
     void end_long(const Asker& asker, bool whole, std::string_view line);
-    // From now on each connection is closed once it has nothing to be answered. `at_once`: those that rest give back
-    // their descriptor in the same moment, which another process of this node needs.
+    // From now on each connection is closed once it has nothing to be answered. `at_once`: those that rest
+    // give back their descriptor in the same moment, which another process of this node needs.
     void begin_shutdown(bool at_once);
-    // Whether whoever asked has closed its connection; if so it is dropped, though its end may not be read yet.
+    // Whether whoever asked has closed its connection; if so it is dropped, though its end may not be read
+    // yet.
     bool has_gone(const Asker& asker);
     bool none() const { return live_ == 0; }
     int live() const { return static_cast<int>(live_); }
-    void keep_to(double part);  // of its connections and bytes: the rest is another process's
+    void keep_to(double part);            // of its connections and bytes: the rest is another process's
     bool quiet_since(double time) const;  // nothing is owed to anyone, and nobody has asked
     void sweep();
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -9,15 +9,16 @@
 namespace brookrelay {
 namespace {
 
-// A change counts as told 6 s after discovery has it and can be reached, whatever has become of the calls meanwhile.
-// What a silent watch or call costs of that is the time until it is given up, and that until the next is answered:
-// docs/design.md has the sum. Longer waits would make fewer calls where each is paid for.
-constexpr double kWait = 4;           // s that a watch may wait for news
-constexpr double kWaitAfterSilence = 0.25;  // the first after silence, which discovery may be too far gone to answer
-constexpr double kAnswerMost = 1;     // s that an answer may take beyond the wait before the call is given up,
+// A change counts as told 6 s after discovery has it and can be reached, whatever has become of the calls
+// meanwhile. What a silent watch or call costs of that is the time until it is given up, and that until the
+// next is answered: docs/design.md has the sum. Longer waits would make fewer calls where each is paid for.
+constexpr double kWait = 4;  // s that a watch may wait for news
+constexpr double kWaitAfterSilence =
+    0.25;                          // the first after silence, which discovery may be too far gone to answer
+constexpr double kAnswerMost = 1;  // s that an answer may take beyond the wait before the call is given up,
 constexpr double kWholeListMost = 1.25;  // and that of a call for the whole list; either with the connecting
-// s to the next try after a failure; doubles, each with jitter: nodes that started together fail together, and
-// would come back together for as long as they are turned away.
+// s to the next try after a failure; doubles, each with jitter: nodes that started together fail together,
+// and would come back together for as long as they are turned away.
 constexpr double kRetryLeast = 0.05;
 constexpr double kRetryMost = 1;
 constexpr std::int64_t kNone = -1;                  // no version: the whole list is asked for
@@ -66,7 +67,8 @@
     if (version_ >= 0) {
         const double wait = gave_up_ ? kWaitAfterSilence : kWait;
         most = wait + kAnswerMost;
-        target += "?index=" + std::to_string(version_) + "&wait=" + std::to_string(static_cast<int>(wait * 1e3));
+        target +=
+            "?index=" + std::to_string(version_) + "&wait=" + std::to_string(static_cast<int>(wait * 1e3));
     }
     stream_->write(http_request("GET", target, address_, {}, {}));
     // Discovery may be silent with its connection open, and may come back without ever answering this call.
@@ -102,8 +104,8 @@
     const bool refused = response.until_close && response.status != 200;
     if (taken == 0 && !stream_->full() && !refused) return;
     if (!calling_ || !response.sound || response.status != 200) {
-        // It may not know the version that we hold, having lost its own; one that only turns us away still does, and
-        // the whole list would cost it more.
+        // It may not know the version that we hold, having lost its own; one that only turns us away still
+        // does, and the whole list would cost it more.
         if (!response.sound || response.status != 503) version_ = kNone;
         return failed("nonsense, or status " + std::to_string(response.status));
     }
@@ -117,8 +119,8 @@
     } catch (const BadInput& bad) {
         return failed(bad.what());
     }
-    // From a replica that lags behind it would bring back servers that drain. If discovery lost its versions, it
-    // says so again when it is asked for all that it has.
+    // From a replica that lags behind it would bring back servers that drain. If discovery lost its versions,
+    // it says so again when it is asked for all that it has.
     if (list.version < version_) {
         version_ = kNone;
         return failed("a list older than the one held");
@@ -148,13 +150,15 @@
 
 void Discovery::failed(const std::string& why, bool given_up) {
     log_.line(Topic::discovery, "call_failed", "call failed: " + why);
-    // A watch that falls silent has used up most of the time: the next call goes out at once, and those of many nodes
-    // are apart as their watches were. Whatever else fails may have failed for all nodes in the same moment.
+    // A watch that falls silent has used up most of the time: the next call goes out at once, and those of
+    // many nodes are apart as their watches were. Whatever else fails may have failed for all nodes in the
+    // same moment.
     const bool silent = given_up && !std::exchange(gave_up_, given_up);
     hang_up();
     watching_ = false;
     if (asks_ && !silent) return tell_failed_();
-    const double spread = 0.5 + static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
+    const double spread =
+        0.5 + static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
     next_ = timers_.at(monotonic() + retry_after_ * spread, [this] {
         next_ = {};
         watch();
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -23,8 +23,9 @@
 
     Discovery(Timers& timers, Log& log, const Station& station, Told told, Failed failed);
     void watch();  // does nothing while a watch is on
-    // Asks there from now on, and reads by these names. If either is new, at once and for the whole list: another
-    // discovery counts its versions anew, and entries that the old names could not place are told only so.
+    // Asks there from now on, and reads by these names. If either is new, at once and for the whole list:
+    // another discovery counts its versions anew, and entries that the old names could not place are told
+    // only so.
     void move_to(const std::string& address, const Names& names, bool asks);
 
   private:
--- a/src/net/http1.cpp
+++ b/src/net/http1.cpp
@@ -151,7 +151,8 @@
     return end + 4;
 }
 
-std::size_t read_response_head(std::string_view in, std::size_t body_most, HttpResponse& r, std::size_t& length) {
+std::size_t read_response_head(std::string_view in, std::size_t body_most, HttpResponse& r,
+                               std::size_t& length) {
     std::size_t start = 0;
     length = 0;
     while (true) {
--- a/src/net/http1.h
+++ b/src/net/http1.h
@@ -1,6 +1,6 @@
 // HTTP/1.1 as a client needs it: requests to bytes, bytes to responses. It owns no socket and no buffer, and
-// never takes a body for whole whose end it cannot tell: one that only the closing connection ends is whole once
-// the peer has ended its sending in order, which a reset never is.
+// never takes a body for whole whose end it cannot tell: one that only the closing connection ends is whole
+// once the peer has ended its sending in order, which a reset never is.
 #pragma once
 
 #include <cstddef>
@@ -37,19 +37,21 @@
 // How many bytes the first request's head takes; 0: it is not whole yet. What body may follow is not read.
 std::size_t read_request(std::string_view in, HttpRequest& out);
 
-// How many bytes the first final response's head takes, with those before it; 0: it is not whole yet. Sound if it
-// is one; `length` is its body's, where it gives one that is not over `body_most`.
-std::size_t read_response_head(std::string_view in, std::size_t body_most, HttpResponse& out, std::size_t& length);
+// How many bytes the first final response's head takes, with those before it; 0: it is not whole yet. Sound
+// if it is one; `length` is its body's, where it gives one that is not over `body_most`.
+std::size_t read_response_head(std::string_view in, std::size_t body_most, HttpResponse& out,
+                               std::size_t& length);
 
-// How long a body may be: one whose length its head tells, and one that comes in chunks or up to the connection's end.
+// How long a body may be: one whose length its head tells, and one that comes in chunks or up to the
+// connection's end.
 struct BodyMost {
     std::size_t told, untold;
     BodyMost(std::size_t both) : told(both), untold(both) {}
     BodyMost(std::size_t of_told, std::size_t of_untold) : told(of_told), untold(of_untold) {}
 };
 
-// How many bytes the first response takes; 0: it is not whole yet. Longer bodies than `most` are not sound. `ended`:
-// nothing will come behind `in`, by an orderly end.
+// How many bytes the first response takes; 0: it is not whole yet. Longer bodies than `most` are not sound.
+// `ended`: nothing will come behind `in`, by an orderly end.
 std::size_t read_response(std::string_view in, BodyMost most, HttpResponse& out, bool ended = false);
 
 }  // namespace brookrelay
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -14,14 +14,22 @@
 
 const char* reason(int status) {
     switch (status) {
-        case 200: return "OK";
-        case 400: return "Bad Request";
-        case 404: return "Not Found";
-        case 405: return "Method Not Allowed";
-        case 408: return "Request Timeout";
-        case 409: return "Conflict";
-        case 503: return "Service Unavailable";
-        default: return "Error";
+        case 200:
+            return "OK";
+        case 400:
+            return "Bad Request";
+        case 404:
+            return "Not Found";
+        case 405:
+            return "Method Not Allowed";
+        case 408:
+            return "Request Timeout";
+        case 409:
+            return "Conflict";
+        case 503:
+            return "Service Unavailable";
+        default:
+            return "Error";
     }
 }
 
@@ -82,7 +90,8 @@
     });
 }
 
-// Whoever is here longest without a whole call gives way; those who wait for their answer have it within a turn.
+// Whoever is here longest without a whole call gives way; those who wait for their answer have it within a
+// turn.
 void Management::make_room() {
     std::pair<const std::uint64_t, Caller>* first = nullptr;
     for (auto& entry : callers_) {
--- a/src/net/management.h
+++ b/src/net/management.h
@@ -1,7 +1,7 @@
-// The operators' address: HTTP/1.1, one call a connection. It owns its listener and its callers and gives both
-// back in drop() and at its end. Its sources come before the clients', so that it is heard however busy the
-// node is; its places and the callers it takes at a time are few, so that it holds up nobody either. It decides
-// nothing: what a call means is the node's to say.
+// The operators' address: HTTP/1.1, one call a connection. It owns its listener and its callers and gives
+// both back in drop() and at its end. Its sources come before the clients', so that it is heard however busy
+// the node is; its places and the callers it takes at a time are few, so that it holds up nobody either. It
+// decides nothing: what a call means is the node's to say.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +36,7 @@
   private:
     struct Caller {
         std::unique_ptr<Stream> stream;
-        bool asked = false;     // its call is whole, or hopeless
+        bool asked = false;  // its call is whole, or hopeless
         bool answered = false;
         Timers::Handle limit;
     };
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -17,9 +17,9 @@
 namespace brookrelay {
 namespace {
 
-// Descriptors: some for the listeners, operators, discovery, the loop and the log; the rest is shared out once, so that
-// neither side's flood can leave the other without any. Each forward belongs to some client, but not every
-// client has one out, so the clients' part is the larger.
+// Descriptors: some for the listeners, operators, discovery, the loop and the log; the rest is shared out
+// once, so that neither side's flood can leave the other without any. Each forward belongs to some client,
+// but not every client has one out, so the clients' part is the larger.
 constexpr int kDescriptorsKept = 16 + static_cast<int>(Management::kPlaces);
 constexpr double kClientsPart = 0.6;
 
@@ -44,8 +44,8 @@
 constexpr double kLeaveLearned = 0.25;  // s between the times that it is written down
 constexpr double kLearnedKept = 3.0;    // older than that it says little of how the caches are now
 
-constexpr int kGrowMeanwhile = 16;      // descriptors that another process may open between two looks
-constexpr double kPartLeast = 0.25;     // of the budget: two that both hold much must both go on
+constexpr int kGrowMeanwhile = 16;   // descriptors that another process may open between two looks
+constexpr double kPartLeast = 0.25;  // of the budget: two that both hold much must both go on
 
 constexpr std::size_t kBytesPart = 4;  // of the memory: what each side's buffers may hold together
 
@@ -53,7 +53,9 @@
 
 constexpr const char* kFailed = "SERVER_ERROR failed\r\n";
 
-std::uint64_t forward_key(int inv, int number) { return static_cast<std::uint64_t>(inv) << 16 | static_cast<std::uint64_t>(number); }
+std::uint64_t forward_key(int inv, int number) {
+    return static_cast<std::uint64_t>(inv) << 16 | static_cast<std::uint64_t>(number);
+}
 
 std::size_t bytes(int memory_mb) { return static_cast<std::size_t>(memory_mb) * 1'000'000 / kBytesPart; }
 
@@ -84,26 +86,29 @@
       log_(log),
       wall_less_monotonic_(static_cast<double>(g_get_real_time()) / 1e6 - monotonic()),
       balancer_(make_balancer(station.deployment, station.seed, *this)),
-      pool_(timers_, log, station.deployment, budget(station.descriptors, 1 - kClientsPart),
-            bytes(station.memory_mb),
-            [this](Pool::Ended&& end) {
-                inbox_.emplace_back([this, e = std::move(end)](double now) mutable { ended(now, e); });
-            },
-            // Only after all that this turn of the loop brings has been heard: whether it is still to be sent.
-            [this](int inv, int forward) {
-                inbox_.emplace_back([this, inv, forward](double) {
-                    to_do_.emplace_back([this, inv, forward] { begin_forward(inv, forward); });
-                });
-            },
-            {[this](std::uint64_t relay) { return relays_.contains(relay) ? clients_.room(relays_[relay]) : 0; },
-             [this](std::uint64_t relay, std::string_view piece) { clients_.piece(relays_[relay], piece); },
-             [this](std::uint64_t relay, bool whole) {
-                 const auto at = relays_.find(relay);
-                 if (at == relays_.end()) return;
-                 const Clients::Asker asker = at->second;
-                 relays_.erase(at);
-                 clients_.end_long(asker, whole, kFailed);
-             }}),
+      pool_(
+          timers_, log, station.deployment, budget(station.descriptors, 1 - kClientsPart),
+          bytes(station.memory_mb),
+          [this](Pool::Ended&& end) {
+              inbox_.emplace_back([this, e = std::move(end)](double now) mutable { ended(now, e); });
+          },
+          // Only after all that this turn of the loop brings has been heard: whether it is still to be sent.
+          [this](int inv, int forward) {
+              inbox_.emplace_back([this, inv, forward](double) {
+                  to_do_.emplace_back([this, inv, forward] { begin_forward(inv, forward); });
+              });
+          },
+          {[this](std::uint64_t relay) {
+               return relays_.contains(relay) ? clients_.room(relays_[relay]) : 0;
+           },
+           [this](std::uint64_t relay, std::string_view piece) { clients_.piece(relays_[relay], piece); },
+           [this](std::uint64_t relay, bool whole) {
+               const auto at = relays_.find(relay);
+               if (at == relays_.end()) return;
+               const Clients::Asker asker = at->second;
+               relays_.erase(at);
+               clients_.end_long(asker, whole, kFailed);
+           }}),
       clients_(
           timers_, log, budget(station.descriptors, kClientsPart), bytes(station.memory_mb),
           [this](const Clients::Asker& asker, Command&& command) { return asked(asker, std::move(command)); },
@@ -121,7 +126,8 @@
               });
           },
           [this] { inbox_.emplace_back([this](double now) { balancer_->list_failed(now); }); }),
-      management_(timers_, log, [this](std::uint64_t caller, const HttpRequest& call) { operators_call(caller, call); }),
+      management_(timers_, log,
+                  [this](std::uint64_t caller, const HttpRequest& call) { operators_call(caller, call); }),
       by_hand_(own_folder(station)) {
     if (operator_file.fleet_talk) {
         const std::string against = Talk::against(station);
@@ -134,8 +140,12 @@
                         if (talk_->limits_connections()) pool_.keep_places();
                     });
                 },
-                [this](double now, const std::string& name, bool bad, double apart) { found_by_fleet(now, name, bad, apart); },
-                [this](double now, const fleet::Zones::Order& o) { balancer_->zone_share(now, o.zone, o.part, o.apart); },
+                [this](double now, const std::string& name, bool bad, double apart) {
+                    found_by_fleet(now, name, bad, apart);
+                },
+                [this](double now, const fleet::Zones::Order& o) {
+                    balancer_->zone_share(now, o.zone, o.part, o.apart);
+                },
                 [this](double now, int tenant, double part) { balancer_->tenant_part(now, tenant, part); });
             limit_places();
         } else {
@@ -143,7 +153,8 @@
         }
     }
     if (operator_file.registry_addresses.empty()) return;
-    const auto read = [this](const std::string&, const std::string& data, std::string& why) -> std::optional<Registration> {
+    const auto read = [this](const std::string&, const std::string& data,
+                             std::string& why) -> std::optional<Registration> {
         try {
             return read_registration(data, station_.names);
         } catch (const BadInput& bad) {
@@ -152,13 +163,15 @@
         }
     };
     registry_ = std::make_unique<Registry>(
-        timers_, log, operator_file.registry_addresses, operator_file.registry_path, operator_file.registry_session,
-        station.seed, read, [this](std::vector<RegistrationChange>&& changes) { registered(changes); });
+        timers_, log, operator_file.registry_addresses, operator_file.registry_path,
+        operator_file.registry_session, station.seed, read,
+        [this](std::vector<RegistrationChange>&& changes) { registered(changes); });
 }
 
 bool Node::start(int inherited, std::string& complaint) {
     shared_ = inherited >= 0;
-    SocketRef listener = shared_ ? inherited_listener(inherited, complaint) : listen_on(station_.listen, complaint);
+    SocketRef listener =
+        shared_ ? inherited_listener(inherited, complaint) : listen_on(station_.listen, complaint);
     if (listener == nullptr) {
         complaint = (shared_ ? "GW_ACCEPT_FD: " : "field 'listen': ") + complaint;
         return false;
@@ -185,7 +198,8 @@
     if (talk_ != nullptr) talk_->start();
     clients_.listen(std::move(listener));
     timers_.at(monotonic(), [this] { look_by_hand(); });
-    if (shared_ && !station_.scratch.empty()) timers_.at(monotonic() + kLeaveLearned, [this] { leave_learned(); });
+    if (shared_ && !station_.scratch.empty())
+        timers_.at(monotonic() + kLeaveLearned, [this] { leave_learned(); });
     takes_clients_ = true;
     return true;
 }
@@ -207,15 +221,16 @@
     management_.sweep();
 }
 
-// All or nothing: whatever speaks against the new settings is found before the first of them is taken. What has
-// been asked so far is handed to the module under the old ones, by whose numbers it was read.
+// All or nothing: whatever speaks against the new settings is found before the first of them is taken. What
+// has been asked so far is handed to the module under the old ones, by whose numbers it was read.
 void Node::reload(const Station& station, const OperatorFile& operator_file) {
     turn();
     std::vector<std::pair<int, int>> places;
     std::string against = cannot_be_live(station_, station);
     if (against.empty()) against = placed_by(station.names, places);
     if (!against.empty()) {
-        log_.line(Topic::node, "configuration_refused", "new configuration not taken, the old one stays: " + against);
+        log_.line(Topic::node, "configuration_refused",
+                  "new configuration not taken, the old one stays: " + against);
         return;
     }
     const bool renamed = !(station.names == station_.names);
@@ -238,12 +253,15 @@
         discovery_.move_to(station.discovery, station.names, station.deployment.ask_for_list);
 }
 
-// Limits of the whole fleet are taken from a running file; the rest of it waits for a restart, and is said to.
+// Limits of the whole fleet are taken from a running file; the rest of it waits for a restart, and is said
+// to.
 void Node::settle_limits(const OperatorFile& operator_file) {
     OperatorFile as_it_runs = operator_file_;
     as_it_runs.fleet_limits = operator_file.fleet_limits;
     if (!(as_it_runs == operator_file))
-        log_.line(Topic::node, "operator_file_waits", "in the operators' file more than fleet.limits has changed: that counts from the next start");
+        log_.line(
+            Topic::node, "operator_file_waits",
+            "in the operators' file more than fleet.limits has changed: that counts from the next start");
     operator_file_ = as_it_runs;
     if (talk_ == nullptr) return;
     talk_->settle_in(station_, operator_file_.fleet_limits);
@@ -260,7 +278,8 @@
 // Where the known servers stand by other names, or which of them those cannot place.
 std::string Node::placed_by(const Names& names, std::vector<std::pair<int, int>>& places) const {
     places.assign(servers_.size(), {-1, -1});
-    const auto renumber = [](const std::vector<std::string>& from, const std::vector<std::string>& to, int index) {
+    const auto renumber = [](const std::vector<std::string>& from, const std::vector<std::string>& to,
+                             int index) {
         const auto i = static_cast<std::size_t>(index);
         return index < 0 || i >= from.size() ? index : index_of(to, from[i]);
     };
@@ -270,7 +289,8 @@
         const int kind = renumber(station_.names.kinds, names.kinds, s.kind);
         places[static_cast<std::size_t>(cache)] = {zone, kind};
         if (s.standing == Standing::gone) continue;
-        if (s.zone >= 0 && zone < 0) return "server " + name + " stands in a zone that 'localities' does not name";
+        if (s.zone >= 0 && zone < 0)
+            return "server " + name + " stands in a zone that 'localities' does not name";
         if (s.kind >= 0 && kind < 0) return "server " + name + " is of a kind that 'kinds' does not name";
     }
     return {};
@@ -278,16 +298,17 @@
 
 // ---- what comes in -----------------------------------------------------------------------------------
 
-// When a command that is read now came. A process that was stopped, or swapped out, finds commands that have lain in
-// its sockets all that time. Taken for new, a write would run after its client asked again elsewhere and was served,
-// past the time for which a repeat is known: so they count as come when the process last ran.
+// When a command that is read now came. A process that was stopped, or swapped out, finds commands that have
+// lain in its sockets all that time. Taken for new, a write would run after its client asked again elsewhere
+// and was served, past the time for which a repeat is known: so they count as come when the process last ran.
 double Node::came_at() {
     const double now = monotonic();
     if (now - turned_at_ > kStood && now >= behind_until_) {
         stood_from_ = turned_at_;
         behind_until_ = now + kCatchUp;
         char text[96];
-        std::snprintf(text, sizeof text, "stood still for %.2f s: what came meanwhile counts as come before", now - turned_at_);
+        std::snprintf(text, sizeof text, "stood still for %.2f s: what came meanwhile counts as come before",
+                      now - turned_at_);
         log_.line(Topic::node, "stood_still", text);
     }
     return now < behind_until_ ? stood_from_ : now;
@@ -367,10 +388,11 @@
     --v.out;
     if (e.relay != 0 && !v.over) {
         // The client gets its first bytes now, and no other forward may answer it any more.
-        to_do_.emplace_back([this, asker = v.asker, relay = e.relay, head = value_head(v.command.id, e.length)]() mutable {
-            relays_.emplace(relay, asker);
-            clients_.begin_long(asker, std::move(head), relay);
-        });
+        to_do_.emplace_back(
+            [this, asker = v.asker, relay = e.relay, head = value_head(v.command.id, e.length)]() mutable {
+                relays_.emplace(relay, asker);
+                clients_.begin_long(asker, std::move(head), relay);
+            });
         finish(e.inv);
     } else if (e.relay != 0) {
         pool_.give_up(e.relay);
@@ -382,8 +404,10 @@
     if (talk_ != nullptr && !is_origin(server(e.cache))) {
         const int operation = index_of(station_.names.operations, v.command.properties.operation);
         if (operation >= 0)
-            talk_->ended(now, forward_key(e.inv, e.forward), server(e.cache).name, server(e.cache).zone, e.ending, e.took,
-                         station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
+            talk_->ended(
+                now, forward_key(e.inv, e.forward), server(e.cache).name, server(e.cache).zone, e.ending,
+                e.took,
+                station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
     balancer_->ended(now, e.inv, e.forward, e.ending, e.took, v.over);
     to_settle_.push_back(e.inv);
@@ -439,10 +463,10 @@
         }
     }
     if (!entries.empty() || list.whole) {
-        log_.line(Topic::discovery, "list", "version " + std::to_string(list.version) + ": " +
-                                        std::to_string(list.servers.size()) + " servers told, " +
-                                        std::to_string(cache_index_.size()) + " known" +
-                                        (list.whole ? " (whole list)" : ""));
+        log_.line(Topic::discovery, "list",
+                  "version " + std::to_string(list.version) + ": " + std::to_string(list.servers.size()) +
+                      " servers told, " + std::to_string(cache_index_.size()) + " known" +
+                      (list.whole ? " (whole list)" : ""));
     }
     if (!first_seen.empty()) by_hand_.listed(first_seen);
     balancer_->listed(now, kind, entries);
@@ -463,17 +487,19 @@
     talk_->listed(names, in_own_zone);
 }
 
-// Only of what this node's own list has named, and knows still: hearing of a server from others is not enough.
+// Only of what this node's own list has named, and knows still: hearing of a server from others is not
+// enough.
 void Node::found_by_fleet(double now, const std::string& name, bool bad, double apart) {
     const auto known = cache_index_.find(name);
     if (known != cache_index_.end()) balancer_->vouched(now, known->second, bad, apart);
 }
 
-// Registrations are news like discovery's. A start that was seen counts from now: how long ago the server itself
-// says that it began is its own clock's word.
+// Registrations are news like discovery's. A start that was seen counts from now: how long ago the server
+// itself says that it began is its own clock's word.
 void Node::registered(const std::vector<RegistrationChange>& changes) {
     ServerList list;
-    // Who stands there when this node first looks did not start just now: only then the registration's word counts.
+    // Who stands there when this node first looks did not start just now: only then the registration's word
+    // counts.
     const bool first = !std::exchange(registry_heard_, true);
     for (const RegistrationChange& c : changes) {
         ListedServer s;
@@ -484,14 +510,18 @@
         s.cell = c.who.cell;
         s.standing = c.standing;
         const auto known = cache_index_.find(s.name);
-        s.born = first     ? c.who.started
-                 : c.fresh ? monotonic() + wall_less_monotonic_ : known != cache_index_.end() ? server(known->second).born : 0;
+        s.born = first                         ? c.who.started
+                 : c.fresh                     ? monotonic() + wall_less_monotonic_
+                 : known != cache_index_.end() ? server(known->second).born
+                                               : 0;
         list.servers.push_back(std::move(s));
     }
     inbox_.emplace_back([this, told = std::move(list)](double now) { listed(now, ListKind::change, told); });
 }
 
-bool Node::is_origin(const Known& s) const { return s.kind >= 0 && s.kind == station_.deployment.origin_kind; }
+bool Node::is_origin(const Known& s) const {
+    return s.kind >= 0 && s.kind == station_.deployment.origin_kind;
+}
 
 bool Node::takes_new(int cache) const {
     const Known& s = servers_[static_cast<std::size_t>(cache)];
@@ -509,7 +539,8 @@
     l.size = s.size;
     // Out by hand it drains, whatever the list says. Called back it counts as started then: it was not used
     // meanwhile, and is cold whenever it may have been restarted.
-    l.standing = s.by_hand.out && s.standing == Standing::ready && !is_origin(s) ? Standing::draining : s.standing;
+    l.standing =
+        s.by_hand.out && s.standing == Standing::ready && !is_origin(s) ? Standing::draining : s.standing;
     const double born = std::max(s.born, s.by_hand.back_at);
     if (born > 0) l.started = std::max(born - wall_less_monotonic_, 1e-6);
     return l;
@@ -551,15 +582,18 @@
 bool Node::cold(int cache) const {
     const Known& s = servers_[static_cast<std::size_t>(cache)];
     const double born = std::max(s.born, s.by_hand.back_at);
-    return born > 0 && !is_origin(s) && monotonic() < born - wall_less_monotonic_ + station_.deployment.warm_within;
+    return born > 0 && !is_origin(s) &&
+           monotonic() < born - wall_less_monotonic_ + station_.deployment.warm_within;
 }
 
 bool Node::may_warm(int cache) {
-    return talk_ == nullptr || !talk_->limits_cold() || !cold(cache) || talk_->cold_may(monotonic(), server(cache).name);
+    return talk_ == nullptr || !talk_->limits_cold() || !cold(cache) ||
+           talk_->cold_may(monotonic(), server(cache).name);
 }
 
 void Node::forward(int inv, int cache, double limit) {
-    if (talk_ != nullptr && talk_->limits_cold() && cold(cache)) talk_->cold_sent(monotonic(), server(cache).name);
+    if (talk_ != nullptr && talk_->limits_cold() && cold(cache))
+        talk_->cold_sent(monotonic(), server(cache).name);
     Invocation& v = invocation(inv);
     const int number = v.forwards++;
     ++v.out;
@@ -580,14 +614,17 @@
     if (talk_ != nullptr && !is_origin(server(cache))) {
         const int operation = index_of(station_.names.operations, v.command.properties.operation);
         if (operation >= 0)
-            talk_->began(monotonic(), forward_key(inv, number), server(cache).name, server(cache).zone,
-                         station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
+            talk_->began(
+                monotonic(), forward_key(inv, number), server(cache).name, server(cache).zone,
+                station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
-    // The module reckons that a repeat has begun a connect time-out later: after that it could run beside the time for
-    // which the first is remembered.
-    const int operation = number > 0 ? index_of(station_.names.operations, v.command.properties.operation) : -1;
-    const bool repeat = operation >= 0 && station_.deployment.operations[static_cast<std::size_t>(operation)].repeat ==
-                                              Repeat::deduplicated;
+    // The module reckons that a repeat has begun a connect time-out later: after that it could run beside the
+    // time for which the first is remembered.
+    const int operation =
+        number > 0 ? index_of(station_.names.operations, v.command.properties.operation) : -1;
+    const bool repeat =
+        operation >= 0 &&
+        station_.deployment.operations[static_cast<std::size_t>(operation)].repeat == Repeat::deduplicated;
     pool_.forward(inv, number, cache, v.command, left, repeat ? pool_.connect_timeout() : 0);
 }
 
@@ -666,7 +703,9 @@
     constexpr std::string_view servers = "/control/cache-servers/";
     constexpr std::string_view offline = "/offline";
     constexpr std::string_view online = "/online";
-    const auto say = [this, caller](int status, const char* text) { management_.answer(caller, status, text); };
+    const auto say = [this, caller](int status, const char* text) {
+        management_.answer(caller, status, text);
+    };
     const std::string_view target(call.target);
     const bool out = target.ends_with(offline);
     if (target.starts_with(servers) && (out || target.ends_with(online))) {
@@ -674,7 +713,8 @@
         if (target.size() <= servers.size() + tail) return say(404, "no such path");
         if (call.method != "POST") return say(405, "the method here is POST");
         const std::string said(target.substr(servers.size(), target.size() - servers.size() - tail));
-        const std::unique_ptr<char, decltype(&g_free)> name(g_uri_unescape_string(said.c_str(), "/"), &g_free);
+        const std::unique_ptr<char, decltype(&g_free)> name(g_uri_unescape_string(said.c_str(), "/"),
+                                                            &g_free);
         if (name == nullptr) return say(400, "no id");
         return call_by_hand(caller, name.get(), out);
     }
@@ -684,13 +724,15 @@
         if (target.size() <= zones.size() + tail) return say(404, "no such path");
         if (call.method != "POST") return say(405, "the method here is POST");
         const std::string said(target.substr(zones.size(), target.size() - zones.size() - tail));
-        const std::unique_ptr<char, decltype(&g_free)> name(g_uri_unescape_string(said.c_str(), nullptr), &g_free);
+        const std::unique_ptr<char, decltype(&g_free)> name(g_uri_unescape_string(said.c_str(), nullptr),
+                                                            &g_free);
         if (name == nullptr) return say(400, "no name");
         return zone_by_hand(caller, name.get(), out);
     }
     if (target == "/control/fleet") {
         if (call.method != "GET") return say(405, "the method here is GET");
-        if (talk_ == nullptr) return say(404, "this node does not talk with others: [fleet] in the operators' file");
+        if (talk_ == nullptr)
+            return say(404, "this node does not talk with others: [fleet] in the operators' file");
         return management_.answer(caller, 200, talk_->state_text(monotonic()));
     }
     if (target != "/control/ready") return say(404, "no such path");
@@ -705,9 +747,11 @@
             to_do_.emplace_back([this, caller, status, text] { management_.answer(caller, status, text); });
         };
         const auto known = cache_index_.find(name);
-        if (known == cache_index_.end() && !by_hand_.ever_listed(name)) return say(404, "no such cache server was ever listed");
+        if (known == cache_index_.end() && !by_hand_.ever_listed(name))
+            return say(404, "no such cache server was ever listed");
         // Without it no write and no miss could be answered, and there is no other to take its place.
-        if (known != cache_index_.end() && is_origin(server(known->second))) return say(409, "the origin cannot be taken out");
+        if (known != cache_index_.end() && is_origin(server(known->second)))
+            return say(409, "the origin cannot be taken out");
         if (!(out ? by_hand_.take_out(name) : by_hand_.call_back(name, wall_less_monotonic_ + now)))
             return say(503, "could not be written down, nothing has changed");
         merge_by_hand(now, {name});
@@ -715,14 +759,16 @@
     });
 }
 
-// A zone is left here, or taken back, by an operator's word: this node alone, through the states of the fleet's own.
+// A zone is left here, or taken back, by an operator's word: this node alone, through the states of the
+// fleet's own.
 void Node::zone_by_hand(std::uint64_t caller, const std::string& name, bool out) {
     inbox_.emplace_back([this, caller, name, out](double now) {
         const auto say = [this, caller](int status, const std::string& text) {
             to_do_.emplace_back([this, caller, status, text] { management_.answer(caller, status, text); });
         };
         const std::string kept = kZoneByHand + name;
-        if (talk_ == nullptr) return say(404, "this node does not talk with others: [fleet] in the operators' file");
+        if (talk_ == nullptr)
+            return say(404, "this node does not talk with others: [fleet] in the operators' file");
         if (index_of(station_.names.zones, name) < 0) return say(404, "no such zone");
         const std::string against = talk_->against_zones();
         if (!against.empty()) return say(409, against);
@@ -738,13 +784,16 @@
     std::vector<Listing> entries;
     for (const std::string& name : names) {
         if (name.starts_with(kZoneByHand) && talk_ != nullptr)
-            talk_->zone_by_hand(now, index_of(station_.names.zones, name.substr(std::string_view(kZoneByHand).size())), by_hand_.of(name).out);
+            talk_->zone_by_hand(
+                now, index_of(station_.names.zones, name.substr(std::string_view(kZoneByHand).size())),
+                by_hand_.of(name).out);
         const auto known = cache_index_.find(name);
         if (known == cache_index_.end()) continue;
         Known& s = server(known->second);
         if (s.by_hand == by_hand_.of(name)) continue;
         s.by_hand = by_hand_.of(name);
-        log_.line(Topic::node, s.by_hand.out ? "taken_out" : "called_back", name + (s.by_hand.out ? " is out by hand" : " may serve again"));
+        log_.line(Topic::node, s.by_hand.out ? "taken_out" : "called_back",
+                  name + (s.by_hand.out ? " is out by hand" : " may serve again"));
         entries.push_back(listing(known->second));
         if (!takes_new(known->second)) pool_.withdraw(known->second);
     }
@@ -760,7 +809,8 @@
     timers_.at(monotonic() + kLookByHand, [this] { look_by_hand(); });
 }
 
-// Descriptors and memory are one budget for all processes of this node: what the others hold is not this one's.
+// Descriptors and memory are one budget for all processes of this node: what the others hold is not this
+// one's.
 void Node::share_budget() {
     if (beside_ == nullptr) return;
     beside_->holds(clients_.live() + pool_.live());
@@ -804,8 +854,9 @@
     });
     if (!learned) return;
     balancer_->recall(now, *learned);
-    log_.line(Topic::node, "recalled", "goes on with what another process had learned of " +
-                                           std::to_string(learned->caches.size()) + " cache servers");
+    log_.line(Topic::node, "recalled",
+              "goes on with what another process had learned of " + std::to_string(learned->caches.size()) +
+                  " cache servers");
 }
 
 // ---- winding down ------------------------------------------------------------------------------------
@@ -835,11 +886,13 @@
 
 void Node::look_whether_done() {
     const double now = monotonic();
-    const bool left = shared_ ? clients_.none() : now - closes_at_ >= kFrontMovesAway && clients_.quiet_since(now - kQuiet);
+    const bool left =
+        shared_ ? clients_.none() : now - closes_at_ >= kFrontMovesAway && clients_.quiet_since(now - kQuiet);
     if (left && open_ == 0) {
         done_ = true;
     } else if (now >= last_answers_at_ && open_ > 0) {
-        log_.line(Topic::node, "errored_before_kill", std::to_string(open_) + " invocations errored before the kill");
+        log_.line(Topic::node, "errored_before_kill",
+                  std::to_string(open_) + " invocations errored before the kill");
         for (std::size_t i = 0; i < invocations_.size(); ++i) {
             if (invocations_[i].over) continue;
             inbox_.emplace_back([this, inv = static_cast<int>(i)](double then) {
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -33,7 +33,8 @@
 class Node final : public Host {
   public:
     Node(const Station& station, const OperatorFile& operator_file, Log& log);
-    // Listens: from here on it can serve. `inherited`: the clients' listener, shared with other processes; else -1.
+    // Listens: from here on it can serve. `inherited`: the clients' listener, shared with other processes;
+    // else -1.
     bool start(int inherited, std::string& complaint);
     void turn();
     bool has_work() const { return !inbox_.empty(); }
@@ -117,7 +118,8 @@
     Discovery discovery_;
     Management management_;
     bool registry_heard_ = false;
-    std::unique_ptr<Talk> talk_;  // with other nodes, where the operators have it so and the settings allow it
+    std::unique_ptr<Talk>
+        talk_;  // with other nodes, where the operators have it so and the settings allow it
     std::unique_ptr<Registry> registry_;  // in the place of discovery, where the operators have it so
     std::vector<Happening> inbox_;
     std::vector<std::function<void()>> to_do_;
@@ -133,8 +135,8 @@
     std::unique_ptr<Beside> beside_;  // where the listener is shared
     double turned_at_ = 0;            // when the last turn began, and where the process then stood still,
     double stood_from_ = 0, behind_until_ = 0;  // from when, and until when what comes may be from that time
-    double part_ = 1;                 // of the budget that is this process's
-    std::deque<Known> servers_;  // names in it are lent to the module while more are added
+    double part_ = 1;                           // of the budget that is this process's
+    std::deque<Known> servers_;                 // names in it are lent to the module while more are added
     std::vector<int> free_numbers_;
     Timers::Handle forgetting_;
     double closes_at_ = 0;        // the clients' connections; 0: not told to end
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -7,7 +7,7 @@
 namespace brookrelay {
 namespace {
 
-constexpr int kReadsATurn = 64;  // the clients' sources wait meanwhile
+constexpr int kReadsATurn = 64;     // the clients' sources wait meanwhile
 constexpr std::size_t kRoom = 512;  // a datagram of more than may be is seen to be one
 
 GSocketAddress* socket_address(const std::string& text) {
@@ -30,7 +30,8 @@
     const AddressRef here(socket_address(own));
     if (here == nullptr) return complaint = "'" + own + "' is no address", false;
     GError* failed = nullptr;
-    SocketRef socket(g_socket_new(g_socket_address_get_family(here.get()), G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, &failed));
+    SocketRef socket(g_socket_new(g_socket_address_get_family(here.get()), G_SOCKET_TYPE_DATAGRAM,
+                                  G_SOCKET_PROTOCOL_UDP, &failed));
     if (socket != nullptr) {
         g_socket_set_blocking(socket.get(), FALSE);
         if (!g_socket_bind(socket.get(), here.get(), FALSE, &failed)) socket.reset();
@@ -58,17 +59,20 @@
     std::array<char, kRoom> room{};
     for (int n = 0; n < kReadsATurn; ++n) {
         GSocketAddress* from = nullptr;
-        const gssize size = g_socket_receive_from(socket_.get(), &from, room.data(), room.size(), nullptr, nullptr);
+        const gssize size =
+            g_socket_receive_from(socket_.get(), &from, room.data(), room.size(), nullptr, nullptr);
         const AddressRef sender(from);
         if (size < 0) return;
         const auto peer = sender == nullptr ? numbers_.end() : numbers_.find(key(sender.get()));
-        told_(peer == numbers_.end() ? kStranger : peer->second, {room.data(), static_cast<std::size_t>(size)});
+        told_(peer == numbers_.end() ? kStranger : peer->second,
+              {room.data(), static_cast<std::size_t>(size)});
     }
 }
 
 void Peers::send(int to, std::string_view bytes) {
     if (socket_ == nullptr || to < 0 || to >= static_cast<int>(addresses_.size())) return;
-    g_socket_send_to(socket_.get(), addresses_[static_cast<std::size_t>(to)].get(), bytes.data(), bytes.size(), nullptr, nullptr);
+    g_socket_send_to(socket_.get(), addresses_[static_cast<std::size_t>(to)].get(), bytes.data(),
+                     bytes.size(), nullptr, nullptr);
 }
 
 void Peers::close() {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -1,5 +1,5 @@
-// The socket to other nodes: datagrams out, datagrams in, and from which peer's address each came. It owns the
-// socket and its source, and decides nothing; what is in them is src/fleet's to read.
+// The socket to other nodes: datagrams out, datagrams in, and from which peer's address each came. It owns
+// the socket and its source, and decides nothing; what is in them is src/fleet's to read.
 #pragma once
 
 #include <functional>
--- a/src/net/pool.cpp
+++ b/src/net/pool.cpp
@@ -10,11 +10,13 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kInMost = kWholeMost + 16 * 1024;  // a whole value and its head, or a window of a long one
-constexpr std::size_t kUnsizedMost = kValueMost + 16 * 1024;  // where no length is told, it has to be held whole
+constexpr std::size_t kInMost =
+    kWholeMost + 16 * 1024;  // a whole value and its head, or a window of a long one
+constexpr std::size_t kUnsizedMost =
+    kValueMost + 16 * 1024;           // where no length is told, it has to be held whole
 constexpr double kStandstill = 10.0;  // s in which a server gives nothing more of a value that it has begun
-constexpr double kHttpRest = 0.04;   // s after an answer over HTTP in which a second copy of it may still come
-constexpr double kIdlePart = 0.8;  // of the idle time told; later the peer may be about to close
+constexpr double kHttpRest = 0.04;  // s after an answer over HTTP in which a second copy of it may still come
+constexpr double kIdlePart = 0.8;   // of the idle time told; later the peer may be about to close
 constexpr double kAgeEvery = 1.0;
 
 }  // namespace
@@ -70,16 +72,19 @@
            static_cast<std::uint32_t>(forward);
 }
 
-void Pool::forward(int inv, int forward, int cache, const Command& command, double limit, double begin_within) {
+void Pool::forward(int inv, int forward, int cache, const Command& command, double limit,
+                   double begin_within) {
     const Server& s = server(cache);
     if (!has_place(cache)) {
-        log_.line(topic(cache), "no_place_left", s.name + ": this node's part of the fleet's connections is in use, forward not sent");
+        log_.line(topic(cache), "no_place_left",
+                  s.name + ": this node's part of the fleet's connections is in use, forward not sent");
         tell_({inv, forward, cache, Ending::not_sent, 0, {}, 0, 0});
         return;
     }
     Connection* c = connection_to(cache);
     if (c == nullptr) {
-        log_.line(topic(cache), "no_connection_left", s.name + ": no connection is left in the budget, forward not sent");
+        log_.line(topic(cache), "no_connection_left",
+                  s.name + ": no connection is left in the budget, forward not sent");
         tell_({inv, forward, cache, Ending::refused, 0, {}, 0, 0});
         return;
     }
@@ -99,7 +104,8 @@
     c->read = false;
     c->id.clear();
     const Server& s = server(cache);
-    start(*c, kProbe, number, limit, 0, s.origin ? http_request("GET", "/alive", s.address, {}, {}) : "mn\r\n");
+    start(*c, kProbe, number, limit, 0,
+          s.origin ? http_request("GET", "/alive", s.address, {}, {}) : "mn\r\n");
 }
 
 void Pool::start(Connection& c, int inv, int forward, double limit, double begin_within, std::string bytes) {
@@ -121,8 +127,8 @@
     }
     c.unsent = std::move(bytes);
     if (!c.stream->up()) return;
-    // A second copy of the last answer may come some milliseconds late. Another connection in the meantime would be one
-    // more of the few that a server holds.
+    // A second copy of the last answer may come some milliseconds late. Another connection in the meantime
+    // would be one more of the few that a server holds.
     const double rested = server(c.cache).origin && c.used > 0 ? c.used + kHttpRest : 0;
     if (rested <= c.sent) return send_off(c);
     c.rest_by = timers_.at(rested, [this, &c] {
@@ -131,13 +137,16 @@
     });
 }
 
-// Its connection turned out, while it rested, to be good for nobody: the forward has not begun, and takes another.
+// Its connection turned out, while it rested, to be good for nobody: the forward has not begun, and takes
+// another.
 void Pool::move_on(Connection& c) {
-    log_.line(topic(c.cache), "second_answer", server(c.cache).name + ": closed or answered again while it rested, not used any more");
+    log_.line(topic(c.cache), "second_answer",
+              server(c.cache).name + ": closed or answered again while it rested, not used any more");
     const double now = monotonic();
     const int inv = c.inv, number = c.forward, cache = c.cache;
     const bool read = c.read;
-    const double limit = c.due - now, begin_within = c.begin_by.second != 0 ? std::max(c.begin_by.first - now, 1e-6) : 0;
+    const double limit = c.due - now,
+                 begin_within = c.begin_by.second != 0 ? std::max(c.begin_by.first - now, 1e-6) : 0;
     std::string id = std::move(c.id), bytes = std::exchange(c.unsent, {});
     out_.erase(mark(inv, number));
     c.busy = false;
@@ -149,8 +158,9 @@
     start(*next, inv, number, limit, begin_within, std::move(bytes));
 }
 
-// Given to the stream before it is up, the bytes would go the moment it comes up: also past their time, to a server
-// that drains by then, or for a client that has left, if the loop hears of the connection before it hears of those.
+// Given to the stream before it is up, the bytes would go the moment it comes up: also past their time, to a
+// server that drains by then, or for a client that has left, if the loop hears of the connection before it
+// hears of those.
 void Pool::send_off(Connection& c) { c.stream->write(std::exchange(c.unsent, {})); }
 
 void Pool::begin(int inv, int forward) {
@@ -330,7 +340,8 @@
             if (behind.size() < c.rest.behind) {
                 --bytes;
             } else if (!behind.starts_with("\r\n")) {
-                log_.line(topic(c.cache), "nonsense", server(c.cache).name + ": a long value does not end where it should");
+                log_.line(topic(c.cache), "nonsense",
+                          server(c.cache).name + ": a long value does not end where it should");
                 return end_relay(c, false);
             }
         }
@@ -357,7 +368,8 @@
         c.limit = {};
         if (!c.stream->input().empty()) c.used = monotonic();
         if (monotonic() - c.used < kStandstill) return watch_standstill(c);
-        log_.line(topic(c.cache), "value_broken_off", server(c.cache).name + ": nothing more of a value that it had begun");
+        log_.line(topic(c.cache), "value_broken_off",
+                  server(c.cache).name + ": nothing more of a value that it had begun");
         end_relay(c, false);
     });
 }
@@ -387,9 +399,11 @@
 }
 
 void Pool::rest_or_drop(Connection& c, bool reusable) {
-    if (!reusable || !c.stream->up() || !c.stream->all_written() || !c.stream->input().empty()) return drop(c);
+    if (!reusable || !c.stream->up() || !c.stream->all_written() || !c.stream->input().empty())
+        return drop(c);
     Server& s = server(c.cache);
-    if (places_ && !s.origin && s.open > places_(c.cache, 0)) return drop(c);  // its part has become less meanwhile
+    if (places_ && !s.origin && s.open > places_(c.cache, 0))
+        return drop(c);  // its part has become less meanwhile
     c.used = monotonic();
     c.stream->hold_at_most(kInMost);
     s.idle.push_back(&c);
@@ -408,7 +422,8 @@
     if (taken == 0 && c.stream->full() && answer.unsized) c.stream->hold_at_most(kUnsizedMost);
     if (c.busy && taken == 0 && !c.stream->full()) {
         if (!budget_.over() || c.stream->input().size() <= kLineMost) return;
-        log_.line(topic(c.cache), "no_memory", server(c.cache).name + ": no memory for its answer, forward given up");
+        log_.line(topic(c.cache), "no_memory",
+                  server(c.cache).name + ": no memory for its answer, forward given up");
         return broken(c, Ending::errored);
     }
     // An answer that comes before the forward is written whole was made for another, if for any.
--- a/src/net/pool.h
+++ b/src/net/pool.h
@@ -31,7 +31,8 @@
         Ending ending;
         double took;
         std::string body;
-        // A long value follows in pieces, `length` bytes of it, to whom this number stands for; 0: all is told.
+        // A long value follows in pieces, `length` bytes of it, to whom this number stands for; 0: all is
+        // told.
         std::uint64_t relay = 0;
         std::size_t length = 0;
     };
@@ -59,7 +60,8 @@
     void know(int cache, const std::string& name, const std::string& address, bool origin);
     bool in_use(int cache) const;  // something of it is still open
     void forget(int cache);        // only what is not in use: its number may then stand for another server
-    // `begin_within`: s in which its last byte has to be handed on, or it is not sent; 0: its limit alone counts.
+    // `begin_within`: s in which its last byte has to be handed on, or it is not sent; 0: its limit alone
+    // counts.
     void forward(int inv, int forward, int cache, const Command& command, double limit, double begin_within);
     void probe(int cache, double limit);
     void begin(int inv, int forward);
@@ -67,12 +69,12 @@
     void cancel(int inv, int forward);
     void pull(std::uint64_t relay);
     void give_up(std::uint64_t relay);  // nobody wants the rest
-    void release(int cache);   // closes the idle ones
-    void withdraw(int cache);  // and those that have not begun to carry what they were opened for
+    void release(int cache);            // closes the idle ones
+    void withdraw(int cache);           // and those that have not begun to carry what they were opened for
     int live() const { return static_cast<int>(live_); }
     double connect_timeout() const { return connect_timeout_; }
     void keep_to(double part);  // of its connections and bytes: the rest is another process's
-    void sweep();              // takes away what was closed in this turn
+    void sweep();               // takes away what was closed in this turn
 
   private:
     struct Connection {
--- a/src/net/registry.cpp
+++ b/src/net/registry.cpp
@@ -9,8 +9,9 @@
 namespace brookrelay {
 namespace {
 
-constexpr double kPauseLeast = 0.05, kPauseMost = 2;  // s to the next try; doubles, times a half to one and a half
-constexpr double kConnectMost = 1;                    // s for a connection to come up
+constexpr double kPauseLeast = 0.05,
+                 kPauseMost = 2;    // s to the next try; doubles, times a half to one and a half
+constexpr double kConnectMost = 1;  // s for a connection to come up
 constexpr std::size_t kInputMost = 2 * (std::size_t{1} << 20);
 
 }  // namespace
@@ -41,7 +42,8 @@
 void Registry::connect() {
     const std::string& address = addresses_[next_address_++ % addresses_.size()];
     hung_up_ = false;
-    stream_ = std::make_unique<Stream>(address, kInputMost, budget_, [this](Stream::News what) { news(what); });
+    stream_ =
+        std::make_unique<Stream>(address, kInputMost, budget_, [this](Stream::News what) { news(what); });
     timers_.call_off(due_);
     due_ = timers_.at(monotonic() + kConnectMost, [this] {
         due_ = {};
--- a/src/net/registry.h
+++ b/src/net/registry.h
@@ -1,5 +1,5 @@
-// The connection to a coordination service: one at a time, to the addresses of its ensemble in an order drawn by
-// chance, with pauses that grow and are jittered. It owns the socket and the times; the follower knows the
+// The connection to a coordination service: one at a time, to the addresses of its ensemble in an order drawn
+// by chance, with pauses that grow and are jittered. It owns the socket and the times; the follower knows the
 // protocol, and Registrations what its news means. It never ends anything because the service is away.
 #pragma once
 
@@ -21,8 +21,8 @@
   public:
     using Told = std::function<void(std::vector<RegistrationChange>&&)>;
 
-    Registry(Timers& timers, Log& log, std::vector<std::string> addresses, std::string path, double session_timeout,
-             std::uint64_t seed, Follower::Read read, Told told);
+    Registry(Timers& timers, Log& log, std::vector<std::string> addresses, std::string path,
+             double session_timeout, std::uint64_t seed, Follower::Read read, Told told);
     void start();
     double age() const { return registrations_.age(monotonic()); }
 
--- a/src/net/serve.cpp
+++ b/src/net/serve.cpp
@@ -30,7 +30,8 @@
     if (const char* scratch = std::getenv("TMPDIR")) station.scratch = scratch;
     const char* said = std::getenv("GW_MANAGEMENT");
     if (said == nullptr || *said == 0) return station;
-    if (!parse_address(said)) throw BadInput(std::string("GW_MANAGEMENT is not an address and port: '") + said + "'");
+    if (!parse_address(said))
+        throw BadInput(std::string("GW_MANAGEMENT is not an address and port: '") + said + "'");
     station.management = said;
     return station;
 }
@@ -57,7 +58,8 @@
 
 }  // namespace
 
-int serve(const std::string& path, const OperatorFile& operator_file, const std::function<OperatorFile()>& read_again_file) {
+int serve(const std::string& path, const OperatorFile& operator_file,
+          const std::function<OperatorFile()>& read_again_file) {
     Station station;
     int inherited = -1;
     try {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -1,8 +1,8 @@
 #include "stream.h"
 
+#include <linux/sockios.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
-#include <linux/sockios.h>
 #include <poll.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
@@ -272,8 +272,8 @@
     return socket_ != nullptr && ioctl(g_socket_get_fd(socket_.get()), SIOCOUTQ, &bytes) == 0 && bytes > 0;
 }
 
-// After an ordinary close the system goes on trying to deliver, for minutes: a command would arrive at the end of a
-// cut, long after it was given up and sent elsewhere.
+// After an ordinary close the system goes on trying to deliver, for minutes: a command would arrive at the
+// end of a cut, long after it was given up and sent elsewhere.
 void Stream::abort() {
     const linger at_once{1, 0};
     if (socket_ != nullptr)
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -54,13 +54,17 @@
     void take(std::size_t bytes);
     void hold_at_most(std::size_t bytes);  // from now on, of what has come
     void close();
-    void abort();  // what the system still holds back is not sent after it
+    void abort();   // what the system still holds back is not sent after it
     void finish();  // sends no more once all is written; what still comes is the owner's to throw away
     bool has_unread() const;  // here, or still with the kernel
     bool rests() const;       // nothing has come, not even its end
-    bool ended_in_order() const { return ended_in_order_; }  // all that the peer sent has come; after a reset, not
-    bool unacknowledged() const;  // some of what was written has not reached the peer's machine, for all that is known
-    bool peer_gone() const;   // it has closed or reset, also where its end lies behind bytes that are not read yet
+    bool ended_in_order() const {
+        return ended_in_order_;
+    }  // all that the peer sent has come; after a reset, not
+    bool unacknowledged()
+        const;  // some of what was written has not reached the peer's machine, for all that is known
+    bool peer_gone()
+        const;  // it has closed or reset, also where its end lies behind bytes that are not read yet
     bool full() const { return in_.size() - taken_ >= in_most_; }
     bool up() const { return state_ == State::up; }
     bool closed() const { return state_ == State::closed; }
--- a/src/net/talk.cpp
+++ b/src/net/talk.cpp
@@ -7,11 +7,20 @@
 namespace {
 
 constexpr double kLimitsEvery = 0.25;  // s
-constexpr double kOpenAgain = 1.0;  // s: another process of this node may hold the address until it ends
+constexpr double kOpenAgain = 1.0;     // s: another process of this node may hold the address until it ends
 
 fleet::Terms terms(const Station& s, const OperatorFile& o) {
     const Deployment& d = s.deployment;
-    fleet::Terms t{d.node, d.nodes, d.zone, d.zones, o.fleet_bytes_a_second, s.peer_price, o.fleet_price_part, o.fleet_zones, d.warm_within, {}};
+    fleet::Terms t{d.node,
+                   d.nodes,
+                   d.zone,
+                   d.zones,
+                   o.fleet_bytes_a_second,
+                   s.peer_price,
+                   o.fleet_price_part,
+                   o.fleet_zones,
+                   d.warm_within,
+                   {}};
     // Zones by the names in the operators' file; one that is in none of its regions is one by itself.
     for (int z = 0; z < d.zones; ++z) t.regions.push_back(-1 - z);
     for (std::size_t r = 0; r < o.fleet_regions.size(); ++r) {
@@ -31,11 +40,16 @@
 
 const char* word(fleet::ZoneState s) {
     switch (s) {
-        case fleet::ZoneState::well: return "well";
-        case fleet::ZoneState::doubted: return "doubted";
-        case fleet::ZoneState::left: return "left";
-        case fleet::ZoneState::on_trial: return "on trial";
-        case fleet::ZoneState::returning: return "returning";
+        case fleet::ZoneState::well:
+            return "well";
+        case fleet::ZoneState::doubted:
+            return "doubted";
+        case fleet::ZoneState::left:
+            return "left";
+        case fleet::ZoneState::on_trial:
+            return "on trial";
+        case fleet::ZoneState::returning:
+            return "returning";
     }
     return "";
 }
@@ -46,13 +60,15 @@
     if (!s.deployment.may_tell_peers) return "the settings do not allow it (permissions.peers)";
     if (s.peer_listen.empty()) return "the configuration has no peer_listen";
     if (static_cast<int>(s.peers.size()) != s.deployment.nodes)
-        return "the configuration has " + std::to_string(s.peers.size()) + " peers for " + std::to_string(s.deployment.nodes) + " nodes";
-    if (s.deployment.node < 0 || s.deployment.node >= s.deployment.nodes) return "my_number is none of the nodes'";
+        return "the configuration has " + std::to_string(s.peers.size()) + " peers for " +
+               std::to_string(s.deployment.nodes) + " nodes";
+    if (s.deployment.node < 0 || s.deployment.node >= s.deployment.nodes)
+        return "my_number is none of the nodes'";
     return {};
 }
 
-Talk::Talk(Timers& timers, Log& log, const Station& s, const OperatorFile& o, std::function<void()> due, Found found, ZoneTold zone_told,
-           TenantTold tenant_told)
+Talk::Talk(Timers& timers, Log& log, const Station& s, const OperatorFile& o, std::function<void()> due,
+           Found found, ZoneTold zone_told, TenantTold tenant_told)
     : timers_(timers),
       log_(log),
       own_(s.peer_listen),
@@ -74,12 +90,15 @@
     fleet::Budgets::Tenants tenants;
     for (std::size_t t = 0; t < station.deployment.tenants.size(); ++t) {
         const bool named = t < station.names.tenants.size();
-        tenants.emplace_back(named ? station.names.tenants[t] : std::to_string(t), station.deployment.tenants[t].quota);
+        tenants.emplace_back(named ? station.names.tenants[t] : std::to_string(t),
+                             station.deployment.tenants[t].quota);
     }
     const fleet::Wholes wholes{limits.tenants, limits.origin, limits.cold, limits.connections};
-    for (const std::string& against : budgets_.settle_in(wholes, tenants)) log_.line(Topic::node, "limits_off", against);
+    for (const std::string& against : budgets_.settle_in(wholes, tenants))
+        log_.line(Topic::node, "limits_off", against);
     // What was told of others' tenants, or of a limit that is none any more, counts no longer.
-    for (int t = 0; t < std::max(tenants_, static_cast<int>(tenants.size())); ++t) tenant_told_(monotonic(), t, 0);
+    for (int t = 0; t < std::max(tenants_, static_cast<int>(tenants.size())); ++t)
+        tenant_told_(monotonic(), t, 0);
     tenants_ = static_cast<int>(tenants.size());
 }
 
@@ -103,7 +122,8 @@
 // What lapses before the next step is not counted on: a connection cannot be closed between two steps.
 int Talk::connections_most(double now, const std::string& server, int wanted) {
     const fleet::LimitId id = fleet::Budgets::connections_id();
-    return budgets_.connections_most(now, fleet::subject_of(server), wanted, std::min(part(id, now), part(id, now + fleet::Exchange::kStep)));
+    return budgets_.connections_most(now, fleet::subject_of(server), wanted,
+                                     std::min(part(id, now), part(id, now + fleet::Exchange::kStep)));
 }
 
 void Talk::tell_limits(double now) {
@@ -123,9 +143,11 @@
 void Talk::open() {
     std::string complaint;
     if (peers_.listen(own_, addresses_, complaint)) {
-        log_.line(Topic::node, "peers_open", "hears " + std::to_string(addresses_.size() - 1) + " other nodes at " + own_);
+        log_.line(Topic::node, "peers_open",
+                  "hears " + std::to_string(addresses_.size() - 1) + " other nodes at " + own_);
     } else {
-        log_.line(Topic::node, "peers_shut", "cannot hear other nodes at " + own_ + ", tries again: " + complaint);
+        log_.line(Topic::node, "peers_shut",
+                  "cannot hear other nodes at " + own_ + ", tries again: " + complaint);
         try_again_ = monotonic() + kOpenAgain;
     }
 }
@@ -144,13 +166,17 @@
         exchange_.zone_ended(now, out->second.zone, out->second.subject, fleet::ZoneEnd::silent);
         out_.erase(out);
     }
-    for (const fleet::Outgoing& o : exchange_.tick(now, static_cast<double>(g_get_real_time()) / G_USEC_PER_SEC)) peers_.send(o.to, o.bytes);
+    for (const fleet::Outgoing& o :
+         exchange_.tick(now, static_cast<double>(g_get_real_time()) / G_USEC_PER_SEC))
+        peers_.send(o.to, o.bytes);
     for (const fleet::Exchange::Verdict& v : exchange_.verdicts(now)) {
         const auto name = names_.find(v.subject);
         if (name == names_.end()) continue;
         const bool before = standing_.contains(v.subject);
-        if (v.bad && !before) log_.line(Topic::node, "fleet_bad", "the nodes of this zone find " + name->second + " bad");
-        if (!v.bad && before) log_.line(Topic::node, "fleet_well", "the nodes no longer find " + name->second + " bad");
+        if (v.bad && !before)
+            log_.line(Topic::node, "fleet_bad", "the nodes of this zone find " + name->second + " bad");
+        if (!v.bad && before)
+            log_.line(Topic::node, "fleet_well", "the nodes no longer find " + name->second + " bad");
         if (v.bad) {
             standing_[v.subject] = true;
         } else {
@@ -164,20 +190,29 @@
         const auto before = zone_orders_.find(o.zone);
         if (before == zone_orders_.end() || before->second.part != o.part) {
             char text[160];
-            std::snprintf(text, sizeof text, "%s: %.3g of its keys may go there%s", name.c_str(), o.part, o.part > 0 ? "" : ", it is left");
-            log_.line(Topic::node, o.part <= 0 ? "zone_left" : o.part < 1 ? "zone_returning" : "zone_in_use", text);
+            std::snprintf(text, sizeof text, "%s: %.3g of its keys may go there%s", name.c_str(), o.part,
+                          o.part > 0 ? "" : ", it is left");
+            log_.line(Topic::node,
+                      o.part <= 0  ? "zone_left"
+                      : o.part < 1 ? "zone_returning"
+                                   : "zone_in_use",
+                      text);
         }
         zone_orders_[o.zone] = o;
         if (verdicts_) zone_told_(now, o);
     }
     tell_limits(now);
     const std::uint64_t stalls = exchange_.stalls();
-    if (stalls != stalls_) log_.line(Topic::node, "fleet_stalled", "this process stood still: what it saw meanwhile is told to nobody");
+    if (stalls != stalls_)
+        log_.line(Topic::node, "fleet_stalled",
+                  "this process stood still: what it saw meanwhile is told to nobody");
     stalls_ = stalls;
 }
 
 std::string Talk::against_zones() const {
-    return !zones_as_one_ ? "fleet.zones is off in the operators' file" : !verdicts_ ? "fleet.verdicts is off in the operators' file" : "";
+    return !zones_as_one_ ? "fleet.zones is off in the operators' file"
+           : !verdicts_   ? "fleet.verdicts is off in the operators' file"
+                          : "";
 }
 
 void Talk::zones_anew(double now) {
@@ -186,17 +221,20 @@
     }
 }
 
-void Talk::began(double now, std::uint64_t forward, const std::string& server, int zone, double latency_objective) {
+void Talk::began(double now, std::uint64_t forward, const std::string& server, int zone,
+                 double latency_objective) {
     const double overdue = now + fleet::overdue_after(latency_objective);
-    if (out_.insert_or_assign(forward, Out{overdue, fleet::subject_of(server), zone}).second) by_overdue_.emplace(overdue, forward);
+    if (out_.insert_or_assign(forward, Out{overdue, fleet::subject_of(server), zone}).second)
+        by_overdue_.emplace(overdue, forward);
 }
 
-void Talk::ended(double now, std::uint64_t forward, const std::string& server, int zone, Ending ending, double took,
-                 double latency_objective) {
+void Talk::ended(double now, std::uint64_t forward, const std::string& server, int zone, Ending ending,
+                 double took, double latency_objective) {
     const bool overdue = out_.erase(forward) == 0;  // and called bad, and silent, then
     const fleet::Subject subject = fleet::subject_of(server);
     const auto zone_seen = fleet::zone_seen_as(ending, took, latency_objective);
-    if (zone_seen && !(overdue && *zone_seen == fleet::ZoneEnd::silent)) exchange_.zone_ended(now, zone, subject, *zone_seen);
+    if (zone_seen && !(overdue && *zone_seen == fleet::ZoneEnd::silent))
+        exchange_.zone_ended(now, zone, subject, *zone_seen);
     const auto seen = fleet::seen_as(ending, took, latency_objective);
     if (seen && !overdue) exchange_.ended(now, subject, *seen);
 }
@@ -218,7 +256,8 @@
         json.Key("zones");
         json.StartArray();
         for (std::size_t z = 0; z < fleet::kZonesMost; ++z) {
-            if ((bits >> z & 1U) != 0) json.String((z < zones_.size() ? zones_[z] : std::to_string(z)).c_str());
+            if ((bits >> z & 1U) != 0)
+                json.String((z < zones_.size() ? zones_[z] : std::to_string(z)).c_str());
         }
         json.EndArray();
     };
--- a/src/net/talk.h
+++ b/src/net/talk.h
@@ -1,5 +1,6 @@
-// Between the node, the socket to its peers and src/fleet: the steps in time, names of cache servers for subjects,
-// the log's lines and what operators are shown. It owns the exchange and the socket, and decides nothing.
+// Between the node, the socket to its peers and src/fleet: the steps in time, names of cache servers for
+// subjects, the log's lines and what operators are shown. It owns the exchange and the socket, and decides
+// nothing.
 #pragma once
 
 #include <functional>
@@ -27,17 +28,19 @@
     // Why this station's nodes cannot talk; empty: they can.
     static std::string against(const Station& station);
     // `found` is called from step(): what stands each time, and once what no longer stands.
-    Talk(Timers& timers, Log& log, const Station& station, const OperatorFile& operator_file, std::function<void()> due, Found found, ZoneTold zone_told,
-         TenantTold tenant_told);
+    Talk(Timers& timers, Log& log, const Station& station, const OperatorFile& operator_file,
+         std::function<void()> due, Found found, ZoneTold zone_told, TenantTold tenant_told);
 
     void start();
     void step(double now);  // what `due` asked for
     void asked(double now) { exchange_.asked(now); }
     // A forward is known by its number among all that are out; one that is overdue is bad before it ends.
-    void began(double now, std::uint64_t forward, const std::string& server, int zone, double latency_objective);
-    void ended(double now, std::uint64_t forward, const std::string& server, int zone, Ending ending, double took,
+    void began(double now, std::uint64_t forward, const std::string& server, int zone,
                double latency_objective);
-    // Limits of the whole fleet. A tenant's invocation came; and whether one more forward may go to the origin.
+    void ended(double now, std::uint64_t forward, const std::string& server, int zone, Ending ending,
+               double took, double latency_objective);
+    // Limits of the whole fleet. A tenant's invocation came; and whether one more forward may go to the
+    // origin.
     void tenant_asked(double now, int tenant);
     bool origin_may(double now);
     // To a server that started lately: whether one more may go, and that one goes.
@@ -71,7 +74,7 @@
     ZoneTold zone_told_;
     TenantTold tenant_told_;
     fleet::Budgets budgets_;
-    int tenants_ = 0;         // that have been told a part
+    int tenants_ = 0;  // that have been told a part
     double limits_told_ = -1e9;
     fleet::Exchange exchange_;
     Peers peers_;
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -84,8 +84,8 @@
 
 struct Case {
     const char* name;
-    int rule;            // broken; 0: none
-    const char* said;    // part of what is said
+    int rule;          // broken; 0: none
+    const char* said;  // part of what is said
     std::function<void(Day&)> play;
 };
 
@@ -205,8 +205,7 @@
          d.done(1.02, f);
          d.judge.replied(1.1, 0, Reply::succeeded, f);
      }},
-    {"a forward that names nobody", 1, "names no invocation",
-     [](Day& d) { d.send(1, -1, kBoxA); }},
+    {"a forward that names nobody", 1, "names no invocation", [](Day& d) { d.send(1, -1, kBoxA); }},
     // ---- rule 2, non-idempotent
     {"non-idempotent, sent again after silence", 2, "non-idempotent",
      [](Day& d) {
@@ -462,7 +461,8 @@
 }
 
 // What is seen while the watcher stands still is dated late: it may be no breach at all.
-// A limit of ten a second, of two nodes: 14 may come within a second, a quarter of a second's and one at each node saved up.
+// A limit of ten a second, of two nodes: 14 may come within a second, a quarter of a second's and one at each
+// node saved up.
 TEST(Auditor, HoldsTheStrictLimitsOfAllNodesTogether) {
     struct Row {
         const char* name;
@@ -471,9 +471,12 @@
         bool cold, told;  // the server; the node, of its start
         int broken;
     };
-    for (const Row& row : {Row{"as many as may be", kOrigin, 0, 14, 0.5, false, false, 0}, Row{"one more", kOrigin, 0, 15, 0.5, false, false, 1},
-                           Row{"more, over two seconds", kOrigin, 0, 20, 2, false, false, 0}, Row{"for three seconds, said once for each", kOrigin, 1, 60, 3, false, false, 3},
-                           Row{"a warm server has no limit", kBoxA, 0, 40, 0.5, false, false, 0}, Row{"a cold one has", kBoxA, 0, 15, 0.5, true, true, 1},
+    for (const Row& row : {Row{"as many as may be", kOrigin, 0, 14, 0.5, false, false, 0},
+                           Row{"one more", kOrigin, 0, 15, 0.5, false, false, 1},
+                           Row{"more, over two seconds", kOrigin, 0, 20, 2, false, false, 0},
+                           Row{"for three seconds, said once for each", kOrigin, 1, 60, 3, false, false, 3},
+                           Row{"a warm server has no limit", kBoxA, 0, 40, 0.5, false, false, 0},
+                           Row{"a cold one has", kBoxA, 0, 15, 0.5, true, true, 1},
                            Row{"not for who was not told", kBoxA, 1, 40, 0.5, true, false, 0}}) {
         Terms t = terms();
         t.origin_limit = t.cold_limit = 10;
--- a/tests/bad_daemon.cpp
+++ b/tests/bad_daemon.cpp
@@ -48,7 +48,8 @@
 void follow_discovery(const std::string& address, long long version) {
     while (true) {
         Stream s(host_of(address), port_of(address));
-        s << "GET /discovery/hosts?index=" << version << "&wait=20000 HTTP/1.1\r\nHost: d\r\n\r\n" << std::flush;
+        s << "GET /discovery/hosts?index=" << version << "&wait=20000 HTTP/1.1\r\nHost: d\r\n\r\n"
+          << std::flush;
         std::string line;
         std::size_t length = 0;
         while (std::getline(s, line) && line != "\r") {
@@ -104,8 +105,8 @@
     const std::string address = choose(a.key, true);
     Stream s(host_of(address), port_of(address));
     s.expires_after(std::chrono::milliseconds(600));
-    s << (a.write ? "PUT /" : "GET /") << a.key << " HTTP/1.1\r\nHost: o\r\nX-Trace-Id: " << a.id << "\r\nX-Props: " << a.list
-      << "\r\nContent-Length: " << a.value.size() << "\r\n\r\n"
+    s << (a.write ? "PUT /" : "GET /") << a.key << " HTTP/1.1\r\nHost: o\r\nX-Trace-Id: " << a.id
+      << "\r\nX-Props: " << a.list << "\r\nContent-Length: " << a.value.size() << "\r\n\r\n"
       << a.value << std::flush;
     std::string line;
     std::getline(s, line);
@@ -189,11 +190,13 @@
                                           std::string(h["class"].GetString()) == "origin", false};
     }
     const std::string discovery = told["discovery"].GetString();
-    std::thread([discovery, version = list["seq"].GetInt64()] { follow_discovery(discovery, version); }).detach();
+    std::thread([discovery, version = list["seq"].GetInt64()] {
+        follow_discovery(discovery, version);
+    }).detach();
     const std::string listen = told["listen"].GetString();
     boost::asio::io_context io;
-    boost::asio::ip::tcp::acceptor acceptor(
-        io, {boost::asio::ip::make_address(host_of(listen)), static_cast<unsigned short>(std::stoul(port_of(listen)))});
+    boost::asio::ip::tcp::acceptor acceptor(io, {boost::asio::ip::make_address(host_of(listen)),
+                                                 static_cast<unsigned short>(std::stoul(port_of(listen)))});
     while (true) {
         auto* stream = new Stream;  // lives as long as its thread, which nobody waits for
         acceptor.accept(stream->socket());
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -1,6 +1,5 @@
 // The program as a user starts it: its exit codes, what it says of wrong use, and an interrupted rehearsal.
 #include <gtest/gtest.h>
-
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -97,7 +96,8 @@
     const std::string out = folder("interrupted");
     const pid_t child = fork();
     if (child == 0) {
-        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "rehearse", "festival", "--quiet", "--out", out.c_str(), nullptr);
+        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "rehearse", "festival", "--quiet", "--out", out.c_str(),
+              nullptr);
         _exit(127);
     }
     // Each node serves: the daemons stand, and the day is about to begin.
@@ -128,11 +128,12 @@
     const pid_t child = fork();
     if (child == 0) {
         std::freopen((out + "/log").c_str(), "w", stderr);
-        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "serve", "--config", (out + "/station.json").c_str(), "--operator",
-              (out + "/operator.toml").c_str(), nullptr);
+        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "serve", "--config", (out + "/station.json").c_str(),
+              "--operator", (out + "/operator.toml").c_str(), nullptr);
         _exit(127);
     }
-    for (int i = 0; i < 1000 && content(out + "/log").find("\"event\":\"serves\"") == std::string::npos; ++i) {
+    for (int i = 0; i < 1000 && content(out + "/log").find("\"event\":\"serves\"") == std::string::npos;
+         ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
     kill(child, SIGTERM);
@@ -140,7 +141,8 @@
     waitpid(child, &status, 0);
     EXPECT_EQ(WEXITSTATUS(status), 0);
     const std::string log = content(out + "/log");
-    const std::string serves = R"("node":"n0","topic":"node","event":"serves","text":"serves on )" + listen + "\"}";
+    const std::string serves =
+        R"("node":"n0","topic":"node","event":"serves","text":"serves on )" + listen + "\"}";
     EXPECT_NE(log.find(serves), std::string::npos) << log;
     EXPECT_NE(log.find(R"("event":"ends")"), std::string::npos) << log;
 }
--- a/tests/clock_jump.cpp
+++ b/tests/clock_jump.cpp
@@ -1,5 +1,5 @@
-// Preloaded into a daemon under test: its wall clock jumps by CLOCK_JUMP_BY seconds once the machine's monotonic clock
-// shows CLOCK_JUMP_AT. No other clock is touched.
+// Preloaded into a daemon under test: its wall clock jumps by CLOCK_JUMP_BY seconds once the machine's
+// monotonic clock shows CLOCK_JUMP_AT. No other clock is touched.
 #include <dlfcn.h>
 #include <time.h>
 
@@ -14,6 +14,7 @@
     if (said != 0 || id != CLOCK_REALTIME || when == nullptr || by == nullptr) return said;
     struct timespec monotonic {};
     real(CLOCK_MONOTONIC, &monotonic);
-    if (static_cast<double>(monotonic.tv_sec) >= std::atof(when)) at->tv_sec += static_cast<time_t>(std::atof(by));
+    if (static_cast<double>(monotonic.tv_sec) >= std::atof(when))
+        at->tv_sec += static_cast<time_t>(std::atof(by));
     return said;
 }
