--- a/tests/coordinator_test.cpp
+++ b/tests/coordinator_test.cpp
@@ -1,4 +1,6 @@
 // The stand-in coordinator by its wire, message by message, and with bytes that are none.
+#include "coordinator.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +10,6 @@
 #include <utility>
 #include <vector>
 
-#include "coordinator.h"
 #include "jute.h"
 
 namespace {
@@ -29,8 +30,10 @@
 
     std::string last(std::uint64_t c) { return sent[c].empty() ? "" : sent[c].back(); }
     // Session id and password.
-    std::pair<std::int64_t, std::string> connect(double now, std::uint64_t c, int timeout_ms, std::int64_t session = 0,
-                                                 const std::string& password = std::string(16, '\0'), std::int64_t seen = 0) {
+    std::pair<std::int64_t, std::string> connect(double now, std::uint64_t c, int timeout_ms,
+                                                 std::int64_t session = 0,
+                                                 const std::string& password = std::string(16, '\0'),
+                                                 std::int64_t seen = 0) {
         JuteWriter w;
         w.number(0).long_number(seen).number(timeout_ms).long_number(session).text(password).flag(false);
         service.received(now, c, w.payload());
@@ -41,7 +44,8 @@
         return {id, in.text()};
     }
     // The answer's error; the reader stands behind the header.
-    std::int32_t call(double now, std::uint64_t c, CoordinatorCall type, const JuteWriter& body, std::string* rest = nullptr) {
+    std::int32_t call(double now, std::uint64_t c, CoordinatorCall type, const JuteWriter& body,
+                      std::string* rest = nullptr) {
         JuteWriter head;
         head.number(++xid).number(static_cast<std::int32_t>(type));
         service.received(now, c, head.payload() + body.payload());
@@ -53,7 +57,8 @@
         if (rest != nullptr) *rest = answer.substr(16);
         return error;
     }
-    std::int32_t create(double now, std::uint64_t c, const std::string& path, int flags, std::string* made = nullptr) {
+    std::int32_t create(double now, std::uint64_t c, const std::string& path, int flags,
+                        std::string* made = nullptr) {
         JuteWriter w;
         w.text(path).text("data").number(1).number(31).text("world").text("anyone").number(flags);
         std::string rest;
@@ -97,7 +102,8 @@
     EXPECT_EQ(p.create(0.1, 2, "/fleet/box-", 3, &second), 0);
     EXPECT_EQ(first, "/fleet/box-0000000000");
     EXPECT_EQ(second, "/fleet/box-0000000001");
-    EXPECT_EQ(p.create(0.1, 2, first + "/x", 0), static_cast<int>(CoordinatorError::no_children_for_ephemerals));
+    EXPECT_EQ(p.create(0.1, 2, first + "/x", 0),
+              static_cast<int>(CoordinatorError::no_children_for_ephemerals));
     EXPECT_EQ(p.children(0.2, 1, "/fleet", true).size(), 2U);
     EXPECT_EQ(p.children(0.3, 1, "/fleet", true).size(), 2U);
     p.service.ended(2);
@@ -107,7 +113,9 @@
     EXPECT_EQ(p.service.children("/fleet").size(), 0U);
     // Asked for twice, a watch fires once.
     EXPECT_EQ(event_of(p.last(1)), (std::pair<int, std::string>{4, "/fleet"}));
-    EXPECT_EQ(std::count_if(p.sent[1].begin(), p.sent[1].end(), [](const auto& f) { return event_of(f).first != 0; }), 1);
+    EXPECT_EQ(std::count_if(p.sent[1].begin(), p.sent[1].end(),
+                            [](const auto& f) { return event_of(f).first != 0; }),
+              1);
     EXPECT_EQ(p.service.watches(), 0U);
 }
 
@@ -143,8 +151,9 @@
     JuteWriter w;
     w.long_number(seen).texts({}).texts({"/fleet/b"}).texts({"/fleet"});
     EXPECT_EQ(p.call(0.6, 2, CoordinatorCall::set_watches, w), 0);
-    const auto told = std::count_if(p.sent[2].begin(), p.sent[2].end(),
-                                    [](const auto& f) { return event_of(f) == std::pair<int, std::string>{4, "/fleet"}; });
+    const auto told = std::count_if(p.sent[2].begin(), p.sent[2].end(), [](const auto& f) {
+        return event_of(f) == std::pair<int, std::string>{4, "/fleet"};
+    });
     EXPECT_EQ(told, 1);
     EXPECT_EQ(p.service.watches(), 1U);
     (void)p.service.create(1, 0, "/fleet/b", "", false, false);
--- a/tests/days.h
+++ b/tests/days.h
@@ -1,5 +1,6 @@
-// Days of several daemons for the tests between processes: a scenario of thin traffic, its troubles, and the playing
-// of it on loopback, after which the judge must have found nothing. Real time; nothing here hangs on its pace.
+// Days of several daemons for the tests between processes: a scenario of thin traffic, its troubles, and the
+// playing of it on loopback, after which the judge must have found nothing. Real time; nothing here hangs on
+// its pace.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -65,7 +66,8 @@
     t.factor = 400;
     return t;
 }
-inline Trouble links(TroubleKind kind, double at, double lasts, std::vector<std::string> from, std::vector<std::string> to = {}) {
+inline Trouble links(TroubleKind kind, double at, double lasts, std::vector<std::string> from,
+                     std::vector<std::string> to = {}) {
     Trouble t = trouble(kind, at, lasts);
     t.from = std::move(from);
     t.to = std::move(to);
@@ -79,7 +81,8 @@
 };
 
 inline Played play(const Scenario& s, std::uint64_t seed = 1, decltype(DayPlan::begun) begun = nullptr,
-                   decltype(DayPlan::progress) progress = nullptr, decltype(DayPlan::environment) environment = nullptr) {
+                   decltype(DayPlan::progress) progress = nullptr,
+                   decltype(DayPlan::environment) environment = nullptr) {
     Played p;
     p.plan.scenario = s;
     p.plan.seed = seed;
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,5 +1,5 @@
-// What nodes tell one another, without sockets: many nodes of one process on a network that is written here, which
-// loses, doubles, delays and cuts by a seed. Seeds and bounds are those that docs/fleet.md states.
+// What nodes tell one another, without sockets: many nodes of one process on a network that is written here,
+// which loses, doubles, delays and cuts by a seed. Seeds and bounds are those that docs/fleet.md states.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -82,14 +82,17 @@
 
 std::string view(Exchange& e, double now) {
     std::string text;
-    for (const Exchange::Verdict& v : e.verdicts(now)) text += std::to_string(v.subject) + (v.bad ? "!" : ".") + ' ';
+    for (const Exchange::Verdict& v : e.verdicts(now))
+        text += std::to_string(v.subject) + (v.bad ? "!" : ".") + ' ';
     const State s = e.state(now);
     for (const Held& h : s.verdicts) {
-        for (const Voice& v : h.said) text += std::to_string(h.subject) + ':' + std::to_string(v.keeper) + ':' + std::to_string(v.zones) + ':' +
-                                             std::to_string(std::lround(v.age * 1000)) + ' ';
+        for (const Voice& v : h.said)
+            text += std::to_string(h.subject) + ':' + std::to_string(v.keeper) + ':' +
+                    std::to_string(v.zones) + ':' + std::to_string(std::lround(v.age * 1000)) + ' ';
     }
     for (std::size_t n = 0; n < s.members.size(); ++n) {
-        text += std::to_string(static_cast<int>(s.members[n].second)) + '@' + std::to_string(s.starts[n]) + ' ';
+        text +=
+            std::to_string(static_cast<int>(s.members[n].second)) + '@' + std::to_string(s.starts[n]) + ' ';
     }
     return text + std::to_string(s.sights_kept);
 }
@@ -109,9 +112,14 @@
                 d.node = n;
                 d.stamp = {n == 5 && i > 2 ? 11U : 10U, 100 + i};
                 d.alive = {{static_cast<int>(chance() % 7), 0.5}};
-                d.sights = {{static_cast<Subject>(chance() % 3), static_cast<int>(chance() % 2), static_cast<int>(chance() % 5)}};
-                d.findings = {{static_cast<Subject>(chance() % 3), static_cast<int>(chance() % 6),
-                               {10, static_cast<std::uint32_t>(chance() % 9)}, 0, 3, static_cast<double>(chance() % 4) / 2}};
+                d.sights = {{static_cast<Subject>(chance() % 3), static_cast<int>(chance() % 2),
+                             static_cast<int>(chance() % 5)}};
+                d.findings = {{static_cast<Subject>(chance() % 3),
+                               static_cast<int>(chance() % 6),
+                               {10, static_cast<std::uint32_t>(chance() % 9)},
+                               0,
+                               3,
+                               static_cast<double>(chance() % 4) / 2}};
                 // One stamp of one keeper says one thing.
                 d.findings[0].zones = (d.findings[0].stamp.number + d.findings[0].subject) % 2;
                 words.push_back({n, encode(d)});
@@ -141,7 +149,8 @@
     }
 }
 
-// The sights of three nodes make this node, a keeper of the subject, find it bad; what each says by chance comes.
+// The sights of three nodes make this node, a keeper of the subject, find it bad; what each says by chance
+// comes.
 struct Keeper {
     Exchange e{{0, 4, 0, 1, 1024, 0, 0.004}, 10, 1, 100};
     double now = 101;
@@ -177,7 +186,8 @@
     for (int n = 1; n <= 3; ++n) k.says(n, {10, 300}, 0, 1);
     for (int n = 1; n <= 3; ++n) k.says(n, {10, 300}, 0, 1);
     EXPECT_EQ(k.e.state(k.now).sights_kept, 3U);
-    for (int n = 1; n <= 3; ++n) k.says(n, {10, 301}, 1, 1);  // were they summed, it were three bad to one good
+    for (int n = 1; n <= 3; ++n)
+        k.says(n, {10, 301}, 1, 1);  // were they summed, it were three bad to one good
     EXPECT_EQ(k.found(), 0U);
 }
 
@@ -243,8 +253,11 @@
 };
 
 TEST(Fleet, KnowsABadCacheWithinItsBoundAndLetsGoOfItWithinAnother) {
-    const Case cases[] = {{"3 nodes", 3, 0, 8}, {"12 nodes", 12, 0, 8}, {"12 nodes, 3 in 10 lost", 12, 0.3, 10},
-                          {"40 nodes", 40, 0, 8}, {"40 nodes, 3 in 10 lost", 40, 0.3, 12}};
+    const Case cases[] = {{"3 nodes", 3, 0, 8},
+                          {"12 nodes", 12, 0, 8},
+                          {"12 nodes, 3 in 10 lost", 12, 0.3, 10},
+                          {"40 nodes", 40, 0, 8},
+                          {"40 nodes, 3 in 10 lost", 40, 0.3, 12}};
     for (const Case& c : cases) {
         std::vector<double> knew, let_go;
         for (std::uint64_t seed = 1; seed <= trials(); ++seed) {
@@ -259,8 +272,9 @@
         }
         std::sort(knew.begin(), knew.end());
         std::sort(let_go.begin(), let_go.end());
-        std::printf("[ measured ] %-24s knew: median %.2f s, most %.2f s; let go: median %.2f s, most %.2f s\n", c.name, knew[knew.size() / 2],
-                    knew.back(), let_go[let_go.size() / 2], let_go.back());
+        std::printf(
+            "[ measured ] %-24s knew: median %.2f s, most %.2f s; let go: median %.2f s, most %.2f s\n",
+            c.name, knew[knew.size() / 2], knew.back(), let_go[let_go.size() / 2], let_go.back());
         EXPECT_LE(knew.back(), c.bound) << c.name;
         EXPECT_LE(let_go.back(), kOldest) << c.name;
     }
@@ -321,7 +335,8 @@
             hello.stamp = {10, 256};
             e.received(100.1, n, encode(hello));
         }
-        for (int s = 1; s <= 6; ++s) e.ended(100.1, static_cast<Subject>(s), s <= bad ? Seen::bad : Seen::good);
+        for (int s = 1; s <= 6; ++s)
+            e.ended(100.1, static_cast<Subject>(s), s <= bad ? Seen::bad : Seen::good);
         std::size_t sights = 0;
         for (const Outgoing& o : e.tick(100.125)) {
             Datagram d;
@@ -349,7 +364,8 @@
     }
 }
 
-// It says of all others' keepers that they find caches bad, newer than these say themselves; then that none is, while one is.
+// It says of all others' keepers that they find caches bad, newer than these say themselves; then that none
+// is, while one is.
 TEST(Fleet, ANodeThatMakesUpOthersFindingsMovesNobody) {
     for (const bool sick_one : {false, true}) {
         World w(12, 1, 8);
@@ -363,9 +379,11 @@
                     if (keeper == 4) continue;
                     Datagram d;
                     d.node = 4;
-                    d.stamp = {1000, static_cast<std::uint32_t>((w.now() - 100) / kTick) + static_cast<std::uint32_t>(keeper)};
+                    d.stamp = {1000, static_cast<std::uint32_t>((w.now() - 100) / kTick) +
+                                         static_cast<std::uint32_t>(keeper)};
                     const Stamp later{3'000'000'000U, static_cast<std::uint32_t>(i * 100)};
-                    for (Subject s = 1; s <= 6; ++s) d.findings.push_back({s, keeper, later, sick_one ? 0U : 1U, 99, 0});
+                    for (Subject s = 1; s <= 6; ++s)
+                        d.findings.push_back({s, keeper, later, sick_one ? 0U : 1U, 99, 0});
                     w.send(4, to, encode(d));
                 }
             }
@@ -382,17 +400,20 @@
     }
 }
 
-// Started together, or found again after a cut, nobody stays in a clique of those that it happened to hear first.
+// Started together, or found again after a cut, nobody stays in a clique of those that it happened to hear
+// first.
 TEST(Fleet, AllKnowAllSoonAfterTheyStartTogetherAndAfterACut) {
     struct Row {
         int nodes;
         double loss, most;  // s in nine of ten
     };
-    for (const Row& row : {Row{3, 0, 2.5}, Row{6, 0, 3.5}, Row{6, 0.3, 4.9}, Row{12, 0.3, 5.5}, Row{40, 0, 7}}) {
+    for (const Row& row :
+         {Row{3, 0, 2.5}, Row{6, 0, 3.5}, Row{6, 0.3, 4.9}, Row{12, 0.3, 5.5}, Row{40, 0, 7}}) {
         const auto all_known = [&](World& w) {  // but for one pair in twenty, where there are as many
             int gone = 0;
             for (int n = 0; n < row.nodes; ++n) {
-                for (const auto& [other, presence] : w.node(n).state(w.now()).members) gone += presence == Presence::gone;
+                for (const auto& [other, presence] : w.node(n).state(w.now()).members)
+                    gone += presence == Presence::gone;
             }
             return gone <= row.nodes * row.nodes / 20;
         };
@@ -409,8 +430,11 @@
         std::sort(started.begin(), started.end());
         std::sort(joined.begin(), joined.end());
         const auto nine_tenths = started.size() * 9 / 10;
-        std::printf("[ measured ] %d nodes, %.1f lost: all know all after %.2f s in the median, %.2f in nine of ten, %.2f at the most; after a cut %.2f, %.2f and %.2f\n",
-                    row.nodes, row.loss, started[started.size() / 2], started[nine_tenths], started.back(), joined[joined.size() / 2], joined[nine_tenths], joined.back());
+        std::printf(
+            "[ measured ] %d nodes, %.1f lost: all know all after %.2f s in the median, %.2f in nine of ten, "
+            "%.2f at the most; after a cut %.2f, %.2f and %.2f\n",
+            row.nodes, row.loss, started[started.size() / 2], started[nine_tenths], started.back(),
+            joined[joined.size() / 2], joined[nine_tenths], joined.back());
         EXPECT_LE(started[nine_tenths], row.most);
         EXPECT_LE(joined[nine_tenths], row.most);
     }
@@ -424,7 +448,9 @@
         w.network.cut = [](int a, int b) { return a % 2 != b % 2; };
         w.run(12);
         EXPECT_EQ(w.node(0).state(w.now()).members[1].second, Presence::gone);
-        w.fate = [](int node, Subject s) { return s != kSick || node % 2 != 0; };  // the way of one half to it is cut too
+        w.fate = [](int node, Subject s) {
+            return s != kSick || node % 2 != 0;
+        };  // the way of one half to it is cut too
         w.until(20, [&] { return w.told(kSick, [](int n) { return n % 2 == 0; }) >= 0.99; });
         EXPECT_GE(w.told(kSick, [](int n) { return n % 2 == 0; }), 0.99);
         EXPECT_EQ(w.told(kSick, [](int n) { return n % 2 != 0; }), 0);
@@ -441,7 +467,9 @@
         }));
     }
     std::sort(agreed.begin(), agreed.end());
-    std::printf("[ measured ] after a cut: views agree again after %.2f s in the median, %.2f s at the most\n", agreed[agreed.size() / 2], agreed.back());
+    std::printf(
+        "[ measured ] after a cut: views agree again after %.2f s in the median, %.2f s at the most\n",
+        agreed[agreed.size() / 2], agreed.back());
     EXPECT_LE(agreed.back(), kOldest);
 }
 
@@ -521,7 +549,8 @@
         d.stamp = {10, static_cast<std::uint32_t>(i + 1)};
         for (int s = 0; s < 5; ++s) d.sights.push_back({static_cast<Subject>(chance()), 0, 1});
         for (int f = 0; f < 5; ++f) {
-            d.findings.push_back({static_cast<Subject>(chance()), static_cast<int>(chance() % 700), d.stamp, 1, 3, 0});
+            d.findings.push_back(
+                {static_cast<Subject>(chance()), static_cast<int>(chance() % 700), d.stamp, 1, 3, 0});
         }
         e.received(100.5, d.node, encode(d));
     }
--- a/tests/files_test.cpp
+++ b/tests/files_test.cpp
@@ -1,7 +1,6 @@
-// The operators' TOML files: what is wrong is said with file, line, key and what was expected, all of it at once;
-// what is right comes out as it was written.
+// The operators' TOML files: what is wrong is said with file, line, key and what was expected, all of it at
+// once; what is right comes out as it was written.
 #include <gtest/gtest.h>
-
 #include <unistd.h>
 
 #include <fstream>
@@ -45,7 +44,8 @@
         {"", ""},
         {"[log]\nformat = \"json\"\n", ""},
         {"[log\n", "F:1: syntax: "},
-        {"[log]\nformat = \"jsn\"\n", "F:2: log.format: expected one of \"human\", \"json\", found 'jsn'; did you mean 'json'?"},
+        {"[log]\nformat = \"jsn\"\n",
+         "F:2: log.format: expected one of \"human\", \"json\", found 'jsn'; did you mean 'json'?"},
         {"[log]\nformat = 3\n", "F:2: log.format: expected one of"},
         {"\n[log]\nfromat = \"json\"\n", "F:3: log.fromat: unknown key; did you mean 'format'?"},
         {"[log]\nzzzzzzzz = 1\n", "F:2: log.zzzzzzzz: unknown key; expected one of: format, lines_a_second"},
@@ -57,23 +57,30 @@
         {"[fleet]\ntalk = true\nverdicts = false\nbytes_a_second = 300\nprice_part = 0.01\n", ""},
         {"[fleet]\ntalk = true\nzones = true\nregions = [\"a b\", \"c d\"]\n", ""},
         {"[fleet]\ntalk = true\n[fleet.limits]\ntenants = true\norigin = 200\n", ""},
-        {"[fleet.limits]\ntenants = true\n", "F:2: fleet.limits.tenants: is said without fleet.talk = true, and would do nothing"},
+        {"[fleet.limits]\ntenants = true\n",
+         "F:2: fleet.limits.tenants: is said without fleet.talk = true, and would do nothing"},
         {"[fleet]\ntalk = true\n[fleet.limits]\ncold = 12.5\nconnections = 90\n", ""},
-        {"[fleet.limits]\nconnections = 90\n", "F:2: fleet.limits.connections: is said without fleet.talk = true, and would do nothing"},
+        {"[fleet.limits]\nconnections = 90\n",
+         "F:2: fleet.limits.connections: is said without fleet.talk = true, and would do nothing"},
         {"[fleet]\ntalk = true\n[fleet.limits]\ncold = 0\n", "F:4: fleet.limits.cold: expected 0.1 to"},
-        {"[fleet]\ntalk = true\n[fleet.limits]\nconnections = 0.5\n", "F:4: fleet.limits.connections: expected a whole number"},
+        {"[fleet]\ntalk = true\n[fleet.limits]\nconnections = 0.5\n",
+         "F:4: fleet.limits.connections: expected a whole number"},
         {"[fleet]\ntalk = true\n[fleet.limits]\norigin = 0.2\n", "F:4: fleet.limits.origin: expected 1 to"},
         {"[fleet]\nzones = true\n", "F:2: fleet.zones: is said without talk = true, and would do nothing"},
-        {"[fleet]\ntalk = true\nregions = [\"a\"]\n", "F:3: fleet.regions: expected zones with blanks between, two at the least, found 'a'"},
-        {"[fleet]\ntalk = true\nregions = [\"a b\", \"c a\"]\n", "F:3: fleet.regions: zone 'a' stands in two of them"},
-        {"[fleet]\nverdicts = true\n", "F:2: fleet.verdicts: is said without talk = true, and would do nothing"},
+        {"[fleet]\ntalk = true\nregions = [\"a\"]\n",
+         "F:3: fleet.regions: expected zones with blanks between, two at the least, found 'a'"},
+        {"[fleet]\ntalk = true\nregions = [\"a b\", \"c a\"]\n",
+         "F:3: fleet.regions: zone 'a' stands in two of them"},
+        {"[fleet]\nverdicts = true\n",
+         "F:2: fleet.verdicts: is said without talk = true, and would do nothing"},
         {"[fleet]\ntalk = true\nbytes_a_second = 10\n", "F:3: fleet.bytes_a_second: expected 256 to"},
         {"[registry]\npath = \"/fleet\"\n", "F:1: registry.addresses: is missing; path needs it"},
         {"[registry]\naddresses = [\"here:2181\"]\npath = \"/fleet\"\n",
          "F:2: registry.addresses: expected HOST:PORT with a numeric host, found 'here:2181'"},
         {"[registry]\naddresses = [\"127.0.0.1:2181\"]\npath = \"/fleet/\"\n",
          "F:3: registry.path: expected a path such as \"/fleet\", found '/fleet/'"},
-        {"[log]\nlines_a_second = 0\nformat = 1\n", "F:3: log.format: expected one of \"human\", \"json\", found ''\nF:2: log.lines"},
+        {"[log]\nlines_a_second = 0\nformat = 1\n",
+         "F:3: log.format: expected one of \"human\", \"json\", found ''\nF:2: log.lines"},
     };
     for (const auto& c : cases) {
         const std::string all = said(c.text, [](const std::string& path) { (void)read_operator_file(path); });
@@ -85,22 +92,22 @@
 }
 
 const char* const kScenario =
-    "format = \"scenario 1\"\n"             // 1
-    "[day]\n"                               // 2
-    "length = \"20s\"\n"                    // 3
-    "[[server]]\n"                          // 4
-    "name = \"box\"\n"                      // 5
-    "count = 2\n"                           // 6
-    "[[operation]]\n"                       // 7
-    "name = \"read\"\n"                     // 8
-    "client_timeout = \"1s\"\n"             // 9
-    "[[tenant]]\n"                          // 10
-    "name = \"shops\"\n"                    // 11
-    "[[trouble]]\n"                         // 12
-    "what = \"silent\"\n"                   // 13
-    "who = [\"box-1\"]\n"                   // 14
-    "at = \"5s\"\n"                         // 15
-    "lasts = \"2s\"\n";                     // 16
+    "format = \"scenario 1\"\n"  // 1
+    "[day]\n"                    // 2
+    "length = \"20s\"\n"         // 3
+    "[[server]]\n"               // 4
+    "name = \"box\"\n"           // 5
+    "count = 2\n"                // 6
+    "[[operation]]\n"            // 7
+    "name = \"read\"\n"          // 8
+    "client_timeout = \"1s\"\n"  // 9
+    "[[tenant]]\n"               // 10
+    "name = \"shops\"\n"         // 11
+    "[[trouble]]\n"              // 12
+    "what = \"silent\"\n"        // 13
+    "who = [\"box-1\"]\n"        // 14
+    "at = \"5s\"\n"              // 15
+    "lasts = \"2s\"\n";          // 16
 
 TEST(Scenario, SaysWhatIsWrong) {
     const struct {
@@ -118,12 +125,16 @@
         {"silent", "slient", "F:13: trouble[0].what: expected one of \"silent\""},
         {"box-1", "box-3", "F:14: trouble[0].who: there is no 'box-3'; did you mean 'box-1'?"},
         {"who = [\"box-1\"]", "", "F:12: trouble[0].who: is missing; 'silent' needs a list of names"},
-        {"who = [\"box-1\"]", "who = \"box-1\"", "F:14: trouble[0].who: expected a list of texts, found a string"},
+        {"who = [\"box-1\"]", "who = \"box-1\"",
+         "F:14: trouble[0].who: expected a list of texts, found a string"},
         {"at = \"5s\"", "", "F:12: trouble[0].at: is missing"},
         {"at = \"5s\"", "at = \"21s\"", "F:15: trouble[0].at: expected 0s to 20s, found 21s"},
-        {"what = \"silent\"", "what = \"cut\"\nfrom = [\"room-z\"]", "F:14: trouble[0].from: there is no zone, node or server 'room-z'"},
-        {"what = \"silent\"", "what = \"cut\"", "F:12: trouble[0].from: is missing; 'cut' needs zones, nodes or servers"},
-        {"what = \"silent\"", "what = \"freeze\"\nnodes = [\"n9\"]", "F:14: trouble[0].nodes: there is no node 'n9'"},
+        {"what = \"silent\"", "what = \"cut\"\nfrom = [\"room-z\"]",
+         "F:14: trouble[0].from: there is no zone, node or server 'room-z'"},
+        {"what = \"silent\"", "what = \"cut\"",
+         "F:12: trouble[0].from: is missing; 'cut' needs zones, nodes or servers"},
+        {"what = \"silent\"", "what = \"freeze\"\nnodes = [\"n9\"]",
+         "F:14: trouble[0].nodes: there is no node 'n9'"},
         {"lasts = \"2s\"", "", "F:12: trouble[0].lasts: is missing; 'silent' needs it"},
         {"client_timeout = \"1s\"", "client_timeout = \"1s\"\nlatency_objective = \"2s\"",
          "F:10: operation[0].latency_objective: expected no more than client_timeout (1s), found 2s"},
@@ -144,14 +155,16 @@
 
 TEST(Scenario, TakesValuesPutOverIt) {
     const std::string path = file_with(kScenario);
-    const Scenario s = read_scenario(path, {"day.length=30s", "server.0.count=5", "clients.rate=77", "trouble.0.at=\"6s\"",
-                                            "clients.curve=[[\"0s\", 1.0], [\"10s\", 3.0]]"});
+    const Scenario s =
+        read_scenario(path, {"day.length=30s", "server.0.count=5", "clients.rate=77", "trouble.0.at=\"6s\"",
+                             "clients.curve=[[\"0s\", 1.0], [\"10s\", 3.0]]"});
     EXPECT_EQ(s.length, 30);
     EXPECT_EQ(s.kinds[0].count, 5);
     EXPECT_EQ(s.clients.rate, 77);
     EXPECT_EQ(s.troubles[0].at, 6);
     EXPECT_DOUBLE_EQ(at(s.clients.curve, 5, 1), 2);
-    EXPECT_EQ(s.server_names(), (std::vector<std::string>{"box-1", "box-2", "box-3", "box-4", "box-5", "origin"}));
+    EXPECT_EQ(s.server_names(),
+              (std::vector<std::string>{"box-1", "box-2", "box-3", "box-4", "box-5", "origin"}));
     for (const char* wrong : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
         EXPECT_THROW((void)read_scenario(path, {wrong}), BadFile) << wrong;
     }
@@ -163,8 +176,8 @@
     const struct {
         const char* text;
         double seconds;  // -1: none
-    } cases[] = {{"250ms", 0.25}, {"3s", 3}, {"1.5m", 90}, {"2h", 7200}, {"40us", 40e-6}, {"3", -1}, {"", -1},
-                 {"s", -1},       {"3 s", -1}, {"-3s", -1}, {"1.2.3s", -1}, {"3days", -1}};
+    } cases[] = {{"250ms", 0.25}, {"3s", 3}, {"1.5m", 90}, {"2h", 7200}, {"40us", 40e-6}, {"3", -1},
+                 {"", -1},        {"s", -1}, {"3 s", -1},  {"-3s", -1},  {"1.2.3s", -1},  {"3days", -1}};
     for (const auto& c : cases) {
         double seconds = -1;
         const bool sound = parse_duration(c.text, seconds);
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -1,5 +1,7 @@
-// The follower against the stand-in coordinator, without sockets: each step of the clock and each message is the
-// test's. What the decision module would be told is looked at after it.
+// The follower against the stand-in coordinator, without sockets: each step of the clock and each message is
+// the test's. What the decision module would be told is looked at after it.
+#include "follower.h"
+
 #include <gtest/gtest.h>
 
 #include <boost/random/mersenne_twister.hpp>
@@ -8,7 +10,6 @@
 #include <string>
 
 #include "coordinator.h"
-#include "follower.h"
 #include "jute.h"
 
 namespace {
@@ -27,19 +28,24 @@
                          },
                          [](std::uint64_t) {}}};
     Registrations registrations;
-    Follower follower{"/fleet", 4, registrations,
-                      [](const std::string&, const std::string& data, std::string& why) -> std::optional<Registration> {
-                          if (data == "bad") {
-                              why = "no address";
-                              return std::nullopt;
-                          }
-                          Registration r;
-                          r.address = data;
-                          return r;
-                      },
-                      {[this](const std::string& frame) { service.received(now, connection, frame.substr(4)); },
-                       [this](const char* why) { hung_up.emplace_back(why); },
-                       [this](const std::string& child, const std::string& why) { left_out.push_back(child + ": " + why); }}};
+    Follower follower{
+        "/fleet",
+        4,
+        registrations,
+        [](const std::string&, const std::string& data, std::string& why) -> std::optional<Registration> {
+            if (data == "bad") {
+                why = "no address";
+                return std::nullopt;
+            }
+            Registration r;
+            r.address = data;
+            return r;
+        },
+        {[this](const std::string& frame) { service.received(now, connection, frame.substr(4)); },
+         [this](const char* why) { hung_up.emplace_back(why); },
+         [this](const std::string& child, const std::string& why) {
+             left_out.push_back(child + ": " + why);
+         }}};
     std::int64_t owner = 0;
 
     Pair() {
@@ -47,9 +53,12 @@
         owner = service.open_session(0, 40);
     }
     void add(const std::string& name, const std::string& data = "127.0.0.1:1") {
-        EXPECT_EQ(service.create(now, owner, "/fleet/" + name, data, true, false), kit::CoordinatorError::none);
+        EXPECT_EQ(service.create(now, owner, "/fleet/" + name, data, true, false),
+                  kit::CoordinatorError::none);
+    }
+    void drop(const std::string& name) {
+        EXPECT_EQ(service.remove("/fleet/" + name), kit::CoordinatorError::none);
     }
-    void drop(const std::string& name) { EXPECT_EQ(service.remove("/fleet/" + name), kit::CoordinatorError::none); }
     void up() {
         ++connection;
         to_follower.clear();
@@ -68,7 +77,11 @@
     std::string told() {
         std::string all;
         for (const RegistrationChange& c : registrations.take_changes()) {
-            all += (all.empty() ? "" : " ") + std::string(c.standing == Standing::gone ? "-" : c.fresh ? "+" : "=") + c.who.name;
+            all += (all.empty() ? "" : " ") +
+                   std::string(c.standing == Standing::gone ? "-"
+                               : c.fresh                    ? "+"
+                                                            : "=") +
+                   c.who.name;
         }
         return all;
     }
@@ -103,7 +116,8 @@
     EXPECT_EQ(p.told(), "=c");
 }
 
-// A removal in the midst of the first reading does not pass a part for the whole: answers come in their order.
+// A removal in the midst of the first reading does not pass a part for the whole: answers come in their
+// order.
 TEST(Follower, ShowsNoPartOfTheFirstPicture) {
     Pair p;
     for (const char* name : {"a", "b", "c", "d", "e"}) p.add(name);
@@ -170,7 +184,8 @@
     EXPECT_EQ(p.registrations.standing(), 1U);
 }
 
-// Changes, losses and reconnections at random places between the messages: in the end the picture is the truth.
+// Changes, losses and reconnections at random places between the messages: in the end the picture is the
+// truth.
 TEST(Follower, EndsWithTheTruthWhateverTheOrder) {
     for (unsigned seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE(seed);
@@ -184,9 +199,14 @@
             switch (chance() % 8) {
                 case 0:
                 case 1:
-                    if (p.service.exists("/fleet/" + name)) p.drop(name); else p.add(name);
+                    if (p.service.exists("/fleet/" + name))
+                        p.drop(name);
+                    else
+                        p.add(name);
+                    break;
+                case 2:
+                    (void)p.service.set(p.now, "/fleet/" + name, "127.0.0.1:" + std::to_string(step));
                     break;
-                case 2: (void)p.service.set(p.now, "/fleet/" + name, "127.0.0.1:" + std::to_string(step)); break;
                 case 3:
                     if (chance() % 4 == 0) {
                         p.follower.broke(p.now);
@@ -194,7 +214,8 @@
                         p.up();
                     }
                     break;
-                default: (void)p.deliver_one();
+                default:
+                    (void)p.deliver_one();
             }
             p.follower.tick(p.now);
             if (!p.hung_up.empty()) {
@@ -220,7 +241,13 @@
         if (chance() % 2 == 0) p.deliver();
         std::string bytes(chance() % 80, '\0');
         for (char& b : bytes) b = static_cast<char>(chance());
-        if (chance() % 2 == 0) bytes = JuteWriter().number(static_cast<std::int32_t>(chance() % 4) - 1).long_number(9).number(0).payload() + bytes;
+        if (chance() % 2 == 0)
+            bytes = JuteWriter()
+                        .number(static_cast<std::int32_t>(chance() % 4) - 1)
+                        .long_number(9)
+                        .number(0)
+                        .payload() +
+                    bytes;
         p.follower.received(p.now, bytes);
         p.deliver();
         EXPECT_LE(p.registrations.standing(), 1U);
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -2,7 +2,6 @@
 // being bad is caught, and whatever happens nothing is left behind. Days are short and seeded; what they are
 // judged by are counts and rules, never how fast the machine is.
 #include <gtest/gtest.h>
-
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -114,7 +113,8 @@
     for (std::size_t n = 0; n < write.size(); ++n) EXPECT_EQ(read_command(write.substr(0, n), c), 0U) << n;
     EXPECT_EQ(read_command(write, c), write.size());
     EXPECT_EQ(c.value, "xyz");
-    for (const char* bad : {"mg k v Oa\r\n", "mg k x Oa Pc=r\r\n", "get k\r\n", "ms k y Oa Pc=r\r\n", "mg k v Pc=r\r\n"}) {
+    for (const char* bad :
+         {"mg k v Oa\r\n", "mg k x Oa Pc=r\r\n", "get k\r\n", "ms k y Oa Pc=r\r\n", "mg k v Pc=r\r\n"}) {
         EXPECT_GT(read_command(bad, c), 0U);
         EXPECT_EQ(c.kind, Command::Kind::malformed) << bad;
     }
@@ -204,7 +204,8 @@
         o.promised.latency_objective = 0.4;
         return o;
     };
-    s.operations = {operation("read", Repeat::idempotent, false, 80), operation("submit", Repeat::deduplicated, true, 12),
+    s.operations = {operation("read", Repeat::idempotent, false, 80),
+                    operation("submit", Repeat::deduplicated, true, 12),
                     operation("once", Repeat::non_idempotent, true, 8)};
     s.tenants = {{"shops", 1, 0}, {"partners", 1, 0}};
     s.clients.rate = 250;
@@ -316,8 +317,12 @@
 INSTANTIATE_TEST_SUITE_P(
     All, TroubleReaches,
     testing::Values(
-        Effect{"silent", trouble(TroubleKind::silent, 1, 1.5, {"box-1"}), [](const Played& p) { return says(p, "box-1: forward timed out") || says(p, "box-1: forward refused"); }},
-        Effect{"crash", trouble(TroubleKind::crash, 1, 1, {"box-1"}), [](const Played& p) { return says(p, "box-1: forward re"); }},
+        Effect{"silent", trouble(TroubleKind::silent, 1, 1.5, {"box-1"}),
+               [](const Played& p) {
+                   return says(p, "box-1: forward timed out") || says(p, "box-1: forward refused");
+               }},
+        Effect{"crash", trouble(TroubleKind::crash, 1, 1, {"box-1"}),
+               [](const Played& p) { return says(p, "box-1: forward re"); }},
         Effect{"slow", with(trouble(TroubleKind::slow, 1, 2, {"box-1"}), [](Trouble& x) { x.factor = 60; }),
                [](const Played& p) { return p.result.latencies[0].quantile(0.999) > 0.03; }},
         Effect{"cold_return", trouble(TroubleKind::cold_return, 1, 0, {"box-1"}),
@@ -330,27 +335,43 @@
                    for (std::size_t i = 0; i < 3; ++i) most = std::max(most, forwards(p, i, 1));
                    return most > 1.3 * (forwards(p, 0, 1) + forwards(p, 1, 1) + forwards(p, 2, 1)) / 3;
                }},
-        Effect{"origin_slow", with(trouble(TroubleKind::origin_slow, 1, 2), [](Trouble& x) { x.factor = 15; }),
+        Effect{"origin_slow",
+               with(trouble(TroubleKind::origin_slow, 1, 2), [](Trouble& x) { x.factor = 15; }),
                [](const Played& p) { return p.result.latencies[1].quantile(0.9) > 0.1; }},
-        Effect{"origin_stop", trouble(TroubleKind::origin_stop, 1, 1.5), [](const Played& p) { return p.result.origin_halts == 1 && says(p, "origin: forward timed out"); }},
+        Effect{"origin_stop", trouble(TroubleKind::origin_stop, 1, 1.5),
+               [](const Played& p) {
+                   return p.result.origin_halts == 1 && says(p, "origin: forward timed out");
+               }},
         Effect{"scan", with(trouble(TroubleKind::scan, 1, 1.5), [](Trouble& x) { x.part = 0.5; }),
                [](const Played& p) { return forwards(p, 3, 1) > 2 * forwards(p, 3, 0); }},
         Effect{"discovery_restart", trouble(TroubleKind::discovery_restart, 0.8, 2.4, {"box-2"}),
-               [](const Played& p) { return says(p, "connection lost") && says(p, "(whole list)") && forwards(p, 1, 2) == 0; }},
+               [](const Played& p) {
+                   return says(p, "connection lost") && says(p, "(whole list)") && forwards(p, 1, 2) == 0;
+               }},
         Effect{"drain", trouble(TroubleKind::drain, 0.5, 0, {"box-3"}),
                [](const Played& p) { return forwards(p, 2, 2) == 0 && forwards(p, 2, 0) > 0; }},
-        Effect{"remove", trouble(TroubleKind::remove, 0.3, 0.5, {"box-3"}), [](const Played& p) { return forwards(p, 2, 2) == 0; }},
-        Effect{"node_kill", trouble(TroubleKind::node_kill, 1, 0.5), [](const Played& p) { return marked(p, "node 0 serves again"); }},
-        Effect{"node_restart", trouble(TroubleKind::node_restart, 1, 0), [](const Played& p) { return marked(p, "has ended, exit code 0") && says(p, "told to end"); }},
-        Effect{"reload", trouble(TroubleKind::reload, 1, 0), [](const Played& p) { return says(p, "configuration read again"); }},
-        Effect{"reload_bad", trouble(TroubleKind::reload_bad, 1, 0), [](const Played& p) { return says(p, "not taken, the old one stays"); }},
-        Effect{"spoilt", trouble(TroubleKind::spoilt, 1, 1.5, {"box-1"}), [](const Played& p) { return says(p, "box-1: nonsense"); }},
+        Effect{"remove", trouble(TroubleKind::remove, 0.3, 0.5, {"box-3"}),
+               [](const Played& p) { return forwards(p, 2, 2) == 0; }},
+        Effect{"node_kill", trouble(TroubleKind::node_kill, 1, 0.5),
+               [](const Played& p) { return marked(p, "node 0 serves again"); }},
+        Effect{"node_restart", trouble(TroubleKind::node_restart, 1, 0),
+               [](const Played& p) { return marked(p, "has ended, exit code 0") && says(p, "told to end"); }},
+        Effect{"reload", trouble(TroubleKind::reload, 1, 0),
+               [](const Played& p) { return says(p, "configuration read again"); }},
+        Effect{"reload_bad", trouble(TroubleKind::reload_bad, 1, 0),
+               [](const Played& p) { return says(p, "not taken, the old one stays"); }},
+        Effect{"spoilt", trouble(TroubleKind::spoilt, 1, 1.5, {"box-1"}),
+               [](const Played& p) { return says(p, "box-1: nonsense"); }},
         Effect{"tricklers", with(trouble(TroubleKind::tricklers, 0.3, 3), [](Trouble& x) { x.count = 150; }),
                [](const Played& p) { return p.result.daemon_descriptors > 150; }},
-        Effect{"non_readers", with(trouble(TroubleKind::non_readers, 0.3, 3), [](Trouble& x) { x.count = 10; }),
-               [](const Played& p) { return p.result.verdict.forwards > p.result.verdict.invocations + 300; }},
-        Effect{"over_share", with(trouble(TroubleKind::over_share, 1, 1, {"partners"}), [](Trouble& x) { x.factor = 5; }),
-               [](const Played& p) { return p.result.verdict.seconds[1].asked > 1.5 * p.result.verdict.seconds[0].asked; }}),
+        Effect{
+            "non_readers", with(trouble(TroubleKind::non_readers, 0.3, 3), [](Trouble& x) { x.count = 10; }),
+            [](const Played& p) { return p.result.verdict.forwards > p.result.verdict.invocations + 300; }},
+        Effect{"over_share",
+               with(trouble(TroubleKind::over_share, 1, 1, {"partners"}), [](Trouble& x) { x.factor = 5; }),
+               [](const Played& p) {
+                   return p.result.verdict.seconds[1].asked > 1.5 * p.result.verdict.seconds[0].asked;
+               }}),
     [](const auto& one) { return one.param.name; });
 
 class NewsWithheld : public testing::TestWithParam<TroubleKind> {};
@@ -372,11 +393,15 @@
     Scenario s = small_day(6);
     s.nodes = 2;
     s.kinds[0].count = 5;
-    s.troubles = {trouble(TroubleKind::silent, 1, 2, {"box-1"}), trouble(TroubleKind::cold_return, 1.5, 0, {"box-2"}),
-                  trouble(TroubleKind::void_copies, 2, 0), with(trouble(TroubleKind::origin_slow, 2, 2), [](Trouble& x) { x.factor = 5; }),
+    s.troubles = {trouble(TroubleKind::silent, 1, 2, {"box-1"}),
+                  trouble(TroubleKind::cold_return, 1.5, 0, {"box-2"}),
+                  trouble(TroubleKind::void_copies, 2, 0),
+                  with(trouble(TroubleKind::origin_slow, 2, 2), [](Trouble& x) { x.factor = 5; }),
                   with(trouble(TroubleKind::hot_key, 2.2, 1), [](Trouble& x) { x.part = 0.4; }),
-                  trouble(TroubleKind::discovery_down, 1.2, 2), trouble(TroubleKind::node_kill, 2.5, 0.5),
-                  trouble(TroubleKind::spoilt, 3, 1, {"box-3"}), with(trouble(TroubleKind::tricklers, 1, 4), [](Trouble& x) { x.node = 1; })};
+                  trouble(TroubleKind::discovery_down, 1.2, 2),
+                  trouble(TroubleKind::node_kill, 2.5, 0.5),
+                  trouble(TroubleKind::spoilt, 3, 1, {"box-3"}),
+                  with(trouble(TroubleKind::tricklers, 1, 4), [](Trouble& x) { x.node = 1; })};
     const Played p = play(s);
     ASSERT_EQ(p.result.failed, "");
     EXPECT_TRUE(p.result.verdict.findings.empty()) << summary_text(p.plan, p.result);
@@ -399,7 +424,8 @@
 TEST_P(BadDaemon, IsCaughtWithTheInvocationNamed) {
     Scenario s = small_day(3);
     s.clients.rate = 120;
-    if (std::string(GetParam().mode) == "drained") s.troubles = {trouble(TroubleKind::drain, 0.5, 0, {"box-1"})};
+    if (std::string(GetParam().mode) == "drained")
+        s.troubles = {trouble(TroubleKind::drain, 0.5, 0, {"box-1"})};
     if (std::string(GetParam().mode) == "pusher") {
         s.length = 6;
         s.warm_within = 8;
@@ -432,22 +458,23 @@
     EXPECT_GE(found->trace.size(), 2U);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, BadDaemon,
-                         testing::Values(Bad{"", 0, ""}, Bad{"twice", 1, "second final answer"},
-                                         Bad{"mute", 1, "no final answer"}, Bad{"late", 1, "after the client timeout"},
-                                         Bad{"liar", 1, "no server made"}, Bad{"hangup", 0, ""},
-                                         Bad{"after", 1, "after the final answer"}, Bad{"repeat", 2, "non-idempotent"},
-                                         Bad{"throttle", 2, "throttled"}, Bad{"drained", 3, "drains"},
-                                         Bad{"pusher", 4, "pushed over"}, Bad{"crash", -1, ""}),
-                         [](const auto& one) { return std::string(*one.param.mode != '\0' ? one.param.mode : "control"); });
+INSTANTIATE_TEST_SUITE_P(
+    All, BadDaemon,
+    testing::Values(Bad{"", 0, ""}, Bad{"twice", 1, "second final answer"}, Bad{"mute", 1, "no final answer"},
+                    Bad{"late", 1, "after the client timeout"}, Bad{"liar", 1, "no server made"},
+                    Bad{"hangup", 0, ""}, Bad{"after", 1, "after the final answer"},
+                    Bad{"repeat", 2, "non-idempotent"}, Bad{"throttle", 2, "throttled"},
+                    Bad{"drained", 3, "drains"}, Bad{"pusher", 4, "pushed over"}, Bad{"crash", -1, ""}),
+    [](const auto& one) { return std::string(*one.param.mode != '\0' ? one.param.mode : "control"); });
 
 // ---- ends -----------------------------------------------------------------------------------------------
 
 TEST(Rehearsal, InterruptedItLeavesNothingBehindAndAPartialReport) {
     Scenario s = small_day(60);
     const auto begun = std::chrono::steady_clock::now();
-    const Played p = play(s, BROOKRELAY_PROGRAM,
-                          [&] { return std::chrono::steady_clock::now() - begun > std::chrono::milliseconds(1500); });
+    const Played p = play(s, BROOKRELAY_PROGRAM, [&] {
+        return std::chrono::steady_clock::now() - begun > std::chrono::milliseconds(1500);
+    });
     EXPECT_TRUE(p.result.was_interrupted);
     EXPECT_LT(p.result.length, 30);
     EXPECT_GT(p.result.verdict.invocations, 50U);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,5 +1,6 @@
-// Limits of the whole fleet, without sockets: leases by themselves, every order of a small fleet's faults to a depth,
-// and fleets whose demand moves, over a network written here. What must never be: parts in force above the whole.
+// Limits of the whole fleet, without sockets: leases by themselves, every order of a small fleet's faults to
+// a depth, and fleets whose demand moves, over a network written here. What must never be: parts in force
+// above the whole.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -87,7 +88,8 @@
     lies.taker.granted(lies.now, 2, {0, kWhole, n3});
     EXPECT_EQ(lies.taker.part(0, lies.now), Two::kBase) << "asked of another";
     lies.taker.granted(lies.now, 0, {0, kWhole, n3});
-    EXPECT_LE(lies.taker.part(0, lies.now), Two::kBase + Limits::most_lent(4)) << "who claims the whole gives what one may";
+    EXPECT_LE(lies.taker.part(0, lies.now), Two::kBase + Limits::most_lent(4))
+        << "who claims the whole gives what one may";
 }
 
 TEST(Limits, WhatIsNeededOrBorrowedIsNotLent) {
@@ -141,7 +143,8 @@
                 EXPECT_NEAR(sent, row.cold, row.slack) << row.nodes << " nodes, second " << second;
             }
         }
-        for (const Budgets::Limit& l : fleet[0].limits(105.99)) EXPECT_NEAR(l.need * row.cold, 50, 1) << "asked for, not what was sent";
+        for (const Budgets::Limit& l : fleet[0].limits(105.99))
+            EXPECT_NEAR(l.need * row.cold, 50, 1) << "asked for, not what was sent";
     }
 }
 
@@ -168,7 +171,8 @@
             EXPECT_GE(most, 1);
             all += most;
             // What it could use is told as a part, and of that it would get all that it wants.
-            for (const Budgets::Limit& l : b.limits(100)) EXPECT_GE(1 + l.need * (whole - 12), whole == 12 ? 1 : whole);
+            for (const Budgets::Limit& l : b.limits(100))
+                EXPECT_GE(1 + l.need * (whole - 12), whole == 12 ? 1 : whole);
         }
         EXPECT_LE(all, whole);
     }
@@ -185,7 +189,8 @@
     EXPECT_EQ(all[1].id, Budgets::id("tenant acme"));
 }
 
-// Tenants numbered otherwise by a reload keep their parts, and what a limit lent while it was none stays lent.
+// Tenants numbered otherwise by a reload keep their parts, and what a limit lent while it was none stays
+// lent.
 TEST(Budgets, PartsGoByTheLimitsNameWhateverItsNumber) {
     Budgets before(0, 2), after(1, 2);
     before.settle_in({true, 0, 0, 0}, {{"acme", 5}, {"bolt", 9}});
@@ -193,7 +198,8 @@
     EXPECT_EQ(before.limits(100)[0].id, after.limits(100)[1].id);
     Two t;
     const auto [number, want] = t.ask();
-    EXPECT_EQ(t.giver.wanted(t.now, 1, number, {want.limit + 1, want.crumbs}).crumbs, 0U) << "none that it knows";
+    EXPECT_EQ(t.giver.wanted(t.now, 1, number, {want.limit + 1, want.crumbs}).crumbs, 0U)
+        << "none that it knows";
 }
 
 TEST(Spending, SavesUpAQuarterOfASecondsAtTheMostHoweverLongItStood) {
@@ -211,8 +217,11 @@
 TEST(LimitsExplorer, InNoOrderOfFaultsIsMoreThanTheWholeInForceNorAPartLostForGood) {
     const int depth = static_cast<int>(said("LIMITS_DEPTH", 5));
     const model::Explored e = model::explore(Small(), depth);
-    std::printf("[ measured ] depth %d: %llu states, %llu ends, %.0f states/s; the demand has nine tenths %.2f s after the last fault at the most\n", depth,
-                static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.ends), static_cast<double>(e.states) / e.took, e.rest_most);
+    std::printf(
+        "[ measured ] depth %d: %llu states, %llu ends, %.0f states/s; the demand has nine tenths %.2f s "
+        "after the last fault at the most\n",
+        depth, static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.ends),
+        static_cast<double>(e.states) / e.took, e.rest_most);
     EXPECT_EQ(e.broken, "");
 }
 
@@ -226,10 +235,12 @@
         int busy;  // so many nodes have as much of the whole together, and the others the rest
         double theirs, others, bound;
     };
-    for (const Case& c : {Case{"3 nodes, all at one", 3, 0, 1, 0.9, 0, 6}, Case{"12 nodes, all at one", 12, 0, 1, 0.9, 0, 6},
-                          Case{"40 nodes, all at one", 40, 0, 1, 0.6, 0, 9}, Case{"40 nodes, four times as much at a tenth", 40, 0, 4, 0.4, 0.45, 8},
-                          Case{"12 nodes, 3 in 10 lost and doubled", 12, 0.3, 1, 0.9, 0, 9},
-                          Case{"300 nodes, four times as much at a tenth", 300, 0, 30, 0.4, 0.45, 20}}) {
+    for (const Case& c :
+         {Case{"3 nodes, all at one", 3, 0, 1, 0.9, 0, 6}, Case{"12 nodes, all at one", 12, 0, 1, 0.9, 0, 6},
+          Case{"40 nodes, all at one", 40, 0, 1, 0.6, 0, 9},
+          Case{"40 nodes, four times as much at a tenth", 40, 0, 4, 0.4, 0.45, 8},
+          Case{"12 nodes, 3 in 10 lost and doubled", 12, 0.3, 1, 0.9, 0, 9},
+          Case{"300 nodes, four times as much at a tenth", 300, 0, 30, 0.4, 0.45, 20}}) {
         std::vector<double> first, then;
         double most = 0, use = 0, looks = 0;
         for (std::uint64_t seed = 1; seed <= (c.nodes == 300 ? 2 : said("LIMITS_TRIALS", 10)); ++seed) {
@@ -253,8 +264,11 @@
         }
         std::sort(first.begin(), first.end());
         std::sort(then.begin(), then.end());
-        std::printf("[ measured ] %-36s has 0.95 of it after %.2f s (most %.2f), at another node after %.2f s (most %.2f); use then %.3f; in force at the most %.4f\n", c.name,
-                    first[first.size() / 2], first.back(), then[then.size() / 2], then.back(), use / looks, most);
+        std::printf(
+            "[ measured ] %-36s has 0.95 of it after %.2f s (most %.2f), at another node after %.2f s (most "
+            "%.2f); use then %.3f; in force at the most %.4f\n",
+            c.name, first[first.size() / 2], first.back(), then[then.size() / 2], then.back(), use / looks,
+            most);
         EXPECT_LE(most, 1.0) << c.name;
         EXPECT_LE(then.back(), c.bound) << c.name;
         EXPECT_GE(use / looks, c.loss > 0 ? 0.9 : 0.95) << c.name;
@@ -280,11 +294,14 @@
     for (std::uint64_t seed = 1; seed <= days; ++seed) {
         World w(8, seed);
         for (int i = 0; i < 24; ++i) {  // a fault or two of half a second to four, one after another
-            const int act = static_cast<int>(w.unit() * 9), n = static_cast<int>(w.unit() * 8), m = static_cast<int>(w.unit() * 8);
+            const int act = static_cast<int>(w.unit() * 9), n = static_cast<int>(w.unit() * 8),
+                      m = static_cast<int>(w.unit() * 8);
             w.network.loss = act == 0 ? 0.3 : act == 1 ? 1 : 0;
             w.network.doubled = act == 0 ? 0.5 : 0;
             w.network.slowest = act == 2 ? 3.5 : 0.03;
-            w.network.cut = [act, n](int a, int b) { return act == 3 ? (a < 4) != (b < 4) : act == 4 ? a == n : act == 5 && (a == n || b == n); };
+            w.network.cut = [act, n](int a, int b) {
+                return act == 3 ? (a < 4) != (b < 4) : act == 4 ? a == n : act == 5 && (a == n || b == n);
+            };
             w.frozen = {};
             if (act == 6) w.frozen = {n, m};
             if (act == 7) w.start(n);
@@ -299,8 +316,10 @@
         }
         most = std::max(most, w.most);
     }
-    std::printf("[ measured ] %llu days of 24 faults at 8 nodes: in force at the most %.4f of the whole; in use at the end of a fault %.2f of what could be\n",
-                static_cast<unsigned long long>(days), most, use / looks);
+    std::printf(
+        "[ measured ] %llu days of 24 faults at 8 nodes: in force at the most %.4f of the whole; in use at "
+        "the end of a fault %.2f of what could be\n",
+        static_cast<unsigned long long>(days), most, use / looks);
     EXPECT_LE(most, 1.0);
 }
 
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -1,6 +1,6 @@
-// Several processes of the program and faults between them: what nodes that talk find, let go of, and do not take
-// for true. The days are played on loopback in real time; what is looked at is what each node itself says of the
-// fleet at its operators' address, what the stand-ins counted, and the judge.
+// Several processes of the program and faults between them: what nodes that talk find, let go of, and do not
+// take for true. The days are played on loopback in real time; what is looked at is what each node itself
+// says of the fleet at its operators' address, what the stand-ins counted, and the judge.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,8 +18,10 @@
 using Which = std::function<bool(int node)>;
 bool all(int) { return true; }
 
-// Nodes of `which` whose newest view in [from, until) has the finding on `server`; and how many have a view at all.
-std::pair<int, int> holding(const Played& p, const std::string& server, double from, double until, const Which& which = all) {
+// Nodes of `which` whose newest view in [from, until) has the finding on `server`; and how many have a view
+// at all.
+std::pair<int, int> holding(const Played& p, const std::string& server, double from, double until,
+                            const Which& which = all) {
     std::map<int, bool> last;
     for (const FleetView& v : p.result.views) {
         if (v.time < from || v.time >= until || !which(v.node)) continue;
@@ -35,7 +37,8 @@
     });
 }
 // The first time from `from` on at which all of `which` hold it, or none does; -1: never.
-double when(const Played& p, const std::string& server, double from, bool all_hold, const Which& which = all) {
+double when(const Played& p, const std::string& server, double from, bool all_hold,
+            const Which& which = all) {
     std::set<double> times;
     for (const FleetView& v : p.result.views) times.insert(v.time);
     for (const double t : times) {
@@ -46,14 +49,17 @@
     return -1;
 }
 bool any_found(const Played& p) {
-    return std::any_of(p.result.views.begin(), p.result.views.end(), [](const FleetView& v) { return !v.found.empty(); });
+    return std::any_of(p.result.views.begin(), p.result.views.end(),
+                       [](const FleetView& v) { return !v.found.empty(); });
 }
 
-constexpr double kKnowMost = 8;  // s until all know, and until all have let go: docs/fleet.md has the distribution
+constexpr double kKnowMost =
+    8;  // s until all know, and until all have let go: docs/fleet.md has the distribution
 constexpr double kLetGoMost = 10;
 
-// Each node alone, without talk: no one's part of what a cold cache may be sent is a whole forward, and all of them ask for
-// the same popular keys. The kit's caches fall at what the settings allow and no chance beyond it.
+// Each node alone, without talk: no one's part of what a cold cache may be sent is a whole forward, and all
+// of them ask for the same popular keys. The kit's caches fall at what the settings allow and no chance
+// beyond it.
 struct ColdDay {
     const char* name;
     int nodes;
@@ -94,7 +100,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Days, ColdCaches,
-                         testing::Values(ColdDay{"thirty_uneven", 30, true, false}, ColdDay{"thirty_restarted", 30, false, true}),
+                         testing::Values(ColdDay{"thirty_uneven", 30, true, false},
+                                         ColdDay{"thirty_restarted", 30, false, true}),
                          [](const auto& c) { return c.param.name; });
 
 TEST(Processes, FindASlowCacheTogetherAndLetGoOfItAgain) {
@@ -103,7 +110,8 @@
     const Played p = play(s);
     const double knew = when(p, "box-5", 3, true);
     const double let_go = when(p, "box-5", 12, false);
-    std::printf("[ measured ] all of 8 knew after %.2f s, had let go %.2f s after it was well\n", knew - 3, let_go - 12);
+    std::printf("[ measured ] all of 8 knew after %.2f s, had let go %.2f s after it was well\n", knew - 3,
+                let_go - 12);
     ASSERT_GT(knew, 3) << p.told;
     EXPECT_LE(knew, 3 + kKnowMost);
     EXPECT_LE(let_go, 12 + kLetGoMost);
@@ -111,7 +119,8 @@
         if (other == 5) continue;
         EXPECT_FALSE(ever(p, "box-" + std::to_string(other))) << other;
     }
-    // While it was found bad the fleet's trials there are few, whatever each node would have tried for itself.
+    // While it was found bad the fleet's trials there are few, whatever each node would have tried for
+    // itself.
     double tried = 0;
     for (std::size_t second = 8; second < 12; ++second) tried += p.result.series.forwards[4][second];
     EXPECT_LE(tried / 4, 8) << "forwards a second to it";
@@ -124,15 +133,18 @@
     const Played p = play(s);
     EXPECT_FALSE(any_found(p)) << "a node whose own way is bad was believed";
     bool gone = false;
-    for (const FleetView& v : p.result.views) gone = gone || (v.time > 9 && v.time < 11 && v.node == 0 && v.states[2] == "gone");
+    for (const FleetView& v : p.result.views)
+        gone = gone || (v.time > 9 && v.time < 11 && v.node == 0 && v.states[2] == "gone");
     EXPECT_TRUE(gone) << "the one cut off counts as gone to the others";
     // And is known again soon after the cut.
-    const auto last = std::find_if(p.result.views.rbegin(), p.result.views.rend(), [](const FleetView& v) { return v.node == 0; });
+    const auto last = std::find_if(p.result.views.rbegin(), p.result.views.rend(),
+                                   [](const FleetView& v) { return v.node == 0; });
     ASSERT_NE(last, p.result.views.rend());
     EXPECT_EQ(last->states[2], "fresh");
 }
 
-// Both zones use the caches of one, as the other's drain; then one of these can no longer be reached from the second.
+// Both zones use the caches of one, as the other's drain; then one of these can no longer be reached from the
+// second.
 TEST(Processes, ACacheBadForOneZoneIsLeftByThatZoneAlone) {
     Scenario s = fleet_day(8, 2, 16);
     Trouble drain = trouble(TroubleKind::drain, 1, 0);
@@ -161,7 +173,8 @@
 
 TEST(Processes, HearThroughLossDoublingAndDisorder) {
     Scenario s = fleet_day(8, 1, 16);
-    for (const TroubleKind kind : {TroubleKind::lossy, TroubleKind::doubled, TroubleKind::reordered, TroubleKind::garbled}) {
+    for (const TroubleKind kind :
+         {TroubleKind::lossy, TroubleKind::doubled, TroubleKind::reordered, TroubleKind::garbled}) {
         Trouble t = links(kind, 1, 14, {"room-a"}, {"room-a"});
         t.part = kind == TroubleKind::garbled ? 0.05 : 0.3;
         t.delay = 0.4;
@@ -218,7 +231,8 @@
         EXPECT_TRUE(v.found.empty()) << "it acts on what it knew before, at " << v.time;
     }
     EXPECT_TRUE(woke);
-    EXPECT_TRUE(std::any_of(p.result.views.begin(), p.result.views.end(), [](const FleetView& v) { return v.node == 2 && v.doubts_itself; }));
+    EXPECT_TRUE(std::any_of(p.result.views.begin(), p.result.views.end(),
+                            [](const FleetView& v) { return v.node == 2 && v.doubts_itself; }));
 }
 
 TEST(Processes, AStarvedNodeThatCallsAllSlowMovesNobody) {
@@ -230,30 +244,36 @@
     EXPECT_FALSE(any_found(play(s)));
 }
 
-// Who sends from no peer's address says what he likes, in sound words: that all caches are bad, by many keepers.
+// Who sends from no peer's address says what he likes, in sound words: that all caches are bad, by many
+// keepers.
 TEST(Processes, AStrangersWordsAreNone) {
     Scenario s = fleet_day(4, 1, 8);
     Io io;
     using Udp = boost::asio::ip::udp;
     Udp::socket stranger(io, Udp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    const Played p = play(s, 1, [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
-        for (int i = 0; i < 50; ++i) {
-            for (const std::string& listen : listens) {
-                fleet::Datagram d;
-                d.node = i % 4;
-                d.stamp = {4'000'000'000U, 1000U + static_cast<std::uint32_t>(i)};
-                for (int c = 1; c <= 8; ++c) d.findings.push_back({fleet::subject_of("box-" + std::to_string(c)), (i + 1) % 4, d.stamp, 1, 9, 0});
-                const std::size_t colon = listen.find(':');
-                stranger.send_to(boost::asio::buffer(fleet::encode(d)),
-                                 Udp::endpoint(boost::asio::ip::make_address(listen.substr(0, colon)),
-                                               static_cast<unsigned short>(std::stoul(listen.substr(colon + 1)))));
+    const Played p =
+        play(s, 1, [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
+            for (int i = 0; i < 50; ++i) {
+                for (const std::string& listen : listens) {
+                    fleet::Datagram d;
+                    d.node = i % 4;
+                    d.stamp = {4'000'000'000U, 1000U + static_cast<std::uint32_t>(i)};
+                    for (int c = 1; c <= 8; ++c)
+                        d.findings.push_back(
+                            {fleet::subject_of("box-" + std::to_string(c)), (i + 1) % 4, d.stamp, 1, 9, 0});
+                    const std::size_t colon = listen.find(':');
+                    stranger.send_to(
+                        boost::asio::buffer(fleet::encode(d)),
+                        Udp::endpoint(boost::asio::ip::make_address(listen.substr(0, colon)),
+                                      static_cast<unsigned short>(std::stoul(listen.substr(colon + 1)))));
+                }
             }
-        }
-    });
+        });
     EXPECT_FALSE(any_found(p));
     for (int n = 0; n < 4; ++n) {
-        EXPECT_TRUE(std::any_of(p.result.views.begin(), p.result.views.end(),
-                                [n](const FleetView& v) { return v.node == n && v.strangers == 50; })) << n;
+        EXPECT_TRUE(std::any_of(p.result.views.begin(), p.result.views.end(), [n](const FleetView& v) {
+            return v.node == n && v.strangers == 50;
+        })) << n;
     }
 }
 
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -1,7 +1,6 @@
-// The program over real connections, each time with the bad order of events brought about: an answer, a close, a
-// signal or a connection that comes between two steps of the node.
+// The program over real connections, each time with the bad order of events brought about: an answer, a
+// close, a signal or a connection that comes between two steps of the node.
 #include <gtest/gtest.h>
-
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -44,7 +43,8 @@
         Act act{c.head + "\r\n" + body};
         act.close = !c.reset;
         act.reset = c.reset;
-        // The bytes are there before the end is: an end that came with them would prove nothing about a reset.
+        // The bytes are there before the end is: an end that came with them would prove nothing about a
+        // reset.
         act.wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
         return act;
     });
@@ -81,8 +81,8 @@
     EXPECT_LT(seconds() - asked, 0.65);
 }
 
-// What its head says is all there is to know: the write never ran, and whoever asked is told to come again, not that
-// it may have.
+// What its head says is all there is to know: the write never ran, and whoever asked is told to come again,
+// not that it may have.
 TEST(OriginWithoutLength, ARefusalCountsFromItsHead) {
     Around around;
     around.put = R"("at_most_once")";
@@ -143,9 +143,9 @@
 
 struct Gone {
     const char* name;
-    bool write;       // to the origin; else a read at a cache
+    bool write;  // to the origin; else a read at a cache
     bool may_cancel;
-    bool stopped;     // the process stands still, and finds the end and the connection in one turn of its loop
+    bool stopped;  // the process stands still, and finds the end and the connection in one turn of its loop
 };
 
 class ClientGoneBeforeItsConnection : public testing::TestWithParam<Gone> {};
@@ -159,7 +159,8 @@
     ScriptedPeer& server = c.write ? fleet.origin : fleet.caches.front();
     Late late(server);
     const auto command = [&c](const std::string& id) {
-        return c.write ? "ms k 1 O" + id + " Pc=put,d=60000,k=" + id + "\r\nx\r\n" : read_of("7f3a", id, 60000);
+        return c.write ? "ms k 1 O" + id + " Pc=put,d=60000,k=" + id + "\r\nx\r\n"
+                       : read_of("7f3a", id, 60000);
     };
     auto line = std::make_unique<Line>(own_loopback(), fleet.port());
     line->send("mn\r\n");
@@ -197,7 +198,8 @@
     {
         Line line(own_loopback(), fleet.port());
         std::string many;
-        for (int n = 0; n < 8000; ++n) many += read_of("k" + std::to_string(n), "p" + std::to_string(n), 60000);
+        for (int n = 0; n < 8000; ++n)
+            many += read_of("k" + std::to_string(n), "p" + std::to_string(n), 60000);
         line.send(many);
         wait_for([&] { return fleet.caches.front().heard().size() >= 8; });
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
@@ -207,13 +209,15 @@
     go = true;
     wait_for([&] { return fleet.ask(read_of("1", "after")) == "VA 5 Oafter\r\n"; });
     const auto heard = fleet.caches.front().heard();
-    EXPECT_EQ(std::count_if(heard.begin(), heard.end(), [](const std::string& m) { return id_in(m) != "after"; }),
-              static_cast<std::ptrdiff_t>(before));
+    EXPECT_EQ(
+        std::count_if(heard.begin(), heard.end(), [](const std::string& m) { return id_in(m) != "after"; }),
+        static_cast<std::ptrdiff_t>(before));
 }
 
 // ---- discovery that falls silent, comes late or tells of older times -------------------------------------
 
-// Discovery as the test lets it be: silent with its connections open, resetting, or answering a watch with what is new.
+// Discovery as the test lets it be: silent with its connections open, resetting, or answering a watch with
+// what is new.
 class Agent {
   public:
     enum class Way { answers, silent, resets, refuses };
@@ -234,8 +238,12 @@
             if (way == Way::refuses) return Act{http("", "503 Later")};
             const std::lock_guard lock(mutex_);
             const bool whole = held == 0;
-            return Act{http(R"({"seq":)" + std::to_string(version_) + R"(,"whole":)" + (whole ? "true" : "false") +
-                            R"(,"hosts":[)" + (whole ? all_ : version_ > held ? news_ : "") + "]}")};
+            return Act{http(R"({"seq":)" + std::to_string(version_) + R"(,"whole":)" +
+                            (whole ? "true" : "false") + R"(,"hosts":[)" +
+                            (whole             ? all_
+                             : version_ > held ? news_
+                                               : "") +
+                            "]}")};
         };
     }
     void has(const std::string& news, const std::string& all) {
@@ -302,8 +310,8 @@
                                          Outage{"asked_refusals", Agent::Way::refuses, 6, true}),
                          [](const auto& c) { return c.param.name; });
 
-// A list from before the one held would bring back servers that drain; only as the answer to a call for all that there
-// is does it count, since discovery may have lost its versions.
+// A list from before the one held would bring back servers that drain; only as the answer to a call for all
+// that there is does it count, since discovery may have lost its versions.
 TEST(OlderList, DoesNotBringBackWhatDrains) {
     std::atomic<int> step{0};
     std::string drain, old;
@@ -354,8 +362,8 @@
     }
 }
 
-// The repeat of a deduplicated write has to begin while the first is remembered. A long one begins with its last byte:
-// one that the origin does not take in for so long is taken back, since it has not run.
+// The repeat of a deduplicated write has to begin while the first is remembered. A long one begins with its
+// last byte: one that the origin does not take in for so long is taken back, since it has not run.
 TEST(Repeat, DoesNotBeginAfterItsWindow) {
     Around around;
     around.put = R"("deduplicated","group":"all","key_ttl_us":1000000)";
@@ -363,7 +371,8 @@
     const std::string value(2 * 1000 * 1000, 'v');
     std::atomic<int> whole{0};
     std::atomic<double> first_at{0}, last_at{0};
-    // The first forward is read whole and errs; the next is read late: its connection is up, its bytes are not taken.
+    // The first forward is read whole and errs; the next is read late: its connection is up, its bytes are
+    // not taken.
     fleet.origin.plays([&](const std::string& m) {
         if (m.size() < value.size()) return Act{};  // taken back
         if (whole++ == 0) first_at = seconds();
@@ -389,7 +398,8 @@
     explicit Slow(Fleet& fleet) : line_(own_loopback(), fleet.port()) {
         fleet.caches.front().plays([](const std::string& m) {
             if (id_in(m) != "slow") return hit(m);
-            return Act{"VA " + std::to_string(kLength) + " Oslow h1\r\n" + std::string(kLength, 'x') + "\r\n"};
+            return Act{"VA " + std::to_string(kLength) + " Oslow h1\r\n" + std::string(kLength, 'x') +
+                       "\r\n"};
         });
         line_.send(read_of("7f3a", "slow"));
     }
@@ -404,7 +414,8 @@
     Line line_;
 };
 
-// Closed outright, its connection was reset by the command that crossed, and the rest of the answer went with it.
+// Closed outright, its connection was reset by the command that crossed, and the rest of the answer went with
+// it.
 TEST(Closing, AtShutdownTakesNoAnswerAlong) {
     Fleet fleet(1);
     Slow slow(fleet);
@@ -415,7 +426,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     slow.expect_whole();
     const auto heard = fleet.caches.front().heard();
-    EXPECT_TRUE(std::none_of(heard.begin(), heard.end(), [](const std::string& m) { return id_in(m) == "crossing"; }));
+    EXPECT_TRUE(std::none_of(heard.begin(), heard.end(),
+                             [](const std::string& m) { return id_in(m) == "crossing"; }));
     EXPECT_EQ(fleet.exit_code(), 0);
 }
 
@@ -437,8 +449,8 @@
     slow.expect_whole();
 }
 
-// Half a command at the signal, its rest after the connections that rest are closed: taken, and so answered. A second
-// signal and a new configuration change nothing of it.
+// Half a command at the signal, its rest after the connections that rest are closed: taken, and so answered.
+// A second signal and a new configuration change nothing of it.
 TEST(Closing, WaitsForACommandThatIsHalfHere) {
     for (const int again : {0, SIGTERM, SIGHUP}) {
         Fleet fleet(1);
@@ -461,8 +473,8 @@
     }
 }
 
-// Clients that send on each connection for as long as it stays open: each command is answered, or its connection is
-// closed before it was read; none is sent on after the node ended its sending.
+// Clients that send on each connection for as long as it stays open: each command is answered, or its
+// connection is closed before it was read; none is sent on after the node ended its sending.
 TEST(Closing, OfClientsThatGoOnSendingLosesNothing) {
     Fleet fleet(1);
     std::atomic<bool> told{false};
@@ -495,8 +507,8 @@
 
 // ---- starting, and descriptors ---------------------------------------------------------------------------
 
-// Idle clients hold all descriptors that they may while discovery is down; it is heard all the same once it is back,
-// and so are operators and who comes to ask.
+// Idle clients hold all descriptors that they may while discovery is down; it is heard all the same once it
+// is back, and so are operators and who comes to ask.
 TEST(Descriptors, HeldByIdleClientsLeaveDiscoveryItsOwn) {
     Agent agent;
     Around around;
@@ -537,7 +549,8 @@
     for (std::thread& f : floods) f.join();
 }
 
-// Clients wait in the backlog before the process is there, say nothing, and discovery is down: it is ready all the same.
+// Clients wait in the backlog before the process is there, say nothing, and discovery is down: it is ready
+// all the same.
 TEST(Start, WithABacklogOfIdleClientsAndNoDiscoveryIsReadyInTime) {
     Around around;
     around.descriptors = 256;
--- a/tests/registrations_test.cpp
+++ b/tests/registrations_test.cpp
@@ -1,12 +1,13 @@
-// What is made of ephemeral registrations: views written by hand, and what the decision module is told of them.
+// What is made of ephemeral registrations: views written by hand, and what the decision module is told of
+// them.
+#include "registrations.h"
+
 #include <gtest/gtest.h>
 
 #include <cmath>
 #include <string>
 #include <vector>
 
-#include "registrations.h"
-
 namespace {
 
 using namespace brookrelay;
@@ -29,7 +30,11 @@
 std::string told(Registrations& r) {
     std::string all;
     for (const RegistrationChange& c : r.take_changes()) {
-        all += (all.empty() ? "" : " ") + std::string(c.standing == Standing::gone ? "-" : c.fresh ? "+" : "=") + c.who.name;
+        all += (all.empty() ? "" : " ") +
+               std::string(c.standing == Standing::gone ? "-"
+                           : c.fresh                    ? "+"
+                                                        : "=") +
+               c.who.name;
     }
     return all;
 }
@@ -127,7 +132,8 @@
     const struct {
         int all, go;
         bool doubted;
-    } cases[] = {{2, 2, false}, {3, 3, true}, {10, 1, false}, {10, 5, false}, {10, 6, true}, {1000, 500, false}};
+    } cases[] = {{2, 2, false},  {3, 3, true},  {10, 1, false},
+                 {10, 5, false}, {10, 6, true}, {1000, 500, false}};
     for (const auto& c : cases) {
         Registrations r;
         (void)r.view(0, 1, boxes(c.all));
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -1,6 +1,5 @@
 // Following over sockets: `brookrelay registry watch` against the stand-in coordinator, with what goes wrong.
 #include <gtest/gtest.h>
-
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -27,7 +26,8 @@
 
 class Watched {
   public:
-    Watched() : guard_(io_.get_executor()), server_(io_, clock_, own_loopback()), thread_([this] { io_.run(); }) {
+    Watched()
+        : guard_(io_.get_executor()), server_(io_, clock_, own_loopback()), thread_([this] { io_.run(); }) {
         path_ = testing::TempDir() + "registry-" + std::to_string(getpid());
         on_loop([this] {
             owner_ = server_.service().open_session(clock_.now(), 40);
@@ -39,8 +39,8 @@
             std::freopen((path_ + ".out").c_str(), "w", stdout);
             std::freopen((path_ + ".err").c_str(), "w", stderr);
             for (int fd = 3; fd < 1024; ++fd) close(fd);  // the server's sockets are not the watcher's
-            execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "registry", "watch", "--address", address.c_str(), "--path", "/fleet",
-                  "--session", "1.5", nullptr);
+            execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "registry", "watch", "--address", address.c_str(),
+                  "--path", "/fleet", "--session", "1.5", nullptr);
             _exit(127);
         }
     }
@@ -62,7 +62,8 @@
     void add(const std::string& name) {
         on_loop([&] {
             (void)server_.service().create(clock_.now(), owner_, "/fleet/" + name,
-                                           R"({"address":"127.0.0.1:11411","zone":"a","kind":"box"})", true, false);
+                                           R"({"address":"127.0.0.1:11411","zone":"a","kind":"box"})", true,
+                                           false);
         });
     }
     void drop(const std::string& name) {
@@ -72,7 +73,8 @@
     bool says(const std::string& text, const char* where = ".out") {
         for (int i = 0; i < 1000; ++i) {
             std::ifstream file(path_ + where);
-            if (std::string(std::istreambuf_iterator<char>(file), {}).find(text) != std::string::npos) return true;
+            if (std::string(std::istreambuf_iterator<char>(file), {}).find(text) != std::string::npos)
+                return true;
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
         }
         return false;
@@ -112,7 +114,8 @@
     EXPECT_TRUE(w.says("cold box-5"));
 }
 
-// A node that follows registrations: what stands there is asked, what goes is asked no more, what comes is asked.
+// A node that follows registrations: what stands there is asked, what goes is asked no more, what comes is
+// asked.
 TEST(Registry, ADaemonFollowsRegistrations) {
     Io io;
     const Clock clock;
@@ -133,17 +136,19 @@
     const std::string base = testing::TempDir() + "registered-" + std::to_string(getpid());
     int port = 0;
     close(bound_socket(port));
-    std::ofstream(base + ".json") << R"({"name":"n0","listen":")" << own_loopback() << ":" << port
-                                  << R"(","discovery":"127.0.0.1:1","seed":"1","known":{"seq":1,"whole":true,"hosts":[]},
+    std::ofstream(base + ".json")
+        << R"({"name":"n0","listen":")" << own_loopback() << ":" << port
+        << R"(","discovery":"127.0.0.1:1","seed":"1","known":{"seq":1,"whole":true,"hosts":[]},
  "settings":{"localities":["a"],"kinds":["m"],"permissions":{"cancel":true,"most_forwards":3,"connect_timeout_us":250000},
  "operations":[{"name":"read","repeat":"idempotent","client_timeout_us":2000000}]}})";
-    std::ofstream(base + ".toml") << "[registry]\naddresses = [\"" << server.address() << "\"]\npath = \"/fleet\"\n";
+    std::ofstream(base + ".toml") << "[registry]\naddresses = [\"" << server.address()
+                                  << "\"]\npath = \"/fleet\"\n";
     const pid_t child = fork();
     if (child == 0) {
         std::freopen((base + ".log").c_str(), "w", stderr);
         for (int fd = 3; fd < 1024; ++fd) close(fd);
-        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "serve", "--config", (base + ".json").c_str(), "--operator",
-              (base + ".toml").c_str(), nullptr);
+        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "serve", "--config", (base + ".json").c_str(),
+              "--operator", (base + ".toml").c_str(), nullptr);
         _exit(127);
     }
     boost::asio::executor_work_guard<Io::executor_type> guard(io.get_executor());
@@ -200,7 +205,8 @@
 
 TEST(Registration, IsReadAndChecked) {
     const Names names{{"a"}, {"box"}, {}, {}};
-    const Registration r = read_registration(R"({"address":"127.0.0.1:1","zone":"a","kind":"box","cell":3,"started_ms":2500})", names);
+    const Registration r = read_registration(
+        R"({"address":"127.0.0.1:1","zone":"a","kind":"box","cell":3,"started_ms":2500})", names);
     EXPECT_EQ(r.address, "127.0.0.1:1");
     EXPECT_EQ(r.cell, 3);
     EXPECT_DOUBLE_EQ(r.started, 2.5);
--- a/tests/zone_days_test.cpp
+++ b/tests/zone_days_test.cpp
@@ -1,6 +1,7 @@
-// A zone that fails, between processes: twelve daemons in three rooms, their caches lost, cut off, slow to die and back
-// cold, and the daemons themselves killed, frozen and cut off meanwhile. What is looked at is what each node says of
-// the zones at its operators' address, what the stand-ins counted second by second, and the judge.
+// A zone that fails, between processes: twelve daemons in three rooms, their caches lost, cut off, slow to
+// die and back cold, and the daemons themselves killed, frozen and cut off meanwhile. What is looked at is
+// what each node says of the zones at its operators' address, what the stand-ins counted second by second,
+// and the judge.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,9 +17,10 @@
 namespace {
 
 constexpr int kRooms = 3;
-constexpr double kLeave = 2.5;    // s until all nodes that ask there have left it: measured 1 s and the look's quarter
-constexpr double kReturn = 11;    // s until all use it in full again, once it answers
-constexpr double kTrials = 4;     // forwards a second of the whole fleet to a zone that is left
+constexpr double kLeave =
+    2.5;  // s until all nodes that ask there have left it: measured 1 s and the look's quarter
+constexpr double kReturn = 11;  // s until all use it in full again, once it answers
+constexpr double kTrials = 4;   // forwards a second of the whole fleet to a zone that is left
 
 Which in_room(int room) {
     return [room](int n) { return n % kRooms == room; };
@@ -26,12 +28,14 @@
 
 std::vector<std::string> caches_of(const Scenario& s, int room) {
     std::vector<std::string> names;
-    for (int c = room; c < s.kinds[0].count; c += static_cast<int>(s.zones.size())) names.push_back("box-" + std::to_string(c + 1));
+    for (int c = room; c < s.kinds[0].count; c += static_cast<int>(s.zones.size()))
+        names.push_back("box-" + std::to_string(c + 1));
     return names;
 }
 std::vector<std::string> nodes_of(const Scenario& s, int room) {
     std::vector<std::string> names;
-    for (int n = room; n < s.nodes; n += static_cast<int>(s.zones.size())) names.push_back("n" + std::to_string(n));
+    for (int n = room; n < s.nodes; n += static_cast<int>(s.zones.size()))
+        names.push_back("n" + std::to_string(n));
     return names;
 }
 void lose(Scenario& s, std::vector<std::string> who, double at, double lasts, bool cold = true) {
@@ -59,7 +63,8 @@
     for (int t = from; t < until; ++t) most = std::max(most, forwards(p, zone, t));
     return most;
 }
-// Looks at one node in a time of the day, each beside the most that others had then; how many could have shown it ahead.
+// Looks at one node in a time of the day, each beside the most that others had then; how many could have
+// shown it ahead.
 int looks(const Played& p, int node, double from, double until, const std::vector<int>& others) {
     std::map<int, double> newest;
     int telling = 0;
@@ -80,9 +85,12 @@
         if (nodes == 3) s.length = 16;
         lose(s, caches_of(s, 1), 5, 6);
         const Played p = play(s);
-        const double gone = when_all(p.result, 5, in_room(1), left(1)), back = when_all(p.result, 11, in_room(1), whole(1));
-        std::printf("[ measured ] %d daemons: left after %.2f s, in full use %.2f s after it answered; %.1f forwards a second there at the most meanwhile; origin at %.2f\n",
-                    nodes, gone - 5, back - 11, most_forwards(p, 1, 8, 11), origin_peak(p.result));
+        const double gone = when_all(p.result, 5, in_room(1), left(1)),
+                     back = when_all(p.result, 11, in_room(1), whole(1));
+        std::printf(
+            "[ measured ] %d daemons: left after %.2f s, in full use %.2f s after it answered; %.1f forwards "
+            "a second there at the most meanwhile; origin at %.2f\n",
+            nodes, gone - 5, back - 11, most_forwards(p, 1, 8, 11), origin_peak(p.result));
         EXPECT_LE(most_forwards(p, 1, 8, 11), kTrials);
         EXPECT_LT(origin_peak(p.result), 1);
         EXPECT_TRUE(always(p.result, in_room(0), whole(0)));
@@ -102,7 +110,9 @@
 TEST(ZoneDays, OneThatDiesSlowlyIsLeftOnceNothingThereAnswers) {
     Scenario s = fleet_day(12, kRooms, 22);
     const std::vector<std::string> caches = caches_of(s, 1);
-    for (std::size_t c = 0; c < caches.size(); ++c) lose(s, {caches[c]}, 4 + 5.0 / 3 * static_cast<double>(c), 13 - 4 - 5.0 / 3 * static_cast<double>(c), false);
+    for (std::size_t c = 0; c < caches.size(); ++c)
+        lose(s, {caches[c]}, 4 + 5.0 / 3 * static_cast<double>(c), 13 - 4 - 5.0 / 3 * static_cast<double>(c),
+             false);
     const Played p = play(s);
     EXPECT_TRUE(always(p.result, in_room(1), whole(1), 0, 8.9)) << "one cache of it still answers";
     const double gone = when_all(p.result, 9, in_room(1), left(1));
@@ -111,7 +121,8 @@
     EXPECT_GT(when_all(p.result, 13, in_room(1), whole(1)), 13);
 }
 
-// The first room's nodes use the second's caches, as their own drain; then only they cannot reach them any more.
+// The first room's nodes use the second's caches, as their own drain; then only they cannot reach them any
+// more.
 TEST(ZoneDays, ACutBetweenTwoZonesMovesThatPairAlone) {
     Scenario s = fleet_day(12, kRooms, 22);
     Trouble drain = trouble(TroubleKind::drain, 1, 0);
@@ -121,7 +132,8 @@
     const double gone = when_all(p.result, 6, in_room(0), left(1));
     std::printf("[ measured ] a cut between two zones: that pair left after %.2f s\n", gone - 6);
     ASSERT_GT(gone, 6) << p.told;
-    EXPECT_LE(gone, 6 + kLeave + 0.25) << "nodes are asked four times a second: what is seen may be so much older";
+    EXPECT_LE(gone, 6 + kLeave + 0.25)
+        << "nodes are asked four times a second: what is seen may be so much older";
     EXPECT_TRUE(always(p.result, in_room(1), whole(1)));
     EXPECT_TRUE(always(p.result, in_room(2), whole(1)));
     EXPECT_TRUE(always(p.result, in_room(0), whole(2))) << "which serves both now";
@@ -184,7 +196,10 @@
         up.push_back(n);
     }
     const double back = when_all(p.result, 20, in_room(1), whole(1));
-    std::printf("[ measured ] forwards in the three seconds it was up: %.0f, then %.0f of some 144; in full use %.1f s after it stayed\n", up[0], up[1], back - 20);
+    std::printf(
+        "[ measured ] forwards in the three seconds it was up: %.0f, then %.0f of some 144; in full use %.1f "
+        "s after it stayed\n",
+        up[0], up[1], back - 20);
     EXPECT_LE(up[1], 36);
     ASSERT_GT(back, 20) << p.told;
     EXPECT_LT(origin_peak(p.result), 1);
@@ -233,7 +248,9 @@
     Scenario s = fleet_day(10, 2, 14);
     s.troubles = {links(TroubleKind::cut, 4, 8, {"n1", "n3"}, caches_of(s, 1))};
     const Played p = play(s);
-    EXPECT_TRUE(always(p.result, [](int n) { return n != 1 && n != 3; }, whole(1))) << p.told;
+    EXPECT_TRUE(always(
+        p.result, [](int n) { return n != 1 && n != 3; }, whole(1)))
+        << p.told;
     bool doubted = false;
     for (const FleetView& v : p.result.views) doubted = doubted || v.zones[1] == "doubted";
     EXPECT_TRUE(doubted) << "it was said, and not believed";
@@ -247,7 +264,9 @@
     s.troubles = {kill};
     std::string address;
     const auto by_hand = [&address](const std::string& what) {
-        return std::system((std::string(BROOKRELAY_PROGRAM) + " fleet zones --address " + address + " " + what + " > /dev/null").c_str());
+        return std::system((std::string(BROOKRELAY_PROGRAM) + " fleet zones --address " + address + " " +
+                            what + " > /dev/null")
+                               .c_str());
     };
     const Played p = play(
         s, 1,
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -1,6 +1,6 @@
-// A zone left and taken back by many nodes, without sockets: the state machine by itself, fleets of 3 to 300 nodes on
-// a network written here, and an explorer that plays every order of a small world's faults to a depth. Seeds, depth
-// and bounds are those that docs/zones.md states.
+// A zone left and taken back by many nodes, without sockets: the state machine by itself, fleets of 3 to 300
+// nodes on a network written here, and an explorer that plays every order of a small world's faults to a
+// depth. Seeds, depth and bounds are those that docs/zones.md states.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,8 +36,8 @@
     std::vector<double> all;
     void print(const char* what) {
         std::sort(all.begin(), all.end());
-        std::printf("[ measured ] %-46s median %.2f s, 99 in 100 %.2f s, most %.2f s\n", what, all[all.size() / 2],
-                    all[std::min(all.size() - 1, all.size() * 99 / 100)], all.back());
+        std::printf("[ measured ] %-46s median %.2f s, 99 in 100 %.2f s, most %.2f s\n", what,
+                    all[all.size() / 2], all[std::min(all.size() - 1, all.size() * 99 / 100)], all.back());
     }
     double most() const { return *std::max_element(all.begin(), all.end()); }
 };
@@ -49,12 +49,14 @@
         double loss, bound;
     };
     const std::uint64_t seeds = said("ZONE_TRIALS", 10);
-    for (const Case& c : {Case{"12 nodes", 12, 0, 1.5}, Case{"40 nodes", 40, 0, 1.5}, Case{"40 nodes, 3 in 10 lost and doubled", 40, 0.3, 2.5},
+    for (const Case& c : {Case{"12 nodes", 12, 0, 1.5}, Case{"40 nodes", 40, 0, 1.5},
+                          Case{"40 nodes, 3 in 10 lost and doubled", 40, 0.3, 2.5},
                           Case{"300 nodes in 4 zones", 300, 0, 1.5}}) {
         const int zones = c.nodes == 300 ? 4 : 3;
         Spread to_leave, to_return;
         double tried = 0, seconds = 0, ahead = 0;
-        for (std::uint64_t seed = 1; seed <= (c.nodes == 300 ? std::max<std::uint64_t>(2, seeds / 10) : seeds); ++seed) {
+        for (std::uint64_t seed = 1;
+             seed <= (c.nodes == 300 ? std::max<std::uint64_t>(2, seeds / 10) : seeds); ++seed) {
             World w(c.nodes, zones, seed);
             if (c.nodes == 300) w.rate = 9;
             w.network.loss = w.network.doubled = c.loss;
@@ -69,17 +71,21 @@
             to_return.all.push_back(w.until(40, [&] {
                 // No node is far ahead of the others on the way back.
                 double least = 1, most = 0;
-                for (int n = 1; n < c.nodes; n += zones) least = std::min(least, w.part(n, 1)), most = std::max(most, w.part(n, 1));
+                for (int n = 1; n < c.nodes; n += zones)
+                    least = std::min(least, w.part(n, 1)), most = std::max(most, w.part(n, 1));
                 if (least > 0) ahead = std::max(ahead, most / least);
                 return w.all(1, in_use, 1);
             }));
-            for (int n = 0; n < c.nodes; ++n) EXPECT_GE(w.part(n, n % zones == 1 ? 0 : 1), 1) << "its neighbours leave nobody";
+            for (int n = 0; n < c.nodes; ++n)
+                EXPECT_GE(w.part(n, n % zones == 1 ? 0 : 1), 1) << "its neighbours leave nobody";
             // Half as much again as it may where nothing is unusual: docs/fleet.md.
             EXPECT_LE(w.network.sent_bytes / (w.now() - 100) / c.nodes, 1.5 * 1024) << c.name;
         }
         to_leave.print((std::string(c.name) + ", to leave").c_str());
         to_return.print((std::string(c.name) + ", to full use").c_str());
-        std::printf("[ measured ] %s: %.2f trials a second together; %.0f times the lowest part at the most\n", c.name, tried / seconds, ahead);
+        std::printf(
+            "[ measured ] %s: %.2f trials a second together; %.0f times the lowest part at the most\n",
+            c.name, tried / seconds, ahead);
         EXPECT_LE(to_leave.most(), c.bound) << c.name;
         EXPECT_LE(to_return.most(), 14) << c.name;
         EXPECT_LE(tried / seconds, 4) << "of the whole fleet, however many nodes";
@@ -88,7 +94,8 @@
 }
 
 TEST(ZoneFleet, AZoneWhereSomethingAnswersIsNotLeft) {
-    // By chance none of some nodes' first forwards goes to those that answer: they may leave it, never for long.
+    // By chance none of some nodes' first forwards goes to those that answer: they may leave it, never for
+    // long.
     for (const int up : {1, 2, 3}) {
         double gone = 0, looks = 0;
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -99,7 +106,10 @@
                 for (int n = 1; n < 12; n += 3) gone += w.part(n, 1) <= 0, ++looks;
             }
         }
-        std::printf("[ measured ] %d of 6 caches answer: left in %.3f of the time, 20 s from when the others fell silent\n", up, gone / looks);
+        std::printf(
+            "[ measured ] %d of 6 caches answer: left in %.3f of the time, 20 s from when the others fell "
+            "silent\n",
+            up, gone / looks);
         EXPECT_LE(gone / looks, up == 1 ? 0.25 : 0.05);
     }
 }
@@ -128,7 +138,9 @@
     w.answers = own_gone;  // so that the first zone's nodes use the second's caches
     w.run(4);
     EXPECT_TRUE(w.all(0, left, 0));
-    w.answers = [&](int node, int zone, int cache) { return own_gone(node, zone, cache) && !(node % 3 == 0 && zone == 1); };
+    w.answers = [&](int node, int zone, int cache) {
+        return own_gone(node, zone, cache) && !(node % 3 == 0 && zone == 1);
+    };
     w.run(4);
     EXPECT_TRUE(w.all(0, left, 1));
     EXPECT_TRUE(w.all(1, in_use, 1));
@@ -150,8 +162,8 @@
         }
         EXPECT_LE(w.until(60, [&] { return w.all(1, in_use, 1); }), 60) << "and it is back in the end";
     }
-    std::printf("[ measured ] forwards in its 3 s up, turn by turn: %.0f %.0f %.0f %.0f %.0f %.0f of 240\n", forwards[0], forwards[1], forwards[2],
-                forwards[3], forwards[4], forwards[5]);
+    std::printf("[ measured ] forwards in its 3 s up, turn by turn: %.0f %.0f %.0f %.0f %.0f %.0f of 240\n",
+                forwards[0], forwards[1], forwards[2], forwards[3], forwards[4], forwards[5]);
     EXPECT_LE((forwards[3] + forwards[4] + forwards[5]) / 3, 12);
 }
 
@@ -168,7 +180,8 @@
         if (!frozen) w.start(1), w.start(4);
         const double from = w.now();
         const double took = w.until(10, [&] { return w.part(1, 1) < 1 && w.part(4, 1) < 1; });
-        std::printf("[ measured ] %s in a ramp: %.2f s until it keeps to the others' step\n", frozen ? "woken" : "started", took);
+        std::printf("[ measured ] %s in a ramp: %.2f s until it keeps to the others' step\n",
+                    frozen ? "woken" : "started", took);
         EXPECT_LE(w.now() - from, 2.5);
         EXPECT_LE(w.until(30, [&] { return w.all(1, in_use, 1); }), 20);
     }
@@ -203,7 +216,9 @@
     std::uint32_t number = 1;
     std::vector<int> voters{0, 1, 2, 3, 4};
     double part = 1;
-    void says(int node, ZoneSight sight, int step = kStepWell) { z.heard(now, node, {1, ++number}, {{1, sight, step}}, 0); }
+    void says(int node, ZoneSight sight, int step = kStepWell) {
+        z.heard(now, node, {1, ++number}, {{1, sight, step}}, 0);
+    }
     void tick() {
         now += kStep;
         for (const Zones::Order& o : z.tick(now, voters, 0)) {
@@ -221,9 +236,12 @@
         int own_silent, own_answers, lost, object;
         bool leaves;
     };
-    for (const Case& c : {Case{"three say so, one of them this one", 2, 0, 2, 0, true}, Case{"two are too few", 2, 0, 1, 0, false},
-                          Case{"others alone, and it asked there in vain", 1, 0, 3, 0, true}, Case{"others, but it was answered", 0, 1, 4, 0, false},
-                          Case{"as many say that it answers", 2, 0, 2, 2, false}, Case{"by itself", 9, 0, 0, 0, false}}) {
+    for (const Case& c :
+         {Case{"three say so, one of them this one", 2, 0, 2, 0, true},
+          Case{"two are too few", 2, 0, 1, 0, false},
+          Case{"others alone, and it asked there in vain", 1, 0, 3, 0, true},
+          Case{"others, but it was answered", 0, 1, 4, 0, false},
+          Case{"as many say that it answers", 2, 0, 2, 2, false}, Case{"by itself", 9, 0, 0, 0, false}}) {
         Alone a;
         if (c.own_answers > 0) a.z.ended(a.now, 1, 1, ZoneEnd::strained);
         a.fails(c.own_silent);
@@ -260,7 +278,9 @@
         const auto others_say = [&](double now, int zone, int nodes) {
             for (Subject s = 0; s < 2; ++s) z.ended(now, zone, s, ZoneEnd::silent);
             z.ended(now, 0, 9, ZoneEnd::well);
-            for (int n = 1; n <= nodes; ++n) z.heard(now, n, {1, static_cast<std::uint32_t>(now * 10) + 1}, {{zone, ZoneSight::lost, kStepWell}}, 0);
+            for (int n = 1; n <= nodes; ++n)
+                z.heard(now, n, {1, static_cast<std::uint32_t>(now * 10) + 1},
+                        {{zone, ZoneSight::lost, kStepWell}}, 0);
             for (const Zones::Order& o : z.tick(now, voters, 0)) part[o.zone] = o.part;
         };
         others_say(110, 1, 2);
@@ -332,7 +352,8 @@
     a.tick();
     const auto second = [&](int strained) {
         for (int i = 0; i < 8; ++i) {
-            for (int n = 1; n <= 4; ++n) a.says(n, n <= strained ? ZoneSight::strained : ZoneSight::answers, kStepLeft + 2);
+            for (int n = 1; n <= 4; ++n)
+                a.says(n, n <= strained ? ZoneSight::strained : ZoneSight::answers, kStepLeft + 2);
             a.z.ended(a.now, 1, 1, ZoneEnd::well);
             a.tick();
         }
@@ -360,9 +381,12 @@
     for (const bool liar : {false, true}) {
         for (const bool begins_lost : {false, true}) {
             const model::Explored e = model::explore(Small(liar, begins_lost), depth);
-            std::printf("[ measured ] %s, %s: %llu states, %llu ends, %.0f states/s, at rest after %.1f s at the most\n", liar ? "one lies" : "all honest",
-                        begins_lost ? "from a lost zone" : "from a zone in use", static_cast<unsigned long long>(e.states),
-                        static_cast<unsigned long long>(e.ends), static_cast<double>(e.states) / e.took, e.rest_most);
+            std::printf(
+                "[ measured ] %s, %s: %llu states, %llu ends, %.0f states/s, at rest after %.1f s at the "
+                "most\n",
+                liar ? "one lies" : "all honest", begins_lost ? "from a lost zone" : "from a zone in use",
+                static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.ends),
+                static_cast<double>(e.states) / e.took, e.rest_most);
             EXPECT_EQ(e.broken, "");
         }
     }
