--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -35,113 +35,114 @@
 
 }  // namespace
 
-Management::Management(Timers& timers, Log& log, Asked asked)
-    : timers_(timers), log_(log), asked_(std::move(asked)) {}
+AdminServer::AdminServer(TimerQueue& timers, Log& log, OnRequest asked)
+    : timers_(timers), log_(log), on_request_(std::move(asked)) {}
 
-Management::~Management() { watch_listener(false); }
+AdminServer::~AdminServer() { watch_listener(false); }
 
-bool Management::listen(const std::string& address, std::string& complaint) {
+bool AdminServer::listen(const std::string& address, std::string& complaint) {
     listener_ = listen_on(address, complaint);
     if (listener_ == nullptr) return false;
     watch_listener(true);
     return true;
 }
 
-void Management::watch_listener(bool on) {
-    if (on == (accepting_ != nullptr)) return;
+void AdminServer::watch_listener(bool on) {
+    if (on == (accept_source_ != nullptr)) return;
     if (!on) {
-        g_source_destroy(accepting_);
-        g_source_unref(accepting_);
-        accepting_ = nullptr;
+        g_source_destroy(accept_source_);
+        g_source_unref(accept_source_);
+        accept_source_ = nullptr;
         return;
     }
-    accepting_ = g_socket_create_source(listener_.get(), G_IO_IN, nullptr);
-    g_source_set_priority(accepting_, G_PRIORITY_HIGH);
+    accept_source_ = g_socket_create_source(listener_.get(), G_IO_IN, nullptr);
+    g_source_set_priority(accept_source_, G_PRIORITY_HIGH);
     const GSocketSourceFunc ready = [](GSocket*, GIOCondition, gpointer self) -> gboolean {
-        static_cast<Management*>(self)->accept_ready();
+        static_cast<AdminServer*>(self)->accept_connections();
         return G_SOURCE_CONTINUE;
     };
-    g_source_set_callback(accepting_, G_SOURCE_FUNC(ready), this, nullptr);
-    g_source_attach(accepting_, nullptr);
+    g_source_set_callback(accept_source_, G_SOURCE_FUNC(ready), this, nullptr);
+    g_source_attach(accept_source_, nullptr);
 }
 
-void Management::accept_ready() {
+void AdminServer::accept_connections() {
     for (int n = 0; n < kAcceptsATurn; ++n) {
-        if (live_ >= kPlaces) make_room();
+        if (open_count_ >= kMaxCallers) evict_oldest();
         SocketRef socket(g_socket_accept(listener_.get(), nullptr, nullptr));
         if (socket == nullptr) break;
         const std::uint64_t id = ++last_id_;
         Caller& c = callers_[id];
-        ++live_;
-        c.limit = timers_.at(monotonic() + kCallMost, [this, id, &c] {
-            c.limit = {};
-            if (c.answered) return drop(id, c);
-            c.asked = true;
-            answer(id, 408, "no whole call in time");
+        ++open_count_;
+        c.timeout = timers_.schedule(monotonic_now() + kCallMost, [this, id, &c] {
+            c.timeout = {};
+            if (c.responded) return close(id, c);
+            c.request_read = true;
+            respond(id, 408, "no whole call in time");
         });
-        c.stream = std::make_unique<Stream>(
-            std::move(socket), kInMost, budget_, [this, id, &c](Stream::News what) { news(id, c, what); },
-            G_PRIORITY_HIGH);
+        c.connection = std::make_unique<TcpConnection>(
+            std::move(socket), kInMost, budget_,
+            [this, id, &c](TcpConnection::Event what) { on_event(id, c, what); }, G_PRIORITY_HIGH);
     }
     watch_listener(false);
-    accept_again_ = timers_.at(monotonic() + kAcceptPause, [this] {
-        accept_again_ = {};
+    accept_retry_timer_ = timers_.schedule(monotonic_now() + kAcceptPause, [this] {
+        accept_retry_timer_ = {};
         watch_listener(true);
     });
 }
 
 // Whoever is here longest without a whole call gives way; those who wait for their answer have it within a
 // turn.
-void Management::make_room() {
+void AdminServer::evict_oldest() {
     std::pair<const std::uint64_t, Caller>* first = nullptr;
     for (auto& entry : callers_) {
-        if (entry.second.stream->closed()) continue;
+        if (entry.second.connection->is_closed()) continue;
         if (first == nullptr) first = &entry;
-        if (!entry.second.asked) return drop(entry.first, entry.second);
+        if (!entry.second.request_read) return close(entry.first, entry.second);
     }
-    if (first != nullptr) drop(first->first, first->second);
+    if (first != nullptr) close(first->first, first->second);
 }
 
-void Management::news(std::uint64_t id, Caller& c, Stream::News what) {
-    if (what == Stream::News::ended) return drop(id, c);
-    if (what != Stream::News::input) return;
-    if (c.asked) return c.stream->take(c.stream->input().size());  // a body, or more than one call
+void AdminServer::on_event(std::uint64_t id, Caller& c, TcpConnection::Event what) {
+    if (what == TcpConnection::Event::closed) return close(id, c);
+    if (what != TcpConnection::Event::readable) return;
+    if (c.request_read)
+        return c.connection->consume(c.connection->input().size());  // a body, or more than one call
     HttpRequest call;
-    if (read_request(c.stream->input(), call) == 0 && !c.stream->full()) return;
-    c.asked = true;
-    c.stream->take(c.stream->input().size());
-    if (call.sound) return asked_(id, call);
-    answer(id, 400, "no call of HTTP/1.1");
+    if (parse_http_request(c.connection->input(), call) == 0 && !c.connection->is_read_buffer_full()) return;
+    c.request_read = true;
+    c.connection->consume(c.connection->input().size());
+    if (call.valid) return on_request_(id, call);
+    respond(id, 400, "no call of HTTP/1.1");
 }
 
-void Management::answer(std::uint64_t caller, int status, std::string_view text) {
+void AdminServer::respond(std::uint64_t caller, int status, std::string_view text) {
     const auto at = callers_.find(caller);
-    if (at == callers_.end() || at->second.stream->closed() || at->second.answered) return;
+    if (at == callers_.end() || at->second.connection->is_closed() || at->second.responded) return;
     Caller& c = at->second;
-    c.answered = true;
+    c.responded = true;
     std::string said = "HTTP/1.1 " + std::to_string(status) + " " + reason(status);
     said += "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(text.size() + 1);
     said.append("\r\nConnection: close\r\n\r\n").append(text).append("\n");
-    c.stream->write(said);
-    c.stream->finish();
-    timers_.call_off(c.limit);
-    c.limit = timers_.at(monotonic() + kLinger, [this, caller, &c] {
-        c.limit = {};
-        drop(caller, c);
+    c.connection->write(said);
+    c.connection->shutdown_write();
+    timers_.cancel(c.timeout);
+    c.timeout = timers_.schedule(monotonic_now() + kLinger, [this, caller, &c] {
+        c.timeout = {};
+        close(caller, c);
     });
 }
 
-void Management::drop(std::uint64_t id, Caller& c) {
-    if (c.stream->closed()) return;
-    timers_.call_off(c.limit);
-    c.stream->close();
-    --live_;
-    dropped_.push_back(id);
+void AdminServer::close(std::uint64_t id, Caller& c) {
+    if (c.connection->is_closed()) return;
+    timers_.cancel(c.timeout);
+    c.connection->close();
+    --open_count_;
+    closed_.push_back(id);
 }
 
-void Management::sweep() {
-    for (const std::uint64_t id : dropped_) callers_.erase(id);
-    dropped_.clear();
+void AdminServer::destroy_closed() {
+    for (const std::uint64_t id : closed_) callers_.erase(id);
+    closed_.clear();
 }
 
 }  // namespace brookrelay
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -12,51 +12,51 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/http1.h"
 #include "io/log.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
+#include "protocol/http1.h"
 
 namespace brookrelay {
 
-class Management {
+class AdminServer {
   public:
-    static constexpr std::size_t kPlaces = 8;
-    using Asked = std::function<void(std::uint64_t caller, const HttpRequest& call)>;
+    static constexpr std::size_t kMaxCallers = 8;
+    using OnRequest = std::function<void(std::uint64_t caller, const HttpRequest& call)>;
 
-    Management(Timers& timers, Log& log, Asked asked);
-    ~Management();
-    Management(const Management&) = delete;
-    Management& operator=(const Management&) = delete;
+    AdminServer(TimerQueue& timers, Log& log, OnRequest asked);
+    ~AdminServer();
+    AdminServer(const AdminServer&) = delete;
+    AdminServer& operator=(const AdminServer&) = delete;
 
     bool listen(const std::string& address, std::string& complaint);
-    void answer(std::uint64_t caller, int status, std::string_view text);
-    void sweep();
+    void respond(std::uint64_t caller, int status, std::string_view text);
+    void destroy_closed();
 
   private:
     struct Caller {
-        std::unique_ptr<Stream> stream;
-        bool asked = false;  // its call is whole, or hopeless
-        bool answered = false;
-        Timers::Handle limit;
+        std::unique_ptr<TcpConnection> connection;
+        bool request_read = false;  // its call is whole, or hopeless
+        bool responded = false;
+        TimerQueue::Handle timeout;
     };
 
     void watch_listener(bool on);
-    void accept_ready();
-    void make_room();
-    void news(std::uint64_t id, Caller& c, Stream::News what);
-    void drop(std::uint64_t id, Caller& c);
+    void accept_connections();
+    void evict_oldest();
+    void on_event(std::uint64_t id, Caller& c, TcpConnection::Event what);
+    void close(std::uint64_t id, Caller& c);
 
-    Timers& timers_;
+    TimerQueue& timers_;
     Log& log_;
-    Asked asked_;
+    OnRequest on_request_;
     ByteBudget budget_;  // never looked at: few places, each bounded by itself
     SocketRef listener_;
-    GSource* accepting_ = nullptr;
-    Timers::Handle accept_again_;
+    GSource* accept_source_ = nullptr;
+    TimerQueue::Handle accept_retry_timer_;
     std::map<std::uint64_t, Caller> callers_;  // the longest here in front
-    std::vector<std::uint64_t> dropped_;
-    std::size_t live_ = 0;
+    std::vector<std::uint64_t> closed_;
+    std::size_t open_count_ = 0;
     std::uint64_t last_id_ = 0;
 };
 
--- a/src/admin/admin_state.cpp
+++ b/src/admin/admin_state.cpp
@@ -40,15 +40,15 @@
 
 }  // namespace
 
-ByHand::ByHand(std::string folder) : folder_(std::move(folder)) {
+AdminState::AdminState(std::string folder) : folder_(std::move(folder)) {
     if (!folder_.empty()) mkdir(folder_.c_str(), 0700);
 }
 
-std::string ByHand::path(const char* what, const std::string& name) const {
+std::string AdminState::path(const char* what, const std::string& name) const {
     return folder_ + "/" + what + escaped(name);
 }
 
-bool ByHand::take_out(const std::string& name) {
+bool AdminState::drain(const std::string& name) {
     if (!folder_.empty()) {
         const int file = open(path("out-", name).c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
         if (file < 0) return false;
@@ -60,9 +60,9 @@
 }
 
 // By the file and not by what was seen last: it may have been taken out by another process just now.
-bool ByHand::call_back(const std::string& name, double wall) {
+bool AdminState::restore(const std::string& name, double wall) {
     if (folder_.empty()) {
-        if (of(name).out) states_[name] = {false, wall};
+        if (state_of(name).drained) states_[name] = {false, wall};
         return true;
     }
     const std::string out = path("out-", name);
@@ -75,16 +75,16 @@
     return true;
 }
 
-ByHand::State ByHand::of(const std::string& name) const {
+AdminState::ServerState AdminState::state_of(const std::string& name) const {
     const auto known = states_.find(name);
-    return known == states_.end() ? State{} : known->second;
+    return known == states_.end() ? ServerState{} : known->second;
 }
 
-std::vector<std::string> ByHand::look(double wall) {
+std::vector<std::string> AdminState::reload(double wall) {
     std::vector<std::string> changed;
     const std::unique_ptr<DIR, CloseFolder> folder(folder_.empty() ? nullptr : opendir(folder_.c_str()));
     if (folder == nullptr) return changed;
-    std::unordered_map<std::string, State> found;
+    std::unordered_map<std::string, ServerState> found;
     while (const dirent* entry = readdir(folder.get())) {
         const std::string_view file(entry->d_name);
         const bool out = file.starts_with(kOut);
@@ -101,11 +101,11 @@
         if (wall - at > kBackKept) {
             unlinkat(dirfd(folder.get()), entry->d_name, 0);
         } else {
-            found.try_emplace(name.get(), State{false, at});  // taken out again in between, it is out
+            found.try_emplace(name.get(), ServerState{false, at});  // taken out again in between, it is out
         }
     }
     for (const auto& [name, state] : found) {
-        if (of(name) != state) changed.push_back(name);
+        if (state_of(name) != state) changed.push_back(name);
     }
     for (const auto& [name, state] : states_) {
         if (!found.contains(name)) changed.push_back(name);
@@ -114,7 +114,7 @@
     return changed;
 }
 
-void ByHand::listed(const std::vector<std::string>& names) {
+void AdminState::record_listed(const std::vector<std::string>& names) {
     if (folder_.empty()) {
         listed_here_.insert(names.begin(), names.end());
         return;
@@ -131,11 +131,11 @@
     close(file);
 }
 
-bool ByHand::ever_listed(const std::string& name) const {
+bool AdminState::was_ever_listed(const std::string& name) const {
     return listed_here_.contains(name) || (!folder_.empty() && in_listed_file(name));
 }
 
-bool ByHand::in_listed_file(const std::string& name) const {
+bool AdminState::in_listed_file(const std::string& name) const {
     std::ifstream file(folder_ + "/listed");
     const std::string wanted = escaped(name);
     for (std::string line; std::getline(file, line);) {
--- a/src/admin/admin_state.h
+++ b/src/admin/admin_state.h
@@ -11,33 +11,33 @@
 
 namespace brookrelay {
 
-class ByHand {
+class AdminState {
   public:
-    struct State {
-        bool out = false;
-        double back_at = 0;  // wall clock; 0: it was never called back, or long ago
-        bool operator==(const State&) const = default;
+    struct ServerState {
+        bool drained = false;
+        double restored_at = 0;  // wall clock; 0: it was never called back, or long ago
+        bool operator==(const ServerState&) const = default;
     };
 
     // An empty folder's name: this process alone remembers, as long as it runs.
-    explicit ByHand(std::string folder);
+    explicit AdminState(std::string folder);
 
     // False: it could not be written, and nothing has changed.
-    bool take_out(const std::string& name);
-    bool call_back(const std::string& name, double wall);
-    State of(const std::string& name) const;
+    bool drain(const std::string& name);
+    bool restore(const std::string& name, double wall);
+    ServerState state_of(const std::string& name) const;
     // Whose state is another than at the last look, by whichever process.
-    std::vector<std::string> look(double wall);
+    std::vector<std::string> reload(double wall);
 
-    void listed(const std::vector<std::string>& names);
-    bool ever_listed(const std::string& name) const;
+    void record_listed(const std::vector<std::string>& names);
+    bool was_ever_listed(const std::string& name) const;
 
   private:
     std::string path(const char* what, const std::string& name) const;
     bool in_listed_file(const std::string& name) const;
 
     std::string folder_;
-    std::unordered_map<std::string, State> states_;
+    std::unordered_map<std::string, ServerState> states_;
     std::unordered_set<std::string> listed_here_;  // where there is no folder
 };
 
--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -80,7 +80,7 @@
     u.first_asked = now;
     if (!ask.counts) return;
     ++verdict_.users;
-    u.worth = terms_.operations[index(ask.operation)].billed_value;
+    u.worth = terms_.operations[index(ask.operation)].priority_weight;
     if (ask.tenant < 0) return;
     // What goes beyond a tenant's share in its second is worth less.
     std::vector<double>& asks = tenant_asks_[index(ask.tenant)];
@@ -137,10 +137,10 @@
         }
         User& u = users_[index(v.ask.user)];
         const double took = now - u.first_asked;
-        const double part = took <= op.latency_objective ? 1 : op.tardy_part;
+        const double part = took <= op.latency_objective ? 1 : op.late_value_ratio;
         u.earned = std::max(u.earned, u.worth * part);
     }
-    if (reply == Reply::throttled && op.repeat == Repeat::non_idempotent) {
+    if (reply == Reply::throttled && op.idempotency == Idempotency::none) {
         for (const int f : v.forwards) {
             if (!may_have_run(f, now)) continue;
             find(2, inv, now, forwards_[index(f)].last_byte,
@@ -203,15 +203,15 @@
     return !(f.outcome == Outcome::busy && f.over_at >= 0 && f.over_at <= at);
 }
 
-bool Auditor::drops_repeats(Scope scope, int first_server, int server) const {
+bool Auditor::drops_repeats(DeduplicationScope scope, int first_server, int server) const {
     if (server == first_server) return true;
     if (server == terms_.origin || first_server == terms_.origin) return false;
     switch (scope) {
-        case Scope::all:
+        case DeduplicationScope::all:
             return true;
-        case Scope::zone:
+        case DeduplicationScope::zone:
             return terms_.server_zones[index(server)] == terms_.server_zones[index(first_server)];
-        case Scope::cell:
+        case DeduplicationScope::cell:
             return terms_.server_cells[index(server)] == terms_.server_cells[index(first_server)];
     }
     return false;
@@ -273,14 +273,15 @@
              to() + " was sent " + seconds_text(f.first_byte - v.closed_at) + " after the final answer");
     }
     const Drain& drain = told_[index(v.ask.node)][index(f.server)];
-    if (drain.standing != Standing::ready && f.first_byte > drain.since + terms_.drain_grace + terms_.slack) {
+    if (drain.standing != EndpointState::ready &&
+        f.first_byte > drain.since + terms_.drain_grace + terms_.slack) {
         find(3, f.inv, f.first_byte, drain.since,
              to() + " began " + seconds_text(f.first_byte - drain.since) + " after node " +
                  std::to_string(v.ask.node) + " was told that it " +
-                 (drain.standing == Standing::gone ? "is gone" : "drains") + " (grace " +
+                 (drain.standing == EndpointState::removed ? "is gone" : "drains") + " (grace " +
                  seconds_text(terms_.drain_grace) + ")");
     }
-    if (op.repeat == Repeat::idempotent || v.forwards.empty()) return;
+    if (op.idempotency == Idempotency::idempotent || v.forwards.empty()) return;
     for (const int earlier : v.forwards) {
         if (!may_have_run(earlier, f.first_byte)) continue;
         const Forward& e = forwards_[index(earlier)];
@@ -288,20 +289,21 @@
             return " though forward " + std::to_string(earlier) + " to " + server_name(e.server) +
                    " may have run";
         };
-        if (op.repeat == Repeat::non_idempotent) {
+        if (op.idempotency == Idempotency::none) {
             find(2, f.inv, f.first_byte, e.last_byte, "non-idempotent: " + to() + " was sent" + after(),
                  false);
             return;
         }
-        if (!drops_repeats(op.scope, e.server, f.server)) {
+        if (!drops_repeats(op.deduplication_scope, e.server, f.server)) {
             find(2, f.inv, f.first_byte, e.last_byte,
                  "deduplicated: " + to() + " is outside the group that drops its repeats," + after(), false);
             return;
         }
-        if (f.last_byte > e.last_byte + op.dedup_window + terms_.slack) {
+        if (f.last_byte > e.last_byte + op.deduplication_window + terms_.slack) {
             find(2, f.inv, f.first_byte, e.last_byte,
                  "deduplicated: " + to() + " came " + seconds_text(f.last_byte - e.last_byte) +
-                     " later, when its mark is forgotten (" + seconds_text(op.dedup_window) + ")," + after());
+                     " later, when its mark is forgotten (" + seconds_text(op.deduplication_window) + ")," +
+                     after());
             return;
         }
     }
@@ -320,7 +322,7 @@
 void Auditor::judge_effects(int user, int forward) {
     User& u = users_[index(user)];
     const Operation& op = terms_.operations[index(u.operation)];
-    if (op.repeat == Repeat::idempotent) return;
+    if (op.idempotency == Idempotency::idempotent) return;
     if (u.first_effect < 0) {
         u.first_effect = forward;
         return;
@@ -329,7 +331,7 @@
     const Forward& second = forwards_[index(forward)];
     // A server that forgot its marks with a restart did this, not the node.
     const double restarted = servers_[index(second.server)].started;
-    if (op.repeat == Repeat::deduplicated && restarted > first.last_byte) return;
+    if (op.idempotency == Idempotency::idempotency_key && restarted > first.last_byte) return;
     find(2, second.inv, second.ran_at, second.ran_at,
          "its effect happened twice: forward " + std::to_string(u.first_effect) + " (invocation " +
              std::to_string(first.inv) + ") at " + stamp(first.ran_at) + " and forward " +
@@ -404,10 +406,10 @@
 
 // ---- discovery, nodes, and the watcher itself ------------------------------------------------------------
 
-void Auditor::told(double now, int node, int server, Standing standing, bool fresh_start) {
+void Auditor::told(double now, int node, int server, EndpointState standing, bool fresh_start) {
     Drain& d = told_[index(node)][index(server)];
     // Said again, it is no news: the grace runs from the first word.
-    const bool news = d.standing == Standing::ready || standing == Standing::ready;
+    const bool news = d.standing == EndpointState::ready || standing == EndpointState::ready;
     if (news) d = {standing, now};
     d.standing = standing;
     if (fresh_start) servers_[index(server)].told_start[index(node)] = true;
--- a/src/audit/auditor.h
+++ b/src/audit/auditor.h
@@ -122,7 +122,7 @@
     void pushed_over(double now, int server);
 
     // Discovery, as written to a node; `started` tells of a fresh start.
-    void told(double now, int node, int server, Standing standing, bool fresh_start);
+    void told(double now, int node, int server, EndpointState standing, bool fresh_start);
     void node_up(double now, int node);
     void node_killed(double now, int node);
     // Stopped from outside until then: what it holds meanwhile is nobody's fault but the stop's.
@@ -175,7 +175,7 @@
         bool by_clock = true;
     };
     struct Drain {
-        Standing standing = Standing::ready;
+        EndpointState standing = EndpointState::ready;
         double since = 0;
     };
 
@@ -188,7 +188,7 @@
     std::string operation_name(int operation) const;
     std::vector<std::string> trace(int inv) const;
     bool may_have_run(int forward, double at) const;
-    bool drops_repeats(Scope scope, int first_server, int server) const;
+    bool drops_repeats(DeduplicationScope scope, int first_server, int server) const;
     void close(int inv, double now, Close how);
     void judge_forward(int forward);
     void judge_effects(int user, int forward);
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -206,7 +206,7 @@
     double listed = 0;  // its size as listed last, lowered by its load where sizes are live
     double share = 1;   // of its keys that it takes, by the load that the list tells
     bool origin = false;
-    Standing standing = Standing::gone;
+    EndpointState standing = EndpointState::removed;
     double cold_since = -1e9;  // when it last started, as told or as guessed after a silence
     int out = 0;               // forwards from this node without an ending
     double answered = -1e9;    // when it last did
@@ -233,7 +233,7 @@
 
 struct Invocation {
     bool open = false;
-    Arrival what;
+    Request what;
     std::shared_ptr<const Deployment> rules;  // as they were when it came
 
     double due = 0;      // when its client stops waiting
@@ -262,12 +262,12 @@
         settle_in(deployment);
         retries_ = most_retries_ / 2;
         origin_gate_.limit =
-            std::clamp(kOriginStart / std::max(1, deployment.nodes), kLimitLeast, kOriginStartNode);
+            std::clamp(kOriginStart / std::max(1, deployment.node_count), kLimitLeast, kOriginStartNode);
     }
     // What this node learned of caches, of the origin and of its traffic stays; what the settings say of them
     // goes, and sizes and load are learned anew from the list that follows.
-    void redeployed(double, const Deployment& deployment) override {
-        const bool same_sizes = deployment.sizes == deployment_.sizes;
+    void on_configuration(double, const Deployment& deployment) override {
+        const bool same_sizes = deployment.endpoint_weights == deployment_.endpoint_weights;
         settle_in(deployment);
         for (Cache& c : caches_) {
             c.ring = -1;
@@ -280,37 +280,37 @@
         lean_ = leant_ = 0;
         zone_step_ = kZoneStep;
     }
-    Learned learned(double now) const override {
-        Learned l{reach_, pressure_, admitted_, origin_gate_.limit, origin_pace_, {}, {}};
-        for (const Kind& k : kinds_) l.kind_shares.push_back(k.share);
+    WarmStartSnapshot snapshot(double now) const override {
+        WarmStartSnapshot l{reach_, pressure_, admitted_, origin_gate_.limit, origin_pace_, {}, {}};
+        for (const Kind& k : kinds_) l.kind_traffic_shares.push_back(k.share);
         for (std::size_t i = 0; i < caches_.size(); ++i) {
             const Cache& c = caches_[i];
-            if (c.standing != Standing::ready || c.origin) continue;
-            l.caches.push_back({static_cast<int>(i), c.gate.limit, c.gate.pause_until - now, c.doubt.held});
+            if (c.standing != EndpointState::ready || c.origin) continue;
+            l.servers.push_back({static_cast<int>(i), c.gate.limit, c.gate.pause_until - now, c.doubt.held});
         }
         return l;
     }
     // At a start without it, time-outs teach which caches are slow, and meanwhile clients wait in all places.
-    void recall(double now, const Learned& l) override {
-        reach_ = std::clamp(l.reach, 0.0, 1.0);
-        pressure_ = std::clamp(l.pressure, 0.0, 1.0);
-        admitted_ = std::clamp(l.admitted, kAdmitLeast, 1.0);
-        origin_gate_.limit = std::clamp(l.origin_limit, kLimitLeast, kLimitMost);
-        origin_pace_ = std::max(l.origin_pace, 0.0);
-        for (std::size_t k = 0; k < std::min(kinds_.size(), l.kind_shares.size()); ++k)
-            kinds_[k].share = std::clamp(l.kind_shares[k], kKindLeast, 1.0);
-        for (const Learned::OfCache& of : l.caches) {
-            Cache& c = caches_[static_cast<std::size_t>(of.cache)];
-            c.gate.limit = std::clamp(of.limit, kLimitLeast, kLimitMost);
-            c.gate.pause_until = now + std::min(of.rest, kCachePauseMost);
-            if (of.suspect) suspect(c, now);
+    void restore(double now, const WarmStartSnapshot& l) override {
+        reach_ = std::clamp(l.spillover_ratio, 0.0, 1.0);
+        pressure_ = std::clamp(l.shedding_ratio, 0.0, 1.0);
+        admitted_ = std::clamp(l.admission_ratio, kAdmitLeast, 1.0);
+        origin_gate_.limit = std::clamp(l.origin_concurrency_limit, kLimitLeast, kLimitMost);
+        origin_pace_ = std::max(l.origin_latency, 0.0);
+        for (std::size_t k = 0; k < std::min(kinds_.size(), l.kind_traffic_shares.size()); ++k)
+            kinds_[k].share = std::clamp(l.kind_traffic_shares[k], kKindLeast, 1.0);
+        for (const WarmStartSnapshot::ServerSnapshot& of : l.servers) {
+            Cache& c = caches_[static_cast<std::size_t>(of.server)];
+            c.gate.limit = std::clamp(of.concurrency_limit, kLimitLeast, kLimitMost);
+            c.gate.pause_until = now + std::min(of.backoff_remaining, kCachePauseMost);
+            if (of.ejected) suspect(c, now);
         }
     }
     // With little traffic a node meets each cache too seldom to tell that one is slow or fails: what
     // others found is a doubt here too, unless own answers of late were quick. Covers caches lost before the
     // list says so; does harm when what those share is their own way, so it holds only while they say it, and
     // a quick answer here ends it.
-    void vouched(double now, int cache, bool bad, double apart) override {
+    void on_outlier_verdict(double now, int cache, bool bad, double apart) override {
         Cache& c = caches_[static_cast<std::size_t>(cache)];
         const bool known_well = c.failures == 0 && c.pace.count(now) > 0 && c.pace.mean(now) < kSilence;
         const bool anew = bad && !known_well && c.doubt.apart == 0;
@@ -322,7 +322,7 @@
     }
     // The nodes of this zone leave a zone as one and take it back by the same part of its keys at each. Left,
     // no one answer ends its doubt. Covers zones lost or cut off; harms if one that answers is left.
-    void zone_share(double now, int zone, double part, double apart) override {
+    void set_zone_weight(double now, int zone, double part, double apart) override {
         if (zone < 0 || zone >= pooled()) return;  // of other settings' zones
         Zone& z = zones_[static_cast<std::size_t>(zone)];
         for (std::size_t i = 0; part == 0 && z.part > 0 && i < caches_.size(); ++i) {
@@ -334,17 +334,17 @@
         z.doubt.apart = apart;
         z.part = part;
     }
-    void tenant_part(double, int tenant, double part) override {
+    void set_tenant_quota_share(double, int tenant, double part) override {
         if (tenant >= 0 && tenant < static_cast<int>(tenants_.size()))
             tenants_[static_cast<std::size_t>(tenant)].part = part;
     }
-    void listed(double, ListKind kind, const std::vector<Listing>& entries) override {
+    void on_endpoints(double, UpdateKind kind, const std::vector<Endpoint>& entries) override {
         ++list_turn_;
-        for (const Listing& e : entries) {
-            if (e.cache >= static_cast<int>(caches_.size()))
-                caches_.resize(static_cast<std::size_t>(e.cache) + 1);
-            Cache& c = caches_[static_cast<std::size_t>(e.cache)];
-            const double start = e.started > 0 ? e.started : -1e9;
+        for (const Endpoint& e : entries) {
+            if (e.server >= static_cast<int>(caches_.size()))
+                caches_.resize(static_cast<std::size_t>(e.server) + 1);
+            Cache& c = caches_[static_cast<std::size_t>(e.server)];
+            const double start = e.started_at > 0 ? e.started_at : -1e9;
             if (start > c.cold_since + 0.001 || c.hash != hash_name(e.name)) {
                 // Started anew, or another under this number: it has none of the faults or memory of the old.
                 Cache fresh;
@@ -354,7 +354,7 @@
                 fresh.cold_since = start;
                 c = fresh;
             }
-            c.cold_sent.span(deployment_.fall_time);
+            c.cold_sent.span(deployment_.overload_window);
             c.hash = hash_name(e.name);
             c.zone = std::clamp(e.zone, 0, pooled() - 1);
             c.cell = e.cell;
@@ -362,42 +362,45 @@
             if (c.kind >= static_cast<int>(kinds_.size()))
                 kinds_.resize(static_cast<std::size_t>(c.kind) + 1);
             c.origin = deployment_.origin_kind >= 0 && e.kind == deployment_.origin_kind;
-            c.standing = e.standing;
+            c.standing = e.state;
             Kind& k = kinds_[static_cast<std::size_t>(c.kind)];
-            if (deployment_.sizes != Sizes::untold && e.size > 0) k.size = std::max(k.size, e.size);
-            c.listed = e.size;
+            if (deployment_.endpoint_weights != EndpointWeights::absent && e.weight > 0)
+                k.size = std::max(k.size, e.weight);
+            c.listed = e.weight;
             c.seen = list_turn_;
         }
         for (Cache& c : caches_) {
-            if (kind != ListKind::change && c.seen != list_turn_) c.standing = Standing::gone;
+            if (kind != UpdateKind::delta && c.seen != list_turn_) c.standing = EndpointState::removed;
         }
         if (usual_size_ == 0) usual_size_ = usual_size();
         update_rings();
-        if (deployment_.sizes == Sizes::live && kind != ListKind::disk) weigh_listed_load();
-        if (kind != ListKind::disk) list_failures_ = 0;
+        if (deployment_.endpoint_weights == EndpointWeights::load_adjusted &&
+            kind != UpdateKind::cached_on_disk)
+            weigh_listed_load();
+        if (kind != UpdateKind::cached_on_disk) list_failures_ = 0;
         // What is on disk may be old in every line, so the list is asked for before anything else.
         // But nodes that start together would be turned away together, so each takes its turn by chance.
-        else if (deployment_.ask_for_list)
-            host_.wake(ask_spread() * draw(), token(Timer::list, 0, 0));
+        else if (deployment_.polls_endpoints)
+            host_.set_timer(ask_spread() * draw(), token(Timer::list, 0, 0));
     }
-    void list_failed(double) override {
+    void on_poll_failed(double) override {
         // Doubling with full jitter: all nodes lose the list at once, and its service has a fixed capacity.
         const double most = std::min({std::max(0.2, ask_spread()) * std::pow(2.0, list_failures_),
-                                      deployment_.ask_every / 2 + 0.2, kAskMost});
+                                      deployment_.poll_interval / 2 + 0.2, kAskMost});
         list_failures_ = std::min(list_failures_ + 1, 10);
-        host_.wake(most * (0.3 + 0.7 * draw()), token(Timer::list, 0, 0));
+        host_.set_timer(most * (0.3 + 0.7 * draw()), token(Timer::list, 0, 0));
     }
-    void arrived(double now, const Arrival& a) override {
-        if (a.inv >= static_cast<int>(invs_.size())) invs_.resize(static_cast<std::size_t>(a.inv) + 1);
-        Invocation& v = invs_[static_cast<std::size_t>(a.inv)];
+    void on_request(double now, const Request& a) override {
+        if (a.id >= static_cast<int>(invs_.size())) invs_.resize(static_cast<std::size_t>(a.id) + 1);
+        Invocation& v = invs_[static_cast<std::size_t>(a.id)];
         v.open = true;
         v.what = a;
         v.rules = rules_;
         if (!a.has_key) v.what.key = (static_cast<std::uint64_t>(chance_()) << 24) ^ chance_();
         const Operation& op = operation(v);
-        v.due = now + a.time_left;
+        v.due = now + a.time_remaining;
         v.in_time = now + op.latency_objective;
-        v.useful = op.tardy_part > 0 ? v.due : std::min(v.due, v.in_time);
+        v.useful = op.late_value_ratio > 0 ? v.due : std::min(v.due, v.in_time);
         v.forwards.clear();
         v.out = 0;
         v.missed_at = -1;
@@ -408,20 +411,21 @@
         look(now);
         v.over_share = over_share(v, now);
         v.came = count(v.what);
-        const bool shed = (v.over_share && draw() < pressure_) || (!a.write && draw() >= admitted_);
-        if (shed || v.useful - now <= 2 * deployment_.tick) {
+        const bool shed = (v.over_share && draw() < pressure_) || (!a.is_write && draw() >= admitted_);
+        if (shed || v.useful - now <= 2 * deployment_.tick_interval) {
             close(v);
             return;
         }
-        a.write&& origin_ >= 0 ? to_origin(v, now) : to_cache(v, now);
+        a.is_write&& origin_ >= 0 ? to_origin(v, now) : to_cache(v, now);
     }
-    void ended(double now, int inv, int forward, Ending ending, double took, bool over) override {
+    void on_attempt_finished(double now, int inv, int forward, AttemptOutcome ending, double took,
+                             bool over) override {
         Invocation& v = invs_[static_cast<std::size_t>(inv)];
         if (forward < 0 || forward >= static_cast<int>(v.forwards.size())) return;
         Forward& f = v.forwards[static_cast<std::size_t>(forward)];
         if (f.fate != Fate::out) return;
-        const bool never_ran = ending == Ending::busy || ending == Ending::refused ||
-                               ending == Ending::not_sent || ending == Ending::miss;
+        const bool never_ran = ending == AttemptOutcome::busy || ending == AttemptOutcome::refused ||
+                               ending == AttemptOutcome::not_sent || ending == AttemptOutcome::miss;
         f.fate = never_ran ? Fate::never_ran : Fate::may_have_run;
         --v.out;
         const int at = f.cache;
@@ -429,7 +433,7 @@
         --c.out;
         count_out(c, -1);
         c.used = now;
-        const Ending told = lost_alone(c, ending, now) ? Ending::errored : ending;
+        const AttemptOutcome told = lost_alone(c, ending, now) ? AttemptOutcome::failed : ending;
         judge(c, v, f, told, took, now);
         if (over) {
             v.open = false;
@@ -437,28 +441,28 @@
         }
         if (c.origin) origin_ended(v, told, took, now);
         if (!v.open || v.streaming) return;
-        if (ending == Ending::miss && !c.origin) {
+        if (ending == AttemptOutcome::miss && !c.origin) {
             if (v.missed_at < 0) v.missed_at = at;
             to_origin(v, now);
         } else if (v.out == 0 && v.wait == Wait::none) {
             again(v, now, c, ending);
         }
     }
-    void stream_started(double, int inv, int) override {
+    void on_stream_started(double, int inv, int) override {
         invs_[static_cast<std::size_t>(inv)].streaming = true;
     }
-    void client_left(double, int inv) override {
+    void on_client_closed(double, int inv) override {
         Invocation& v = invs_[static_cast<std::size_t>(inv)];
         if (!v.open) return;
         v.open = false;
         leave_wait(v);
         drop_copies(v);
     }
-    void probed(double, int, Ending, double) override {}
-    void woken(double now, std::uint64_t token) override {
+    void on_health_check(double, int, AttemptOutcome, double) override {}
+    void on_timer(double now, std::uint64_t token) override {
         const auto kind = static_cast<Timer>(token >> 56);
         if (kind == Timer::list) {
-            host_.watch_list();
+            host_.poll_endpoints();
         } else if (kind == Timer::origin) {
             next_from_queue(now);
         } else if (kind == Timer::expiry) {
@@ -495,19 +499,21 @@
     void settle_in(const Deployment& deployment) {
         deployment_ = deployment;
         rules_ = std::make_shared<const Deployment>(deployment);
-        rings_.assign(static_cast<std::size_t>(std::max(1, deployment.zones)) + 1, {});
+        rings_.assign(static_cast<std::size_t>(std::max(1, deployment.zone_count)) + 1, {});
         zones_.assign(rings_.size(), {});
         members_.assign(rings_.size(), 0);
         outs_.assign(rings_.size(), 0);
         tenants_.assign(deployment.tenants.size(), {});
         for (std::size_t t = 0; t < tenants_.size(); ++t) tenants_[t].quota = deployment.tenants[t].quota;
-        most_retries_ = std::clamp(kRetryMost / std::max(1, deployment.nodes), kRetryLeast, kRetryNode);
+        most_retries_ = std::clamp(kRetryMost / std::max(1, deployment.node_count), kRetryLeast, kRetryNode);
         retries_ = std::min(retries_, most_retries_);
         origin_target_ = 1;
         for (const Operation& op : deployment.operations)
             origin_target_ = std::min(origin_target_, kOriginPart * op.latency_objective);
     }
-    double ask_spread() const { return std::min(kAskApart * deployment_.nodes, deployment_.ask_every / 2); }
+    double ask_spread() const {
+        return std::min(kAskApart * deployment_.node_count, deployment_.poll_interval / 2);
+    }
     const Operation& operation(const Invocation& v) const {
         return v.rules->operations[static_cast<std::size_t>(v.what.operation)];
     }
@@ -523,7 +529,7 @@
     double usual_size() const {
         double sum = 0, caches = 0;
         for (const Cache& c : caches_) {
-            if (c.origin || c.standing == Standing::gone) continue;
+            if (c.origin || c.standing == EndpointState::removed) continue;
             sum += kinds_[static_cast<std::size_t>(c.kind)].size;
             ++caches;
         }
@@ -537,7 +543,7 @@
     // Only what came or went is touched: sorting all points at each change took most of a node's CPU.
     void update_rings() {
         const auto wanted = [](const Cache& c) {
-            return c.standing == Standing::ready && !c.origin ? c.zone : -1;
+            return c.standing == EndpointState::ready && !c.origin ? c.zone : -1;
         };
         const auto before = [this](const Point& a, const Point& b) {
             return a.at != b.at ? a.at < b.at : hash_of(a.cache) < hash_of(b.cache);
@@ -576,7 +582,7 @@
             Cache& c = caches_[i];
             c.ring = wanted(c);
             c.points = points_of(c);
-            if (c.origin && c.standing == Standing::ready && (origin_ < 0 || c.hash < hash_of(origin_)))
+            if (c.origin && c.standing == EndpointState::ready && (origin_ < 0 || c.hash < hash_of(origin_)))
                 origin_ = static_cast<int>(i);
             if (c.ring < 0) continue;
             ++members_[static_cast<std::size_t>(c.ring)];
@@ -614,7 +620,7 @@
             if (part > 0 && part < 1 && unit(mix(v.what.key * 7 ^ kRingSeed)) >= part) continue;
             // What a crowded cache declines would be more than its even share for a cold one next to it.
             if (declined && warmth(c, now) < 1) continue;
-            if (!welcome_cold(c, v, zone, now) || !host_.may_warm(p->cache)) continue;
+            if (!welcome_cold(c, v, zone, now) || !host_.admit_slow_start(p->cache)) continue;
             if (!last_resort && !within_share(c, v)) {
                 declined = true;
                 continue;
@@ -644,8 +650,8 @@
         return parts > 1 ? chance_() % static_cast<unsigned>(parts) : 0;
     }
     // Counted in two generations, so that a key is hot only while it is asked for.
-    int count(const Arrival& a) {
-        if (!a.has_key || a.write) return 0;
+    int count(const Request& a) {
+        if (!a.has_key || a.is_write) return 0;
         if (++counted_[0] > kHotSample) {
             std::swap(counts_[0], counts_[1]);
             counts_[0].clear();
@@ -681,37 +687,42 @@
     bool may_forward(const Invocation& v, int cache, double now) const {
         const Operation& op = operation(v);
         const Cache& to = caches_[static_cast<std::size_t>(cache)];
-        if (to.standing != Standing::ready) return false;
-        if (static_cast<int>(v.forwards.size()) >= v.rules->most_forwards) return false;
-        if (v.out > 0 && !deployment_.may_duplicate) return false;
-        if (op.repeat == Repeat::idempotent) return true;
+        if (to.standing != EndpointState::ready) return false;
+        if (static_cast<int>(v.forwards.size()) >= v.rules->max_attempts) return false;
+        if (v.out > 0 && !deployment_.may_hedge) return false;
+        if (op.idempotency == Idempotency::idempotent) return true;
         for (const Forward& f : v.forwards) {
             if (f.fate == Fate::never_ran) continue;
-            if (op.repeat == Repeat::non_idempotent) return false;
+            if (op.idempotency == Idempotency::none) return false;
             const Cache& from = caches_[static_cast<std::size_t>(f.cache)];
-            if (op.scope == Scope::zone && from.zone != to.zone) return false;
-            if (op.scope == Scope::cell && (from.cell != to.cell || from.zone != to.zone)) return false;
+            if (op.deduplication_scope == DeduplicationScope::zone && from.zone != to.zone) return false;
+            if (op.deduplication_scope == DeduplicationScope::cell &&
+                (from.cell != to.cell || from.zone != to.zone))
+                return false;
             // The margin: a repeat counts from when it gets there, behind a connect and a tick.
-            if (now + deployment_.connect_timeout + deployment_.tick >= f.sent + op.dedup_window)
+            if (now + deployment_.connect_timeout + deployment_.tick_interval >=
+                f.sent + op.deduplication_window)
                 return false;
         }
         return true;
     }
     bool may_throttle(const Invocation& v) const {
         const Operation& op = operation(v);
-        if (op.repeat == Repeat::idempotent) return true;
-        if (op.repeat == Repeat::deduplicated && op.scope == Scope::all) return true;
+        if (op.idempotency == Idempotency::idempotent) return true;
+        if (op.idempotency == Idempotency::idempotency_key &&
+            op.deduplication_scope == DeduplicationScope::all)
+            return true;
         return std::all_of(v.forwards.begin(), v.forwards.end(),
                            [](const Forward& f) { return f.fate == Fate::never_ran; });
     }
 
     // ---- what a cold cache may be sent -------------------------------------------------------------------
     double warmth(const Cache& c, double now) const {
-        if (deployment_.warm_within <= 0) return 1;
+        if (deployment_.slow_start_duration <= 0) return 1;
         const double age = std::max(0.0, now - c.cold_since);
-        if (age >= deployment_.warm_within) return 1;
-        return kColdSafety *
-               (deployment_.cold_from + (1 - deployment_.cold_from) * age / deployment_.warm_within);
+        if (age >= deployment_.slow_start_duration) return 1;
+        return kColdSafety * (deployment_.cold_capacity_ratio +
+                              (1 - deployment_.cold_capacity_ratio) * age / deployment_.slow_start_duration);
     }
     // The same keys at every node, more of them as it warms; and this node's part of rule 4's budget.
     bool welcome_cold(Cache& c, const Invocation& v, int zone, double now) {
@@ -725,13 +736,13 @@
     bool has_cold_budget(Cache& c, double warm, double now) {
         if (warm >= 1) return true;
         // What warm caches answer, not what they are sent: an overloaded fleet rejects most of that.
-        const double part = deployment_.fall_multiple * warm * c.points * answered_by_warm(c.zone, now);
+        const double part = deployment_.overload_multiple * warm * c.points * answered_by_warm(c.zone, now);
         // With many nodes each part is under one forward, and one each would be many: what it has over whole
         // ones is drawn for each fall time and node. The sum is the parts and chance, even if all ask for one
         const std::uint64_t own = mix(own_ ^ c.hash);
-        const double span = std::max(deployment_.fall_time, 0.1);
+        const double span = std::max(deployment_.overload_window, 0.1);
         const auto window = static_cast<std::uint64_t>(now / span + unit(own));
-        const double least = kColdLeast / std::max(1, deployment_.nodes);
+        const double least = kColdLeast / std::max(1, deployment_.node_count);
         const double most = std::max({kColdBudget * part, std::min(part, 1.0), least});
         return c.cold_sent.count(now) < std::floor(most + unit(mix(own + window)));
     }
@@ -740,14 +751,14 @@
     double answered_by_warm(int zone, double now) {
         std::array<double, 2> answers{}, points{};
         for (Cache& c : caches_) {
-            if (c.origin || c.standing != Standing::ready || warmth(c, now) < 1) continue;
+            if (c.origin || c.standing != EndpointState::ready || warmth(c, now) < 1) continue;
             for (std::size_t all = c.zone == zone ? 0 : 1; all < 2; ++all) {
                 answers[all] += c.pace.count(now);
                 points[all] += c.points;
             }
         }
         const std::size_t of = points[0] > 0 ? 0 : 1;
-        return points[of] == 0 ? 0 : deployment_.fall_time * answers[of] / points[of] / kPaceSpan;
+        return points[of] == 0 ? 0 : deployment_.overload_window * answers[of] / points[of] / kPaceSpan;
     }
     // Exception: machines of one kind that strain more than another take a lesser share of their keys, the
     // same ones at every node with that share. Nobody tells speeds, and the list's sizes may mislead.
@@ -823,9 +834,9 @@
     // answer from the zone as chance would seldom bring at the share that the best zone loses. Where tables
     // are full that share is high and so is the number. Covers racks and power lost by zone; when one zone
     // alone has full tables it turns from that zone for a trial's gap.
-    void judge_zone(const Cache& c, const Forward& f, Ending ending, double now) {
+    void judge_zone(const Cache& c, const Forward& f, AttemptOutcome ending, double now) {
         Zone& z = zones_[static_cast<std::size_t>(c.zone)];
-        if (ending == Ending::refused || ending == Ending::reset) {
+        if (ending == AttemptOutcome::refused || ending == AttemptOutcome::reset) {
             z.lost.add(now, 1);
             if (++z.run == 1) z.keep = keep_;
             double least = 1;
@@ -836,15 +847,16 @@
             if (pooled() < 2 || (z.doubt.held ? f.sent < z.doubt.since : chance)) return;
             if (!z.doubt.held) keep_ = std::max(keep_, z.keep);  // it was not for full tables
             z.doubt.raise(draw(), now);
-        } else if (ending != Ending::timed_out && ending != Ending::cancelled && ending != Ending::not_sent) {
+        } else if (ending != AttemptOutcome::timed_out && ending != AttemptOutcome::cancelled &&
+                   ending != AttemptOutcome::not_sent) {
             z.lost.add(now, 0);
             z.run = 0;
             z.doubt.held = z.doubt.apart > 0;  // left by the fleet, it is taken back by it
         }
     }
     // Exception: what a lost zone refuses is no sign of load.
-    bool lost_with_zone(const Cache& c, Ending ending) const {
-        return (ending == Ending::refused || ending == Ending::reset) && !c.origin &&
+    bool lost_with_zone(const Cache& c, AttemptOutcome ending) const {
+        return (ending == AttemptOutcome::refused || ending == AttemptOutcome::reset) && !c.origin &&
                zones_[static_cast<std::size_t>(c.zone)].doubt.held;
     }
     // Silent for long, it may have restarted: cold until the list says otherwise.
@@ -857,38 +869,40 @@
         if (!deployment_.may_cancel) return;
         for (Invocation& v : invs_) {
             if (!v.open || v.streaming || v.out != 1 || v.forwards.back().cache != cache) continue;
-            const Repeat repeat = operation(v).repeat;
-            if (repeat != Repeat::idempotent || now - v.forwards.back().sent < out_for) continue;
-            host_.cancel(v.what.inv, static_cast<int>(v.forwards.size()) - 1);
+            const Idempotency repeat = operation(v).idempotency;
+            if (repeat != Idempotency::idempotent || now - v.forwards.back().sent < out_for) continue;
+            host_.cancel_attempt(v.what.id, static_cast<int>(v.forwards.size()) - 1);
         }
     }
     // A suspect gets one invocation now and then, only one that may be forwarded again.
     bool trial_due(Doubt& d, const Invocation& v, double now) {
-        if (now < d.next_trial || operation(v).repeat != Repeat::idempotent || !v.forwards.empty())
+        if (now < d.next_trial || operation(v).idempotency != Idempotency::idempotent || !v.forwards.empty())
             return false;
         d.next_trial = now + (d.apart > 0 ? d.apart : d.trial_gap);
         return true;
     }
     // Exception: lost by its connection alone, while others are answered quickly: no sign of load or health.
-    bool lost_alone(Cache& c, Ending ending, double now) {
-        if (ending != Ending::timed_out && ending != Ending::reset) return false;
+    bool lost_alone(Cache& c, AttemptOutcome ending, double now) {
+        if (ending != AttemptOutcome::timed_out && ending != AttemptOutcome::reset) return false;
         return now - c.answered < kSilence && c.pace.mean(now) < kSilence;
     }
-    void judge(Cache& c, const Invocation& v, const Forward& f, Ending ending, double took, double now) {
+    void judge(Cache& c, const Invocation& v, const Forward& f, AttemptOutcome ending, double took,
+               double now) {
         const Operation& op = operation(v);
         if (!c.origin) judge_zone(c, f, ending, now);
         const bool with_zone = lost_with_zone(c, ending);
         if (!c.origin && !with_zone) {
-            const bool strain = ending == Ending::busy || ending == Ending::timed_out ||
-                                ending == Ending::refused || took > kStrainPart * op.latency_objective;
+            const bool strain = ending == AttemptOutcome::busy || ending == AttemptOutcome::timed_out ||
+                                ending == AttemptOutcome::refused ||
+                                took > kStrainPart * op.latency_objective;
             endings_.add(now, strain);
             more_endings_.add(now, strain);
-            lost_.add(now, ending == Ending::timed_out || took > op.latency_objective);
+            lost_.add(now, ending == AttemptOutcome::timed_out || took > op.latency_objective);
             kinds_[static_cast<std::size_t>(c.kind)].strains.add(now, strain);
         }
         switch (ending) {
-            case Ending::succeeded:
-            case Ending::miss:
+            case AttemptOutcome::succeeded:
+            case AttemptOutcome::miss:
                 c.failures = 0;
                 c.unanswered = c.out > 0 ? now : 0;
                 c.answered = now;
@@ -906,19 +920,19 @@
                 }
                 c.doubt.since = now;  // whatever it is, it was not silent until now
                 break;
-            case Ending::busy:
+            case AttemptOutcome::busy:
                 c.failures = 0;
                 c.unanswered = c.out > 0 ? now : 0;
                 if (!c.origin) ease_off(c, kHardCut, kPause, 0, now);
                 break;
-            case Ending::errored:
+            case AttemptOutcome::failed:
                 c.unanswered = c.out > 0 ? now : 0;
                 break;
-            case Ending::timed_out:
-            case Ending::refused:
-            case Ending::reset:
+            case AttemptOutcome::timed_out:
+            case AttemptOutcome::refused:
+            case AttemptOutcome::reset:
                 // A machine that has gone silent takes all of the connect time; a full table says so at once.
-                if (!with_zone && ending == Ending::refused &&
+                if (!with_zone && ending == AttemptOutcome::refused &&
                     took < kQuickRefusal * deployment_.connect_timeout)
                     keep_ = std::max(keep_ / 2, kKeepLeast);
                 if (f.sent < c.unanswered) c.unanswered = f.sent;
@@ -949,12 +963,12 @@
         c.connected = true;
         if (c.unanswered == 0) c.unanswered = now;
         if (!c.origin) c.cold_sent.add(now, 1);
-        host_.forward(v.what.inv, cache, limit);
+        host_.start_attempt(v.what.id, cache, limit);
     }
     void to_cache(Invocation& v, double now) {
         const int cache = choose(v, now);
         if (cache < 0) {
-            const bool straight = !v.what.write && origin_ >= 0 && members_.back() == 0;
+            const bool straight = !v.what.is_write && origin_ >= 0 && members_.back() == 0;
             straight ? to_origin(v, now) : close(v);
             return;
         }
@@ -963,13 +977,13 @@
     // After a failed forward: another if rule 2, the time left and the budget all allow it; but in a jam none
     // to a further cache: all are full, and each try costs one of them a handshake and a place in vain; and
     // none to an origin that the node did not send to: past its part of the fleet's limit it would not again.
-    void again(Invocation& v, double now, const Cache& from, Ending ending) {
+    void again(Invocation& v, double now, const Cache& from, AttemptOutcome ending) {
         // What a lost zone refused cost nobody work, so it needs no token while another zone stands.
         const auto stands = [](const Zone& z) { return !z.doubt.held; };
-        const bool free = ending == Ending::refused && lost_with_zone(from, ending) &&
+        const bool free = ending == AttemptOutcome::refused && lost_with_zone(from, ending) &&
                           std::any_of(zones_.begin(), zones_.end() - 1, stands);
-        const bool may = from.origin ? ending != Ending::not_sent : strained_ <= kJamStrain;
-        if (v.useful - now > 2 * deployment_.tick && (free || (retries_ >= 1 && may))) {
+        const bool may = from.origin ? ending != AttemptOutcome::not_sent : strained_ <= kJamStrain;
+        if (v.useful - now > 2 * deployment_.tick_interval && (free || (retries_ >= 1 && may))) {
             if (!free) retries_ -= 1;
             from.origin ? to_origin(v, now) : to_cache(v, now);
             return;
@@ -982,10 +996,10 @@
         leave_wait(v);
         if (may_throttle(v)) {
             const double wait = 0.2 + std::max(pressure_, 1 - admitted_) * (0.5 + draw());
-            const double advice = std::min(deployment_.longest_retry_advice, wait);
-            host_.throttle(v.what.inv, deployment_.longest_retry_advice > 0 ? advice : 0);
+            const double advice = std::min(deployment_.max_retry_after, wait);
+            host_.reject(v.what.id, deployment_.max_retry_after > 0 ? advice : 0);
         } else {
-            host_.error(v.what.inv);
+            host_.fail(v.what.id);
         }
         drop_copies(v);
     }
@@ -995,7 +1009,7 @@
         for (std::size_t i = 0; i < v.forwards.size(); ++i) {
             const Forward& f = v.forwards[i];
             if (f.fate == Fate::out && !caches_[static_cast<std::size_t>(f.cache)].origin)
-                host_.cancel(v.what.inv, static_cast<int>(i));
+                host_.cancel_attempt(v.what.id, static_cast<int>(i));
         }
     }
 
@@ -1006,11 +1020,11 @@
             if (v.out == 0) close(v);
             return;
         }
-        if (!v.what.write && v.what.has_key) {
+        if (!v.what.is_write && v.what.has_key) {
             // One fetch a key: a void or new popular key would otherwise cost a fetch for each who asks.
             const auto fetch = fetches_.find(v.what.key);
             if (fetch != fetches_.end()) {
-                fetch->second.push_back(v.what.inv);
+                fetch->second.push_back(v.what.id);
                 wait(v, Wait::fetch, now);
                 return;
             }
@@ -1018,7 +1032,7 @@
         if (origin_gate_.open(origin_out_, now)) {
             fetch_now(v, at, now);
         } else if (origin_wait(now) < v.useful - now) {
-            queue_.push_back(v.what.inv);
+            queue_.push_back(v.what.id);
             wait(v, Wait::queue, now);
         } else {
             close(v);
@@ -1032,7 +1046,7 @@
     }
     void fetch_now(Invocation& v, int at, double now) {
         ++origin_out_;
-        if (!v.what.write && v.what.has_key) {
+        if (!v.what.is_write && v.what.has_key) {
             fetches_[v.what.key];
             v.leads = true;
         }
@@ -1040,18 +1054,18 @@
     }
     void wait(Invocation& v, Wait how, double now) {
         v.wait = how;
-        host_.wake(std::max(v.useful - now - 2 * deployment_.tick, 0.0),
-                   token(Timer::expiry, v.turn, v.what.inv));
+        host_.set_timer(std::max(v.useful - now - 2 * deployment_.tick_interval, 0.0),
+                        token(Timer::expiry, v.turn, v.what.id));
     }
     void leave_wait(Invocation& v) {
-        if (v.wait == Wait::queue) std::erase(queue_, v.what.inv);
+        if (v.wait == Wait::queue) std::erase(queue_, v.what.id);
         if (v.wait == Wait::fetch) {
             const auto fetch = fetches_.find(v.what.key);
-            if (fetch != fetches_.end()) std::erase(fetch->second, v.what.inv);
+            if (fetch != fetches_.end()) std::erase(fetch->second, v.what.id);
         }
         v.wait = Wait::none;
     }
-    void origin_ended(Invocation& v, Ending ending, double took, double now) {
+    void origin_ended(Invocation& v, AttemptOutcome ending, double took, double now) {
         --origin_out_;
         adapt_origin(ending, took, now);
         std::vector<int> waiting;
@@ -1065,7 +1079,7 @@
             Invocation& w = invs_[static_cast<std::size_t>(inv)];
             w.wait = Wait::none;
             Cache& missed = caches_[static_cast<std::size_t>(std::max(v.missed_at, 0))];
-            if (ending == Ending::succeeded && v.missed_at >= 0 && may_forward(w, v.missed_at, now) &&
+            if (ending == AttemptOutcome::succeeded && v.missed_at >= 0 && may_forward(w, v.missed_at, now) &&
                 has_cold_budget(missed, warmth(missed, now), now)) {
                 send(w, v.missed_at, w.useful - now, now);  // it is stored there now
             } else {
@@ -1077,8 +1091,8 @@
     double still_earns(const Invocation& v, double now) const {
         const Operation& op = operation(v);
         const bool late = now + origin_pace_ > v.in_time;
-        return op.billed_value * (late ? op.tardy_part : 1) *
-               (v.over_share ? deployment_.beyond_share_part : 1);
+        return op.priority_weight * (late ? op.late_value_ratio : 1) *
+               (v.over_share ? deployment_.over_quota_value_ratio : 1);
     }
     void next_from_queue(double now) {
         while (origin_gate_.open(origin_out_, now) && !queue_.empty()) {
@@ -1096,17 +1110,18 @@
             to_origin(w, now);
         }
     }
-    void adapt_origin(Ending ending, double took, double now) {
-        if (ending == Ending::succeeded) {
+    void adapt_origin(AttemptOutcome ending, double took, double now) {
+        if (ending == AttemptOutcome::succeeded) {
             origin_pace_ = origin_pace_ == 0 ? took : origin_pace_ + (took - origin_pace_) / 8;
             if (origin_pace_ > origin_target_)
                 origin_gate_.cut(kGentleCut, std::max(origin_pace_, 0.05), origin_out_, now);
             else
                 origin_gate_.grow(origin_out_);
-        } else if (ending != Ending::cancelled && ending != Ending::not_sent && ending != Ending::errored) {
+        } else if (ending != AttemptOutcome::cancelled && ending != AttemptOutcome::not_sent &&
+                   ending != AttemptOutcome::failed) {
             origin_gate_.cut(kHardCut, std::max(origin_pace_, 0.05), origin_out_, now);
             if (origin_gate_.rest(draw(), kOriginPauseMost, now))
-                host_.wake(origin_gate_.pause_until - now, token(Timer::origin, 0, 0));
+                host_.set_timer(origin_gate_.pause_until - now, token(Timer::origin, 0, 0));
         }
     }
 
@@ -1130,7 +1145,7 @@
         if (now - looked_ < kPressureLook) return;
         looked_ = now;
         close_idle(now);
-        const bool live = deployment_.sizes == Sizes::live;
+        const bool live = deployment_.endpoint_weights == EndpointWeights::load_adjusted;
         if (!live) weigh_kinds(now);
         strained_ = endings_.mean(now);
         if (!live) {
@@ -1147,18 +1162,19 @@
         for (Share& s : tenants_) {
             if (s.quota > 0) parts.push_back(s.arrivals.sum(now) / kPaceSpan / s.quota);
         }
-        node_part_ = 1.0 / std::max(1, deployment_.nodes);
+        node_part_ = 1.0 / std::max(1, deployment_.node_count);
         std::sort(parts.begin(), parts.end());
         if (!parts.empty()) node_part_ = std::clamp(parts[parts.size() / 2], node_part_, 1.0);
     }
     // An idle connection is kept until it closes by itself; after refusals for less: they fill the tables.
     void close_idle(double now) {
-        const double most = deployment_.connection_idle > 0 ? deployment_.connection_idle : 1e9;
+        const double most =
+            deployment_.connection_idle_timeout > 0 ? deployment_.connection_idle_timeout : 1e9;
         keep_ = std::min(keep_ * kKeepGrow, most);
         for (Cache& c : caches_) {
             if (!c.connected || c.out > 0 || now - c.used < keep_) continue;
             c.connected = false;
-            host_.release(static_cast<int>(&c - caches_.data()));
+            host_.close_idle_connections(static_cast<int>(&c - caches_.data()));
         }
     }
     Deployment deployment_;
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -2,12 +2,12 @@
 
 #include <cstdio>
 
-#include "util/exit_codes.h"
 #include "config/json.h"
+#include "config/node_config.h"
 #include "config/operator_config.h"
 #include "config/scenario.h"
-#include "config/node_config.h"
 #include "config/toml.h"
+#include "util/exit_codes.h"
 
 namespace brookrelay {
 namespace {
@@ -16,11 +16,11 @@
 
 int check_station(const std::string& path) {
     try {
-        const Station s = read_station(path);
+        const NodeConfig s = read_node_config(path);
         std::printf("%s: a station's file: node %s, %zu operations, %zu servers known; sound\n", path.c_str(),
-                    s.name.c_str(), s.deployment.operations.size(), s.known.servers.size());
+                    s.name.c_str(), s.deployment.operations.size(), s.cached_endpoints.servers.size());
         return kDone;
-    } catch (const BadInput& bad) {
+    } catch (const ConfigurationError& bad) {
         std::fprintf(stderr, "%s: %s\n", path.c_str(), bad.what());
         return kWrongUse;
     }
@@ -44,7 +44,7 @@
             s.troubles.size());
         return kDone;
     }
-    (void)read_operator_file(path);
+    (void)read_operator_config(path);
     std::printf("%s: the operators' own file; sound\n", path.c_str());
     return kDone;
 }
--- a/src/cli/check_model.cpp
+++ b/src/cli/check_model.cpp
@@ -3,10 +3,10 @@
 #include <cstdio>
 #include <string>
 
-#include "util/exit_codes.h"
 #include "model/model_checker.h"
 #include "model/quota_lease_model.h"
 #include "model/zone_failover_model.h"
+#include "util/exit_codes.h"
 
 namespace brookrelay {
 namespace {
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -6,10 +6,10 @@
 #include <cstdio>
 #include <memory>
 
-#include "util/address.h"
-#include "util/exit_codes.h"
 #include "config/json.h"
 #include "io/tcp_connection.h"
+#include "util/address.h"
+#include "util/exit_codes.h"
 
 namespace brookrelay {
 namespace {
@@ -17,7 +17,7 @@
 constexpr guint kPatience = 2;  // s for the whole call: a node answers within one, however busy it is
 
 template <typename T>
-using Ref = std::unique_ptr<T, Unref>;
+using Ref = std::unique_ptr<T, GObjectUnref>;
 
 // The body of a call's answer, or what went wrong as `why`.
 std::string ask(const std::string& address, const std::string& method, const std::string& target, int& status,
@@ -134,9 +134,9 @@
     rapidjson::Document state;
     state.Parse(body.c_str());
     try {
-        if (state.HasParseError() || !state.IsObject()) throw BadInput("not JSON");
+        if (state.HasParseError() || !state.IsObject()) throw ConfigurationError("not JSON");
         printed(state);
-    } catch (const BadInput& bad) {
+    } catch (const ConfigurationError& bad) {
         std::fprintf(stderr, "brookrelay: %s: no state of a fleet: %s\n", wish.address.c_str(), bad.what());
         return kBroken;
     }
--- a/src/cli/registry_watch.cpp
+++ b/src/cli/registry_watch.cpp
@@ -5,11 +5,11 @@
 #include <cstdio>
 #include <random>
 
-#include "util/address.h"
-#include "util/exit_codes.h"
 #include "config/json.h"
-#include "discovery/coordination_client.h"
 #include "config/registration.h"
+#include "discovery/coordination_client.h"
+#include "util/address.h"
+#include "util/exit_codes.h"
 
 namespace brookrelay {
 
@@ -26,28 +26,28 @@
         return kWrongUse;
     }
     Log log("registry");
-    Timers timers;
+    TimerQueue timers;
     const auto read = [](const std::string&, const std::string& data,
                          std::string& why) -> std::optional<Registration> {
         try {
             return read_registration(data, {});
-        } catch (const BadInput& bad) {
+        } catch (const ConfigurationError& bad) {
             why = bad.what();
             return std::nullopt;
         }
     };
     std::random_device any;
-    Registry registry(timers, log, wish.addresses, wish.path, wish.session_timeout, any(), read,
-                      [](std::vector<RegistrationChange>&& changes) {
-                          for (const RegistrationChange& c : changes) {
-                              std::printf("%s %s %s\n",
-                                          c.standing == Standing::gone ? "gone"
-                                          : c.fresh                    ? "cold"
-                                                                       : "ready",
-                                          c.who.name.c_str(), c.who.address.c_str());
-                          }
-                          std::fflush(stdout);
-                      });
+    CoordinationClient registry(timers, log, wish.addresses, wish.path, wish.session_timeout, any(), read,
+                                [](std::vector<RegistrationChange>&& changes) {
+                                    for (const RegistrationChange& c : changes) {
+                                        std::printf("%s %s %s\n",
+                                                    c.standing == EndpointState::removed ? "gone"
+                                                    : c.fresh                            ? "cold"
+                                                                                         : "ready",
+                                                    c.who.name.c_str(), c.who.address.c_str());
+                                    }
+                                    std::fflush(stdout);
+                                });
     bool ended = false;
     const auto end = [](gpointer flag) -> gboolean {
         *static_cast<bool*>(flag) = true;
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -9,12 +9,12 @@
 #include <ctime>
 #include <filesystem>
 
-#include "util/exit_codes.h"
+#include "config/scenario.h"
+#include "config/toml.h"
 #include "testkit/experiment.h"
 #include "testkit/load.h"
 #include "testkit/report.h"
-#include "config/scenario.h"
-#include "config/toml.h"
+#include "util/exit_codes.h"
 
 namespace brookrelay {
 namespace {
@@ -69,9 +69,9 @@
 
 namespace {
 
-kit::ReportHead head_of(const RehearseWish& wish, const kit::DayPlan& plan,
-                        const std::vector<std::string>& sets) {
-    kit::ReportHead head;
+testkit::ReportHead head_of(const RehearseWish& wish, const testkit::DayPlan& plan,
+                            const std::vector<std::string>& sets) {
+    testkit::ReportHead head;
     head.version = std::string("brookrelay ") + BROOKRELAY_VERSION;
     head.program = plan.program;
     head.command = "brookrelay rehearse " + wish.scenario + " --seeds " + std::to_string(plan.seed);
@@ -80,8 +80,8 @@
     return head;
 }
 
-kit::DayPlan plan_of(const std::string& path, const std::vector<std::string>& sets) {
-    kit::DayPlan plan;
+testkit::DayPlan plan_of(const std::string& path, const std::vector<std::string>& sets) {
+    testkit::DayPlan plan;
     plan.scenario = read_scenario(path, sets);
     plan.interrupted = [] { return interruptions.load() > 0; };
     return plan;
@@ -89,7 +89,7 @@
 
 int play_one(const RehearseWish& wish, const std::string& path, std::uint64_t seed,
              const std::string& program) {
-    kit::DayPlan plan = plan_of(path, wish.sets);
+    testkit::DayPlan plan = plan_of(path, wish.sets);
     plan.seed = seed;
     plan.program = program;
     plan.folder = new_folder(wish.out, path);
@@ -103,17 +103,17 @@
             }
         };
     }
-    const kit::DayResult result = kit::play_day(plan);
+    const testkit::DayResult result = testkit::play_day(plan);
     if (terminal && !wish.quiet) std::fprintf(stderr, "\r%-110s\r", "");
-    kit::write_reports(head_of(wish, plan, wish.sets), plan, result);
-    std::printf("%s", kit::summary_text(plan, result).c_str());
+    testkit::write_reports(head_of(wish, plan, wish.sets), plan, result);
+    std::printf("%s", testkit::summary_text(plan, result).c_str());
     std::printf("report           %s/report.html\n", plan.folder.c_str());
-    return kit::verdict_word(result) == "kept" ? kDone : kBroken;
+    return testkit::verdict_word(result) == "kept" ? kDone : kBroken;
 }
 
 int play_many(const RehearseWish& wish, const std::string& path, const std::vector<std::uint64_t>& seeds,
-              std::vector<kit::Sweep> sweeps, const std::vector<std::string>& daemons) {
-    kit::ExperimentPlan plan;
+              std::vector<testkit::Sweep> sweeps, const std::vector<std::string>& daemons) {
+    testkit::ExperimentPlan plan;
     plan.scenario = path;
     plan.daemons = daemons;
     plan.seeds = seeds;
@@ -122,27 +122,27 @@
     plan.jobs = wish.jobs;
     plan.interrupted = [] { return interruptions.load() > 0; };
     if (!wish.quiet) {
-        plan.progress = [](std::size_t done, std::size_t all, const kit::Cell& c) {
+        plan.progress = [](std::size_t done, std::size_t all, const testkit::Cell& c) {
             std::fprintf(stderr, "%zu of %zu: seed %llu, daemon %zu%s%s: %s, service %.4f\n", done, all,
                          static_cast<unsigned long long>(c.seed), c.daemon + 1, c.setting.empty() ? "" : ", ",
                          c.setting.c_str(), c.measures.verdict.c_str(), c.measures.whole);
         };
     }
     // Each setting is read once before the first day, so that a wrong one costs none.
-    for (const kit::Cell& c : kit::cells_of(plan)) (void)read_scenario(path, c.sets);
-    const kit::ExperimentResult result = kit::play_experiment(plan, [&](const kit::Cell& cell) {
-        kit::DayPlan day = plan_of(path, cell.sets);
+    for (const testkit::Cell& c : testkit::cells_of(plan)) (void)read_scenario(path, c.sets);
+    const testkit::ExperimentResult result = testkit::play_experiment(plan, [&](const testkit::Cell& cell) {
+        testkit::DayPlan day = plan_of(path, cell.sets);
         day.seed = cell.seed;
         day.program = daemons[cell.daemon];
         day.folder = cell.folder;
-        kit::write_reports(head_of(wish, day, cell.sets), day, kit::play_day(day));
+        testkit::write_reports(head_of(wish, day, cell.sets), day, testkit::play_day(day));
         return kDone;
     });
-    kit::write_experiment(plan, result);
-    std::printf("%s", kit::experiment_text(plan, result).c_str());
+    testkit::write_experiment(plan, result);
+    std::printf("%s", testkit::experiment_text(plan, result).c_str());
     std::printf("report           %s/experiment.html\n", plan.folder.c_str());
     const bool all_kept = std::all_of(result.cells.begin(), result.cells.end(),
-                                      [](const kit::Cell& c) { return c.measures.verdict == "kept"; });
+                                      [](const testkit::Cell& c) { return c.measures.verdict == "kept"; });
     return all_kept ? kDone : kBroken;
 }
 
@@ -157,12 +157,12 @@
     }
     const std::vector<std::string> daemons = wish.daemons.empty() ? std::vector{own_program()} : wish.daemons;
     std::vector<std::uint64_t> seeds;
-    std::vector<kit::Sweep> sweeps;
+    std::vector<testkit::Sweep> sweeps;
     bool swept = false;
     try {
-        seeds = wish.seeds.empty() ? std::vector{read_scenario(path).seed} : kit::read_seeds(wish.seeds);
+        seeds = wish.seeds.empty() ? std::vector{read_scenario(path).seed} : testkit::read_seeds(wish.seeds);
         for (const std::string& set : wish.sets) {
-            sweeps.push_back(kit::read_sweep(set));
+            sweeps.push_back(testkit::read_sweep(set));
             swept = swept || sweeps.back().values.size() > 1;
         }
     } catch (const std::invalid_argument& bad) {
@@ -175,7 +175,7 @@
             return play_many(wish, path, seeds, std::move(sweeps), daemons);
         }
         return play_one(wish, path, seeds.front(), daemons.front());
-    } catch (const BadFile&) {
+    } catch (const ConfigurationFileError&) {
         throw;
     } catch (const std::exception& bad) {
         std::fprintf(stderr, "brookrelay: %s\n", bad.what());
@@ -190,16 +190,16 @@
     for (int round = 0; round < wish.rounds; ++round) {
         for (const int clients : wish.clients) {
             for (const std::string& daemon : daemons) {
-                kit::LoadPlan plan;
+                testkit::LoadPlan plan;
                 plan.program = daemon;
                 plan.folder = folder;
                 plan.clients = clients;
                 plan.rate = wish.rate;
                 plan.seconds = wish.seconds;
                 plan.value_bytes = wish.value_bytes;
-                const kit::LoadResult result = kit::play_load(plan);
+                const testkit::LoadResult result = testkit::play_load(plan);
                 std::printf("%s%s%s\n", daemons.size() > 1 ? daemon.c_str() : "",
-                            daemons.size() > 1 ? "  " : "", kit::load_line(plan, result).c_str());
+                            daemons.size() > 1 ? "  " : "", testkit::load_line(plan, result).c_str());
                 std::fflush(stdout);
                 if (!result.failed.empty()) code = kBroken;
             }
--- a/src/config/deployment.h
+++ b/src/config/deployment.h
@@ -21,7 +21,7 @@
 
 Deployment read_deployment(const rapidjson::Value& settings);
 // The words are the same on the wire of the simulator and in discovery.
-Standing read_standing(const rapidjson::Value& value, const char* name);
+EndpointState parse_endpoint_state(const rapidjson::Value& value, const char* name);
 Names read_names(const rapidjson::Value& settings);
 
 }  // namespace brookrelay
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -5,25 +5,25 @@
 using rapidjson::Value;
 
 const Value* find(const Value& object, const char* name) {
-    if (!object.IsObject()) throw BadInput(std::string("no object to hold '") + name + "'");
+    if (!object.IsObject()) throw ConfigurationError(std::string("no object to hold '") + name + "'");
     const auto member = object.FindMember(name);
     return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
 
 const Value& need(const Value& object, const char* name) {
     const Value* value = find(object, name);
-    if (value == nullptr) throw BadInput(std::string("missing field '") + name + "'");
+    if (value == nullptr) throw ConfigurationError(std::string("missing field '") + name + "'");
     return *value;
 }
 
 const Value& need_list(const Value& object, const char* name) {
     const Value& list = need(object, name);
-    if (!list.IsArray()) throw BadInput(std::string("field '") + name + "' is not a list");
+    if (!list.IsArray()) throw ConfigurationError(std::string("field '") + name + "' is not a list");
     return list;
 }
 
 double number(const Value& value, const char* name) {
-    if (!value.IsNumber()) throw BadInput(std::string("field '") + name + "' is not a number");
+    if (!value.IsNumber()) throw ConfigurationError(std::string("field '") + name + "' is not a number");
     return value.GetDouble();
 }
 
@@ -38,31 +38,32 @@
 
 double duration(const Value& object, const char* name) {
     const double value = seconds(object, name);
-    if (value < 0) throw BadInput(std::string("field '") + name + "' is under 0");
+    if (value < 0) throw ConfigurationError(std::string("field '") + name + "' is under 0");
     return value;
 }
 
 std::int64_t whole(const Value& value, const char* name) {
-    if (!value.IsInt64()) throw BadInput(std::string("field '") + name + "' is not a whole number");
+    if (!value.IsInt64()) throw ConfigurationError(std::string("field '") + name + "' is not a whole number");
     return value.GetInt64();
 }
 
 int small(const Value& object, const char* name, int otherwise) {
     const Value* value = find(object, name);
     if (value == nullptr) return otherwise;
-    if (!value->IsInt()) throw BadInput(std::string("field '") + name + "' is not a small whole number");
+    if (!value->IsInt())
+        throw ConfigurationError(std::string("field '") + name + "' is not a small whole number");
     return value->GetInt();
 }
 
 bool flag(const Value& object, const char* name, bool otherwise) {
     const Value* value = find(object, name);
     if (value == nullptr) return otherwise;
-    if (!value->IsBool()) throw BadInput(std::string("field '") + name + "' is not true or false");
+    if (!value->IsBool()) throw ConfigurationError(std::string("field '") + name + "' is not true or false");
     return value->GetBool();
 }
 
 std::string_view text(const Value& value, const char* name) {
-    if (!value.IsString()) throw BadInput(std::string("field '") + name + "' is not a text");
+    if (!value.IsString()) throw ConfigurationError(std::string("field '") + name + "' is not a text");
     return {value.GetString(), value.GetStringLength()};
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -13,7 +13,7 @@
 
 namespace brookrelay {
 
-struct BadInput : std::runtime_error {
+struct ConfigurationError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -38,7 +38,8 @@
     for (const auto& [known, meaning] : words) {
         if (known == said) return meaning;
     }
-    throw BadInput(std::string("field '") + name + "' has the unknown value '" + std::string(said) + "'");
+    throw ConfigurationError(std::string("field '") + name + "' has the unknown value '" + std::string(said) +
+                             "'");
 }
 
 }  // namespace brookrelay
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <iterator>
 
+#include "config/json.h"
 #include "util/address.h"
 #include "util/parse_number.h"
-#include "config/json.h"
 
 namespace brookrelay {
 namespace {
@@ -24,7 +24,8 @@
     const std::string_view said = text(need(server, field), field);
     const int index = index_of(names, said);
     if (index < 0) {
-        throw BadInput(std::string("field '") + field + "' names the unknown '" + std::string(said) + "'");
+        throw ConfigurationError(std::string("field '") + field + "' names the unknown '" +
+                                 std::string(said) + "'");
     }
     return index;
 }
@@ -32,32 +33,32 @@
 std::string read_address(const Value& object, const char* field) {
     const std::string_view address = text(need(object, field), field);
     if (!parse_address(address)) {
-        throw BadInput(std::string("field '") + field + "' is not an address and port: '" +
-                       std::string(address) + "'");
+        throw ConfigurationError(std::string("field '") + field + "' is not an address and port: '" +
+                                 std::string(address) + "'");
     }
     return std::string(address);
 }
 
-ListedServer read_server(const Value& entry, const Names& names) {
-    ListedServer s;
+EndpointRecord read_server(const Value& entry, const Names& names) {
+    EndpointRecord s;
     s.name = text(need(entry, "host"), "host");
-    s.standing = read_standing(need(entry, "health"), "health");
-    // News that a server drains or is gone counts even if it says nothing else.
-    const bool all = s.standing == Standing::ready;
+    s.state = parse_endpoint_state(need(entry, "health"), "health");
+    // Event that a server drains or is gone counts even if it says nothing else.
+    const bool all = s.state == EndpointState::ready;
     if (all || find(entry, "dial") != nullptr) s.address = read_address(entry, "dial");
     if (all || find(entry, "site") != nullptr) s.zone = named(names.zones, entry, "site");
     if (all || find(entry, "class") != nullptr) s.kind = named(names.kinds, entry, "class");
     s.cell = small(entry, "block", all ? 0 : -1);
-    s.size = number(entry, "share", 0);
-    if (s.size < 0) throw BadInput("field 'share' is under 0");
-    s.born = number(entry, "born_ms", 0) / 1e3;
+    s.weight = number(entry, "share", 0);
+    if (s.weight < 0) throw ConfigurationError("field 'share' is under 0");
+    s.started_at = number(entry, "born_ms", 0) / 1e3;
     return s;
 }
 
 std::uint64_t read_seed(const Value& value) {
     const std::string_view digits = text(value, "seed");
     std::uint64_t seed = 0;
-    if (!read_digits(digits, seed, 16)) throw BadInput("field 'seed' is not a hexadecimal number");
+    if (!parse_number(digits, seed, 16)) throw ConfigurationError("field 'seed' is not a hexadecimal number");
     return seed;
 }
 
@@ -81,7 +82,7 @@
     for (const auto& member : value.GetObject()) {
         const std::string key(member.name.GetString(), member.name.GetStringLength());
         // Which of the two would count is chance.
-        if (!keys.insert(key).second) throw BadInput("key '" + key + "' stands twice");
+        if (!keys.insert(key).second) throw ConfigurationError("key '" + key + "' stands twice");
         if (member.value.IsNull()) keys.erase(key);
         give_keys(member.value, path.empty() ? key : path + "." + key, given);
     }
@@ -104,67 +105,68 @@
 
 }  // namespace
 
-ServerList read_server_list(const Value& value, const Names& names) {
-    ServerList list;
+EndpointUpdate parse_endpoint_update(const Value& value, const Names& names) {
+    EndpointUpdate list;
     list.version = whole(need(value, "seq"), "seq");
-    list.whole = flag(value, "whole");
+    list.is_full = flag(value, "whole");
     for (const Value& entry : need_list(value, "hosts").GetArray()) {
         try {
             list.servers.push_back(read_server(entry, names));
-        } catch (const BadInput& bad) {
-            list.complaints.emplace_back(bad.what());
+        } catch (const ConfigurationError& bad) {
+            list.errors.emplace_back(bad.what());
         }
     }
     return list;
 }
 
-std::string cannot_be_live(const Station& running, const Station& wanted) {
-    const auto zone = [](const Station& s) {
+std::string why_not_reloadable(const NodeConfig& running, const NodeConfig& wanted) {
+    const auto zone = [](const NodeConfig& s) {
         const auto az = static_cast<std::size_t>(s.deployment.zone);
         return az < s.names.zones.size() ? s.names.zones[az] : std::string();
     };
-    const auto origin = [](const Station& s) {
+    const auto origin = [](const NodeConfig& s) {
         const auto kind = static_cast<std::size_t>(std::max(0, s.deployment.origin_kind));
         return s.deployment.origin_kind >= 0 && kind < s.names.kinds.size() ? s.names.kinds[kind]
                                                                             : std::string();
     };
-    const std::string lacking = key_lacking(running.given, wanted.given);
+    const std::string lacking = key_lacking(running.given_keys, wanted.given_keys);
     if (!lacking.empty()) return "key '" + lacking + "' is missing, which the running configuration has";
     const char* field = nullptr;
     if (wanted.listen != running.listen) field = "'listen'";
-    if (wanted.management != running.management) field = "'management'";
+    if (wanted.admin_listen != running.admin_listen) field = "'management'";
     if (wanted.descriptors != running.descriptors) field = "'limits.sockets'";
     if (wanted.memory_mb != running.memory_mb) field = "'limits.memory_mb'";
     if (zone(wanted) != zone(running)) field = "'az' (the node's own zone) in 'settings'";
-    if (wanted.deployment.node != running.deployment.node) field = "'my_number' in 'settings'";
+    if (wanted.deployment.node_index != running.deployment.node_index) field = "'my_number' in 'settings'";
     // Forwards that are out there are counted as the origin's, and reads wait for them.
     if (origin(wanted) != origin(running)) field = "'specifics.origin_kind' in 'settings'";
     if (field == nullptr) return {};
     return std::string("field ") + field + " cannot change while the node runs";
 }
 
-Station read_station(const std::string& path) {
+NodeConfig read_node_config(const std::string& path) {
     std::ifstream file(path);
-    if (!file) throw BadInput("cannot read the file");
+    if (!file) throw ConfigurationError("cannot read the file");
     const std::string content{std::istreambuf_iterator<char>(file), {}};
     rapidjson::Document root;
     root.Parse(content.data(), content.size());
     if (root.HasParseError()) {
-        throw BadInput(std::string("not JSON: ") + rapidjson::GetParseError_En(root.GetParseError()));
+        throw ConfigurationError(std::string("not JSON: ") +
+                                 rapidjson::GetParseError_En(root.GetParseError()));
     }
-    if (!root.IsObject()) throw BadInput("the configuration is not an object");
-    Station s;
-    give_keys(root, {}, s.given);
+    if (!root.IsObject()) throw ConfigurationError("the configuration is not an object");
+    NodeConfig s;
+    give_keys(root, {}, s.given_keys);
     s.name = text(need(root, "name"), "name");
     s.listen = read_address(root, "listen");
     s.discovery = read_address(root, "discovery");
-    if (find(root, "management") != nullptr) s.management = read_address(root, "management");
+    if (find(root, "management") != nullptr) s.admin_listen = read_address(root, "management");
     if (find(root, "peer_listen") != nullptr) s.peer_listen = read_address(root, "peer_listen");
     if (find(root, "peers") != nullptr) {
         for (const Value& peer : need_list(root, "peers").GetArray()) {
             s.peers.emplace_back(text(peer, "peers"));
             if (!parse_address(s.peers.back()))
-                throw BadInput("field 'peers' holds no address and port: '" + s.peers.back() + "'");
+                throw ConfigurationError("field 'peers' holds no address and port: '" + s.peers.back() + "'");
         }
     }
     s.seed = read_seed(need(root, "seed"));
@@ -173,11 +175,11 @@
     if (const Value* limits = find(root, "limits")) {
         s.descriptors = small(*limits, "sockets", kDescriptorsUntold);
         if (s.descriptors < kDescriptorsLeast) {
-            throw BadInput("field 'limits.sockets' is under " + std::to_string(kDescriptorsLeast));
+            throw ConfigurationError("field 'limits.sockets' is under " + std::to_string(kDescriptorsLeast));
         }
         s.memory_mb = small(*limits, "memory_mb", kMemoryUntold);
         if (s.memory_mb < kMemoryLeast) {
-            throw BadInput("field 'limits.memory_mb' is under " + std::to_string(kMemoryLeast));
+            throw ConfigurationError("field 'limits.memory_mb' is under " + std::to_string(kMemoryLeast));
         }
     }
     const Value& settings = need(root, "settings");
@@ -185,18 +187,18 @@
         s.deployment = read_deployment(settings);
         s.names = read_names(settings);
         if (const Value* allowed = find(settings, "permissions"))
-            s.most_open = small(*allowed, "max_open", 0);
+            s.max_open_requests = small(*allowed, "max_open", 0);
         if (const Value* prices = find(settings, "prices"))
-            s.peer_price = std::max(0.0, number(*prices, "peer", 0));
-        if (s.deployment.operations.empty()) throw BadInput("field 'operations' is empty");
-    } catch (const BadInput& bad) {
-        throw BadInput(std::string("in 'settings': ") + bad.what());
+            s.gossip_price = std::max(0.0, number(*prices, "peer", 0));
+        if (s.deployment.operations.empty()) throw ConfigurationError("field 'operations' is empty");
+    } catch (const ConfigurationError& bad) {
+        throw ConfigurationError(std::string("in 'settings': ") + bad.what());
     }
     try {
-        s.known = read_server_list(need(root, "known"), s.names);
-        if (!s.known.complaints.empty()) throw BadInput(s.known.complaints.front());
-    } catch (const BadInput& bad) {
-        throw BadInput(std::string("in 'known': ") + bad.what());
+        s.cached_endpoints = parse_endpoint_update(need(root, "known"), s.names);
+        if (!s.cached_endpoints.errors.empty()) throw ConfigurationError(s.cached_endpoints.errors.front());
+    } catch (const ConfigurationError& bad) {
+        throw ConfigurationError(std::string("in 'known': ") + bad.what());
     }
     return s;
 }
--- a/src/config/registration.cpp
+++ b/src/config/registration.cpp
@@ -1,7 +1,7 @@
 #include "config/registration.h"
 
-#include "util/address.h"
 #include "config/json.h"
+#include "util/address.h"
 
 namespace brookrelay {
 namespace {
@@ -11,7 +11,8 @@
     if (names.empty()) return 0;
     const int index = index_of(names, said);
     if (index < 0)
-        throw BadInput(std::string("field '") + field + "' names the unknown '" + std::string(said) + "'");
+        throw ConfigurationError(std::string("field '") + field + "' names the unknown '" +
+                                 std::string(said) + "'");
     return index;
 }
 
@@ -20,11 +21,11 @@
 Registration read_registration(std::string_view data, const Names& names) {
     rapidjson::Document root;
     root.Parse(data.data(), data.size());
-    if (root.HasParseError() || !root.IsObject()) throw BadInput("the data is not a JSON object");
+    if (root.HasParseError() || !root.IsObject()) throw ConfigurationError("the data is not a JSON object");
     Registration r;
     r.address = text(need(root, "address"), "address");
     if (!parse_address(r.address))
-        throw BadInput("field 'address' is not an address and port: '" + r.address + "'");
+        throw ConfigurationError("field 'address' is not an address and port: '" + r.address + "'");
     r.zone = named(names.zones, root, "zone");
     r.kind = named(names.kinds, root, "kind");
     r.cell = small(root, "cell", 0);
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -129,14 +129,15 @@
     o.origin_work = t.duration("origin_work", o.origin_work, 1e-6, 60);
     o.value_bytes = static_cast<int>(t.whole("value_bytes", o.value_bytes, 64, 60 * 1024));
     Operation& p = o.promised;
-    p.repeat = static_cast<Repeat>(t.word("repeat", 0, {"idempotent", "deduplicated", "non-idempotent"}));
-    p.scope = static_cast<Scope>(t.word("group", 0, {"all", "zone", "cell"}));
+    p.idempotency =
+        static_cast<Idempotency>(t.word("repeat", 0, {"idempotent", "deduplicated", "non-idempotent"}));
+    p.deduplication_scope = static_cast<DeduplicationScope>(t.word("group", 0, {"all", "zone", "cell"}));
     p.client_timeout = t.duration("client_timeout", 2, 0.01, 600);
     p.latency_objective = t.duration("latency_objective", p.client_timeout / 4, 0.001, 600);
-    p.dedup_window = t.duration("dedup_window", 0, 0, kHour);
-    p.billed_value = t.number("billed_value", 1, 0, 1e6);
-    p.tardy_part = t.number("tardy_part", 0, 0, 1);
-    if (p.repeat == Repeat::deduplicated && p.dedup_window <= 0) {
+    p.deduplication_window = t.duration("dedup_window", 0, 0, kHour);
+    p.priority_weight = t.number("billed_value", 1, 0, 1e6);
+    p.late_value_ratio = t.number("tardy_part", 0, 0, 1);
+    if (p.idempotency == Idempotency::idempotency_key && p.deduplication_window <= 0) {
         t.complain("dedup_window",
                    "is needed where repeat is \"deduplicated\"; expected how long a mark is known");
     }
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -92,12 +92,12 @@
     std::ifstream file(path);
     std::ostringstream content;
     if (!file || !(content << file.rdbuf() || file.peek() == std::ifstream::traits_type::eof())) {
-        throw BadFile(path + ": cannot read the file");
+        throw ConfigurationFileError(path + ": cannot read the file");
     }
     try {
         root_ = toml::parse(content.str(), path);
     } catch (const toml::parse_error& bad) {
-        throw BadFile(
+        throw ConfigurationFileError(
             complaint_text(path, bad.source().begin.line, "syntax", std::string(bad.description())));
     }
     for (const std::string& assignment : overrides) put_over(assignment);
@@ -107,7 +107,8 @@
 void TomlFile::put_over(const std::string& assignment) {
     const std::size_t equals = assignment.find('=');
     const std::string where = "--set " + assignment;
-    if (equals == std::string::npos || equals == 0) throw BadFile(where + ": expected PATH=VALUE");
+    if (equals == std::string::npos || equals == 0)
+        throw ConfigurationFileError(where + ": expected PATH=VALUE");
     toml::table parsed;
     const std::string given = assignment.substr(equals + 1);
     try {
@@ -124,10 +125,10 @@
         const bool more = static_cast<bool>(std::getline(steps, next, '.'));
         if (toml::array* list = at->as_array()) {
             std::size_t index = 0;
-            if (!read_digits(step, index) || index >= list->size()) {
-                throw BadFile(where + ": there is no entry '" + step + "'");
+            if (!parse_number(step, index) || index >= list->size()) {
+                throw ConfigurationFileError(where + ": there is no entry '" + step + "'");
             }
-            if (!more) throw BadFile(where + ": names a whole entry, not a value");
+            if (!more) throw ConfigurationFileError(where + ": names a whole entry, not a value");
             at = list->get(index);
         } else if (toml::table* table = at->as_table()) {
             if (!more) {
@@ -137,7 +138,7 @@
             if (!table->contains(step)) table->insert(step, toml::table{});
             at = table->get(step);
         } else {
-            throw BadFile(where + ": '" + step + "' stands below a value that is no table");
+            throw ConfigurationFileError(where + ": '" + step + "' stands below a value that is no table");
         }
         step = next;
     }
@@ -153,7 +154,7 @@
     if (complaints_.empty()) return;
     std::string all;
     for (const std::string& c : complaints_) all += (all.empty() ? "" : "\n") + c;
-    throw BadFile(all);
+    throw ConfigurationFileError(all);
 }
 
 // ---- one table ------------------------------------------------------------------------------------------
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -18,7 +18,7 @@
 namespace brookrelay {
 
 // Every complaint about one file, a line each.
-struct BadFile : std::runtime_error {
+struct ConfigurationFileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/src/config/warm_start.cpp
+++ b/src/config/warm_start.cpp
@@ -25,34 +25,34 @@
 
 }  // namespace
 
-std::string learned_text(const Learned& learned, const std::vector<std::string>& kinds,
-                         const std::function<std::string(int)>& name_of) {
+std::string format_warm_start(const WarmStartSnapshot& learned, const std::vector<std::string>& kinds,
+                              const std::function<std::string(int)>& name_of) {
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> json(buffer);
     json.StartObject();
-    put(json, "reach", learned.reach);
-    put(json, "pressure", learned.pressure);
-    put(json, "admitted", learned.admitted);
-    put(json, "origin_limit", learned.origin_limit);
-    put(json, "origin_pace", learned.origin_pace);
+    put(json, "reach", learned.spillover_ratio);
+    put(json, "pressure", learned.shedding_ratio);
+    put(json, "admitted", learned.admission_ratio);
+    put(json, "origin_limit", learned.origin_concurrency_limit);
+    put(json, "origin_pace", learned.origin_latency);
     json.Key("kinds");
     json.StartArray();
-    for (std::size_t k = 0; k < std::min(kinds.size(), learned.kind_shares.size()); ++k) {
+    for (std::size_t k = 0; k < std::min(kinds.size(), learned.kind_traffic_shares.size()); ++k) {
         json.StartObject();
         put_name(json, kinds[k]);
-        put(json, "share", learned.kind_shares[k]);
+        put(json, "share", learned.kind_traffic_shares[k]);
         json.EndObject();
     }
     json.EndArray();
     json.Key("caches");
     json.StartArray();
-    for (const Learned::OfCache& c : learned.caches) {
+    for (const WarmStartSnapshot::ServerSnapshot& c : learned.servers) {
         json.StartObject();
-        put_name(json, name_of(c.cache));
-        put(json, "limit", c.limit);
-        put(json, "rest", c.rest);
+        put_name(json, name_of(c.server));
+        put(json, "limit", c.concurrency_limit);
+        put(json, "rest", c.backoff_remaining);
         json.Key("suspect");
-        json.Bool(c.suspect);
+        json.Bool(c.ejected);
         json.EndObject();
     }
     json.EndArray();
@@ -60,29 +60,30 @@
     return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::optional<Learned> read_learned(const std::string& said, const std::vector<std::string>& kinds,
-                                    const std::function<int(const std::string&)>& number_of) try {
+std::optional<WarmStartSnapshot> parse_warm_start(
+    const std::string& said, const std::vector<std::string>& kinds,
+    const std::function<int(const std::string&)>& number_of) try {
     rapidjson::Document root;
     root.Parse(said.data(), said.size());
     if (root.HasParseError() || !root.IsObject()) return std::nullopt;
-    Learned l;
-    l.reach = figure(root, "reach");
-    l.pressure = figure(root, "pressure");
-    l.admitted = figure(root, "admitted");
-    l.origin_limit = figure(root, "origin_limit");
-    l.origin_pace = figure(root, "origin_pace");
-    l.kind_shares.assign(kinds.size(), 1);
+    WarmStartSnapshot l;
+    l.spillover_ratio = figure(root, "reach");
+    l.shedding_ratio = figure(root, "pressure");
+    l.admission_ratio = figure(root, "admitted");
+    l.origin_concurrency_limit = figure(root, "origin_limit");
+    l.origin_latency = figure(root, "origin_pace");
+    l.kind_traffic_shares.assign(kinds.size(), 1);
     for (const rapidjson::Value& k : need_list(root, "kinds").GetArray()) {
         const int at = index_of(kinds, text(need(k, "name"), "name"));
-        if (at >= 0) l.kind_shares[static_cast<std::size_t>(at)] = figure(k, "share");
+        if (at >= 0) l.kind_traffic_shares[static_cast<std::size_t>(at)] = figure(k, "share");
     }
     for (const rapidjson::Value& c : need_list(root, "caches").GetArray()) {
         const int cache = number_of(std::string(text(need(c, "name"), "name")));
         if (cache >= 0)
-            l.caches.push_back({cache, figure(c, "limit"), figure(c, "rest"), flag(c, "suspect")});
+            l.servers.push_back({cache, figure(c, "limit"), figure(c, "rest"), flag(c, "suspect")});
     }
     return l;
-} catch (const BadInput&) {
+} catch (const ConfigurationError&) {
     return std::nullopt;
 }
 
--- a/src/config/warm_start.h
+++ b/src/config/warm_start.h
@@ -12,10 +12,11 @@
 
 namespace brookrelay {
 
-std::string learned_text(const Learned& learned, const std::vector<std::string>& kinds,
-                         const std::function<std::string(int)>& name_of);
+std::string format_warm_start(const WarmStartSnapshot& learned, const std::vector<std::string>& kinds,
+                              const std::function<std::string(int)>& name_of);
 // `number_of` is -1 for a cache that is not known; what was learned of that one is left out.
-std::optional<Learned> read_learned(const std::string& text, const std::vector<std::string>& kinds,
-                                    const std::function<int(const std::string&)>& number_of);
+std::optional<WarmStartSnapshot> parse_warm_start(const std::string& text,
+                                                  const std::vector<std::string>& kinds,
+                                                  const std::function<int(const std::string&)>& number_of);
 
 }  // namespace brookrelay
--- a/src/coordination/coordination_session.cpp
+++ b/src/coordination/coordination_session.cpp
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-Follower::Follower(std::string path, double timeout, Registrations& registrations, Read read, Out out)
+CoordinationSession::CoordinationSession(std::string path, double timeout,
+                                         ServiceRegistrations& registrations, Read read, Out out)
     : path_(std::move(path)),
       wished_timeout_(timeout),
       registrations_(registrations),
@@ -32,7 +33,7 @@
       out_(std::move(out)),
       timeout_(timeout) {}
 
-void Follower::up(double now) {
+void CoordinationSession::up(double now) {
     state_ = State::greeting;
     asked_.clear();
     listing_ = list_again_ = listed_ = false;
@@ -40,7 +41,7 @@
     greet(now);
 }
 
-void Follower::greet(double now) {
+void CoordinationSession::greet(double now) {
     JuteWriter out;
     out.number(0).long_number(seen_).number(static_cast<std::int32_t>(wished_timeout_ * 1e3));
     out.long_number(session_).text(password_).flag(false);
@@ -48,19 +49,19 @@
     out_.send(out.frame());
 }
 
-void Follower::broke(double now) {
+void CoordinationSession::broke(double now) {
     if (state_ == State::down) return;
     state_ = State::down;
     asked_.clear();
     registrations_.lost(now);
 }
 
-void Follower::give_up(double now, const char* why) {
+void CoordinationSession::give_up(double now, const char* why) {
     broke(now);
     out_.hang_up(why);
 }
 
-void Follower::received(double now, std::string_view payload) {
+void CoordinationSession::received(double now, std::string_view payload) {
     heard_at_ = now;
     JuteReader in(payload);
     if (state_ == State::greeting) {
@@ -97,14 +98,14 @@
     heard_data(now, order, asked.child, payload.substr(16), error);
 }
 
-void Follower::call(std::int32_t type, const std::string& path, Asked asked) {
+void CoordinationSession::call(std::int32_t type, const std::string& path, Asked asked) {
     JuteWriter out;
     out.number(++xid_).number(type).text(path).flag(true);
     asked_.emplace(xid_, std::move(asked));
     out_.send(out.frame());
 }
 
-void Follower::list_children() {
+void CoordinationSession::list_children() {
     if (listing_) {
         list_again_ = true;
         return;
@@ -113,7 +114,7 @@
     call(kGetChildren2, path_, {Call::children, ""});
 }
 
-void Follower::read_child(const std::string& name) {
+void CoordinationSession::read_child(const std::string& name) {
     Child& c = children_[name];
     if (c.asked) {
         c.again = true;
@@ -124,7 +125,7 @@
     call(kGetData, path_ + "/" + name, {Call::data, name});
 }
 
-void Follower::heard_event(double now, std::string_view payload) {
+void CoordinationSession::heard_event(double now, std::string_view payload) {
     JuteReader in(payload);
     const std::int32_t kind = in.number();
     (void)in.number();
@@ -147,7 +148,8 @@
     list_children();
 }
 
-void Follower::heard_children(double now, std::int64_t order, std::string_view payload, std::int32_t error) {
+void CoordinationSession::heard_children(double now, std::int64_t order, std::string_view payload,
+                                         std::int32_t error) {
     listing_ = false;
     if (error != 0 && error != kNoNode) return give_up(now, "the path may not be listed");
     std::vector<std::string> names;
@@ -174,8 +176,8 @@
     if (std::exchange(list_again_, false)) list_children();
 }
 
-void Follower::heard_data(double now, std::int64_t order, const std::string& name, std::string_view payload,
-                          std::int32_t error) {
+void CoordinationSession::heard_data(double now, std::int64_t order, const std::string& name,
+                                     std::string_view payload, std::int32_t error) {
     const auto found = children_.find(name);
     if (found == children_.end()) return;
     Child& c = found->second;
@@ -205,7 +207,7 @@
     if (all_read) show(now, order);
 }
 
-void Follower::show(double now, std::int64_t order) {
+void CoordinationSession::show(double now, std::int64_t order) {
     std::vector<Registration> all;
     for (const auto& [name, c] : children_) {
         if (c.registration) all.push_back(*c.registration);
@@ -213,7 +215,7 @@
     (void)registrations_.view(now, std::max(order, seen_), all);
 }
 
-void Follower::tick(double now) {
+void CoordinationSession::tick(double now) {
     if (state_ == State::down) return;
     // As next_at() has them: a difference would round to just before, and be asked for again at once.
     if (now >= heard_at_ + kSilentPart * timeout_) return give_up(now, "it says nothing");
@@ -225,7 +227,7 @@
     }
 }
 
-double Follower::next_at() const {
+double CoordinationSession::next_at() const {
     if (state_ == State::down) return std::numeric_limits<double>::infinity();
     const double silent = heard_at_ + kSilentPart * timeout_;
     return state_ == State::following ? std::min(silent, said_at_ + kPingPart * timeout_) : silent;
--- a/src/coordination/coordination_session.h
+++ b/src/coordination/coordination_session.h
@@ -19,7 +19,7 @@
 
 namespace brookrelay {
 
-class Follower {
+class CoordinationSession {
   public:
     struct Out {
         std::function<void(const std::string& frame)> send;
@@ -31,7 +31,8 @@
                                                            std::string& why)>;
 
     // `path` without a slash at its end; `timeout` of the session, seconds.
-    Follower(std::string path, double timeout, Registrations& registrations, Read read, Out out);
+    CoordinationSession(std::string path, double timeout, ServiceRegistrations& registrations, Read read,
+                        Out out);
 
     void up(double now);  // a new connection stands, to any address of the ensemble
     void received(double now, std::string_view payload);
@@ -67,7 +68,7 @@
 
     const std::string path_;
     const double wished_timeout_;
-    Registrations& registrations_;
+    ServiceRegistrations& registrations_;
     Read read_;
     Out out_;
     State state_ = State::down;
--- a/src/coordination/service_registrations.cpp
+++ b/src/coordination/service_registrations.cpp
@@ -8,7 +8,7 @@
 
 namespace brookrelay {
 
-bool Registrations::view(double now, std::int64_t order, const std::vector<Registration>& all) {
+bool ServiceRegistrations::view(double now, std::int64_t order, const std::vector<Registration>& all) {
     tick(now);
     if (order < order_) return false;
     order_ = order;
@@ -25,7 +25,7 @@
     return true;
 }
 
-void Registrations::came(double now, const Registration& r) {
+void ServiceRegistrations::came(double now, const Registration& r) {
     const auto [at, is_new] = known_.try_emplace(r.name);
     Known& k = at->second;
     const bool same = !is_new && k.registration.created == r.created;
@@ -39,7 +39,7 @@
         // Its data may have changed: where it is, is news; that it is there, is none.
         const bool moved = k.registration.address != r.address;
         k.registration = r;
-        if (moved && k.state == State::ready) tell(k, Standing::ready, false);
+        if (moved && k.state == State::ready) tell(k, EndpointState::ready, false);
         if (k.state == State::ready && now - k.since >= bounds_.forgiven_after) k.flaps = 0;
         return;
     }
@@ -54,13 +54,13 @@
             : std::min(bounds_.trust_most, bounds_.trust_after * std::pow(2.0, std::min(k.flaps - 2, 30)));
     if (wait <= 0) {
         k.state = State::ready;
-        return tell(k, Standing::ready, true);
+        return tell(k, EndpointState::ready, true);
     }
     k.state = State::waiting;
     k.waits_until = now + wait;
 }
 
-void Registrations::went(double now, Known& k) {
+void ServiceRegistrations::went(double now, Known& k) {
     k.flaps = now - k.since <= bounds_.flap_within      ? k.flaps + 1
               : now - k.since >= bounds_.forgiven_after ? 0
                                                         : k.flaps;
@@ -69,10 +69,10 @@
     k.since = now;
     if (!stood) return;
     lately_gone_.emplace_back(now, k.registration.name);
-    tell(k, Standing::gone, false);
+    tell(k, EndpointState::removed, false);
 }
 
-void Registrations::doubt_if_wiped(double now) {
+void ServiceRegistrations::doubt_if_wiped(double now) {
     std::erase_if(lately_gone_, [&](const auto& gone) { return gone.first < now - bounds_.wiped_within; });
     const auto going = static_cast<double>(lately_gone_.size());
     const auto left = static_cast<double>(standing() - doubted());
@@ -87,38 +87,38 @@
         k.state = State::doubted;
         k.waits_until = now + bounds_.doubted_most;
         // It left no forward undone and is as warm as it was: no start has been seen.
-        tell(k, Standing::ready, false);
+        tell(k, EndpointState::ready, false);
     }
 }
 
-void Registrations::connected(double) { connected_ = true; }
+void ServiceRegistrations::connected(double) { connected_ = true; }
 
-void Registrations::lost(double now) {
+void ServiceRegistrations::lost(double now) {
     if (connected_) lost_at_ = now;
     connected_ = false;
 }
 
-void Registrations::believe(double now) {
+void ServiceRegistrations::believe(double now) {
     for (auto& [name, k] : known_) {
         if (k.state != State::doubted) continue;
         k.state = State::gone;
         k.since = now;
-        tell(k, Standing::gone, false);
+        tell(k, EndpointState::removed, false);
     }
 }
 
-void Registrations::tick(double now) {
+void ServiceRegistrations::tick(double now) {
     for (auto at = known_.begin(); at != known_.end();) {
         Known& k = at->second;
         if (k.state == State::waiting && now >= k.waits_until) {
             k.state = State::ready;
-            tell(k, Standing::ready, true);
+            tell(k, EndpointState::ready, true);
         }
         // While the coordinator is away nothing speaks against those who are doubted but its last word.
         if (k.state == State::doubted && connected_ && now >= k.waits_until) {
             k.state = State::gone;
             k.since = now;
-            tell(k, Standing::gone, false);
+            tell(k, EndpointState::removed, false);
         }
         // What is long gone is forgotten, so that names that never return do not fill the table.
         const bool forgotten =
@@ -127,7 +127,7 @@
     }
 }
 
-double Registrations::next_at() const {
+double ServiceRegistrations::next_at() const {
     double next = std::numeric_limits<double>::infinity();
     for (const auto& [name, k] : known_) {
         const bool waits = k.state == State::waiting || (k.state == State::doubted && connected_);
@@ -136,29 +136,29 @@
     return next;
 }
 
-void Registrations::tell(Known& k, Standing standing, bool fresh) {
-    // News that nobody has taken yet is overtaken by this.
+void ServiceRegistrations::tell(Known& k, EndpointState standing, bool fresh) {
+    // Event that nobody has taken yet is overtaken by this.
     std::erase_if(changes_, [&](const RegistrationChange& c) {
         const bool same = c.who.name == k.registration.name;
-        if (same && c.fresh && standing == Standing::ready) fresh = true;
+        if (same && c.fresh && standing == EndpointState::ready) fresh = true;
         return same;
     });
     changes_.push_back({k.registration, standing, fresh});
 }
 
-std::vector<RegistrationChange> Registrations::take_changes() { return std::exchange(changes_, {}); }
+std::vector<RegistrationChange> ServiceRegistrations::take_changes() { return std::exchange(changes_, {}); }
 
-std::size_t Registrations::standing() const {
+std::size_t ServiceRegistrations::standing() const {
     return static_cast<std::size_t>(std::count_if(known_.begin(), known_.end(), [](const auto& one) {
         return one.second.state == State::ready || one.second.state == State::doubted;
     }));
 }
 
-std::size_t Registrations::doubted() const {
+std::size_t ServiceRegistrations::doubted() const {
     return static_cast<std::size_t>(std::count_if(
         known_.begin(), known_.end(), [](const auto& one) { return one.second.state == State::doubted; }));
 }
 
-double Registrations::age(double now) const { return connected_ || order_ < 0 ? 0 : now - lost_at_; }
+double ServiceRegistrations::age(double now) const { return connected_ || order_ < 0 ? 0 : now - lost_at_; }
 
 }  // namespace brookrelay
--- a/src/coordination/service_registrations.h
+++ b/src/coordination/service_registrations.h
@@ -38,11 +38,11 @@
 
 struct RegistrationChange {
     Registration who;
-    Standing standing = Standing::ready;
+    EndpointState standing = EndpointState::ready;
     bool fresh = false;  // a start that was seen: to be treated as cold
 };
 
-class Registrations {
+class ServiceRegistrations {
   public:
     struct Bounds {
         double flap_within = 10;     // s from coming to going that make it a flap
@@ -55,8 +55,8 @@
         double doubted_most = 30;    // s that they are kept
     };
 
-    explicit Registrations(Bounds bounds) : bounds_(bounds) {}
-    Registrations() : Registrations(Bounds{}) {}
+    explicit ServiceRegistrations(Bounds bounds) : bounds_(bounds) {}
+    ServiceRegistrations() : ServiceRegistrations(Bounds{}) {}
 
     // A whole view as of `order` (the coordinator's transaction id): false if it is older than one taken
     // before.
@@ -86,7 +86,7 @@
 
     void came(double now, const Registration& r);
     void went(double now, Known& k);
-    void tell(Known& k, Standing standing, bool fresh);
+    void tell(Known& k, EndpointState standing, bool fresh);
     void doubt_if_wiped(double now);
 
     Bounds bounds_;
--- a/src/discovery/coordination_client.h
+++ b/src/discovery/coordination_client.h
@@ -10,42 +10,43 @@
 #include <vector>
 
 #include "coordination/coordination_session.h"
-#include "io/log.h"
 #include "coordination/service_registrations.h"
+#include "io/log.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
 
 namespace brookrelay {
 
-class Registry {
+class CoordinationClient {
   public:
-    using Told = std::function<void(std::vector<RegistrationChange>&&)>;
+    using OnChanges = std::function<void(std::vector<RegistrationChange>&&)>;
 
-    Registry(Timers& timers, Log& log, std::vector<std::string> addresses, std::string path,
-             double session_timeout, std::uint64_t seed, Follower::Read read, Told told);
+    CoordinationClient(TimerQueue& timers, Log& log, std::vector<std::string> addresses, std::string path,
+                       double session_timeout, std::uint64_t seed, CoordinationSession::Read read,
+                       OnChanges told);
     void start();
-    double age() const { return registrations_.age(monotonic()); }
+    double age() const { return registrations_.age(monotonic_now()); }
 
   private:
     void connect();
-    void news(Stream::News what);
+    void on_event(TcpConnection::Event what);
     void read_frames();
-    void failed(const std::string& why);
-    void after();  // whatever happened: tells the changes, and sets the next time
+    void on_failure(const std::string& why);
+    void process_changes();  // whatever happened: tells the changes, and sets the next time
 
-    Timers& timers_;
+    TimerQueue& timers_;
     Log& log_;
     std::vector<std::string> addresses_;
     std::size_t next_address_ = 0;
     std::ranlux24_base chance_;
-    Told told_;
-    Registrations registrations_;
-    Follower follower_;
+    OnChanges on_changes_;
+    ServiceRegistrations registrations_;
+    CoordinationSession session_;
     ByteBudget budget_;
-    std::unique_ptr<Stream> stream_;
-    Timers::Handle due_, again_;
-    double pause_;
-    bool hung_up_ = false;
+    std::unique_ptr<TcpConnection> connection_;
+    TimerQueue::Handle session_timer_, reconnect_timer_;
+    double reconnect_delay_;
+    bool disconnected_ = false;
 };
 
 }  // namespace brookrelay
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "protocol/http1.h"
 #include "config/json.h"
+#include "protocol/http1.h"
 
 namespace brookrelay {
 namespace {
@@ -26,142 +26,143 @@
 
 }  // namespace
 
-Discovery::Discovery(Timers& timers, Log& log, const Station& station, Told told, Failed failed)
+EndpointWatch::EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& station, OnUpdate told,
+                             OnFailed failed)
     : timers_(timers),
       log_(log),
       address_(station.discovery),
       names_(station.names),
-      asks_(station.deployment.ask_for_list),
-      told_(std::move(told)),
-      tell_failed_(std::move(failed)),
-      version_(station.known.version),
+      polls_(station.deployment.polls_endpoints),
+      on_update_(std::move(told)),
+      on_failed_(std::move(failed)),
+      version_(station.cached_endpoints.version),
       retry_after_(kRetryLeast),
       chance_(static_cast<std::uint32_t>(station.seed ^ (station.seed >> 32))) {}
 
-void Discovery::watch() {
+void EndpointWatch::poll() {
     if (watching_) return;
     watching_ = true;
     call();
 }
 
-void Discovery::move_to(const std::string& address, const Names& names, bool asks) {
-    asks_ = asks;
+void EndpointWatch::move_to(const std::string& address, const Names& names, bool asks) {
+    polls_ = asks;
     const bool same = address == address_ && names == names_;
     if (same && (watching_ || asks)) return;
     address_ = address;
     names_ = names;
     version_ = kNone;
-    gave_up_ = false;
+    last_call_timed_out_ = false;
     retry_after_ = kRetryLeast;
-    if (stream_ != nullptr) hang_up();
-    timers_.call_off(next_);
+    if (connection_ != nullptr) disconnect();
+    timers_.cancel(retry_timer_);
     watching_ = true;
     call();
 }
 
-void Discovery::call() {
-    if (stream_ == nullptr || !stream_->up()) connect();
+void EndpointWatch::call() {
+    if (connection_ == nullptr || !connection_->is_connected()) connect();
     calling_ = true;
     std::string target = "/discovery/hosts";
     double most = kWholeListMost;
     if (version_ >= 0) {
-        const double wait = gave_up_ ? kWaitAfterSilence : kWait;
+        const double wait = last_call_timed_out_ ? kWaitAfterSilence : kWait;
         most = wait + kAnswerMost;
         target +=
             "?index=" + std::to_string(version_) + "&wait=" + std::to_string(static_cast<int>(wait * 1e3));
     }
-    stream_->write(http_request("GET", target, address_, {}, {}));
+    connection_->write(format_http_request("GET", target, address_, {}, {}));
     // Discovery may be silent with its connection open, and may come back without ever answering this call.
-    limit_ = timers_.at(monotonic() + most, [this] {
-        limit_ = {};
-        failed("no answer", true);
+    call_timer_ = timers_.schedule(monotonic_now() + most, [this] {
+        call_timer_ = {};
+        on_failure("no answer", true);
     });
 }
 
-void Discovery::connect() {
-    stream_ =
-        std::make_unique<Stream>(address_, kListMost, budget_, [this](Stream::News what) { news(what); });
+void EndpointWatch::connect() {
+    connection_ = std::make_unique<TcpConnection>(address_, kListMost, budget_,
+                                                  [this](TcpConnection::Event what) { on_event(what); });
 }
 
-void Discovery::news(Stream::News what) {
-    if (what == Stream::News::input) read_answer();
-    if (what != Stream::News::ended) return;
+void EndpointWatch::on_event(TcpConnection::Event what) {
+    if (what == TcpConnection::Event::readable) read_response();
+    if (what != TcpConnection::Event::closed) return;
     // Closed between two calls it is only opened anew by the next.
-    if (calling_ && stream_->ended_in_order() && !stream_->input().empty()) {
-        read_answer(true);
+    if (calling_ && connection_->ended_cleanly() && !connection_->input().empty()) {
+        read_response(true);
     } else if (calling_) {
-        failed("connection lost");
+        on_failure("connection lost");
     } else {
-        stream_->close();
+        connection_->close();
     }
 }
 
-void Discovery::read_answer(bool ended) {
+void EndpointWatch::read_response(bool ended) {
     HttpResponse response;
-    const std::size_t taken = read_response(stream_->input(), kListMost, response, ended);
-    if (taken == 0 && ended) return failed("connection lost within an answer");
+    const std::size_t taken = parse_http_response(connection_->input(), kListMost, response, ended);
+    if (taken == 0 && ended) return on_failure("connection lost within an answer");
     // Of anything but a list the head says all: an end that may never come is not waited for.
-    const bool refused = response.until_close && response.status != 200;
-    if (taken == 0 && !stream_->full() && !refused) return;
-    if (!calling_ || !response.sound || response.status != 200) {
+    const bool refused = response.body_until_close && response.status != 200;
+    if (taken == 0 && !connection_->is_read_buffer_full() && !refused) return;
+    if (!calling_ || !response.valid || response.status != 200) {
         // It may not know the version that we hold, having lost its own; one that only turns us away still
         // does, and the whole list would cost it more.
-        if (!response.sound || response.status != 503) version_ = kNone;
-        return failed("nonsense, or status " + std::to_string(response.status));
+        if (!response.valid || response.status != 503) version_ = kNone;
+        return on_failure("nonsense, or status " + std::to_string(response.status));
     }
-    stream_->take(taken);
-    ServerList list;
+    connection_->consume(taken);
+    EndpointUpdate list;
     try {
         rapidjson::Document document;
         document.Parse(response.body.data(), response.body.size());
-        if (document.HasParseError()) throw BadInput("the list is not JSON");
-        list = read_server_list(document, names_);
-    } catch (const BadInput& bad) {
-        return failed(bad.what());
+        if (document.HasParseError()) throw ConfigurationError("the list is not JSON");
+        list = parse_endpoint_update(document, names_);
+    } catch (const ConfigurationError& bad) {
+        return on_failure(bad.what());
     }
     // From a replica that lags behind it would bring back servers that drain. If discovery lost its versions,
     // it says so again when it is asked for all that it has.
     if (list.version < version_) {
         version_ = kNone;
-        return failed("a list older than the one held");
+        return on_failure("a list older than the one held");
     }
-    for (const std::string& complaint : list.complaints) {
+    for (const std::string& complaint : list.errors) {
         log_.line(Topic::discovery, "entry_left_out", "an entry was left out: " + complaint);
     }
     calling_ = false;
-    timers_.call_off(limit_);
+    timers_.cancel(call_timer_);
     retry_after_ = kRetryLeast;
-    gave_up_ = false;
+    last_call_timed_out_ = false;
     version_ = list.version;
-    told_(std::move(list));
-    if (!response.keep_open) stream_->close();
+    on_update_(std::move(list));
+    if (!response.keep_alive) connection_->close();
     // From the loop, not from inside the stream that the call may replace.
-    next_ = timers_.at(monotonic(), [this] {
-        next_ = {};
+    retry_timer_ = timers_.schedule(monotonic_now(), [this] {
+        retry_timer_ = {};
         call();
     });
 }
 
-void Discovery::hang_up() {
+void EndpointWatch::disconnect() {
     calling_ = false;
-    timers_.call_off(limit_);
-    stream_->close();
+    timers_.cancel(call_timer_);
+    connection_->close();
 }
 
-void Discovery::failed(const std::string& why, bool given_up) {
+void EndpointWatch::on_failure(const std::string& why, bool given_up) {
     log_.line(Topic::discovery, "call_failed", "call failed: " + why);
     // A watch that falls silent has used up most of the time: the next call goes out at once, and those of
     // many nodes are apart as their watches were. Whatever else fails may have failed for all nodes in the
     // same moment.
-    const bool silent = given_up && !std::exchange(gave_up_, given_up);
-    hang_up();
+    const bool silent = given_up && !std::exchange(last_call_timed_out_, given_up);
+    disconnect();
     watching_ = false;
-    if (asks_ && !silent) return tell_failed_();
+    if (polls_ && !silent) return on_failed_();
     const double spread =
         0.5 + static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
-    next_ = timers_.at(monotonic() + retry_after_ * spread, [this] {
-        next_ = {};
-        watch();
+    retry_timer_ = timers_.schedule(monotonic_now() + retry_after_ * spread, [this] {
+        retry_timer_ = {};
+        poll();
     });
     retry_after_ = std::min(2 * retry_after_, kRetryMost);
 }
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -9,20 +9,20 @@
 #include <random>
 #include <string>
 
-#include "io/log.h"
 #include "config/node_config.h"
+#include "io/log.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
 
 namespace brookrelay {
 
-class Discovery {
+class EndpointWatch {
   public:
-    using Told = std::function<void(ServerList&&)>;
-    using Failed = std::function<void()>;
+    using OnUpdate = std::function<void(EndpointUpdate&&)>;
+    using OnFailed = std::function<void()>;
 
-    Discovery(Timers& timers, Log& log, const Station& station, Told told, Failed failed);
-    void watch();  // does nothing while a watch is on
+    EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& station, OnUpdate told, OnFailed failed);
+    void poll();  // does nothing while a watch is on
     // Asks there from now on, and reads by these names. If either is new, at once and for the whole list:
     // another discovery counts its versions anew, and entries that the old names could not place are told
     // only so.
@@ -31,26 +31,26 @@
   private:
     void call();
     void connect();
-    void hang_up();
-    void news(Stream::News what);
-    void read_answer(bool ended = false);  // `ended`: by an orderly end behind what has come
-    void failed(const std::string& why, bool given_up = false);
+    void disconnect();
+    void on_event(TcpConnection::Event what);
+    void read_response(bool ended = false);  // `ended`: by an orderly end behind what has come
+    void on_failure(const std::string& why, bool given_up = false);
 
-    Timers& timers_;
+    TimerQueue& timers_;
     Log& log_;
     std::string address_;
     Names names_;
-    bool asks_;  // lists come only when asked for, and the module decides when to ask again
-    Told told_;
-    Failed tell_failed_;
+    bool polls_;  // lists come only when asked for, and the module decides when to ask again
+    OnUpdate on_update_;
+    OnFailed on_failed_;
     std::int64_t version_;
     ByteBudget budget_;  // one stream, bounded by itself
-    std::unique_ptr<Stream> stream_;
+    std::unique_ptr<TcpConnection> connection_;
     bool calling_ = false;
-    bool gave_up_ = false;  // a call since the last answer, for its silence
+    bool last_call_timed_out_ = false;  // a call since the last answer, for its silence
     bool watching_ = false;
-    Timers::Handle limit_;
-    Timers::Handle next_;  // the next call, or the next try
+    TimerQueue::Handle call_timer_;
+    TimerQueue::Handle retry_timer_;  // the next call, or the next try
     double retry_after_;
     std::ranlux24_base chance_;
 };
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -15,121 +15,124 @@
 #include <vector>
 
 #include "io/log.h"
-#include "protocol/memcache_text.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
+#include "protocol/memcache_text.h"
 
 namespace brookrelay {
 
-class Clients {
+class ClientConnections {
   public:
-    struct Asker {
+    struct RequestHandle {
         std::uint64_t connection = 0;
         std::uint64_t command = 0;
-        bool operator==(const Asker&) const = default;
+        bool operator==(const RequestHandle&) const = default;
     };
-    static constexpr int kNoInvocation = -1;
-    using Asked = std::function<int(Asker, Command&&)>;  // which invocation the command is, if it is one
-    using Left = std::function<void(Asker, int inv)>;    // one call for each invocation without its answer
+    static constexpr int kNoRequest = -1;
+    using OnCommand =
+        std::function<int(RequestHandle, Command&&)>;  // which invocation the command is, if it is one
+    using OnClientClosed =
+        std::function<void(RequestHandle, int inv)>;  // one call for each invocation without its answer
     // For long values: there is room for more of it, or nobody wants the rest any more.
-    struct Relayed {
-        std::function<void(std::uint64_t relay)> room;
-        std::function<void(std::uint64_t relay)> left;
+    struct StreamCallbacks {
+        std::function<void(std::uint64_t relay)> on_writable;
+        std::function<void(std::uint64_t relay)> on_abandoned;
     };
 
-    Clients(Timers& timers, Log& log, std::size_t most, std::size_t bytes, Asked asked, Left left,
-            Relayed relayed);
-    ~Clients();
-    Clients(const Clients&) = delete;
-    Clients& operator=(const Clients&) = delete;
+    ClientConnections(TimerQueue& timers, Log& log, std::size_t most, std::size_t bytes, OnCommand asked,
+                      OnClientClosed left, StreamCallbacks relayed);
+    ~ClientConnections();
+    ClientConnections(const ClientConnections&) = delete;
+    ClientConnections& operator=(const ClientConnections&) = delete;
 
     void listen(SocketRef listener);
     void stop_accepting();  // the listener may be another process's too, which goes on
-    void answer(const Asker& asker, std::string text);
+    void respond(const RequestHandle& asker, std::string text);
     // An answer in pieces, which follow while there is room. Not whole at its end, the client is let go,
     // unless nothing of it has been written: then it gets the line instead.
-    void begin_long(const Asker& asker, std::string head, std::uint64_t relay);
-    std::size_t room(const Asker& asker) const;
-    void piece(const Asker& asker, std::string_view bytes);
-    void end_long(const Asker& asker, bool whole, std::string_view line);
+    void begin_stream(const RequestHandle& asker, std::string head, std::uint64_t relay);
+    std::size_t stream_capacity(const RequestHandle& asker) const;
+    void write_chunk(const RequestHandle& asker, std::string_view bytes);
+    void end_stream(const RequestHandle& asker, bool whole, std::string_view line);
     // From now on each connection is closed once it has nothing to be answered. `at_once`: those that rest
     // give back their descriptor in the same moment, which another process of this node needs.
     void begin_shutdown(bool at_once);
     // Whether whoever asked has closed its connection; if so it is dropped, though its end may not be read
     // yet.
-    bool has_gone(const Asker& asker);
-    bool none() const { return live_ == 0; }
-    int live() const { return static_cast<int>(live_); }
-    void keep_to(double part);            // of its connections and bytes: the rest is another process's
-    bool quiet_since(double time) const;  // nothing is owed to anyone, and nobody has asked
-    void sweep();
+    bool has_closed(const RequestHandle& asker);
+    bool empty() const { return open_count_ == 0; }
+    int open_count() const { return static_cast<int>(open_count_); }
+    void set_budget_share(double part);  // of its connections and bytes: the rest is another process's
+    bool idle_since(double time) const;  // nothing is owed to anyone, and nobody has asked
+    void destroy_closed();
 
   private:
-    struct Pending {
+    struct PendingResponse {
         bool ready = false;
-        int inv = kNoInvocation;
+        int request = kNoRequest;
         std::string text;
-        std::uint64_t relay = 0;   // the rest of it comes in pieces
-        bool begun = false;        // and some of it is written
+        std::uint64_t stream = 0;  // the rest of it comes in pieces
+        bool started = false;      // and some of it is written
         std::size_t reserved = 0;  // for the value that the command brought
     };
     struct Client {
-        std::unique_ptr<Stream> stream;
-        std::deque<Pending> pending;
-        std::uint64_t first = 0;  // the number of the command in front
-        double used = 0;
-        std::size_t untaken = 0;  // bytes of answers that it had not taken at the last look that saw a change
-        double untaken_since = 0;
-        bool last = false;       // nothing more is read from it
-        bool finishing = false;  // all is answered, and the client has been told that it was the last
-        Timers::Handle linger;
-        std::size_t reserved = 0;  // for the long value that is being read
-        bool waits = false;        // for such a place
+        std::unique_ptr<TcpConnection> connection;
+        std::deque<PendingResponse> pending;
+        std::uint64_t first_command = 0;  // the number of the command in front
+        double last_used = 0;
+        std::size_t unread_response_bytes =
+            0;  // bytes of answers that it had not taken at the last look that saw a change
+        double unread_since = 0;
+        bool reading_stopped = false;  // nothing more is read from it
+        bool closing = false;          // all is answered, and the client has been told that it was the last
+        TimerQueue::Handle linger_timer;
+        std::size_t reserved = 0;         // for the long value that is being read
+        bool waiting_for_memory = false;  // for such a place
     };
 
-    bool may_hold_another(const Client& c) const;
+    bool may_accept_command(const Client& c) const;
     static bool between_commands(const Client& c);
     void watch_listener(bool on);
-    void accept_ready();
-    bool make_room();
-    void news(std::uint64_t id, Client& c, Stream::News what);
+    void accept_connections();
+    bool evict_idle();
+    void on_event(std::uint64_t id, Client& c, TcpConnection::Event what);
     void read_commands(std::uint64_t id, Client& c);
-    bool may_go_on_reading(Client& c);
-    Client* whose(const Asker& asker);
-    void say(Pending& p, std::string text);
-    void write_answers(Client& c);
-    void turn_away(std::uint64_t id, Client& c, const char* line);
+    bool may_continue_reading(Client& c);
+    Client* find(const RequestHandle& asker);
+    void complete(PendingResponse& p, std::string text);
+    void write_responses(Client& c);
+    void reject_connection(std::uint64_t id, Client& c, const char* line);
     void age();
     void close_longest_idle(double now);
     void age(std::uint64_t id, Client& c, double now);
     void close_if_done(std::uint64_t id, Client& c);
     void close_gracefully(std::uint64_t id, Client& c);
-    void linger(std::uint64_t id, Client& c);
-    void forget_pending(std::uint64_t id, Client& c);
-    void drop(std::uint64_t id, Client& c);
+    void start_lingering_close(std::uint64_t id, Client& c);
+    void abandon_pending(std::uint64_t id, Client& c);
+    void close(std::uint64_t id, Client& c);
 
-    Timers& timers_;
+    TimerQueue& timers_;
     Log& log_;
-    const std::size_t most_ever_;
-    std::size_t most_;
-    const std::size_t bytes_ever_;
+    const std::size_t max_connections_;
+    std::size_t connection_limit_;
+    const std::size_t max_bytes_;
     ByteBudget budget_;
-    Asked asked_;
-    Left left_;
-    Relayed relayed_;
-    std::size_t reserved_most_;
+    OnCommand on_command_;
+    OnClientClosed on_client_closed_;
+    StreamCallbacks stream_callbacks_;
+    std::size_t reserved_limit_;
     std::size_t reserved_ = 0;  // bytes of long values that clients write
     SocketRef listener_;
-    GSource* accepting_ = nullptr;
-    Timers::Handle accept_again_;
+    GSource* accept_source_ = nullptr;
+    TimerQueue::Handle accept_retry_timer_;
     std::map<std::uint64_t, Client> clients_;
-    std::vector<std::uint64_t> dropped_;
-    std::size_t live_ = 0;
-    std::size_t held_ = 0;  // commands without their answer written
+    std::vector<std::uint64_t> closed_;
+    std::size_t open_count_ = 0;
+    std::size_t unanswered_commands_ = 0;  // commands without their answer written
     std::uint64_t last_id_ = 0;
-    double last_command_ = 0;
+    double last_command_at_ = 0;
     bool shutting_down_ = false;
-    bool at_once_ = false;
+    bool close_idle_at_once_ = false;
 };
 
 }  // namespace brookrelay
--- a/src/gossip/fleet_quotas.h
+++ b/src/gossip/fleet_quotas.h
@@ -14,57 +14,57 @@
 
 #include "gossip/quota_leases.h"
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 
 // Of all nodes together, as operators set them; 0: none.
-struct Wholes {
-    bool tenants = false;  // tenants' shares, as the settings have them, follow the demand
-    double origin = 0;     // forwards a second to the origin
-    double cold = 0;       // forwards a second to one cache server while it is cold
-    int connections = 0;   // open to one cache server
-    bool operator==(const Wholes&) const = default;
+struct FleetTotals {
+    bool share_tenant_quotas = false;       // tenants' shares, as the settings have them, follow the demand
+    double origin_attempts_per_second = 0;  // forwards a second to the origin
+    double slow_start_attempts_per_second = 0;  // forwards a second to one cache server while it is cold
+    int connections_per_server = 0;             // open to one cache server
+    bool operator==(const FleetTotals&) const = default;
 };
 
-class Budgets {
+class FleetQuotas {
   public:
     using Tenants =
         std::vector<std::pair<std::string, double>>;  // by their numbers here: name, and quota a second
-    Budgets(int node, int nodes) : node_(node), nodes_(nodes < 1 ? 1 : nodes) {}
+    FleetQuotas(int node, int nodes) : node_(node), nodes_(nodes < 1 ? 1 : nodes) {}
 
     // From now on, also while it runs: parts are parts of the whole, so that other wholes make no part count
     // twice. What is not taken is told, a line each: a whole of which a node's part never comes to one.
-    std::vector<std::string> settle_in(const Wholes& wholes, const Tenants& tenants);
+    std::vector<std::string> apply_configuration(const FleetTotals& wholes, const Tenants& tenants);
 
     // `part`: this node's, of the whole, as it is in force at `now`.
-    void tenant_asked(double now, int tenant);
-    bool origin_may(double now, double part);
+    void on_tenant_request(double now, int tenant);
+    bool admit_origin_attempt(double now, double part);
     // Whether one more forward may go to a cold cache server; and that one goes. Who waited for its fetch
     // goes without asking: then nothing more does until that is made up for.
-    bool cold_may(double now, Subject server, double part);
-    void cold_sent(double now, Subject server, double part);
+    bool may_start_slow_start_attempt(double now, ServerKey server, double part);
+    void on_slow_start_attempt(double now, ServerKey server, double part);
     // How many connections to a server may be open here; `wanted`: how many of them would be at work now.
-    int connections_most(double now, Subject server, int wanted, double part);
-    bool limits_connections() const { return wholes_.connections > 0; }
-    bool limits_cold() const { return wholes_.cold > 0; }
+    int max_connections(double now, ServerKey server, int wanted, double part);
+    bool limits_connections() const { return wholes_.connections_per_server > 0; }
+    bool limits_slow_start() const { return wholes_.slow_start_attempts_per_second > 0; }
 
-    struct Limit {
-        LimitId id = 0;
+    struct Quota {
+        QuotaId id = 0;
         std::string name, unit;
         bool strict = true;
-        double whole = 0;
-        double need = 0;  // of the whole, that this node could use now
+        double total = 0;
+        double demand = 0;  // of the whole, that this node could use now
         std::uint64_t declined = 0;
         int tenant = -1;
     };
-    std::vector<Limit> limits(double now);  // that are in force
-    static LimitId id(const std::string& name) { return subject_of(name); }
-    static LimitId origin_id() { return id("origin"); }
-    static LimitId cold_id() { return id("cold"); }
-    static LimitId connections_id() { return id("connections"); }
+    std::vector<Quota> quotas(double now);  // that are in force
+    static QuotaId id(const std::string& name) { return server_key(name); }
+    static QuotaId origin_id() { return id("origin"); }
+    static QuotaId cold_id() { return id("cold"); }
+    static QuotaId connections_id() { return id("connections"); }
 
   private:
     struct Cold {
-        Spending spending;
+        TokenBucket spending;
         double used = 0;
     };
     struct Wanted {  // of one server, in this turn of kWantedTurn and the one before
@@ -79,16 +79,16 @@
     // What a node has saved up of a cold server's limit at first: spread over the nodes as evenly as can be,
     // and for each server otherwise, or all would forward to it in the same moment, or none for long where
     // parts are small.
-    double begin(Subject server) const;
+    double begin(ServerKey server) const;
 
     int node_, nodes_;
-    Wholes wholes_;
+    FleetTotals wholes_;
     Tenants tenants_;
-    Spending origin_;
-    std::vector<Spending> asked_;  // of tenants
-    std::unordered_map<Subject, Cold> cold_;
-    std::unordered_map<Subject, Wanted> wanted_;
+    TokenBucket origin_;
+    std::vector<TokenBucket> asked_;  // of tenants
+    std::unordered_map<ServerKey, Cold> cold_;
+    std::unordered_map<ServerKey, Wanted> wanted_;
     std::uint64_t origin_declined_ = 0, cold_declined_ = 0, connections_declined_ = 0;
 };
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -9,41 +9,46 @@
 
 #include "gossip/messages.h"
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 
-enum class Presence { fresh, late, gone };
+enum class MemberState { alive, suspect, dead };
 
 struct Member {
-    std::uint32_t start = 0;  // its newest life that is known here; 0: none
-    double least = 0;  // s by which its ticks lie behind this clock at the least: its quickest datagram's way
-    bool heard_itself = false;  // in that life
-    double heard = -1e9;        // when it was last known to be there
+    std::uint32_t incarnation = 0;  // its newest life that is known here; 0: none
+    double min_clock_offset =
+        0;  // s by which its ticks lie behind this clock at the least: its quickest datagram's way
+    bool heard_directly = false;  // in that life
+    double last_heard = -1e9;     // when it was last known to be there
     int zone = -1;
 };
 
-class Members {
+class Membership {
   public:
-    Members(int own, int count, double entries_a_second);
+    Membership(int own, int count, double entries_a_second);
 
-    struct Heard {
-        bool counts = false;    // false: a dead life's word, or its own from another life
-        bool new_life = false;  // all that was known of an older one is void
-        double late = 0;        // s longer on its way than its quickest
+    struct HeartbeatResult {
+        bool accepted = false;         // false: a dead life's word, or its own from another life
+        bool new_incarnation = false;  // all that was known of an older one is void
+        double delay = 0;              // s longer on its way than its quickest
     };
-    Heard heard(double now, int node, Stamp stamp, int zone);
-    void told(double now, const Alive& alive, double late);
+    HeartbeatResult on_heartbeat(double now, int node, Stamp stamp, int zone);
+    void on_relayed_heartbeat(double now, const Heartbeat& alive, double late);
 
-    Presence presence(int node, double now) const;
-    bool there(int node, double now) const { return node == own_ || presence(node, now) != Presence::gone; }
+    MemberState state(int node, double now) const;
+    bool is_present(int node, double now) const {
+        return node == own_ || state(node, now) != MemberState::dead;
+    }
     std::vector<int> there(double now) const;  // itself among them
-    double age(int node, double now) const { return now - members_[static_cast<std::size_t>(node)].heard; }
-    const Member& of(int node) const { return members_[static_cast<std::size_t>(node)]; }
+    double age(int node, double now) const {
+        return now - members_[static_cast<std::size_t>(node)].last_heard;
+    }
+    const Member& member(int node) const { return members_[static_cast<std::size_t>(node)]; }
     int count() const { return static_cast<int>(members_.size()); }
     int own() const { return own_; }
-    double fresh_within() const { return fresh_; }
-    double gone_after() const { return gone_; }
+    double suspect_after() const { return fresh_; }
+    double dead_after() const { return gone_; }
     // Those to speak of: the freshest first, `most` of them, older ones by turns.
-    std::vector<Alive> freshest(double now, std::size_t most);
+    std::vector<Heartbeat> freshest(double now, std::size_t most);
 
   private:
     int own_;
@@ -52,4 +57,4 @@
     std::size_t turn_ = 0;
 };
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/src/gossip/messages.cpp
+++ b/src/gossip/messages.cpp
@@ -5,7 +5,7 @@
 #include <limits>
 #include <msgpack.hpp>
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 namespace {
 
 constexpr std::uint32_t kHead = 12, kPerAlive = 2, kPerSight = 3, kPerFinding = 7, kPerZone = 4, kPerWant = 2,
@@ -16,7 +16,8 @@
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
 std::uint32_t age_steps(double age) {
-    return static_cast<std::uint32_t>(std::clamp(std::ceil(age / kAgeStep), 0.0, double{kAgeStepsMost}));
+    return static_cast<std::uint32_t>(
+        std::clamp(std::ceil(age / kAgeStepSeconds), 0.0, double{kMaxAgeSteps}));
 }
 
 // Reads one flat list of numbers; remembers that something was wrong.
@@ -53,12 +54,12 @@
 
 bool read(const msgpack::object& root, Datagram& d) {
     Numbers head(root);
-    if (head.size() != kHead || head.next() != kVersion) return false;
+    if (head.size() != kHead || head.next() != kProtocolVersion) return false;
     d.node = as_int(head.next(kNodesMost));
-    d.stamp.start = head.next();
-    d.stamp.number = head.next();
-    d.zone = as_int(head.next(kZonesMost - 1));
-    d.start_of_yours = head.next();
+    d.stamp.incarnation = head.next();
+    d.stamp.sequence = head.next();
+    d.zone = as_int(head.next(kMaxZones - 1));
+    d.receiver_incarnation = head.next();
     const msgpack::object *alive = head.list(), *sights = head.list(), *findings = head.list(),
                           *zones = head.list(), *wants = head.list(), *grants = head.list();
     if (!head.sound()) return false;
@@ -68,41 +69,43 @@
         return false;
     while (!a.at_end()) {
         const std::uint32_t who = a.next(kNodesMost * kZoneRoom);
-        const double age = a.next(kAgeStepsMost) * kAgeStep;
-        d.alive.push_back({as_int(who / kZoneRoom), age, std::min(as_int(who % kZoneRoom), kZonesMost) - 1});
+        const double age = a.next(kMaxAgeSteps) * kAgeStepSeconds;
+        d.heartbeats.push_back(
+            {as_int(who / kZoneRoom), age, std::min(as_int(who % kZoneRoom), kMaxZones) - 1});
     }
     while (!s.at_end()) {
-        Sight sight;
-        sight.subject = s.next();
-        sight.good = as_int(s.next(kCountMost));
-        sight.bad = as_int(s.next(kCountMost));
-        d.sights.push_back(sight);
+        Observation sight;
+        sight.server = s.next();
+        sight.successes = as_int(s.next(kCountMost));
+        sight.failures = as_int(s.next(kCountMost));
+        d.observations.push_back(sight);
     }
     while (!f.at_end()) {
-        Finding finding;
-        finding.subject = f.next();
-        finding.keeper = as_int(f.next(kNodesMost));
-        finding.stamp.start = f.next();
-        finding.stamp.number = f.next();
-        finding.zones = f.next();
-        finding.voices = as_int(f.next(kNodesMost));
-        finding.age = f.next(kAgeStepsMost) * kAgeStep;
-        d.findings.push_back(finding);
+        Verdict finding;
+        finding.server = f.next();
+        finding.owner = as_int(f.next(kNodesMost));
+        finding.stamp.incarnation = f.next();
+        finding.stamp.sequence = f.next();
+        finding.bad_zones = f.next();
+        finding.reporters = as_int(f.next(kNodesMost));
+        finding.age = f.next(kMaxAgeSteps) * kAgeStepSeconds;
+        d.verdicts.push_back(finding);
     }
     while (!z.at_end()) {
-        const int zone = as_int(z.next(kZonesMost - 1));
-        const auto seen = static_cast<ZoneSight>(z.next(static_cast<std::uint32_t>(ZoneSight::strained)));
-        const int step = as_int(z.next(kStepWell));
-        d.zones.push_back({zone, seen, step, as_int(z.next(kFallsSaid))});
+        const int zone = as_int(z.next(kMaxZones - 1));
+        const auto seen =
+            static_cast<ZoneObservation>(z.next(static_cast<std::uint32_t>(ZoneObservation::strained)));
+        const int step = as_int(z.next(kStepHealthy));
+        d.zone_reports.push_back({zone, seen, step, as_int(z.next(kFallsSaid))});
     }
     while (!w.at_end()) {
-        const LimitId limit = w.next();
-        d.wants.push_back({limit, w.next(kCrumbsMost)});
+        const QuotaId limit = w.next();
+        d.lease_requests.push_back({limit, w.next(kCrumbsMost)});
     }
     while (!g.at_end()) {
-        const LimitId limit = g.next();
+        const QuotaId limit = g.next();
         const std::uint32_t crumbs = g.next(kCrumbsMost);
-        d.grants.push_back({limit, crumbs, g.next()});
+        d.lease_grants.push_back({limit, crumbs, g.next()});
     }
     return a.sound() && s.sound() && f.sound() && z.sound() && w.sound() && g.sound();
 }
@@ -110,14 +113,14 @@
 }  // namespace
 
 // FNV-1a: the same at every node.
-Subject subject_of(std::string_view name) {
-    Subject h = 0x811c9dc5U;
+ServerKey server_key(std::string_view name) {
+    ServerKey h = 0x811c9dc5U;
     for (const char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x01000193U;
     return h;
 }
 
 std::string encode(const Datagram& d) {
-    msgpack::sbuffer bytes(kDatagramMost);
+    msgpack::sbuffer bytes(kMaxDatagramBytes);
     Packer out(bytes);
     const auto put = [&out](auto x) { out.pack(static_cast<std::uint32_t>(x)); };
     const auto list = [&out](std::size_t entries, std::uint32_t each) {
@@ -127,40 +130,42 @@
         return std::min<std::uint32_t>(static_cast<std::uint32_t>(x), kCountMost);
     };
     out.pack_array(kHead);
-    put(kVersion);
+    put(kProtocolVersion);
     put(d.node);
-    put(d.stamp.start);
-    put(d.stamp.number);
-    put(std::clamp(d.zone, 0, kZonesMost - 1));
-    put(d.start_of_yours);
-    list(d.alive.size(), kPerAlive);
-    for (const Alive& a : d.alive)
+    put(d.stamp.incarnation);
+    put(d.stamp.sequence);
+    put(std::clamp(d.zone, 0, kMaxZones - 1));
+    put(d.receiver_incarnation);
+    list(d.heartbeats.size(), kPerAlive);
+    for (const Heartbeat& a : d.heartbeats)
         put(static_cast<std::uint32_t>(a.node) * kZoneRoom +
-            static_cast<std::uint32_t>(std::clamp(a.zone, -1, kZonesMost - 1) + 1)),
+            static_cast<std::uint32_t>(std::clamp(a.zone, -1, kMaxZones - 1) + 1)),
             put(age_steps(a.age));
-    list(d.sights.size(), kPerSight);
-    for (const Sight& s : d.sights) put(s.subject), put(count(s.good)), put(count(s.bad));
-    list(d.findings.size(), kPerFinding);
-    for (const Finding& f : d.findings) {
-        put(f.subject), put(f.keeper), put(f.stamp.start), put(f.stamp.number), put(f.zones), put(f.voices);
+    list(d.observations.size(), kPerSight);
+    for (const Observation& s : d.observations)
+        put(s.server), put(count(s.successes)), put(count(s.failures));
+    list(d.verdicts.size(), kPerFinding);
+    for (const Verdict& f : d.verdicts) {
+        put(f.server), put(f.owner), put(f.stamp.incarnation), put(f.stamp.sequence), put(f.bad_zones),
+            put(f.reporters);
         put(age_steps(f.age));
     }
-    list(d.zones.size(), kPerZone);
-    for (const ZoneVoice& v : d.zones)
-        put(v.zone), put(v.sight), put(std::clamp(v.step, kStepLeft, kStepWell)),
-            put(std::clamp(v.falls, 0, as_int(kFallsSaid)));
-    list(d.wants.size(), kPerWant);
-    for (const Want& w : d.wants) put(w.limit), put(w.crumbs);
-    list(d.grants.size(), kPerGrant);
-    for (const Grant& g : d.grants) put(g.limit), put(g.crumbs), put(g.of);
+    list(d.zone_reports.size(), kPerZone);
+    for (const ZoneReport& v : d.zone_reports)
+        put(v.zone), put(v.observation), put(std::clamp(v.step, kStepDrained, kStepHealthy)),
+            put(std::clamp(v.relapses, 0, as_int(kFallsSaid)));
+    list(d.lease_requests.size(), kPerWant);
+    for (const LeaseRequest& w : d.lease_requests) put(w.quota), put(w.units);
+    list(d.lease_grants.size(), kPerGrant);
+    for (const LeaseGrant& g : d.lease_grants) put(g.quota), put(g.units), put(g.request_sequence);
     return {bytes.data(), bytes.size()};
 }
 
 bool decode(std::string_view bytes, Datagram& datagram) {
-    if (bytes.size() > kDatagramMost) return false;
+    if (bytes.size() > kMaxDatagramBytes) return false;
     try {
         // Nothing but lists of numbers two deep, and no more of them than a datagram's bytes can hold.
-        const msgpack::unpack_limit most(kDatagramMost, 0, 0, 0, 0, 2);
+        const msgpack::unpack_limit most(kMaxDatagramBytes, 0, 0, 0, 0, 2);
         std::size_t taken = 0;
         const msgpack::object_handle root =
             msgpack::unpack(bytes.data(), bytes.size(), taken, nullptr, nullptr, most);
@@ -173,4 +178,4 @@
     }
 }
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/src/gossip/outlier_exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -17,38 +17,39 @@
 #include <vector>
 
 #include "balancer/balancer.h"
-#include "gossip/quota_leases.h"
 #include "gossip/membership.h"
 #include "gossip/messages.h"
+#include "gossip/quota_leases.h"
 #include "gossip/zone_failover.h"
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 
-constexpr double kSightSpan = 3.0;    // s of its own endings that a node speaks of
-constexpr double kSightKept = 5.0;    // s that a keeper holds a sight not said again
-constexpr double kFindingKept = 8.0;  // s after its keeper found it that a finding counts
+constexpr double kObservationWindow = 3.0;    // s of its own endings that a node speaks of
+constexpr double kObservationLifetime = 5.0;  // s that a keeper holds a sight not said again
+constexpr double kVerdictLifetime = 8.0;      // s after its keeper found it that a finding counts
 // How old what a verdict rests on can be at the most, where every datagram was as quick as its sender's
 // quickest.
-constexpr double kOldest = kSightSpan + kSightKept + kFindingKept;
+constexpr double kMaxEvidenceAge = kObservationWindow + kObservationLifetime + kVerdictLifetime;
 
-struct Terms {
-    int node = 0;
-    int nodes = 1;
+struct GossipSettings {
+    int node_index = 0;
+    int node_count = 1;
     int zone = 0;
-    int zones = 1;
-    double bytes_most = 1024;       // a second, that this node sends
-    double price = 0;               // of G for 256 bytes a first try
-    double price_part = 0.004;      // of G that words may cost
-    bool zones_as_one = false;      // whether nodes leave a zone and take it back together
-    double warm_within = 0;         // s that a cold cache takes
-    std::vector<int> regions = {};  // of each zone; empty: none
+    int zone_count = 1;
+    double max_bytes_per_second = 1024;     // a second, that this node sends
+    double price = 0;                       // of G for 256 bytes a first try
+    double max_price_ratio = 0.004;         // of G that words may cost
+    bool zone_failover = false;             // whether nodes leave a zone and take it back together
+    double slow_start_duration = 0;         // s that a cold cache takes
+    std::vector<int> failure_domains = {};  // of each zone; empty: none
 };
 
-enum class Seen { good, bad };
+enum class AttemptHealth { good, bad };
 // What a forward's end says of its cache; nothing where it tells of load, or of nobody.
-std::optional<Seen> seen_as(Ending ending, double took, double latency_objective);
+std::optional<AttemptHealth> classify_attempt(AttemptOutcome ending, double took, double latency_objective);
 // The same for the zone it stands in: whatever answers is no sign of a zone that is lost.
-std::optional<ZoneEnd> zone_seen_as(Ending ending, double took, double latency_objective);
+std::optional<ZoneAttempt> classify_zone_attempt(AttemptOutcome ending, double took,
+                                                 double latency_objective);
 // After so long without an answer one need not wait for the end to call it bad.
 double overdue_after(double latency_objective);
 
@@ -58,73 +59,77 @@
 };
 
 // For operators: counts since the start, and what stands now.
-struct Counts {
+struct GossipCounters {
     std::uint64_t sent = 0, sent_bytes = 0, received = 0;
-    std::uint64_t unsound = 0, strangers = 0, dead_lives = 0,
-                  late = 0;  // datagrams thrown away, or late by over 1 s
-    std::uint64_t stalls = 0, muted = 0;
+    std::uint64_t malformed = 0, unknown_senders = 0, stale_incarnations = 0,
+                  delayed = 0;  // datagrams thrown away, or late by over 1 s
+    std::uint64_t process_pauses = 0, self_muted = 0;
 };
-struct Voice {
-    int keeper = 0;
-    std::uint32_t zones = 0;
-    int voices = 0;
+struct VerdictSource {
+    int owner = 0;
+    std::uint32_t bad_zones = 0;
+    int reporters = 0;
     double age = 0;
 };
-struct Held {
-    Subject subject = 0;
-    bool counts = false;  // here, for this node's zone
+struct VerdictView {
+    ServerKey server = 0;
+    bool corroborated = false;  // here, for this node's zone
     double since = 0;
-    std::vector<Voice> said;
+    std::vector<VerdictSource> sources;
 };
-struct State {
-    std::vector<std::pair<int, Presence>> members;
+struct GossipState {
+    std::vector<std::pair<int, MemberState>> members;
     std::vector<double> ages;  // of the members, s
-    std::vector<std::uint32_t> starts;
-    std::vector<Held> verdicts;
-    std::size_t sights_kept = 0;
-    double oldest_sight = 0;
-    bool doubts_itself = false;
-    double bytes_a_second = 0;
-    Counts counts;
+    std::vector<std::uint32_t> incarnations;
+    std::vector<VerdictView> verdicts;
+    std::size_t observations_held = 0;
+    double oldest_observation = 0;
+    bool doubts_own_connectivity = false;
+    double bytes_per_second = 0;
+    GossipCounters counts;
 };
 
-class Exchange {
+class OutlierExchange {
   public:
     // `start`: which life of this node it is, greater than any before; `now`, here and below, never goes
     // back.
-    Exchange(const Terms& terms, std::uint32_t start, std::uint64_t seed, double now);
+    OutlierExchange(const GossipSettings& terms, std::uint32_t start, std::uint64_t seed, double now);
 
-    void asked(double now);                              // a first try of a client's
-    void ended(double now, Subject subject, Seen seen);  // a forward of this node's
-    void zone_ended(double now, int zone, Subject subject, ZoneEnd end) {
-        zones_.ended(now, zone, subject, end);
+    void on_request(double now);                                                  // a first try of a client's
+    void on_attempt_finished(double now, ServerKey subject, AttemptHealth seen);  // a forward of this node's
+    void on_zone_attempt_finished(double now, int zone, ServerKey subject, ZoneAttempt end) {
+        zones_.on_attempt_finished(now, zone, subject, end);
     }
-    void zone_by_hand(double now, int zone, bool out) { zones_.by_hand(now, zone, out); }
-    void caches(int in_own_zone) { caches_ = in_own_zone; }  // that are listed there
+    void set_zone_admin_state(double now, int zone, bool out) { zones_.set_admin_state(now, zone, out); }
+    void set_local_server_count(int in_own_zone) { caches_ = in_own_zone; }  // that are listed there
     // From whom the address says that it is; -1: from no peer's.
-    void received(double now, int from, std::string_view bytes);
+    void on_datagram(double now, int from, std::string_view bytes);
     // To be called every kStep. `wall`: a clock that nodes may share, to agree whose turn it is to try, and
     // no more.
     std::vector<Outgoing> tick(double now, double wall);
     std::vector<Outgoing> tick(double now) { return tick(now, now); }
-    static constexpr double kStep = 0.125;
+    static constexpr double kTickInterval = 0.125;
 
-    struct Verdict {
-        Subject subject = 0;
+    struct ServerVerdict {
+        ServerKey server = 0;
         bool bad = false;
-        double apart = 0;  // s between one node's trials, so that all nodes' together are few
+        double probe_interval = 0;  // s between one node's trials, so that all nodes' together are few
     };
     // What stands, and once what no longer stands.
-    std::vector<Verdict> verdicts(double now);
-    void limit_needs(double now, LimitId limit, double crumbs) { limits_.needs(now, limit, crumbs); }
-    void limits_anew(double now) { limits_.anew(now); }
-    std::uint32_t limit_part(LimitId limit, double now) const { return limits_.part(limit, now); }
-    Limits::View limit_view(LimitId limit, double now) const { return limits_.view(limit, now); }
-    std::vector<Zones::Order> zone_orders() { return std::exchange(zone_orders_, {}); }  // what changed since
-    std::vector<Zones::View> zone_views(double now) const;
-    State state(double now) const;
-    std::uint32_t start() const { return start_; }
-    std::uint64_t stalls() const { return counts_.stalls; }
+    std::vector<ServerVerdict> verdicts(double now);
+    void set_quota_demand(double now, QuotaId limit, double crumbs) {
+        limits_.set_demand(now, limit, crumbs);
+    }
+    void reset_quota_leases(double now) { limits_.reset(now); }
+    std::uint32_t quota_share(QuotaId limit, double now) const { return limits_.share(limit, now); }
+    QuotaLeases::View quota_view(QuotaId limit, double now) const { return limits_.view(limit, now); }
+    std::vector<ZoneFailover::Change> zone_orders() {
+        return std::exchange(zone_orders_, {});
+    }  // what changed since
+    std::vector<ZoneFailover::View> zone_views(double now) const;
+    GossipState state(double now) const;
+    std::uint32_t incarnation() const { return start_; }
+    std::uint64_t process_pauses() const { return counts_.process_pauses; }
 
   private:
     struct Own {  // of one subject, in buckets of time used again in a ring
@@ -157,7 +162,7 @@
         double born = 0;
     };
     struct Spread {  // a keeper's finding as it goes round
-        Finding finding;
+        Verdict finding;
         double born = -1e9;
         bool stands =
             false;  // its keeper said so here, or two others that it did; else it only waits for that
@@ -173,18 +178,19 @@
     void turn(Own& own, double now) const;
     static int sum(const std::array<int, Own::kBuckets>& buckets);
     bool own_way_bad(double now);
-    void take_sight(double now, int from, const Stamp& stamp, int zone, const Sight& sight, double late);
-    void take_finding(const Finding& finding, double born, int from);
+    void take_sight(double now, int from, const Stamp& stamp, int zone, const Observation& sight,
+                    double late);
+    void take_finding(const Verdict& finding, double born, int from);
     static void weigh(Spread& s);
     void judge(double now);
-    void judge(double now, Subject subject, Kept& kept);
-    bool found_by_another(Subject subject, int zone, double now) const;
+    void judge(double now, ServerKey subject, Kept& kept);
+    bool found_by_another(ServerKey subject, int zone, double now) const;
     void look_who_is_there(double now);
     int voices_needed(int zone) const;
     double expected(double now) const;
-    std::vector<int> keepers(Subject subject) const;
-    const std::vector<int>& keepers_now(Subject subject, double now);
-    bool counts(Subject subject, double now);
+    std::vector<int> keepers(ServerKey subject) const;
+    const std::vector<int>& keepers_now(ServerKey subject, double now);
+    bool counts(ServerKey subject, double now);
     void report(double now, std::vector<Outgoing>& out);
     void gossip(double now, std::vector<Outgoing>& out);
     void speak_of_zones(double now, double wall, std::vector<Outgoing>& out);
@@ -195,30 +201,30 @@
     double rate(double now) const;
     double draw() { return static_cast<double>(chance_()) / 16777216.0; }
 
-    Terms terms_;
+    GossipSettings terms_;
     std::uint32_t start_;
     double began_;
     std::uint32_t last_number_ = 0;
     std::ranlux24_base chance_;
-    Members members_;
+    Membership members_;
     std::vector<int> there_;  // as of this step, this node among them
-    std::array<int, kZonesMost> in_zone_{};
-    std::map<Subject, Own> own_;
-    std::map<Subject, Kept> kept_;
-    std::map<std::pair<Subject, int>, Spread> spread_;
-    std::map<Subject, Stand> standing_;
-    std::map<Subject, std::pair<double, std::vector<int>>> keepers_;  // as of some time
+    std::array<int, kMaxZones> in_zone_{};
+    std::map<ServerKey, Own> own_;
+    std::map<ServerKey, Kept> kept_;
+    std::map<std::pair<ServerKey, int>, Spread> spread_;
+    std::map<ServerKey, Stand> standing_;
+    std::map<ServerKey, std::pair<double, std::vector<int>>> keepers_;  // as of some time
     int caches_ = 0;
     double ticked_ = 0, doubts_until_ = -1e9, gossiped_ = -1e9, filled_ = 0;
     double report_purse_ = 0, gossip_purse_ = 0, more_purse_ = 0, zones_said_ = -1e9;
-    Zones zones_;
-    Limits limits_;
-    std::map<int, std::vector<Grant>> owed_grants_;  // to whom
-    std::vector<int> voters_;                        // whose word on zones counts here, as of this step
-    std::vector<Zones::Order> zone_orders_;
+    ZoneFailover zones_;
+    QuotaLeases limits_;
+    std::map<int, std::vector<LeaseGrant>> owed_grants_;  // to whom
+    std::vector<int> voters_;                             // whose word on zones counts here, as of this step
+    std::vector<ZoneFailover::Change> zone_orders_;
     std::array<int, 8> arrivals_{};  // a second
     std::int64_t arrivals_turn_ = 0;
-    Counts counts_;
+    GossipCounters counts_;
 };
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/src/gossip/quota_leases.cpp
+++ b/src/gossip/quota_leases.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 namespace {
 
 constexpr double kClocksApart = 1.02;     // times as long the lender waits: two clocks may run so differently
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Spending::asked(double now) {
+void TokenBucket::on_demand(double now) {
     const auto bucket = static_cast<std::int64_t>(now / kBucket);
     for (std::int64_t b = std::max(turn_ + 1, bucket - kBuckets + 1); b <= bucket; ++b)
         asked_[static_cast<std::size_t>(b % kBuckets)] = 0;
@@ -28,7 +28,7 @@
     ++asked_[static_cast<std::size_t>(turn_ % kBuckets)];
 }
 
-double Spending::rate(double now) const {
+double TokenBucket::demand(double now) const {
     const auto bucket = static_cast<std::int64_t>(now / kBucket);
     int sum = 0;
     for (std::int64_t b = std::max(turn_ - kBuckets + 1, bucket - kBuckets + 1); b <= turn_; ++b) {
@@ -39,37 +39,37 @@
 
 // After it stood still a node has no more saved up than ever: what its part was meanwhile may be another's by
 // now.
-bool Spending::may(double now, double a_second) {
+bool TokenBucket::has_token(double now, double a_second) {
     const double most = std::max(1.0, a_second * kSaved);
     if (filled_ > 0) tokens_ = std::min(tokens_ + std::max(now - filled_, 0.0) * a_second, most);
     filled_ = now;
     return tokens_ >= 1;
 }
 
-bool Spending::take(double now, double a_second) {
-    if (!may(now, a_second)) return false;
+bool TokenBucket::take(double now, double a_second) {
+    if (!has_token(now, a_second)) return false;
     spend();
     return true;
 }
 
-std::uint32_t Limits::most_lent(int nodes) {
-    const std::uint32_t base = kWhole / static_cast<std::uint32_t>(std::max(1, nodes));
+std::uint32_t QuotaLeases::max_lent(int nodes) {
+    const std::uint32_t base = kTotalUnits / static_cast<std::uint32_t>(std::max(1, nodes));
     return base - base / kNeverLent;
 }
 
-Limits::Limits(Terms terms, double now)
+QuotaLeases::QuotaLeases(Settings terms, double now)
     : terms_(terms),
-      base_(kWhole / static_cast<std::uint32_t>(std::max(1, terms.nodes))),
-      most_lent_(most_lent(terms.nodes)),
+      base_(kTotalUnits / static_cast<std::uint32_t>(std::max(1, terms.node_count))),
+      most_lent_(max_lent(terms.node_count)),
       began_(now) {}
 
-const Limits::Of& Limits::of(LimitId limit) const {
+const QuotaLeases::Of& QuotaLeases::of(QuotaId limit) const {
     static const Of none;
     const auto known = limits_.find(limit);
     return known == limits_.end() ? none : known->second;
 }
 
-std::uint32_t Limits::largest(const Leases& leases, double now) {
+std::uint32_t QuotaLeases::largest(const Leases& leases, double now) {
     std::uint32_t most = 0;
     for (const Lease& l : leases) {
         if (now < l.until) most = std::max(most, l.crumbs);
@@ -77,39 +77,40 @@
     return most;
 }
 
-double Limits::longest(const Leases& leases) {
+double QuotaLeases::longest(const Leases& leases) {
     double until = -1e9;
     for (const Lease& l : leases) until = std::max(until, l.until);
     return until;
 }
 
-std::uint32_t Limits::sum(const std::map<int, Leases>& leases, double now) {
+std::uint32_t QuotaLeases::sum(const std::map<int, Leases>& leases, double now) {
     std::uint32_t all = 0;
     for (const auto& [node, with] : leases) all += largest(with, now);
     return all;
 }
 
-std::uint32_t Limits::own(const Of& of, double now) const {
+std::uint32_t QuotaLeases::own(const Of& of, double now) const {
     // What an earlier life of this node lent may still be in use.
-    const std::uint32_t earlier = now - began_ < kLease * kClocksApart ? most_lent_ : 0;
+    const std::uint32_t earlier = now - began_ < kLeaseDuration * kClocksApart ? most_lent_ : 0;
     return base_ - std::min(base_, std::max(sum(of.lent, now), earlier));
 }
 
-std::uint32_t Limits::part(LimitId limit, double now) const {
+std::uint32_t QuotaLeases::share(QuotaId limit, double now) const {
     return own(of(limit), now) + sum(of(limit).borrowed, now);
 }
 
-void Limits::needs(double now, LimitId limit, double crumbs) {
+void QuotaLeases::set_demand(double now, QuotaId limit, double crumbs) {
     Of& o = limits_[limit];
-    o.need = std::clamp(crumbs, 0.0, double{kWhole});
+    o.need = std::clamp(crumbs, 0.0, double{kTotalUnits});
     o.needed_at = now;
 }
 
-std::vector<Limits::Ask> Limits::tick(double now, const std::vector<int>& others, double draw) {
-    std::vector<Ask> asks;
+std::vector<QuotaLeases::OutgoingRequest> QuotaLeases::tick(double now, const std::vector<int>& others,
+                                                            double draw) {
+    std::vector<OutgoingRequest> asks;
     if (now - ticked_ < kAskEvery) return asks;
     ticked_ = now;
-    std::erase_if(pending_, [now](const Pending& p) { return now - p.sent > kLease; });
+    std::erase_if(pending_, [now](const Pending& p) { return now - p.sent > kLeaseDuration; });
     for (auto& [l, o] : limits_) {
         for (auto* leases : {&o.lent, &o.borrowed}) {
             for (auto& [node, with] : *leases)
@@ -151,51 +152,51 @@
     return asks;
 }
 
-void Limits::asked(int to, const Want& want, std::uint32_t number, double now) {
+void QuotaLeases::on_request_sent(int to, const LeaseRequest& want, std::uint32_t number, double now) {
     if (pending_.size() >= kPendingMost) pending_.erase(pending_.begin());
-    pending_.push_back({to, number, want.limit, want.crumbs, now});
+    pending_.push_back({to, number, want.quota, want.units, now});
 }
 
 // Only of its own: what it was lent itself is another's. The lease runs here from now, there from before.
-Grant Limits::wanted(double now, int from, std::uint32_t number, const Want& want) {
-    Grant g{want.limit, 0, number};
-    const auto known = limits_.find(want.limit);
+LeaseGrant QuotaLeases::on_request(double now, int from, std::uint32_t number, const LeaseRequest& want) {
+    LeaseGrant g{want.quota, 0, number};
+    const auto known = limits_.find(want.quota);
     if (known == limits_.end()) return g;
     Of& o = known->second;
     const std::uint32_t held = o.lent.contains(from) ? largest(o.lent[from], now) : 0;
     const std::uint32_t lent =
-        std::max(sum(o.lent, now), now - began_ < kLease * kClocksApart ? most_lent_ : 0);
+        std::max(sum(o.lent, now), now - began_ < kLeaseDuration * kClocksApart ? most_lent_ : 0);
     const double need = now - o.needed_at > kNeedKept ? 0 : o.need * kHeadroom;
     const double free = std::min(static_cast<double>(most_lent_) - lent, base_ - lent - need);
     // Whose own need has grown gives back nothing before its time, but lends no more of it again.
     const double most = free >= 0 ? held + free : std::max(0.0, held + free);
-    g.crumbs = static_cast<std::uint32_t>(std::min<double>(want.crumbs, most));
-    if (g.crumbs > 0) o.lent[from].push_back({g.crumbs, now + kLease * kClocksApart});
+    g.units = static_cast<std::uint32_t>(std::min<double>(want.units, most));
+    if (g.units > 0) o.lent[from].push_back({g.units, now + kLeaseDuration * kClocksApart});
     return g;
 }
 
-void Limits::granted(double now, int from, const Grant& grant) {
+void QuotaLeases::on_grant(double now, int from, const LeaseGrant& grant) {
     const auto asked = std::find_if(pending_.begin(), pending_.end(), [&](const Pending& p) {
-        return p.to == from && p.number == grant.of && p.limit == grant.limit;
+        return p.to == from && p.number == grant.request_sequence && p.limit == grant.quota;
     });
     if (asked == pending_.end()) return;  // never asked, or answered already, or long ago
     const Pending p = *asked;
     pending_.erase(asked);
     // No more than was asked for, nor than one node may lend: a peer that claims more gives that.
-    const std::uint32_t crumbs = std::min({grant.crumbs, p.crumbs, most_lent_});
-    const double until = p.sent + kLease;
+    const std::uint32_t crumbs = std::min({grant.units, p.crumbs, most_lent_});
+    const double until = p.sent + kLeaseDuration;
     if (crumbs > 0 && now < until) limits_[p.limit].borrowed[from].push_back({crumbs, until});
 }
 
-void Limits::new_life(int node) {
+void QuotaLeases::on_new_incarnation(int node) {
     std::erase_if(pending_, [node](const Pending& p) { return p.to == node; });
 }
 
-Limits::View Limits::view(LimitId limit, double now) const {
+QuotaLeases::View QuotaLeases::view(QuotaId limit, double now) const {
     const Of& o = of(limit);
-    const auto part_of = [](double crumbs) { return crumbs / kWhole; };
+    const auto part_of = [](double crumbs) { return crumbs / kTotalUnits; };
     return {part_of(own(o, now)), part_of(sum(o.lent, now)),           part_of(sum(o.borrowed, now)),
             part_of(o.need),      static_cast<int>(o.borrowed.size()), static_cast<int>(o.lent.size())};
 }
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/src/gossip/quota_leases.h
+++ b/src/gossip/quota_leases.h
@@ -15,22 +15,22 @@
 
 #include "gossip/messages.h"
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 
-constexpr std::uint32_t kWhole = 1'000'000;  // crumbs: parts are whole numbers, so that sums are exact
-constexpr double kLease = 3.0;               // s
+constexpr std::uint32_t kTotalUnits = 1'000'000;  // crumbs: parts are whole numbers, so that sums are exact
+constexpr double kLeaseDuration = 3.0;            // s
 
 // What one node does with its part of a limit that is so many a second for the whole fleet.
-class Spending {
+class TokenBucket {
   public:
-    explicit Spending(double tokens = 1) : tokens_(tokens) {}
-    void asked(double now);  // whether it may or not: this is the demand
+    explicit TokenBucket(double tokens = 1) : tokens_(tokens) {}
+    void on_demand(double now);  // whether it may or not: this is the demand
     // Whether one more may, at so many a second; what is saved up is a quarter of a second's, and one at the
     // most where that is less.
-    bool may(double now, double a_second);
+    bool has_token(double now, double a_second);
     void spend() { tokens_ -= 1; }
     bool take(double now, double a_second);  // both
-    double rate(double now) const;           // asked a second, over the last two
+    double demand(double now) const;         // asked a second, over the last two
 
   private:
     static constexpr std::int64_t kBuckets = 8;
@@ -40,42 +40,43 @@
     double tokens_, filled_ = -1e9;
 };
 
-class Limits {
+class QuotaLeases {
   public:
-    struct Terms {
-        int node = 0;
-        int nodes = 1;
+    struct Settings {
+        int node_index = 0;
+        int node_count = 1;
     };
-    struct Ask {
+    struct OutgoingRequest {
         int to = 0;
-        Want want;
-        bool renews = false;  // what it lends already; else more than that
+        LeaseRequest request;
+        bool is_renewal = false;  // what it lends already; else more than that
     };
     struct View {  // for operators, in parts of the whole
-        double own = 0, lent = 0, borrowed = 0, need = 0;
-        int lenders = 0, takers = 0;
+        double own = 0, lent = 0, borrowed = 0, demand = 0;
+        int lenders = 0, borrowers = 0;
     };
 
     // At a start nothing is known of what an earlier life lent: until that has lapsed only what is never lent
     // is used.
-    Limits(Terms terms, double now);
+    QuotaLeases(Settings terms, double now);
 
     // What this node could use now, in crumbs of the whole; told each time it is known anew. Of a limit that
     // it was never told of here it lends nothing.
-    void needs(double now, LimitId limit, double crumbs);
+    void set_demand(double now, QuotaId limit, double crumbs);
     // Whom to ask for how much; `others` are there, `draw` picks among them.
-    std::vector<Ask> tick(double now, const std::vector<int>& others, double draw);
-    void asked(int to, const Want& want, std::uint32_t number, double now);  // it went out under this number
+    std::vector<OutgoingRequest> tick(double now, const std::vector<int>& others, double draw);
+    void on_request_sent(int to, const LeaseRequest& want, std::uint32_t number,
+                         double now);  // it went out under this number
     // What is granted of what `from` asked under a number; nothing: 0 crumbs.
-    Grant wanted(double now, int from, std::uint32_t number, const Want& want);
-    void granted(double now, int from, const Grant& grant);
-    void new_life(int node);  // its grants were another's
+    LeaseGrant on_request(double now, int from, std::uint32_t number, const LeaseRequest& want);
+    void on_grant(double now, int from, const LeaseGrant& grant);
+    void on_new_incarnation(int node);  // its grants were another's
     // As at a start: another process of this node may still use, or have lent, what is this node's.
-    void anew(double now) { began_ = now; }
+    void reset(double now) { began_ = now; }
 
-    std::uint32_t part(LimitId limit, double now) const;  // in force, crumbs
-    View view(LimitId limit, double now) const;
-    static std::uint32_t most_lent(int nodes);  // by one node
+    std::uint32_t share(QuotaId limit, double now) const;  // in force, crumbs
+    View view(QuotaId limit, double now) const;
+    static std::uint32_t max_lent(int nodes);  // by one node
 
   private:
     struct Lease {
@@ -92,7 +93,7 @@
     struct Pending {
         int to = 0;
         std::uint32_t number = 0;
-        LimitId limit = 0;
+        QuotaId limit = 0;
         std::uint32_t crumbs = 0;
         double sent = 0;
     };
@@ -101,14 +102,14 @@
     static double longest(const Leases& leases);
     static std::uint32_t sum(const std::map<int, Leases>& leases, double now);
     std::uint32_t own(const Of& of, double now) const;  // less what is lent
-    const Of& of(LimitId limit) const;
+    const Of& of(QuotaId limit) const;
 
-    Terms terms_;
+    Settings terms_;
     std::uint32_t base_, most_lent_;
     double began_;
     double ticked_ = -1e9;
-    std::map<LimitId, Of> limits_;  // that this node was ever told of: what it lent of one stays lent
+    std::map<QuotaId, Of> limits_;  // that this node was ever told of: what it lent of one stays lent
     std::vector<Pending> pending_;
 };
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/src/gossip_agent/gossip_socket.cpp
+++ b/src/gossip_agent/gossip_socket.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::string Peers::key(GSocketAddress* address) {
+std::string GossipSocket::key(GSocketAddress* address) {
     if (!G_IS_INET_SOCKET_ADDRESS(address)) return {};
     GInetSocketAddress* inet = G_INET_SOCKET_ADDRESS(address);
     GInetAddress* host = g_inet_socket_address_get_address(inet);
@@ -26,7 +26,8 @@
     return said + ':' + std::to_string(g_inet_socket_address_get_port(inet));
 }
 
-bool Peers::listen(const std::string& own, const std::vector<std::string>& peers, std::string& complaint) {
+bool GossipSocket::listen(const std::string& own, const std::vector<std::string>& peers,
+                          std::string& complaint) {
     const AddressRef here(socket_address(own));
     if (here == nullptr) return complaint = "'" + own + "' is no address", false;
     GError* failed = nullptr;
@@ -47,7 +48,7 @@
     socket_ = std::move(socket);
     source_ = g_socket_create_source(socket_.get(), G_IO_IN, nullptr);
     const GSocketSourceFunc ready = [](GSocket*, GIOCondition, gpointer self) -> gboolean {
-        static_cast<Peers*>(self)->readable();
+        static_cast<GossipSocket*>(self)->readable();
         return G_SOURCE_CONTINUE;
     };
     g_source_set_callback(source_, G_SOURCE_FUNC(ready), this, nullptr);
@@ -55,7 +56,7 @@
     return true;
 }
 
-void Peers::readable() {
+void GossipSocket::readable() {
     std::array<char, kRoom> room{};
     for (int n = 0; n < kReadsATurn; ++n) {
         GSocketAddress* from = nullptr;
@@ -64,18 +65,18 @@
         const AddressRef sender(from);
         if (size < 0) return;
         const auto peer = sender == nullptr ? numbers_.end() : numbers_.find(key(sender.get()));
-        told_(peer == numbers_.end() ? kStranger : peer->second,
+        told_(peer == numbers_.end() ? kUnknownPeer : peer->second,
               {room.data(), static_cast<std::size_t>(size)});
     }
 }
 
-void Peers::send(int to, std::string_view bytes) {
+void GossipSocket::send(int to, std::string_view bytes) {
     if (socket_ == nullptr || to < 0 || to >= static_cast<int>(addresses_.size())) return;
     g_socket_send_to(socket_.get(), addresses_[static_cast<std::size_t>(to)].get(), bytes.data(),
                      bytes.size(), nullptr, nullptr);
 }
 
-void Peers::close() {
+void GossipSocket::close() {
     if (source_ != nullptr) {
         g_source_destroy(source_);
         g_source_unref(source_);
--- a/src/gossip_agent/gossip_socket.h
+++ b/src/gossip_agent/gossip_socket.h
@@ -13,15 +13,15 @@
 
 namespace brookrelay {
 
-class Peers {
+class GossipSocket {
   public:
-    static constexpr int kStranger = -1;
-    using Told = std::function<void(int from, std::string_view bytes)>;
+    static constexpr int kUnknownPeer = -1;
+    using OnDatagram = std::function<void(int from, std::string_view bytes)>;
 
-    explicit Peers(Told told) : told_(std::move(told)) {}
-    ~Peers() { close(); }
-    Peers(const Peers&) = delete;
-    Peers& operator=(const Peers&) = delete;
+    explicit GossipSocket(OnDatagram told) : told_(std::move(told)) {}
+    ~GossipSocket() { close(); }
+    GossipSocket(const GossipSocket&) = delete;
+    GossipSocket& operator=(const GossipSocket&) = delete;
 
     bool listen(const std::string& own, const std::vector<std::string>& peers, std::string& complaint);
     bool listens() const { return socket_ != nullptr; }
@@ -30,11 +30,11 @@
     void close();
 
   private:
-    using AddressRef = std::unique_ptr<GSocketAddress, Unref>;
+    using AddressRef = std::unique_ptr<GSocketAddress, GObjectUnref>;
     void readable();
     static std::string key(GSocketAddress* address);
 
-    Told told_;
+    OnDatagram told_;
     SocketRef socket_;
     GSource* source_ = nullptr;
     std::vector<AddressRef> addresses_;
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -29,7 +29,7 @@
 Log::Log(std::string name, bool json, int lines_a_second)
     : name_(std::move(name)),
       json_(json),
-      lines_a_second_(lines_a_second),
+      lines_per_second_(lines_a_second),
       out_(std::make_shared<spdlog::logger>("log", std::make_shared<spdlog::sinks::stderr_sink_st>())) {
     out_->set_pattern("%v");
     out_->flush_on(spdlog::level::trace);
@@ -40,12 +40,12 @@
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(since).count();
     Rate& rate = rates_[static_cast<std::size_t>(topic)];
     if (second != rate.second) {
-        const std::uint64_t held_back = rate.held_back;
+        const std::uint64_t held_back = rate.suppressed;
         rate = {second, 0, 0};
         if (held_back > 0) write(topic, "held_back", std::to_string(held_back) + " more lines held back");
     }
-    if (++rate.written > lines_a_second_) {
-        ++rate.held_back;
+    if (++rate.written > lines_per_second_) {
+        ++rate.suppressed;
         return;
     }
     write(topic, event, text);
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -19,8 +19,8 @@
 
 class Log {
   public:
-    static constexpr int kLinesASecond = 10;
-    explicit Log(std::string name, bool json = false, int lines_a_second = kLinesASecond);
+    static constexpr int kDefaultLinesPerSecond = 10;
+    explicit Log(std::string name, bool json = false, int lines_a_second = kDefaultLinesPerSecond);
     // `event` is one word, listed in docs/oncall.md, and the same in every line of its kind.
     void line(Topic topic, std::string_view event, std::string_view text);
 
@@ -28,13 +28,13 @@
     struct Rate {
         std::int64_t second = -1;
         int written = 0;
-        std::uint64_t held_back = 0;
+        std::uint64_t suppressed = 0;
     };
     void write(Topic topic, std::string_view event, std::string_view text);
 
     std::string name_;
     bool json_;
-    int lines_a_second_;
+    int lines_per_second_;
     std::shared_ptr<spdlog::logger> out_;
     std::array<Rate, static_cast<std::size_t>(Topic::count)> rates_;
 };
