--- a/src/io/tcp_connection.cpp
+++ b/src/io/tcp_connection.cpp
@@ -30,7 +30,7 @@
 }
 
 // Empty when it is no address.
-using AddressRef = std::unique_ptr<GSocketAddress, Unref>;
+using AddressRef = std::unique_ptr<GSocketAddress, GObjectUnref>;
 AddressRef socket_address(const std::string& text) {
     const auto address = parse_address(text);
     return AddressRef(address ? g_inet_socket_address_new_from_string(address->host.c_str(), address->port)
@@ -58,7 +58,7 @@
     return nullptr;
 }
 
-SocketRef inherited_listener(int descriptor, std::string& complaint) {
+SocketRef adopt_listener(int descriptor, std::string& complaint) {
     int listens = 0;
     socklen_t size = sizeof listens;
     GError* error = nullptr;
@@ -76,23 +76,25 @@
     return socket;
 }
 
-Stream::Stream(SocketRef accepted, std::size_t in_most, ByteBudget& budget, Told told, int priority)
+TcpConnection::TcpConnection(SocketRef accepted, std::size_t in_most, ByteBudget& budget, EventHandler told,
+                             int priority)
     : socket_(std::move(accepted)),
-      state_(State::up),
-      in_most_(in_most),
+      state_(State::connected),
+      read_limit_(in_most),
       budget_(budget),
-      told_(std::move(told)),
+      on_event_(std::move(told)),
       priority_(priority) {
     prepare(socket_.get());
     watch_input();
 }
 
-Stream::Stream(const std::string& text, std::size_t in_most, ByteBudget& budget, Told told)
-    : in_most_(in_most), budget_(budget), told_(std::move(told)) {
+TcpConnection::TcpConnection(const std::string& text, std::size_t in_most, ByteBudget& budget,
+                             EventHandler told)
+    : read_limit_(in_most), budget_(budget), on_event_(std::move(told)) {
     const AddressRef address = socket_address(text);
     if (address != nullptr) socket_ = new_socket(address.get());
     if (socket_ == nullptr) {
-        broke();
+        on_error();
         return;
     }
     prepare(socket_.get());
@@ -100,14 +102,14 @@
     if (!g_socket_connect(socket_.get(), address.get(), nullptr, &error)) {
         const ErrorRef why(error);
         if (!g_error_matches(error, G_IO_ERROR, G_IO_ERROR_PENDING)) {
-            broke();
+            on_error();
             return;
         }
     }
-    watch(out_source_, G_IO_OUT, &on_socket<&Stream::came_up>);
+    watch(output_source_, G_IO_OUT, &on_socket<&TcpConnection::on_connected>);
 }
 
-void Stream::watch(GSource*& source, GIOCondition condition, OnSocket on_ready) {
+void TcpConnection::watch(GSource*& source, GIOCondition condition, OnSocket on_ready) {
     if (source != nullptr) return;
     source = g_socket_create_source(socket_.get(), condition, nullptr);
     g_source_set_priority(source, priority_);
@@ -115,51 +117,51 @@
     g_source_attach(source, nullptr);
 }
 
-void Stream::unwatch(GSource*& source) {
+void TcpConnection::unwatch(GSource*& source) {
     if (source == nullptr) return;
     g_source_destroy(source);
     g_source_unref(source);
     source = nullptr;
 }
 
-void Stream::watch_input() {
-    if (state_ != State::up) return;
-    if (full()) {
-        unwatch(in_source_);
+void TcpConnection::watch_input() {
+    if (state_ != State::connected) return;
+    if (is_read_buffer_full()) {
+        unwatch(input_source_);
     } else {
-        watch(in_source_, G_IO_IN, &on_socket<&Stream::receive>);
+        watch(input_source_, G_IO_IN, &on_socket<&TcpConnection::receive>);
     }
 }
 
-void Stream::came_up() {
-    unwatch(out_source_);
+void TcpConnection::on_connected() {
+    unwatch(output_source_);
     GError* error = nullptr;
     if (!g_socket_check_connect_result(socket_.get(), &error)) {
         const ErrorRef why(error);
-        return ended();
+        return on_end();
     }
-    state_ = State::up;
+    state_ = State::connected;
     watch_input();
     flush();
-    if (state_ == State::up) told_(News::up);
+    if (state_ == State::connected) on_event_(Event::connected);
 }
 
-void Stream::count() {
-    const std::size_t now = in_.size() + out_.size();
-    budget_.used += now - counted_;
-    counted_ = now;
+void TcpConnection::update_budget() {
+    const std::size_t now = input_.size() + output_.size();
+    budget_.used += now - budgeted_bytes_;
+    budgeted_bytes_ = now;
 }
 
-void Stream::write(std::string_view bytes) {
+void TcpConnection::write(std::string_view bytes) {
     // Mostly the kernel takes it all, and a large value is not copied once more.
-    if (state_ == State::up && out_.empty()) bytes.remove_prefix(send_some(bytes));
-    out_.append(bytes);
-    if (state_ == State::up) return flush();
-    count();
+    if (state_ == State::connected && output_.empty()) bytes.remove_prefix(send_some(bytes));
+    output_.append(bytes);
+    if (state_ == State::connected) return flush();
+    update_budget();
 }
 
 // How much the kernel takes for now; the stream may be broken after it.
-std::size_t Stream::send_some(std::string_view bytes) {
+std::size_t TcpConnection::send_some(std::string_view bytes) {
     std::size_t sent = 0;
     while (sent < bytes.size()) {
         GError* error = nullptr;
@@ -167,7 +169,7 @@
             g_socket_send(socket_.get(), bytes.data() + sent, bytes.size() - sent, nullptr, &error);
         const ErrorRef why(error);
         if (n < 0) {
-            if (!g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) broke();
+            if (!g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) on_error();
             break;
         }
         sent += static_cast<std::size_t>(n);
@@ -175,122 +177,125 @@
     return sent;
 }
 
-void Stream::flush() {
-    out_.erase(0, send_some(out_));
-    if (out_.empty() && out_.capacity() > kReadStep) out_.shrink_to_fit();
-    count();
-    if (state_ != State::up) return;
-    if (!out_.empty()) {
-        watch(out_source_, G_IO_OUT, &on_socket<&Stream::flush>);
+void TcpConnection::flush() {
+    output_.erase(0, send_some(output_));
+    if (output_.empty() && output_.capacity() > kReadStep) output_.shrink_to_fit();
+    update_budget();
+    if (state_ != State::connected) return;
+    if (!output_.empty()) {
+        watch(output_source_, G_IO_OUT, &on_socket<&TcpConnection::flush>);
         return;
     }
-    const bool waited = out_source_ != nullptr;  // for room, with something unsent
-    unwatch(out_source_);
-    if (finishing_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
-    if (waited) told_(News::drained);
+    const bool waited = output_source_ != nullptr;  // for room, with something unsent
+    unwatch(output_source_);
+    if (shutting_down_write_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
+    if (waited) on_event_(Event::drained);
 }
 
-void Stream::finish() {
-    finishing_ = true;
-    if (state_ == State::up) flush();
+void TcpConnection::shutdown_write() {
+    shutting_down_write_ = true;
+    if (state_ == State::connected) flush();
 }
 
-void Stream::receive() {
+void TcpConnection::receive() {
     // Not in the buffer: hundreds of idle streams would each keep a step's room.
     std::array<char, kReadStep> room;
     GError* error = nullptr;
     const gssize n = g_socket_receive(socket_.get(), room.data(), room.size(), nullptr, &error);
     const ErrorRef why(error);
     if (n < 0 && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) return;
-    ended_in_order_ = n == 0;
-    if (n <= 0) return ended();
-    in_.append(room.data(), static_cast<std::size_t>(n));
-    count();
-    told_(News::input);
+    ended_cleanly_ = n == 0;
+    if (n <= 0) return on_end();
+    input_.append(room.data(), static_cast<std::size_t>(n));
+    update_budget();
+    on_event_(Event::readable);
     watch_input();
 }
 
-bool Stream::has_unread() const {
-    return !input().empty() || (state_ == State::up && g_socket_get_available_bytes(socket_.get()) > 0);
+bool TcpConnection::has_unread_input() const {
+    return !input().empty() ||
+           (state_ == State::connected && g_socket_get_available_bytes(socket_.get()) > 0);
 }
 
-bool Stream::rests() const {
+bool TcpConnection::is_idle() const {
     constexpr auto any = static_cast<GIOCondition>(G_IO_IN | G_IO_HUP | G_IO_ERR);
-    return up() && input().empty() && g_socket_condition_check(socket_.get(), any) == 0;
+    return is_connected() && input().empty() && g_socket_condition_check(socket_.get(), any) == 0;
 }
 
 // Asked of the kernel, since GLib's conditions know no end of the peer's sending that is not next to be read.
-bool Stream::peer_gone() const {
-    if (state_ != State::up) return state_ != State::connecting;
+bool TcpConnection::peer_has_closed() const {
+    if (state_ != State::connected) return state_ != State::connecting;
     pollfd one{g_socket_get_fd(socket_.get()), POLLRDHUP, 0};
     return ::poll(&one, 1, 0) > 0 && (one.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Stream::take(std::size_t bytes) {
-    taken_ += bytes;
-    if (taken_ == in_.size()) {
-        in_.clear();
-        if (in_.capacity() > kReadStep) in_.shrink_to_fit();  // one large value is not paid for ever after
-        taken_ = 0;
-    } else if (taken_ > kReadStep) {
-        in_.erase(0, taken_);
-        taken_ = 0;
+void TcpConnection::consume(std::size_t bytes) {
+    consumed_ += bytes;
+    if (consumed_ == input_.size()) {
+        input_.clear();
+        if (input_.capacity() > kReadStep)
+            input_.shrink_to_fit();  // one large value is not paid for ever after
+        consumed_ = 0;
+    } else if (consumed_ > kReadStep) {
+        input_.erase(0, consumed_);
+        consumed_ = 0;
     }
-    count();
+    update_budget();
     watch_input();
 }
 
-void Stream::hold_at_most(std::size_t bytes) {
-    in_most_ = bytes;
-    if (!in_.empty()) in_.reserve(taken_ + bytes);  // growing by halves it would hold up to twice as much
+void TcpConnection::set_read_limit(std::size_t bytes) {
+    read_limit_ = bytes;
+    if (!input_.empty())
+        input_.reserve(consumed_ + bytes);  // growing by halves it would hold up to twice as much
     watch_input();
 }
 
 // The owner may be in the middle of a call to this stream, so it hears of the end from the loop.
-void Stream::broke() {
-    unwatch(in_source_);
-    unwatch(out_source_);
+void TcpConnection::on_error() {
+    unwatch(input_source_);
+    unwatch(output_source_);
     state_ = State::broken;
-    in_source_ = g_timeout_source_new(0);
+    input_source_ = g_timeout_source_new(0);
     const auto later = [](gpointer self) -> gboolean {
-        static_cast<Stream*>(self)->ended();
+        static_cast<TcpConnection*>(self)->on_end();
         return G_SOURCE_REMOVE;
     };
-    g_source_set_callback(in_source_, later, this, nullptr);
-    g_source_attach(in_source_, nullptr);
+    g_source_set_callback(input_source_, later, this, nullptr);
+    g_source_attach(input_source_, nullptr);
 }
 
-void Stream::ended() {
-    unwatch(in_source_);
-    unwatch(out_source_);
+void TcpConnection::on_end() {
+    unwatch(input_source_);
+    unwatch(output_source_);
     state_ = State::broken;
-    told_(News::ended);
+    on_event_(Event::closed);
 }
 
-bool Stream::unacknowledged() const {
+bool TcpConnection::has_unacknowledged_output() const {
     int bytes = 0;
     return socket_ != nullptr && ioctl(g_socket_get_fd(socket_.get()), SIOCOUTQ, &bytes) == 0 && bytes > 0;
 }
 
 // After an ordinary close the system goes on trying to deliver, for minutes: a command would arrive at the
 // end of a cut, long after it was given up and sent elsewhere.
-void Stream::abort() {
+void TcpConnection::abort() {
     const linger at_once{1, 0};
     if (socket_ != nullptr)
         setsockopt(g_socket_get_fd(socket_.get()), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     close();
 }
 
-void Stream::close() {
-    unwatch(in_source_);
-    unwatch(out_source_);
+void TcpConnection::close() {
+    unwatch(input_source_);
+    unwatch(output_source_);
     if (socket_ != nullptr) g_socket_close(socket_.get(), nullptr);
     socket_.reset();
     state_ = State::closed;
-    in_.clear();
-    out_.clear();
-    taken_ = 0;
-    count();
+    input_.clear();
+    output_.clear();
+    consumed_ = 0;
+    update_budget();
 }
 
 }  // namespace brookrelay
--- a/src/io/tcp_connection.h
+++ b/src/io/tcp_connection.h
@@ -13,64 +13,66 @@
 
 namespace brookrelay {
 
-struct Unref {
+struct GObjectUnref {
     void operator()(void* object) const { g_object_unref(object); }
 };
-using SocketRef = std::unique_ptr<GSocket, Unref>;
+using SocketRef = std::unique_ptr<GSocket, GObjectUnref>;
 
-struct Freed {
+struct GErrorFree {
     void operator()(GError* error) const { g_error_free(error); }
 };
-using ErrorRef = std::unique_ptr<GError, Freed>;
+using ErrorRef = std::unique_ptr<GError, GErrorFree>;
 
 SocketRef listen_on(const std::string& address, std::string& complaint);
 // A listening socket that this process was given and may share: it is never bound, and never shut down.
-SocketRef inherited_listener(int descriptor, std::string& complaint);
+SocketRef adopt_listener(int descriptor, std::string& complaint);
 
 // What the buffers of one side's connections hold together, and may: each is bounded by itself, but many that
 // are full at once would be more than the node's memory. Its owner looks, and parts with what is too much.
 struct ByteBudget {
-    std::size_t most = 0;
+    std::size_t limit = 0;
     std::size_t used = 0;
-    bool over() const { return used > most; }
+    bool exceeded() const { return used > limit; }
 };
 
-class Stream {
+class TcpConnection {
   public:
-    enum class News { up, input, drained, ended };
-    using Told = std::function<void(News)>;
+    enum class Event { connected, readable, drained, closed };
+    using EventHandler = std::function<void(Event)>;
 
-    Stream(SocketRef accepted, std::size_t in_most, ByteBudget& budget, Told told,
-           int priority = G_PRIORITY_DEFAULT);
-    Stream(const std::string& address, std::size_t in_most, ByteBudget& budget, Told told);  // connects
-    ~Stream() { close(); }
-    Stream(const Stream&) = delete;
-    Stream& operator=(const Stream&) = delete;
+    TcpConnection(SocketRef accepted, std::size_t in_most, ByteBudget& budget, EventHandler told,
+                  int priority = G_PRIORITY_DEFAULT);
+    TcpConnection(const std::string& address, std::size_t in_most, ByteBudget& budget,
+                  EventHandler told);  // connects
+    ~TcpConnection() { close(); }
+    TcpConnection(const TcpConnection&) = delete;
+    TcpConnection& operator=(const TcpConnection&) = delete;
 
     void write(std::string_view bytes);
-    bool all_written() const { return out_.empty() && state_ == State::up; }
-    std::size_t unwritten() const { return out_.size(); }
-    std::string_view input() const { return std::string_view(in_).substr(taken_); }
-    void take(std::size_t bytes);
-    void hold_at_most(std::size_t bytes);  // from now on, of what has come
+    bool all_written() const { return output_.empty() && state_ == State::connected; }
+    std::size_t unwritten_bytes() const { return output_.size(); }
+    std::string_view input() const { return std::string_view(input_).substr(consumed_); }
+    void consume(std::size_t bytes);
+    void set_read_limit(std::size_t bytes);  // from now on, of what has come
     void close();
-    void abort();   // what the system still holds back is not sent after it
-    void finish();  // sends no more once all is written; what still comes is the owner's to throw away
-    bool has_unread() const;  // here, or still with the kernel
-    bool rests() const;       // nothing has come, not even its end
-    bool ended_in_order() const {
-        return ended_in_order_;
+    void abort();  // what the system still holds back is not sent after it
+    void
+    shutdown_write();  // sends no more once all is written; what still comes is the owner's to throw away
+    bool has_unread_input() const;  // here, or still with the kernel
+    bool is_idle() const;           // nothing has come, not even its end
+    bool ended_cleanly() const {
+        return ended_cleanly_;
     }  // all that the peer sent has come; after a reset, not
-    bool unacknowledged()
+    bool has_unacknowledged_output()
         const;  // some of what was written has not reached the peer's machine, for all that is known
-    bool peer_gone()
+    bool peer_has_closed()
         const;  // it has closed or reset, also where its end lies behind bytes that are not read yet
-    bool full() const { return in_.size() - taken_ >= in_most_; }
-    bool up() const { return state_ == State::up; }
-    bool closed() const { return state_ == State::closed; }
+    bool is_read_buffer_full() const { return input_.size() - consumed_ >= read_limit_; }
+    bool is_connected() const { return state_ == State::connected; }
+    bool is_closed() const { return state_ == State::closed; }
 
   private:
-    enum class State { connecting, up, broken, closed };
+    enum class State { connecting, connected, broken, closed };
     using OnSocket = gboolean (*)(GSocket*, GIOCondition, gpointer);
 
     void watch(GSource*& source, GIOCondition condition, OnSocket on_ready);
@@ -78,31 +80,31 @@
     void watch_input();
     void flush();
     std::size_t send_some(std::string_view bytes);
-    void count();
-    void broke();
-    void came_up();
+    void update_budget();
+    void on_error();
+    void on_connected();
     void receive();
-    void ended();
+    void on_end();
 
-    template <void (Stream::*method)()>
+    template <void (TcpConnection::*method)()>
     static gboolean on_socket(GSocket*, GIOCondition, gpointer self) {
-        (static_cast<Stream*>(self)->*method)();
+        (static_cast<TcpConnection*>(self)->*method)();
         return G_SOURCE_CONTINUE;  // a source that is not wanted any more has been destroyed by then
     }
 
     SocketRef socket_;
-    GSource* in_source_ = nullptr;
-    GSource* out_source_ = nullptr;
+    GSource* input_source_ = nullptr;
+    GSource* output_source_ = nullptr;
     State state_ = State::connecting;
-    std::size_t in_most_;
+    std::size_t read_limit_;
     ByteBudget& budget_;
-    std::size_t counted_ = 0;  // in the budget
-    std::string in_;
-    std::size_t taken_ = 0;
-    std::string out_;
-    bool finishing_ = false;
-    bool ended_in_order_ = false;
-    Told told_;
+    std::size_t budgeted_bytes_ = 0;  // in the budget
+    std::string input_;
+    std::size_t consumed_ = 0;
+    std::string output_;
+    bool shutting_down_write_ = false;
+    bool ended_cleanly_ = false;
+    EventHandler on_event_;
     int priority_ = G_PRIORITY_DEFAULT;
 };
 
--- a/src/io/timer_queue.h
+++ b/src/io/timer_queue.h
@@ -12,20 +12,20 @@
 namespace brookrelay {
 
 // Monotonic seconds: the only clock that decisions and limits know.
-inline double monotonic() { return static_cast<double>(g_get_monotonic_time()) / 1e6; }
+inline double monotonic_now() { return static_cast<double>(g_get_monotonic_time()) / 1e6; }
 
-class Timers {
+class TimerQueue {
   public:
     using Action = std::function<void()>;
     using Handle = std::pair<double, std::uint64_t>;  // value-initialised: none
 
-    Timers();
-    ~Timers();
-    Timers(const Timers&) = delete;
-    Timers& operator=(const Timers&) = delete;
+    TimerQueue();
+    ~TimerQueue();
+    TimerQueue(const TimerQueue&) = delete;
+    TimerQueue& operator=(const TimerQueue&) = delete;
 
-    Handle at(double due, Action action);
-    void call_off(Handle& handle);
+    Handle schedule(double due, Action action);
+    void cancel(Handle& handle);
 
   private:
     static gboolean dispatch(GSource*, GSourceFunc callback, gpointer self) { return callback(self); }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,13 +7,13 @@
 #include <string>
 
 #include "cli/check.h"
-#include "util/exit_codes.h"
 #include "cli/check_model.h"
 #include "cli/fleet_commands.h"
 #include "cli/registry_watch.h"
 #include "cli/rehearse.h"
-#include "proxy/serve.h"
 #include "config/toml.h"
+#include "proxy/serve.h"
+#include "util/exit_codes.h"
 
 namespace {
 
@@ -30,8 +30,8 @@
         path = told;
     }
     const auto read = [&] {
-        brookrelay::OperatorFile file;
-        if (!operator_path.empty()) file = brookrelay::read_operator_file(operator_path);
+        brookrelay::OperatorConfig file;
+        if (!operator_path.empty()) file = brookrelay::read_operator_config(operator_path);
         if (!log_format.empty()) file.json_log = log_format == "json";
         return file;
     };
@@ -155,7 +155,7 @@
         if (load->parsed()) return brookrelay::measure_load(load_wish);
         if (rehearse->parsed()) return brookrelay::rehearse(wish);
         return serve_with(config, operator_path, log_format);
-    } catch (const brookrelay::BadFile& bad) {
+    } catch (const brookrelay::ConfigurationFileError& bad) {
         std::fprintf(stderr, "%s\n", bad.what());
         return brookrelay::kWrongUse;
     }
--- a/src/model/outlier_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -23,7 +23,7 @@
 
   public:
     Network network;
-    static constexpr fleet::Subject kSick = 5;  // the one that gates may let little to
+    static constexpr gossip::ServerKey kSick = 5;  // the one that gates may let little to
     FindingFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024)
         : zones_(zones), network(seed) {
         for (int n = 0; n < nodes; ++n) {
@@ -35,8 +35,8 @@
     void start(int n) {
         nodes_.resize(terms_.size());
         nodes_[at(n)] =
-            std::make_unique<fleet::Exchange>(terms_[at(n)], starts_[at(n)]++, network.draw(), now_);
-        nodes_[at(n)]->caches(kCaches);
+            std::make_unique<gossip::OutlierExchange>(terms_[at(n)], starts_[at(n)]++, network.draw(), now_);
+        nodes_[at(n)]->set_local_server_count(kCaches);
         stands_[n].clear();
     }
     void stop(int n) { nodes_[at(n)].reset(); }
@@ -44,30 +44,32 @@
     void run(double seconds) {
         const double until = now_ + seconds;
         while (now_ < until) {
-            now_ += fleet::Exchange::kStep;
+            now_ += gossip::OutlierExchange::kTickInterval;
             network.deliver(now_, [this](int from, int to, const std::string& bytes) {
                 if (nodes_[at(to)] != nullptr && !frozen.contains(to))
-                    nodes_[at(to)]->received(now_, from, bytes);
+                    nodes_[at(to)]->on_datagram(now_, from, bytes);
             });
             for (int n = 0; n < count(); ++n) {
                 if (nodes_[at(n)] == nullptr || frozen.contains(n)) continue;
-                fleet::Exchange& e = *nodes_[at(n)];
+                gossip::OutlierExchange& e = *nodes_[at(n)];
                 for (int i = 0; i < 2; ++i) {
-                    if (unit() > rate * fleet::Exchange::kStep / 2) continue;
-                    e.asked(now_);
-                    const auto subject = static_cast<fleet::Subject>(unit() * kCaches) + 1;
+                    if (unit() > rate * gossip::OutlierExchange::kTickInterval / 2) continue;
+                    e.on_request(now_);
+                    const auto subject = static_cast<gossip::ServerKey>(unit() * kCaches) + 1;
                     if (subject == kSick && unit() > part_to_sick) continue;
                     // Who has a verdict tries it seldom, as the module does.
                     if (stands_[n].contains(subject) && unit() > 2.0 / (rate / kCaches * count() / zones_))
                         continue;
-                    e.ended(now_, subject, fate(n, subject) ? fleet::Seen::good : fleet::Seen::bad);
+                    e.on_attempt_finished(
+                        now_, subject,
+                        fate(n, subject) ? gossip::AttemptHealth::good : gossip::AttemptHealth::bad);
                 }
-                for (fleet::Outgoing& o : e.tick(now_)) send(n, o.to, std::move(o.bytes));
-                for (const fleet::Exchange::Verdict& v : e.verdicts(now_)) {
+                for (gossip::Outgoing& o : e.tick(now_)) send(n, o.to, std::move(o.bytes));
+                for (const gossip::OutlierExchange::ServerVerdict& v : e.verdicts(now_)) {
                     if (v.bad)
-                        stands_[n].insert(v.subject);
+                        stands_[n].insert(v.server);
                     else
-                        stands_[n].erase(v.subject);
+                        stands_[n].erase(v.server);
                 }
             }
         }
@@ -75,7 +77,7 @@
     void send(int from, int to, std::string bytes) { network.send(now_, from, to, std::move(bytes)); }
     // Part of the nodes that are up, and for which `of` holds, with a verdict on the subject.
     double told(
-        fleet::Subject subject, const std::function<bool(int)>& of = [](int) { return true; }) const {
+        gossip::ServerKey subject, const std::function<bool(int)>& of = [](int) { return true; }) const {
         int all = 0, those = 0;
         for (int n = 0; n < count(); ++n) {
             if (nodes_[at(n)] == nullptr || frozen.contains(n) || !of(n)) continue;
@@ -87,10 +89,10 @@
     // Seconds until `done`, in steps; `most` if it never is.
     double until(double most, const std::function<bool()>& done) {
         const double from = now_;
-        while (now_ - from < most && !done()) run(fleet::Exchange::kStep);
+        while (now_ - from < most && !done()) run(gossip::OutlierExchange::kTickInterval);
         return now_ - from;
     }
-    fleet::Exchange& node(int n) { return *nodes_[at(n)]; }
+    gossip::OutlierExchange& node(int n) { return *nodes_[at(n)]; }
     int count() const { return static_cast<int>(nodes_.size()); }
     double now() const { return now_; }
     double unit() { return network.unit(); }
@@ -100,13 +102,13 @@
     double rate = 10;         // endings a second at each node
     double part_to_sick = 1;  // of what would go there, that its gates let through
     std::set<int> frozen;
-    std::function<bool(int node, fleet::Subject)> fate = [](int, fleet::Subject) { return true; };
+    std::function<bool(int node, gossip::ServerKey)> fate = [](int, gossip::ServerKey) { return true; };
 
   private:
-    std::vector<fleet::Terms> terms_;
+    std::vector<gossip::GossipSettings> terms_;
     std::vector<std::uint32_t> starts_;
-    std::vector<std::unique_ptr<fleet::Exchange>> nodes_;
-    std::map<int, std::set<fleet::Subject>> stands_;
+    std::vector<std::unique_ptr<gossip::OutlierExchange>> nodes_;
+    std::map<int, std::set<gossip::ServerKey>> stands_;
 };
 
 }  // namespace brookrelay::model
--- a/src/model/quota_fleet.h
+++ b/src/model/quota_fleet.h
@@ -29,10 +29,10 @@
         run(nodes > 100 ? 20 : 5);
     }
     void start(int n, int nodes = 0) {
-        fleet::Terms t;
-        t.node = n;
-        t.nodes = nodes > 0 ? nodes : count();
-        nodes_[at(n)] = std::make_unique<fleet::Exchange>(t, 1000 + ++starts_, network.draw(), now_);
+        gossip::GossipSettings t;
+        t.node_index = n;
+        t.node_count = nodes > 0 ? nodes : count();
+        nodes_[at(n)] = std::make_unique<gossip::OutlierExchange>(t, 1000 + ++starts_, network.draw(), now_);
     }
     void run(double seconds) {
         for (const double until = now_ + seconds; now_ < until - 1e-9;) step();
@@ -45,33 +45,34 @@
         return now_ - from;
     }
     void step() {
-        now_ += fleet::Exchange::kStep;
+        now_ += gossip::OutlierExchange::kTickInterval;
         network.deliver(now_, [this](int from, int to, const std::string& bytes) {
             if (frozen.contains(to)) return void(asleep_.emplace_back(from, to, bytes));
-            nodes_[at(to)]->received(now_, from, bytes);
+            nodes_[at(to)]->on_datagram(now_, from, bytes);
         });
         if (frozen.empty() && !asleep_.empty()) {  // what lay in their sockets, read first
             for (const auto& [from, to, what] : std::exchange(asleep_, {}))
-                nodes_[at(to)]->received(now_, from, what);
+                nodes_[at(to)]->on_datagram(now_, from, what);
         }
         std::uint64_t all = 0;
         double used = 0, wanted = 0;
         for (int n = 0; n < count(); ++n) {
             if (frozen.contains(n)) continue;
-            fleet::Exchange& e = *nodes_[at(n)];
+            gossip::OutlierExchange& e = *nodes_[at(n)];
             const double d = demand[at(n)];
-            e.asked(now_);
-            e.limit_needs(now_, 0, d * fleet::kWhole);
-            for (fleet::Outgoing& o : e.tick(now_)) network.send(now_, n, o.to, std::move(o.bytes));
+            e.on_request(now_);
+            e.set_quota_demand(now_, 0, d * gossip::kTotalUnits);
+            for (gossip::Outgoing& o : e.tick(now_)) network.send(now_, n, o.to, std::move(o.bytes));
         }
         // What is in force, those who sleep included: they forward again without a word to anybody.
         for (int n = 0; n < count(); ++n) {
-            const double part = nodes_[at(n)]->limit_part(0, now_) / static_cast<double>(fleet::kWhole);
-            all += nodes_[at(n)]->limit_part(0, now_);
+            const double part =
+                nodes_[at(n)]->quota_share(0, now_) / static_cast<double>(gossip::kTotalUnits);
+            all += nodes_[at(n)]->quota_share(0, now_);
             used += std::min(part, demand[at(n)]);
             wanted += demand[at(n)];
         }
-        most = std::max(most, static_cast<double>(all) / fleet::kWhole);
+        most = std::max(most, static_cast<double>(all) / gossip::kTotalUnits);
         use = wanted > 0 ? used / std::min(1.0, wanted) : 1;
     }
     int count() const { return static_cast<int>(nodes_.size()); }
@@ -82,7 +83,7 @@
   private:
     double now_ = 100;
     std::uint32_t starts_ = 0;
-    std::vector<std::unique_ptr<fleet::Exchange>> nodes_;
+    std::vector<std::unique_ptr<gossip::OutlierExchange>> nodes_;
     std::vector<std::tuple<int, int, std::string>> asleep_;
 
   public:
--- a/src/model/quota_lease_model.h
+++ b/src/model/quota_lease_model.h
@@ -43,7 +43,7 @@
         return all;
     }
     SmallLimits() {
-        for (int n = 0; n < 3; ++n) nodes_.push_back(fleet::Limits({n, 3}, -10));
+        for (int n = 0; n < 3; ++n) nodes_.push_back(gossip::QuotaLeases({n, 3}, -10));
         for (int n = 0; n < 2; ++n) step(nothing);
     }
     std::string step(int act) {
@@ -56,15 +56,15 @@
         if (act == taker_frozen) frozen_ = needy_;
         for (int n = 0; n < 3; ++n) {
             if (n == frozen_) continue;
-            nodes_[at(n)].needs(now_, 0, n == needy_ ? fleet::kWhole : 0);
+            nodes_[at(n)].set_demand(now_, 0, n == needy_ ? gossip::kTotalUnits : 0);
             std::vector<int> others;
             for (int o = 0; o < 3; ++o) {
                 if (o != n) others.push_back(o);
             }
-            for (const fleet::Limits::Ask& a : nodes_[at(n)].tick(now_, others, 0)) {
+            for (const gossip::QuotaLeases::OutgoingRequest& a : nodes_[at(n)].tick(now_, others, 0)) {
                 const std::uint32_t number = ++numbers_[at(n)];
-                nodes_[at(n)].asked(a.to, a.want, number, now_);
-                in.push_back({n, a.to, true, lives_[at(n)], number, a.want, {}});
+                nodes_[at(n)].on_request_sent(a.to, a.request, number, now_);
+                in.push_back({n, a.to, true, lives_[at(n)], number, a.request, {}});
             }
         }
         for (int round = 0; round < 2; ++round) {  // questions, then their answers
@@ -80,10 +80,11 @@
                 }
                 for (int copies = act == all_doubled ? 2 : 1; copies > 0; --copies) {
                     if (m.asks) {
-                        const fleet::Grant g = nodes_[at(m.to)].wanted(now_, m.from, m.number, m.want);
+                        const gossip::LeaseGrant g =
+                            nodes_[at(m.to)].on_request(now_, m.from, m.number, m.want);
                         answers.push_back({m.to, m.from, false, m.life, m.number, {}, g});
                     } else if (m.life == lives_[at(m.to)]) {  // the header names the life that asked
-                        nodes_[at(m.to)].granted(now_, m.from, m.grant);
+                        nodes_[at(m.to)].on_grant(now_, m.from, m.grant);
                     }
                 }
             }
@@ -96,12 +97,12 @@
     bool over() const {
         for (const double later : {0.0, 0.2, 0.5, 0.74}) {
             std::uint64_t all = 0;
-            for (const fleet::Limits& n : nodes_) all += n.part(0, now_ + later);
-            if (all > fleet::kWhole) return true;
+            for (const gossip::QuotaLeases& n : nodes_) all += n.share(0, now_ + later);
+            if (all > gossip::kTotalUnits) return true;
         }
         return false;
     }
-    bool at_rest() const { return nodes_[at(needy_)].part(0, now_) >= 0.9 * fleet::kWhole; }
+    bool at_rest() const { return nodes_[at(needy_)].share(0, now_) >= 0.9 * gossip::kTotalUnits; }
 
   private:
     struct Message {
@@ -109,21 +110,21 @@
         bool asks;
         int life;
         std::uint32_t number;
-        fleet::Want want;
-        fleet::Grant grant;
+        gossip::LeaseRequest want;
+        gossip::LeaseGrant grant;
     };
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
     void start(int n) {
-        nodes_[at(n)] = fleet::Limits({n, 3}, now_);
+        nodes_[at(n)] = gossip::QuotaLeases({n, 3}, now_);
         numbers_[at(n)] = 0;
         ++lives_[at(n)];
         for (int o = 0; o < 3; ++o) {
-            if (o != n) nodes_[at(o)].new_life(n);
+            if (o != n) nodes_[at(o)].on_new_incarnation(n);
         }
     }
     double now_ = 0;
     int needy_ = 0, frozen_ = -1;
-    std::vector<fleet::Limits> nodes_;
+    std::vector<gossip::QuotaLeases> nodes_;
     std::array<std::uint32_t, 3> numbers_{};
     std::array<int, 3> lives_{1, 1, 1};
     std::vector<Message> late_;
--- a/src/model/zone_failover_model.h
+++ b/src/model/zone_failover_model.h
@@ -34,7 +34,7 @@
         return all;
     }
     SmallZones(bool liar, bool lost) : liar_(liar) {
-        for (int n = 0; n < 3; ++n) nodes_.push_back(fleet::Zones({n, 0, 2, 4, {}}, 0));
+        for (int n = 0; n < 3; ++n) nodes_.push_back(gossip::ZoneFailover({n, 0, 2, 4, {}}, 0));
         if (lost) step(zone_turns);
         for (int n = 0; lost && n < 4; ++n) step(nothing);
     }
@@ -46,62 +46,63 @@
             turned_ = now_;
         }
         if (act == one_restarts) {
-            nodes_[0] = fleet::Zones({0, 0, 2, 4, {}}, now_);
+            nodes_[0] = gossip::ZoneFailover({0, 0, 2, 4, {}}, now_);
             orders_[0] = {1, 1, 0};
         }
         if (act == words_lost || act == one_deaf || act == one_mute || act == one_restarts ||
             act == one_frozen || act == words_late)
             disturbed_ = now_;
-        const std::vector<fleet::ZoneVoice> late =
-            act == words_late ? nodes_[1].voices(now_ - kLong) : std::vector<fleet::ZoneVoice>{};
+        const std::vector<gossip::ZoneReport> late =
+            act == words_late ? nodes_[1].reports(now_ - kLong) : std::vector<gossip::ZoneReport>{};
         for (int n = 0; n < 3; ++n) {
             if (act == one_frozen && n == 0) continue;
-            fleet::Zones& z = nodes_[at(n)];
-            const fleet::Zones::Order& o = orders_[at(n)];
-            z.ended(now_, 0, 1, fleet::ZoneEnd::well);
-            const bool asks = o.part > 0 || o.apart < 10;
+            gossip::ZoneFailover& z = nodes_[at(n)];
+            const gossip::ZoneFailover::Change& o = orders_[at(n)];
+            z.on_attempt_finished(now_, 0, 1, gossip::ZoneAttempt::healthy);
+            const bool asks = o.weight > 0 || o.probe_interval < 10;
             const bool lies = liar_ && n == 2;
             for (int k = 0; asks && k < 3; ++k)
-                z.ended(now_, 1, static_cast<fleet::Subject>(10 + k),
-                        up_ && !lies ? fleet::ZoneEnd::well : fleet::ZoneEnd::silent);
+                z.on_attempt_finished(
+                    now_, 1, static_cast<gossip::ServerKey>(10 + k),
+                    up_ && !lies ? gossip::ZoneAttempt::healthy : gossip::ZoneAttempt::silent);
         }
-        if (act == one_frozen) nodes_[0].stood_still(now_);
+        if (act == one_frozen) nodes_[0].on_process_pause(now_);
         for (int from = 0; from < 3; ++from) {
-            const std::vector<fleet::ZoneVoice> all = nodes_[at(from)].voices(now_);
-            const fleet::Stamp stamp{1, ++number_};
+            const std::vector<gossip::ZoneReport> all = nodes_[at(from)].reports(now_);
+            const gossip::Stamp stamp{1, ++number_};
             for (int to = 0; to < 3; ++to) {
                 const bool lost = act == words_lost || (act == one_deaf && to == 0) ||
                                   (act == one_mute && from == 0) ||
                                   (act == one_frozen && (from == 0 || to == 0));
-                if (to != from && !lost) nodes_[at(to)].heard(now_, from, stamp, all, 0);
+                if (to != from && !lost) nodes_[at(to)].on_reports(now_, from, stamp, all, 0);
             }
         }
         // An old word of one node comes again, behind its newer one.
-        if (act == words_late) nodes_[0].heard(now_, 1, {1, number_ - 5}, late, kLong);
+        if (act == words_late) nodes_[0].on_reports(now_, 1, {1, number_ - 5}, late, kLong);
         for (int n = 0; n < 3; ++n) {
-            const double before = orders_[at(n)].part;
-            for (const fleet::Zones::Order& o :
+            const double before = orders_[at(n)].weight;
+            for (const gossip::ZoneFailover::Change& o :
                  nodes_[at(n)].tick(now_, {0, 1, 2}, static_cast<std::int64_t>(now_ / 2))) {
                 if (o.zone == 1) orders_[at(n)] = o;
             }
-            const bool leaves = before > 0 && orders_[at(n)].part <= 0;
+            const bool leaves = before > 0 && orders_[at(n)].weight <= 0;
             // By whom it leaves: never while the zone has been up for longer than any word is kept.
             if (leaves && up_ && now_ - turned_ > 3 + 2 * kLong && !(liar_ && n == 2))
                 return "left a zone that answers, by node " + std::to_string(n);
-            if (orders_[at(n)].part > 1) return "more than all";
+            if (orders_[at(n)].weight > 1) return "more than all";
         }
         // On the way back nobody is more than two steps from the others, two seconds after the last
         // disturbance.
         double least = 1, most = 0;
         for (int n = 0; n < (liar_ ? 2 : 3); ++n)
-            least = std::min(least, orders_[at(n)].part), most = std::max(most, orders_[at(n)].part);
+            least = std::min(least, orders_[at(n)].weight), most = std::max(most, orders_[at(n)].weight);
         if (up_ && now_ - disturbed_ > 4 && now_ - turned_ > 4 && least > 0 && most / least > 4)
             return "one ramps by itself";
         return {};
     }
     bool at_rest() const {
         for (int n = 0; n < (liar_ ? 2 : 3); ++n) {
-            if (up_ ? orders_[at(n)].part < 1 : orders_[at(n)].part > 0) return false;
+            if (up_ ? orders_[at(n)].weight < 1 : orders_[at(n)].weight > 0) return false;
         }
         return true;
     }
@@ -113,9 +114,10 @@
     bool up_ = true;
     double now_ = 0, turned_ = -100, disturbed_ = -100;
     std::uint32_t number_ = 0;
-    std::vector<fleet::Zones> nodes_;
-    std::array<fleet::Zones::Order, 3> orders_{fleet::Zones::Order{1, 1, 0}, fleet::Zones::Order{1, 1, 0},
-                                               fleet::Zones::Order{1, 1, 0}};
+    std::vector<gossip::ZoneFailover> nodes_;
+    std::array<gossip::ZoneFailover::Change, 3> orders_{gossip::ZoneFailover::Change{1, 1, 0},
+                                                        gossip::ZoneFailover::Change{1, 1, 0},
+                                                        gossip::ZoneFailover::Change{1, 1, 0}};
 };
 
 }  // namespace brookrelay::model
--- a/src/model/zone_fleet.h
+++ b/src/model/zone_fleet.h
@@ -27,7 +27,7 @@
 
   public:
     Network network;
-    static constexpr double kStep = fleet::Exchange::kStep;
+    static constexpr double kStep = gossip::OutlierExchange::kTickInterval;
     static constexpr int kCaches = 6;  // a zone
     ZoneFleet(int nodes, int zones, std::uint64_t seed, std::vector<int> regions = {})
         : zones_(zones), regions_(std::move(regions)), network(seed) {
@@ -39,17 +39,17 @@
     }
     void start(int n, int nodes = 0) {
         Node& it = nodes_[at(n)];
-        fleet::Terms t;
-        t.node = n;
-        t.nodes = nodes > 0 ? nodes : count();
+        gossip::GossipSettings t;
+        t.node_index = n;
+        t.node_count = nodes > 0 ? nodes : count();
         t.zone = n % zones_;
-        t.zones = zones_;
-        t.zones_as_one = true;
-        t.warm_within = 8;
-        t.regions = regions_;
+        t.zone_count = zones_;
+        t.zone_failover = true;
+        t.slow_start_duration = 8;
+        t.failure_domains = regions_;
         it = Node();
-        it.exchange = std::make_unique<fleet::Exchange>(t, 1000 + ++starts_, network.draw(), now_);
-        it.exchange->caches(kCaches);
+        it.exchange = std::make_unique<gossip::OutlierExchange>(t, 1000 + ++starts_, network.draw(), now_);
+        it.exchange->set_local_server_count(kCaches);
         it.orders.assign(static_cast<std::size_t>(zones_), {});
         it.next_trial.assign(static_cast<std::size_t>(zones_), 0);
     }
@@ -61,7 +61,7 @@
         while (now_ - from < most && !done()) step();
         return now_ - from;
     }
-    double part(int node, int zone) const { return nodes_[at(node)].orders[at(zone)].part; }
+    double part(int node, int zone) const { return nodes_[at(node)].orders[at(zone)].weight; }
     bool all(int of_zone, const std::function<bool(double part)>& holds, int zone) const {
         for (int n = 0; n < count(); ++n) {
             if (n % zones_ == of_zone && !frozen.contains(n) && !holds(part(n, zone))) return false;
@@ -70,7 +70,7 @@
     }
     int count() const { return static_cast<int>(nodes_.size()); }
     double now() const { return now_; }
-    fleet::Zones::View view(int n, int zone) const {
+    gossip::ZoneFailover::View view(int n, int zone) const {
         return nodes_[at(n)].exchange->zone_views(now_)[at(zone)];
     }
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
@@ -83,15 +83,15 @@
 
   private:
     struct Node {
-        std::unique_ptr<fleet::Exchange> exchange;
-        std::vector<fleet::Zones::Order> orders;
+        std::unique_ptr<gossip::OutlierExchange> exchange;
+        std::vector<gossip::ZoneFailover::Change> orders;
         std::vector<double> next_trial;
-        std::multimap<double, std::tuple<int, fleet::Subject, fleet::ZoneEnd>> ending;
+        std::multimap<double, std::tuple<int, gossip::ServerKey, gossip::ZoneAttempt>> ending;
     };
     void step() {
         now_ += kStep;
         network.deliver(now_, [this](int from, int to, const std::string& bytes) {
-            if (!frozen.contains(to)) nodes_[at(to)].exchange->received(now_, from, bytes);
+            if (!frozen.contains(to)) nodes_[at(to)].exchange->on_datagram(now_, from, bytes);
         });
         for (int n = 0; n < count(); ++n) {
             if (frozen.contains(n)) continue;
@@ -102,30 +102,30 @@
             for (auto e = it.ending.begin(); e != it.ending.end() && e->first <= now_;
                  e = it.ending.erase(e)) {
                 const auto& [zone, subject, end] = e->second;
-                it.exchange->zone_ended(now_, zone, subject, end);
+                it.exchange->on_zone_attempt_finished(now_, zone, subject, end);
             }
-            for (fleet::Outgoing& o : it.exchange->tick(now_))
+            for (gossip::Outgoing& o : it.exchange->tick(now_))
                 network.send(now_, n, o.to, std::move(o.bytes));
-            for (const fleet::Zones::Order& o : it.exchange->zone_orders()) {
+            for (const gossip::ZoneFailover::Change& o : it.exchange->zone_orders()) {
                 it.orders[at(o.zone)] = o;
-                it.next_trial[at(o.zone)] = now_ + o.apart * unit();
+                it.next_trial[at(o.zone)] = now_ + o.probe_interval * unit();
             }
         }
     }
     void ask(int n, Node& it) {
-        it.exchange->asked(now_);
+        it.exchange->on_request(now_);
         const double key = unit();
         for (int k = 0; k < zones_; ++k) {
             const int z = (n + k) % zones_;
-            const fleet::Zones::Order& o = it.orders[at(z)];
-            if (o.part > 0 ? key >= o.part : now_ < it.next_trial[at(z)]) continue;
-            if (o.part <= 0) it.next_trial[at(z)] = now_ + o.apart * (0.75 + 0.5 * unit());
+            const gossip::ZoneFailover::Change& o = it.orders[at(z)];
+            if (o.weight > 0 ? key >= o.weight : now_ < it.next_trial[at(z)]) continue;
+            if (o.weight <= 0) it.next_trial[at(z)] = now_ + o.probe_interval * (0.75 + 0.5 * unit());
             const int cache = static_cast<int>(unit() * kCaches);
             const bool up = answers(n, z, cache);
             ++asked[z];
             it.ending.emplace(now_ + (up ? 0.03 : 0.2),
-                              std::tuple{z, static_cast<fleet::Subject>(z * 100 + cache),
-                                         up ? fleet::ZoneEnd::well : fleet::ZoneEnd::silent});
+                              std::tuple{z, static_cast<gossip::ServerKey>(z * 100 + cache),
+                                         up ? gossip::ZoneAttempt::healthy : gossip::ZoneAttempt::silent});
             return;
         }
     }
--- a/src/protocol/attempt_response.h
+++ b/src/protocol/attempt_response.h
@@ -7,12 +7,12 @@
 
 namespace brookrelay {
 
-struct Answer {
-    bool sound = false;  // false: nonsense, which fails this exchange and its connection
-    Ending ending = Ending::reset;
-    bool reusable = true;  // the connection may carry another forward
-    bool unsized = false;  // nothing in front tells how long it is
-    std::string body;      // the value of a read, the receipt of a write
+struct AttemptResponse {
+    bool valid = false;  // false: nonsense, which fails this exchange and its connection
+    AttemptOutcome outcome = AttemptOutcome::reset;
+    bool reusable = true;         // the connection may carry another forward
+    bool unknown_length = false;  // nothing in front tells how long it is
+    std::string body;             // the value of a read, the receipt of a write
 };
 
 }  // namespace brookrelay
--- a/src/protocol/http1.cpp
+++ b/src/protocol/http1.cpp
@@ -34,7 +34,7 @@
         if (end == std::string_view::npos) return in.size() - at > kHeadMost ? Found::nonsense : Found::more;
         const std::string_view line = in.substr(at, end - at);
         std::size_t size = 0;
-        if (!read_digits(trimmed(line.substr(0, line.find(';'))), size, 16)) return Found::nonsense;
+        if (!parse_number(trimmed(line.substr(0, line.find(';'))), size, 16)) return Found::nonsense;
         if (size > body_most - body.size()) return Found::nonsense;
         at = end + kEnd.size();
         if (size == 0) break;
@@ -84,13 +84,13 @@
     const std::string_view first = head.substr(0, end);
     std::size_t status = 0;
     if (!first.starts_with("HTTP/1.") || first.size() < 12 || first[8] != ' ') return false;
-    if (!read_digits(first.substr(9, 3), status) || status < 100) return false;
+    if (!parse_number(first.substr(9, 3), status) || status < 100) return false;
     r.status = static_cast<int>(status);
-    r.keep_open = first[7] != '0';
+    r.keep_alive = first[7] != '0';
     if (!read_fields(head, end, r)) return false;
     const std::string connection = lowered(r.header("connection"));
-    if (connection.find("close") != std::string::npos) r.keep_open = false;
-    if (connection.find("keep-alive") != std::string::npos) r.keep_open = true;
+    if (connection.find("close") != std::string::npos) r.keep_alive = false;
+    if (connection.find("keep-alive") != std::string::npos) r.keep_alive = true;
     return true;
 }
 
@@ -103,8 +103,8 @@
     return {};
 }
 
-std::string http_request(std::string_view method, std::string_view target, std::string_view host,
-                         const HttpHeaders& headers, std::string_view body) {
+std::string format_http_request(std::string_view method, std::string_view target, std::string_view host,
+                                const HttpHeaders& headers, std::string_view body) {
     std::string text;
     text.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: ").append(host).append(kEnd);
     for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append(kEnd);
@@ -112,7 +112,7 @@
     return text.append(kEnd).append(body);
 }
 
-std::string path_of(std::string_view segment) {
+std::string percent_encode_segment(std::string_view segment) {
     constexpr std::string_view plain =
         "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~!$&'()*+,;=:@";
     constexpr std::string_view digits = "0123456789ABCDEF";
@@ -128,7 +128,7 @@
     return out;
 }
 
-std::size_t read_request(std::string_view in, HttpRequest& r) {
+std::size_t parse_http_request(std::string_view in, HttpRequest& r) {
     r = {};
     const std::size_t line_end = in.find(kEnd);
     if (line_end == std::string_view::npos) return in.size() > kHeadMost ? in.size() : 0;
@@ -145,14 +145,14 @@
     if (end == std::string_view::npos) return in.size() > kHeadMost ? in.size() : 0;
     HttpResponse fields;
     if (!read_fields(in.substr(0, end), line_end, fields)) return in.size();
-    r.sound = true;
+    r.valid = true;
     r.method = method;
     r.target = target;
     return end + 4;
 }
 
-std::size_t read_response_head(std::string_view in, std::size_t body_most, HttpResponse& r,
-                               std::size_t& length) {
+std::size_t parse_http_response_head(std::string_view in, std::size_t body_most, HttpResponse& r,
+                                     std::size_t& length) {
     std::size_t start = 0;
     length = 0;
     while (true) {
@@ -172,33 +172,33 @@
         if (r.status == 101 || start > kHeadMost) return in.size();
     }
     if (r.status == 204 || r.status == 304) {
-        r.sound = true;
+        r.valid = true;
     } else if (has(r, "transfer-encoding")) {
         // With a length beside it, or in a coding not known here, nobody can tell where the body ends.
-        r.sound = !has(r, "content-length") && lowered(r.header("transfer-encoding")) == "chunked";
+        r.valid = !has(r, "content-length") && lowered(r.header("transfer-encoding")) == "chunked";
     } else if (has(r, "content-length")) {
-        r.sound = read_digits(r.header("content-length"), length) && length <= body_most;
+        r.valid = parse_number(r.header("content-length"), length) && length <= body_most;
     } else {
-        r.sound = r.until_close = true;
-        r.keep_open = false;
+        r.valid = r.body_until_close = true;
+        r.keep_alive = false;
     }
-    return r.sound ? start : in.size();
+    return r.valid ? start : in.size();
 }
 
-std::size_t read_response(std::string_view in, BodyMost most, HttpResponse& r, bool ended) {
+std::size_t parse_http_response(std::string_view in, BodyLimits most, HttpResponse& r, bool ended) {
     std::size_t length = 0;
-    std::size_t start = read_response_head(in, most.told, r, length);
-    if (start == 0 || !r.sound) return start;
+    std::size_t start = parse_http_response_head(in, most.with_length, r, length);
+    if (start == 0 || !r.valid) return start;
     if (has(r, "transfer-encoding") && r.status != 204 && r.status != 304) {
-        const Found found = read_chunks(in, start, most.untold, r.body);
+        const Found found = read_chunks(in, start, most.without_length, r.body);
         if (found == Found::more) return 0;
-        r.sound = found == Found::whole;
-        return r.sound ? start : in.size();
+        r.valid = found == Found::whole;
+        return r.valid ? start : in.size();
     }
-    if (r.until_close) {
+    if (r.body_until_close) {
         length = in.size() - start;
-        r.sound = length <= most.untold;
-        if (!r.sound) return in.size();
+        r.valid = length <= most.without_length;
+        if (!r.valid) return in.size();
         if (!ended) return 0;
     }
     if (in.size() - start < length) return 0;
--- a/src/protocol/memcache_text.cpp
+++ b/src/protocol/memcache_text.cpp
@@ -18,7 +18,7 @@
     return word;
 }
 
-const char* read_properties(std::string_view said, Properties& p) {
+const char* read_properties(std::string_view said, RequestAttributes& p) {
     p = {};
     p.text = said;
     bool timed = false;
@@ -34,14 +34,14 @@
         } else if (name == "t") {
             p.tenant = value;
         } else if (name == "r") {
-            p.repeat = value == "1";
+            p.is_client_retry = value == "1";
         } else if (name == "d") {
             std::size_t ms = 0;
-            if (timed || !read_digits(value, ms) || ms > 86'400'000) return "bad property d";
+            if (timed || !parse_number(value, ms) || ms > 86'400'000) return "bad property d";
             timed = true;
-            p.time_at = at + equals + 1;
+            p.time_offset = at + equals + 1;
             p.time_length = value.size();
-            p.time_left = static_cast<double>(ms) / 1e3;
+            p.time_remaining = static_cast<double>(ms) / 1e3;
         }
         at = end + 1;
     }
@@ -58,11 +58,11 @@
         if (flag.empty()) break;
         if (flag == "v" && c.kind == Command::Kind::read) {
             value = true;
-        } else if (flag[0] == 'O' && c.id.empty() && is_word(flag.substr(1))) {
+        } else if (flag[0] == 'O' && c.id.empty() && is_printable_word(flag.substr(1))) {
             c.id = flag.substr(1);
-        } else if (flag[0] == 'P' && !listed && is_word(flag.substr(1))) {
+        } else if (flag[0] == 'P' && !listed && is_printable_word(flag.substr(1))) {
             listed = true;
-            if (const char* bad = read_properties(flag.substr(1), c.properties)) return bad;
+            if (const char* bad = read_properties(flag.substr(1), c.attributes)) return bad;
         } else {
             return "bad flag";
         }
@@ -74,7 +74,7 @@
 
 // A line without its end, and how many bytes it takes with it; 0: its end has not come.
 std::string_view first_line(std::string_view in, std::size_t& taken) {
-    const std::size_t end = in.substr(0, kLineMost).find('\n');
+    const std::size_t end = in.substr(0, kMaxLineBytes).find('\n');
     taken = end == std::string_view::npos ? 0 : end + 1;
     std::string_view line = in.substr(0, taken == 0 ? 0 : end);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
@@ -83,7 +83,7 @@
 
 std::size_t malformed(Command& c, const char* complaint, std::size_t taken, bool framing_lost = false) {
     c.kind = Command::Kind::malformed;
-    c.complaint = complaint;
+    c.error = complaint;
     c.framing_lost = framing_lost;
     return taken;
 }
@@ -98,18 +98,18 @@
 
 }  // namespace
 
-bool is_word(std::string_view text) {
+bool is_printable_word(std::string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
         const auto u = static_cast<unsigned char>(c);
         return u > 0x20 && u != 0x7f;
     });
 }
 
-std::size_t read_command(std::string_view in, Command& c) {
+std::size_t parse_command(std::string_view in, Command& c) {
     c = {};
     std::size_t taken = 0;
     std::string_view line = first_line(in, taken);
-    if (taken == 0) return in.size() < kLineMost ? 0 : malformed(c, "line too long", in.size(), true);
+    if (taken == 0) return in.size() < kMaxLineBytes ? 0 : malformed(c, "line too long", in.size(), true);
     const std::string_view verb = next_word(line);
     if (verb == "mn") {
         c.kind = Command::Kind::hello;
@@ -121,8 +121,8 @@
     std::size_t length = 0;
     if (c.kind == Command::Kind::write) {
         // Without a length nobody can tell where the value ends and the next command begins.
-        if (!read_digits(next_word(line), length)) return malformed(c, "bad length", taken, true);
-        if (length > kValueMost) return malformed(c, "value too large", taken, true);
+        if (!parse_number(next_word(line), length)) return malformed(c, "bad length", taken, true);
+        if (length > kMaxValueBytes) return malformed(c, "value too large", taken, true);
         if (in.size() < taken + length + 1) return 0;
         if (in[taken + length] == '\r' && in.size() < taken + length + 2) return 0;
         c.value = in.substr(taken, length);
@@ -131,21 +131,21 @@
         if (end == 0) return malformed(c, "bad data chunk", taken, true);
         taken += end;
     }
-    if (!is_word(c.key) || c.key.size() > kKeyMost) return malformed(c, "bad key", taken);
+    if (!is_printable_word(c.key) || c.key.size() > kKeyMost) return malformed(c, "bad key", taken);
     const char* bad = read_flags(line, c);
     return bad == nullptr ? taken : malformed(c, bad, taken);
 }
 
-std::size_t read_reply(std::string_view in, Reply& r) {
+std::size_t parse_reply(std::string_view in, Reply& r) {
     r = {};
     std::size_t taken = 0;
     std::string_view line = first_line(in, taken);
-    if (taken == 0) return in.size() < kLineMost ? 0 : in.size();
+    if (taken == 0) return in.size() < kMaxLineBytes ? 0 : in.size();
     const std::string_view said = line;
     const std::string_view verb = next_word(line);
     if (verb == "VA") {
         std::size_t length = 0;
-        if (!read_digits(next_word(line), length) || length > kWholeMost) return taken;
+        if (!parse_number(next_word(line), length) || length > kMaxBufferedValueBytes) return taken;
         if (in.size() < taken + length + kEnd.size()) return 0;
         if (in.substr(taken + length, kEnd.size()) != kEnd) return taken;
         r.kind = Reply::Kind::value;
@@ -170,56 +170,63 @@
     } else if (said == "SERVER_ERROR busy") {
         r.kind = Reply::Kind::busy;
     } else if (verb == "SERVER_ERROR") {
-        r.kind = Reply::Kind::errored;
+        r.kind = Reply::Kind::failed;
     }
     return taken;
 }
 
-LongValue long_reply(std::string_view in) {
+StreamedValue parse_streamed_reply(std::string_view in) {
     std::size_t taken = 0, length = 0;
     std::string_view line = first_line(in, taken);
-    if (taken == 0 || next_word(line) != "VA" || !read_digits(next_word(line), length)) return {};
-    if (length <= kWholeMost || length > kValueMost) return {};
+    if (taken == 0 || next_word(line) != "VA" || !parse_number(next_word(line), length)) return {};
+    if (length <= kMaxBufferedValueBytes || length > kMaxValueBytes) return {};
     return {taken, length, kEnd.size(), id_of(line), true};
 }
 
-std::size_t long_write(std::string_view in) {
+std::size_t streamed_write_length(std::string_view in) {
     std::size_t taken = 0, length = 0;
     std::string_view line = first_line(in, taken);
     if (taken == 0 || next_word(line) != "ms") return 0;
     next_word(line);
-    return read_digits(next_word(line), length) && length > kWholeMost && length <= kValueMost ? length : 0;
+    return parse_number(next_word(line), length) && length > kMaxBufferedValueBytes &&
+                   length <= kMaxValueBytes
+               ? length
+               : 0;
 }
 
-std::string properties_text(const Properties& p, double time_left) {
+std::string format_attributes(const RequestAttributes& p, double time_left) {
     std::string text = p.text;
     const auto ms = std::max<long long>(1, std::llround(time_left * 1e3));
-    return text.replace(p.time_at, p.time_length, std::to_string(ms));
+    return text.replace(p.time_offset, p.time_length, std::to_string(ms));
 }
 
-std::string command_text(const Command& c, double time_left) {
+std::string format_command(const Command& c, double time_left) {
     std::string text = c.kind == Command::Kind::read ? "mg " : "ms ";
     text += c.key;
     text += ' ';
     text += c.kind == Command::Kind::read ? "v" : std::to_string(c.value.size());
-    text.append(" O").append(c.id).append(" P").append(properties_text(c.properties, time_left)).append(kEnd);
+    text.append(" O")
+        .append(c.id)
+        .append(" P")
+        .append(format_attributes(c.attributes, time_left))
+        .append(kEnd);
     if (c.kind == Command::Kind::write) text.append(c.value).append(kEnd);
     return text;
 }
 
-std::string value_head(std::string_view id, std::size_t length) {
+std::string format_value_header(std::string_view id, std::size_t length) {
     return "VA " + std::to_string(length) + " O" + std::string(id) + std::string(kEnd);
 }
 
-std::string value_text(std::string_view id, std::string_view value) {
-    return value_head(id, value.size()).append(value).append(kEnd);
+std::string format_value(std::string_view id, std::string_view value) {
+    return format_value_header(id, value.size()).append(value).append(kEnd);
 }
 
-std::string receipt_text(std::string_view id, std::string_view receipt) {
+std::string format_receipt(std::string_view id, std::string_view receipt) {
     return std::string("HD O").append(id).append(" c").append(receipt).append(kEnd);
 }
 
-std::string busy_text(double retry_after) {
+std::string format_busy(double retry_after) {
     const auto ms = std::llround(retry_after * 1e3);
     std::string text = "SERVER_ERROR busy";
     if (ms > 0) text.append(" ").append(std::to_string(ms));
--- a/src/protocol/origin_http.h
+++ b/src/protocol/origin_http.h
@@ -11,10 +11,10 @@
 
 namespace brookrelay {
 
-std::string origin_request(const Command& command, double time_left, std::string_view host);
-LongValue long_origin_answer(std::string_view in);
+std::string format_origin_request(const Command& command, double time_left, std::string_view host);
+StreamedValue parse_streamed_origin_response(std::string_view in);
 // 0: not whole yet, and `out` says whether its length is told. `ended`: nothing will come behind `in`, by an
 // orderly end.
-std::size_t read_origin_answer(std::string_view in, Answer& out, bool ended = false);
+std::size_t parse_origin_response(std::string_view in, AttemptResponse& out, bool ended = false);
 
 }  // namespace brookrelay
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -11,8 +11,8 @@
 #include <utility>
 
 #include "config/json.h"
-#include "config/warm_start.h"
 #include "config/registration.h"
+#include "config/warm_start.h"
 
 namespace brookrelay {
 namespace {
@@ -20,7 +20,7 @@
 // Descriptors: some for the listeners, operators, discovery, the loop and the log; the rest is shared out
 // once, so that neither side's flood can leave the other without any. Each forward belongs to some client,
 // but not every client has one out, so the clients' part is the larger.
-constexpr int kDescriptorsKept = 16 + static_cast<int>(Management::kPlaces);
+constexpr int kDescriptorsKept = 16 + static_cast<int>(AdminServer::kMaxCallers);
 constexpr double kClientsPart = 0.6;
 
 // After SIGTERM. The front goes on sending here for a while; whoever is still unanswered near the kill (which
@@ -64,11 +64,11 @@
 }
 
 // Nodes on one machine may have one folder for what they keep.
-std::string own_folder(const Station& s) {
-    if (s.scratch.empty()) return {};
+std::string own_folder(const NodeConfig& s) {
+    if (s.state_folder.empty()) return {};
     std::string name = s.name + "-" + s.listen;
     std::replace(name.begin(), name.end(), '/', '_');
-    return s.scratch + "/brookrelay-" + name;
+    return s.state_folder + "/brookrelay-" + name;
 }
 
 // FNV-1a: the same at every node, as the ring needs it; the module mixes it further.
@@ -80,16 +80,16 @@
 
 }  // namespace
 
-Node::Node(const Station& station, const OperatorFile& operator_file, Log& log)
+Node::Node(const NodeConfig& station, const OperatorConfig& operator_file, Log& log)
     : station_(station),
       operator_file_(operator_file),
       log_(log),
-      wall_less_monotonic_(static_cast<double>(g_get_real_time()) / 1e6 - monotonic()),
+      wall_less_monotonic_(static_cast<double>(g_get_real_time()) / 1e6 - monotonic_now()),
       balancer_(make_balancer(station.deployment, station.seed, *this)),
       pool_(
           timers_, log, station.deployment, budget(station.descriptors, 1 - kClientsPart),
           bytes(station.memory_mb),
-          [this](Pool::Ended&& end) {
+          [this](UpstreamPool::AttemptResult&& end) {
               inbox_.emplace_back([this, e = std::move(end)](double now) mutable { ended(now, e); });
           },
           // Only after all that this turn of the loop brings has been heard: whether it is still to be sent.
@@ -99,54 +99,60 @@
               });
           },
           {[this](std::uint64_t relay) {
-               return relays_.contains(relay) ? clients_.room(relays_[relay]) : 0;
+               return relays_.contains(relay) ? clients_.stream_capacity(relays_[relay]) : 0;
+           },
+           [this](std::uint64_t relay, std::string_view piece) {
+               clients_.write_chunk(relays_[relay], piece);
            },
-           [this](std::uint64_t relay, std::string_view piece) { clients_.piece(relays_[relay], piece); },
            [this](std::uint64_t relay, bool whole) {
                const auto at = relays_.find(relay);
                if (at == relays_.end()) return;
-               const Clients::Asker asker = at->second;
+               const ClientConnections::RequestHandle asker = at->second;
                relays_.erase(at);
-               clients_.end_long(asker, whole, kFailed);
+               clients_.end_stream(asker, whole, kFailed);
            }}),
       clients_(
           timers_, log, budget(station.descriptors, kClientsPart), bytes(station.memory_mb),
-          [this](const Clients::Asker& asker, Command&& command) { return asked(asker, std::move(command)); },
-          [this](const Clients::Asker& asker, int inv) { left(asker, inv); },
-          {[this](std::uint64_t relay) { pool_.pull(relay); },
+          [this](const ClientConnections::RequestHandle& asker, Command&& command) {
+              return asked(asker, std::move(command));
+          },
+          [this](const ClientConnections::RequestHandle& asker, int inv) { left(asker, inv); },
+          {[this](std::uint64_t relay) { pool_.resume(relay); },
            [this](std::uint64_t relay) {
                relays_.erase(relay);
-               pool_.give_up(relay);
+               pool_.abandon_stream(relay);
            }}),
       discovery_(
           timers_, log, station,
-          [this](ServerList&& list) {
+          [this](EndpointUpdate&& list) {
               inbox_.emplace_back([this, told = std::move(list)](double now) {
-                  listed(now, told.whole ? ListKind::whole : ListKind::change, told);
+                  listed(now, told.is_full ? UpdateKind::full : UpdateKind::delta, told);
               });
           },
-          [this] { inbox_.emplace_back([this](double now) { balancer_->list_failed(now); }); }),
+          [this] { inbox_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
       management_(timers_, log,
                   [this](std::uint64_t caller, const HttpRequest& call) { operators_call(caller, call); }),
       by_hand_(own_folder(station)) {
-    if (operator_file.fleet_talk) {
-        const std::string against = Talk::against(station);
+    if (operator_file.gossip_enabled) {
+        const std::string against = GossipAgent::why_unavailable(station);
         if (against.empty()) {
-            talk_ = std::make_unique<Talk>(
+            talk_ = std::make_unique<GossipAgent>(
                 timers_, log, station, operator_file,
                 [this] {
                     inbox_.emplace_back([this](double now) {
-                        talk_->step(now);
-                        if (talk_->limits_connections()) pool_.keep_places();
+                        talk_->tick(now);
+                        if (talk_->limits_connections()) pool_.enforce_connection_limit();
                     });
                 },
                 [this](double now, const std::string& name, bool bad, double apart) {
                     found_by_fleet(now, name, bad, apart);
                 },
-                [this](double now, const fleet::Zones::Order& o) {
-                    balancer_->zone_share(now, o.zone, o.part, o.apart);
+                [this](double now, const gossip::ZoneFailover::Change& o) {
+                    balancer_->set_zone_weight(now, o.zone, o.weight, o.probe_interval);
                 },
-                [this](double now, int tenant, double part) { balancer_->tenant_part(now, tenant, part); });
+                [this](double now, int tenant, double part) {
+                    balancer_->set_tenant_quota_share(now, tenant, part);
+                });
             limit_places();
         } else {
             log.line(Topic::node, "peers_off", "tells other nodes nothing: " + against);
@@ -157,76 +163,76 @@
                              std::string& why) -> std::optional<Registration> {
         try {
             return read_registration(data, station_.names);
-        } catch (const BadInput& bad) {
+        } catch (const ConfigurationError& bad) {
             why = bad.what();
             return std::nullopt;
         }
     };
-    registry_ = std::make_unique<Registry>(
+    registry_ = std::make_unique<CoordinationClient>(
         timers_, log, operator_file.registry_addresses, operator_file.registry_path,
-        operator_file.registry_session, station.seed, read,
+        operator_file.registry_session_timeout, station.seed, read,
         [this](std::vector<RegistrationChange>&& changes) { registered(changes); });
 }
 
 bool Node::start(int inherited, std::string& complaint) {
     shared_ = inherited >= 0;
     SocketRef listener =
-        shared_ ? inherited_listener(inherited, complaint) : listen_on(station_.listen, complaint);
+        shared_ ? adopt_listener(inherited, complaint) : listen_on(station_.listen, complaint);
     if (listener == nullptr) {
         complaint = (shared_ ? "GW_ACCEPT_FD: " : "field 'listen': ") + complaint;
         return false;
     }
-    if (!station_.management.empty() && !management_.listen(station_.management, complaint)) {
+    if (!station_.admin_listen.empty() && !management_.listen(station_.admin_listen, complaint)) {
         complaint = "field 'management': " + complaint;
         return false;
     }
-    turned_at_ = monotonic();
-    const std::vector<std::string> by_hand = by_hand_.look(wall_less_monotonic_ + monotonic());
+    turned_at_ = monotonic_now();
+    const std::vector<std::string> by_hand = by_hand_.reload(wall_less_monotonic_ + monotonic_now());
     inbox_.emplace_back([this, by_hand](double now) {
-        listed(now, ListKind::disk, station_.known);
+        listed(now, UpdateKind::cached_on_disk, station_.cached_endpoints);
         merge_by_hand(now, by_hand);
         recall_learned(now);
     });
-    turn();
+    run_iteration();
     if (registry_ != nullptr) {
         registry_->start();
-    } else if (!station_.deployment.ask_for_list) {
-        discovery_.watch();
+    } else if (!station_.deployment.polls_endpoints) {
+        discovery_.poll();
     }
-    if (shared_) beside_ = std::make_unique<Beside>(own_folder(station_));
+    if (shared_) beside_ = std::make_unique<SiblingProcesses>(own_folder(station_));
     share_budget();
     if (talk_ != nullptr) talk_->start();
     clients_.listen(std::move(listener));
-    timers_.at(monotonic(), [this] { look_by_hand(); });
-    if (shared_ && !station_.scratch.empty())
-        timers_.at(monotonic() + kLeaveLearned, [this] { leave_learned(); });
+    timers_.schedule(monotonic_now(), [this] { look_by_hand(); });
+    if (shared_ && !station_.state_folder.empty())
+        timers_.schedule(monotonic_now() + kLeaveLearned, [this] { leave_learned(); });
     takes_clients_ = true;
     return true;
 }
 
-void Node::turn() {
+void Node::run_iteration() {
     (void)came_at();
-    const double now = monotonic();
+    const double now = monotonic_now();
     turned_at_ = now;
-    std::vector<Happening> inbox;
+    std::vector<Event> inbox;
     inbox.swap(inbox_);
-    for (const Happening& happening : inbox) happening(now);
+    for (const Event& happening : inbox) happening(now);
     std::vector<std::function<void()>> to_do;
     to_do.swap(to_do_);
     for (const auto& action : to_do) action();
     for (int inv : to_settle_) settle(inv);
     to_settle_.clear();
-    pool_.sweep();
-    clients_.sweep();
-    management_.sweep();
+    pool_.destroy_closed();
+    clients_.destroy_closed();
+    management_.destroy_closed();
 }
 
 // All or nothing: whatever speaks against the new settings is found before the first of them is taken. What
 // has been asked so far is handed to the module under the old ones, by whose numbers it was read.
-void Node::reload(const Station& station, const OperatorFile& operator_file) {
-    turn();
+void Node::reload(const NodeConfig& station, const OperatorConfig& operator_file) {
+    run_iteration();
     std::vector<std::pair<int, int>> places;
-    std::string against = cannot_be_live(station_, station);
+    std::string against = why_not_reloadable(station_, station);
     if (against.empty()) against = placed_by(station.names, places);
     if (!against.empty()) {
         log_.line(Topic::node, "configuration_refused",
@@ -235,43 +241,43 @@
     }
     const bool renamed = !(station.names == station_.names);
     station_ = station;
-    pool_.settle_in(station.deployment);
-    balancer_->redeployed(monotonic(), station_.deployment);
-    std::vector<Listing> entries;
+    pool_.apply_configuration(station.deployment);
+    balancer_->on_configuration(monotonic_now(), station_.deployment);
+    std::vector<Endpoint> entries;
     for (const auto& [name, cache] : cache_index_) {
-        Known& s = server(cache);
+        Server& s = server(cache);
         std::tie(s.zone, s.kind) = places[static_cast<std::size_t>(cache)];
         entries.push_back(listing(cache));
     }
-    balancer_->listed(monotonic(), ListKind::whole, entries);
+    balancer_->on_endpoints(monotonic_now(), UpdateKind::full, entries);
     settle_limits(operator_file);
-    if (talk_ != nullptr) talk_->zones_anew(monotonic());
+    if (talk_ != nullptr) talk_->repeat_zone_changes(monotonic_now());
     log_.line(Topic::node, "configuration_read",
               "configuration read again: discovery at " + station.discovery + ", settings taken" +
                   (renamed ? ", names changed" : ""));
     if (registry_ == nullptr)
-        discovery_.move_to(station.discovery, station.names, station.deployment.ask_for_list);
+        discovery_.move_to(station.discovery, station.names, station.deployment.polls_endpoints);
 }
 
 // Limits of the whole fleet are taken from a running file; the rest of it waits for a restart, and is said
 // to.
-void Node::settle_limits(const OperatorFile& operator_file) {
-    OperatorFile as_it_runs = operator_file_;
-    as_it_runs.fleet_limits = operator_file.fleet_limits;
+void Node::settle_limits(const OperatorConfig& operator_file) {
+    OperatorConfig as_it_runs = operator_file_;
+    as_it_runs.fleet_quotas = operator_file.fleet_quotas;
     if (!(as_it_runs == operator_file))
         log_.line(
             Topic::node, "operator_file_waits",
             "in the operators' file more than fleet.limits has changed: that counts from the next start");
     operator_file_ = as_it_runs;
     if (talk_ == nullptr) return;
-    talk_->settle_in(station_, operator_file_.fleet_limits);
+    talk_->apply_configuration(station_, operator_file_.fleet_quotas);
     limit_places();
 }
 
 void Node::limit_places() {
-    if (!talk_->limits_connections()) return pool_.limit_places({});
-    pool_.limit_places([this](int cache, int wanted) {
-        return talk_->connections_most(monotonic(), server(cache).name, wanted);
+    if (!talk_->limits_connections()) return pool_.set_connection_limit({});
+    pool_.set_connection_limit([this](int cache, int wanted) {
+        return talk_->max_connections(monotonic_now(), server(cache).name, wanted);
     });
 }
 
@@ -284,11 +290,11 @@
         return index < 0 || i >= from.size() ? index : index_of(to, from[i]);
     };
     for (const auto& [name, cache] : cache_index_) {
-        const Known& s = servers_[static_cast<std::size_t>(cache)];
+        const Server& s = servers_[static_cast<std::size_t>(cache)];
         const int zone = renumber(station_.names.zones, names.zones, s.zone);
         const int kind = renumber(station_.names.kinds, names.kinds, s.kind);
         places[static_cast<std::size_t>(cache)] = {zone, kind};
-        if (s.standing == Standing::gone) continue;
+        if (s.state == EndpointState::removed) continue;
         if (s.zone >= 0 && zone < 0)
             return "server " + name + " stands in a zone that 'localities' does not name";
         if (s.kind >= 0 && kind < 0) return "server " + name + " is of a kind that 'kinds' does not name";
@@ -302,7 +308,7 @@
 // lain in its sockets all that time. Taken for new, a write would run after its client asked again elsewhere
 // and was served, past the time for which a repeat is known: so they count as come when the process last ran.
 double Node::came_at() {
-    const double now = monotonic();
+    const double now = monotonic_now();
     if (now - turned_at_ > kStood && now >= behind_until_) {
         stood_from_ = turned_at_;
         behind_until_ = now + kCatchUp;
@@ -314,9 +320,9 @@
     return now < behind_until_ ? stood_from_ : now;
 }
 
-int Node::asked(const Clients::Asker& asker, Command&& command) {
-    const int operation = index_of(station_.names.operations, command.properties.operation);
-    const bool full = station_.most_open > 0 && open_ >= station_.most_open;
+int Node::asked(const ClientConnections::RequestHandle& asker, Command&& command) {
+    const int operation = index_of(station_.names.operations, command.attributes.operation);
+    const bool full = station_.max_open_requests > 0 && open_ >= station_.max_open_requests;
     // Servers tell invocations apart by their ids alone: with one that is still open the answer made for the
     // one client would be taken for the other's.
     const bool taken = open_ids_.contains(command.id);
@@ -324,9 +330,9 @@
         // None has been given to the module: it may not be held, or cannot be named.
         const std::string text = operation < 0 ? "CLIENT_ERROR unknown operation\r\n"
                                  : taken       ? "CLIENT_ERROR id in use\r\n"
-                                               : busy_text(0);
-        inbox_.emplace_back([this, asker, text](double) { clients_.answer(asker, text); });
-        return Clients::kNoInvocation;
+                                               : format_busy(0);
+        inbox_.emplace_back([this, asker, text](double) { clients_.respond(asker, text); });
+        return ClientConnections::kNoRequest;
     }
     if (free_.empty()) {
         free_.push_back(static_cast<int>(invocations_.size()));
@@ -337,80 +343,82 @@
     ++open_;
     open_ids_.insert(command.id);
     const double came = came_at();
-    const double due = came + command.properties.time_left;
+    const double due = came + command.attributes.time_remaining;
     invocation(inv) = {asker, std::move(command), came, due, 0, 0, false, {}};
     inbox_.emplace_back([this, inv, operation](double now) { arrived(now, inv, operation); });
     return inv;
 }
 
 void Node::arrived(double now, int inv, int operation) {
-    Invocation& v = invocation(inv);
+    ActiveRequest& v = invocation(inv);
     // A net under the module: its final answer comes before this, or the client has long gone.
-    v.overdue = timers_.at(v.due + station_.deployment.answer_grace, [this, inv] {
-        invocation(inv).overdue = {};
+    v.expiry_timer = timers_.schedule(v.deadline + station_.deployment.response_grace, [this, inv] {
+        invocation(inv).expiry_timer = {};
         inbox_.emplace_back([this, inv](double then) {
-            if (invocation(inv).over) return;
+            if (invocation(inv).answered) return;
             log_.line(Topic::node, "outlived", "an invocation outlived its client timeout");
             answer(inv, "SERVER_ERROR timed out\r\n");
             client_left(then, inv);
         });
     });
-    Arrival a;
-    a.inv = inv;
+    Request a;
+    a.id = inv;
     a.operation = operation;
-    a.tenant = index_of(station_.names.tenants, v.command.properties.tenant);
-    a.write = v.command.kind == Command::Kind::write;
-    a.repeat = v.command.properties.repeat;
+    a.tenant = index_of(station_.names.tenants, v.command.attributes.tenant);
+    a.is_write = v.command.kind == Command::Kind::write;
+    a.is_client_retry = v.command.attributes.is_client_retry;
     a.has_key = true;
     a.key = key_number(v.command.key);
-    a.time_left = std::max(0.0, v.due - now);
-    if (talk_ != nullptr && !a.repeat) talk_->asked(now);
-    if (talk_ != nullptr) talk_->tenant_asked(now, a.tenant);
-    balancer_->arrived(now, a);
+    a.time_remaining = std::max(0.0, v.deadline - now);
+    if (talk_ != nullptr && !a.is_client_retry) talk_->on_request(now);
+    if (talk_ != nullptr) talk_->on_tenant_request(now, a.tenant);
+    balancer_->on_request(now, a);
 }
 
 // By the time that the inbox is read its place may be another's.
-void Node::left(const Clients::Asker& asker, int inv) {
+void Node::left(const ClientConnections::RequestHandle& asker, int inv) {
     inbox_.emplace_back([this, asker, inv](double now) {
-        const Invocation& v = invocation(inv);
-        if (v.asker == asker && !v.over) client_left(now, inv);
+        const ActiveRequest& v = invocation(inv);
+        if (v.client == asker && !v.answered) client_left(now, inv);
     });
 }
 
 void Node::client_left(double now, int inv) {
     finish(inv);
-    balancer_->client_left(now, inv);
+    balancer_->on_client_closed(now, inv);
 }
 
-void Node::ended(double now, Pool::Ended& e) {
-    if (e.inv == Pool::kProbe) return balancer_->probed(now, e.cache, e.ending, e.took);
-    Invocation& v = invocation(e.inv);
-    --v.out;
-    if (e.relay != 0 && !v.over) {
+void Node::ended(double now, UpstreamPool::AttemptResult& e) {
+    if (e.request == UpstreamPool::kHealthCheck)
+        return balancer_->on_health_check(now, e.server, e.outcome, e.latency);
+    ActiveRequest& v = invocation(e.request);
+    --v.in_flight;
+    if (e.stream != 0 && !v.answered) {
         // The client gets its first bytes now, and no other forward may answer it any more.
-        to_do_.emplace_back(
-            [this, asker = v.asker, relay = e.relay, head = value_head(v.command.id, e.length)]() mutable {
-                relays_.emplace(relay, asker);
-                clients_.begin_long(asker, std::move(head), relay);
-            });
-        finish(e.inv);
-    } else if (e.relay != 0) {
-        pool_.give_up(e.relay);
-    } else if (e.ending == Ending::succeeded && !v.over) {
+        to_do_.emplace_back([this, asker = v.client, relay = e.stream,
+                             head = format_value_header(v.command.id, e.stream_length)]() mutable {
+            relays_.emplace(relay, asker);
+            clients_.begin_stream(asker, std::move(head), relay);
+        });
+        finish(e.request);
+    } else if (e.stream != 0) {
+        pool_.abandon_stream(e.stream);
+    } else if (e.outcome == AttemptOutcome::succeeded && !v.answered) {
         const Command& c = v.command;
-        answer(e.inv, c.kind == Command::Kind::read ? value_text(c.id, e.body) : receipt_text(c.id, e.body));
-        finish(e.inv);
+        answer(e.request,
+               c.kind == Command::Kind::read ? format_value(c.id, e.body) : format_receipt(c.id, e.body));
+        finish(e.request);
     }
-    if (talk_ != nullptr && !is_origin(server(e.cache))) {
-        const int operation = index_of(station_.names.operations, v.command.properties.operation);
+    if (talk_ != nullptr && !is_origin(server(e.server))) {
+        const int operation = index_of(station_.names.operations, v.command.attributes.operation);
         if (operation >= 0)
-            talk_->ended(
-                now, forward_key(e.inv, e.forward), server(e.cache).name, server(e.cache).zone, e.ending,
-                e.took,
+            talk_->on_attempt_finished(
+                now, forward_key(e.request, e.attempt), server(e.server).name, server(e.server).zone,
+                e.outcome, e.latency,
                 station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
-    balancer_->ended(now, e.inv, e.forward, e.ending, e.took, v.over);
-    to_settle_.push_back(e.inv);
+    balancer_->on_attempt_finished(now, e.request, e.attempt, e.outcome, e.latency, v.answered);
+    to_settle_.push_back(e.request);
 }
 
 int Node::number_of(const std::string& name) {
@@ -427,49 +435,49 @@
     return cache;
 }
 
-void Node::listed(double now, ListKind kind, const ServerList& list) {
-    std::vector<Listing> entries;
+void Node::listed(double now, UpdateKind kind, const EndpointUpdate& list) {
+    std::vector<Endpoint> entries;
     std::unordered_set<int> told_of;
     std::vector<std::string> first_seen;
-    for (const ListedServer& told : list.servers) {
+    for (const EndpointRecord& told : list.servers) {
         // What is gone and was never known, or is forgotten by now, must not become known by that.
-        if (told.standing == Standing::gone && !cache_index_.contains(told.name)) continue;
+        if (told.state == EndpointState::removed && !cache_index_.contains(told.name)) continue;
         if (!cache_index_.contains(told.name)) first_seen.push_back(told.name);
         const int cache = number_of(told.name);
         told_of.insert(cache);
-        Known& s = server(cache);
-        s.standing = told.standing;
-        s.born = told.born;
+        Server& s = server(cache);
+        s.state = told.state;
+        s.started_at = told.started_at;
         if (!told.address.empty()) s.address = told.address;
         if (told.zone >= 0) s.zone = told.zone;
         if (told.kind >= 0) s.kind = told.kind;
         if (told.cell >= 0) s.cell = told.cell;
-        if (told.size > 0) s.size = told.size;
-        s.by_hand = by_hand_.of(told.name);
+        if (told.weight > 0) s.weight = told.weight;
+        s.admin_state = by_hand_.state_of(told.name);
         entries.push_back(listing(cache));
-        pool_.know(cache, s.name, s.address, is_origin(s));
+        pool_.add_server(cache, s.name, s.address, is_origin(s));
     }
     for (const auto& [name, cache] : cache_index_) {
-        Known& s = server(cache);
-        if (list.whole && !told_of.contains(cache) && s.standing != Standing::gone) {
-            s.standing = Standing::gone;
+        Server& s = server(cache);
+        if (list.is_full && !told_of.contains(cache) && s.state != EndpointState::removed) {
+            s.state = EndpointState::removed;
             entries.push_back(listing(cache));
         }
-        if (!takes_new(cache)) pool_.withdraw(cache);
-        if (s.standing != Standing::gone) {
-            s.gone_since = 0;
-        } else if (s.gone_since == 0) {
-            s.gone_since = now;
+        if (!takes_new(cache)) pool_.close_unstarted(cache);
+        if (s.state != EndpointState::removed) {
+            s.removed_at = 0;
+        } else if (s.removed_at == 0) {
+            s.removed_at = now;
         }
     }
-    if (!entries.empty() || list.whole) {
+    if (!entries.empty() || list.is_full) {
         log_.line(Topic::discovery, "list",
                   "version " + std::to_string(list.version) + ": " + std::to_string(list.servers.size()) +
                       " servers told, " + std::to_string(cache_index_.size()) + " known" +
-                      (list.whole ? " (whole list)" : ""));
+                      (list.is_full ? " (whole list)" : ""));
     }
-    if (!first_seen.empty()) by_hand_.listed(first_seen);
-    balancer_->listed(now, kind, entries);
+    if (!first_seen.empty()) by_hand_.record_listed(first_seen);
+    balancer_->on_endpoints(now, kind, entries);
     forget_gone();
     tell_talk_of_list();
 }
@@ -479,70 +487,71 @@
     std::vector<std::string> names;
     int in_own_zone = 0;
     for (const auto& [name, cache] : cache_index_) {
-        const Known& s = server(cache);
+        const Server& s = server(cache);
         if (is_origin(s)) continue;
         names.push_back(name);
         if (s.zone == station_.deployment.zone && takes_new(cache)) ++in_own_zone;
     }
-    talk_->listed(names, in_own_zone);
+    talk_->on_endpoints(names, in_own_zone);
 }
 
 // Only of what this node's own list has named, and knows still: hearing of a server from others is not
 // enough.
 void Node::found_by_fleet(double now, const std::string& name, bool bad, double apart) {
     const auto known = cache_index_.find(name);
-    if (known != cache_index_.end()) balancer_->vouched(now, known->second, bad, apart);
+    if (known != cache_index_.end()) balancer_->on_outlier_verdict(now, known->second, bad, apart);
 }
 
 // Registrations are news like discovery's. A start that was seen counts from now: how long ago the server
 // itself says that it began is its own clock's word.
 void Node::registered(const std::vector<RegistrationChange>& changes) {
-    ServerList list;
+    EndpointUpdate list;
     // Who stands there when this node first looks did not start just now: only then the registration's word
     // counts.
     const bool first = !std::exchange(registry_heard_, true);
     for (const RegistrationChange& c : changes) {
-        ListedServer s;
+        EndpointRecord s;
         s.name = c.who.name;
         s.address = c.who.address;
         s.zone = c.who.zone;
         s.kind = c.who.kind;
         s.cell = c.who.cell;
-        s.standing = c.standing;
+        s.state = c.standing;
         const auto known = cache_index_.find(s.name);
-        s.born = first                         ? c.who.started
-                 : c.fresh                     ? monotonic() + wall_less_monotonic_
-                 : known != cache_index_.end() ? server(known->second).born
-                                               : 0;
+        s.started_at = first                         ? c.who.started
+                       : c.fresh                     ? monotonic_now() + wall_less_monotonic_
+                       : known != cache_index_.end() ? server(known->second).started_at
+                                                     : 0;
         list.servers.push_back(std::move(s));
     }
-    inbox_.emplace_back([this, told = std::move(list)](double now) { listed(now, ListKind::change, told); });
+    inbox_.emplace_back([this, told = std::move(list)](double now) { listed(now, UpdateKind::delta, told); });
 }
 
-bool Node::is_origin(const Known& s) const {
+bool Node::is_origin(const Server& s) const {
     return s.kind >= 0 && s.kind == station_.deployment.origin_kind;
 }
 
 bool Node::takes_new(int cache) const {
-    const Known& s = servers_[static_cast<std::size_t>(cache)];
-    return s.standing == Standing::ready && (!s.by_hand.out || is_origin(s));
+    const Server& s = servers_[static_cast<std::size_t>(cache)];
+    return s.state == EndpointState::ready && (!s.admin_state.drained || is_origin(s));
 }
 
-Listing Node::listing(int cache) {
-    const Known& s = server(cache);
-    Listing l;
-    l.cache = cache;
+Endpoint Node::listing(int cache) {
+    const Server& s = server(cache);
+    Endpoint l;
+    l.server = cache;
     l.name = s.name;
     l.zone = s.zone;
     l.kind = s.kind;
     l.cell = s.cell;
-    l.size = s.size;
+    l.weight = s.weight;
     // Out by hand it drains, whatever the list says. Called back it counts as started then: it was not used
     // meanwhile, and is cold whenever it may have been restarted.
-    l.standing =
-        s.by_hand.out && s.standing == Standing::ready && !is_origin(s) ? Standing::draining : s.standing;
-    const double born = std::max(s.born, s.by_hand.back_at);
-    if (born > 0) l.started = std::max(born - wall_less_monotonic_, 1e-6);
+    l.state = s.admin_state.drained && s.state == EndpointState::ready && !is_origin(s)
+                  ? EndpointState::draining
+                  : s.state;
+    const double born = std::max(s.started_at, s.admin_state.restored_at);
+    if (born > 0) l.started_at = std::max(born - wall_less_monotonic_, 1e-6);
     return l;
 }
 
@@ -550,27 +559,27 @@
 // for another only once nothing that names it can still be heard: an invocation from its time may have a
 // forward out there, or be held to where its first one went.
 void Node::forget_gone() {
-    timers_.call_off(forgetting_);
-    double oldest = monotonic();
-    for (const Invocation& v : invocations_) {
-        if (v.asker.connection != 0) oldest = std::min(oldest, v.came);
+    timers_.cancel(forgetting_);
+    double oldest = monotonic_now();
+    for (const ActiveRequest& v : invocations_) {
+        if (v.client.connection != 0) oldest = std::min(oldest, v.received_at);
     }
     bool some_left = false;
     for (auto at = cache_index_.begin(); at != cache_index_.end();) {
         const int cache = at->second;
-        const double since = server(cache).gone_since;
+        const double since = server(cache).removed_at;
         if (since == 0 || since >= oldest || pool_.in_use(cache)) {
             some_left = some_left || since > 0;
             ++at;
             continue;
         }
-        pool_.forget(cache);
+        pool_.remove_server(cache);
         server(cache) = {};
         free_numbers_.push_back(cache);
         at = cache_index_.erase(at);
     }
     if (!some_left) return;
-    forgetting_ = timers_.at(monotonic() + kForgetEvery, [this] {
+    forgetting_ = timers_.schedule(monotonic_now() + kForgetEvery, [this] {
         forgetting_ = {};
         forget_gone();
     });
@@ -580,119 +589,122 @@
 
 // By what the list says of its start: whoever has not been told of it is not held to it.
 bool Node::cold(int cache) const {
-    const Known& s = servers_[static_cast<std::size_t>(cache)];
-    const double born = std::max(s.born, s.by_hand.back_at);
+    const Server& s = servers_[static_cast<std::size_t>(cache)];
+    const double born = std::max(s.started_at, s.admin_state.restored_at);
     return born > 0 && !is_origin(s) &&
-           monotonic() < born - wall_less_monotonic_ + station_.deployment.warm_within;
+           monotonic_now() < born - wall_less_monotonic_ + station_.deployment.slow_start_duration;
 }
 
-bool Node::may_warm(int cache) {
-    return talk_ == nullptr || !talk_->limits_cold() || !cold(cache) ||
-           talk_->cold_may(monotonic(), server(cache).name);
+bool Node::admit_slow_start(int cache) {
+    return talk_ == nullptr || !talk_->limits_slow_start() || !cold(cache) ||
+           talk_->admit_slow_start(monotonic_now(), server(cache).name);
 }
 
-void Node::forward(int inv, int cache, double limit) {
-    if (talk_ != nullptr && talk_->limits_cold() && cold(cache))
-        talk_->cold_sent(monotonic(), server(cache).name);
-    Invocation& v = invocation(inv);
-    const int number = v.forwards++;
-    ++v.out;
+void Node::start_attempt(int inv, int cache, double limit) {
+    if (talk_ != nullptr && talk_->limits_slow_start() && cold(cache))
+        talk_->on_slow_start_attempt(monotonic_now(), server(cache).name);
+    ActiveRequest& v = invocation(inv);
+    const int number = v.attempts++;
+    ++v.in_flight;
     to_do_.emplace_back([this, inv, number, cache, limit] { carry_out_forward(inv, number, cache, limit); });
 }
 
 void Node::carry_out_forward(int inv, int number, int cache, double limit) {
-    const Invocation& v = invocation(inv);
-    const double left = std::min(limit, v.due - monotonic());
+    const ActiveRequest& v = invocation(inv);
+    const double left = std::min(limit, v.deadline - monotonic_now());
     // Decided before the turn's news of the server came, or before its client's end was read.
-    const bool declined = v.over || left <= 0 || !takes_new(cache) || clients_.has_gone(v.asker);
+    const bool declined = v.answered || left <= 0 || !takes_new(cache) || clients_.has_closed(v.client);
     // Past its part of the fleet's limit a node sends nothing to the origin: who asked is told to come again.
-    if (declined || (talk_ != nullptr && is_origin(server(cache)) && !talk_->origin_may(monotonic()))) {
-        inbox_.emplace_back([this, e = Pool::Ended{inv, number, cache, Ending::not_sent, 0, {}, 0, 0}](
-                                double now) mutable { ended(now, e); });
+    if (declined ||
+        (talk_ != nullptr && is_origin(server(cache)) && !talk_->admit_origin_attempt(monotonic_now()))) {
+        inbox_.emplace_back(
+            [this,
+             e = UpstreamPool::AttemptResult{inv, number, cache, AttemptOutcome::not_sent, 0, {}, 0, 0}](
+                double now) mutable { ended(now, e); });
         return;
     }
     if (talk_ != nullptr && !is_origin(server(cache))) {
-        const int operation = index_of(station_.names.operations, v.command.properties.operation);
+        const int operation = index_of(station_.names.operations, v.command.attributes.operation);
         if (operation >= 0)
-            talk_->began(
-                monotonic(), forward_key(inv, number), server(cache).name, server(cache).zone,
+            talk_->on_attempt_started(
+                monotonic_now(), forward_key(inv, number), server(cache).name, server(cache).zone,
                 station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
     // The module reckons that a repeat has begun a connect time-out later: after that it could run beside the
     // time for which the first is remembered.
     const int operation =
-        number > 0 ? index_of(station_.names.operations, v.command.properties.operation) : -1;
+        number > 0 ? index_of(station_.names.operations, v.command.attributes.operation) : -1;
     const bool repeat =
-        operation >= 0 &&
-        station_.deployment.operations[static_cast<std::size_t>(operation)].repeat == Repeat::deduplicated;
-    pool_.forward(inv, number, cache, v.command, left, repeat ? pool_.connect_timeout() : 0);
+        operation >= 0 && station_.deployment.operations[static_cast<std::size_t>(operation)].idempotency ==
+                              Idempotency::idempotency_key;
+    pool_.start_attempt(inv, number, cache, v.command, left, repeat ? pool_.connect_timeout() : 0);
 }
 
 // Its connection has come up, perhaps late.
 void Node::begin_forward(int inv, int number) {
-    const Invocation& v = invocation(inv);
-    if (v.over || clients_.has_gone(v.asker)) return pool_.decline(inv, number);
-    pool_.begin(inv, number);
+    const ActiveRequest& v = invocation(inv);
+    if (v.answered || clients_.has_closed(v.client)) return pool_.abandon(inv, number);
+    pool_.send(inv, number);
 }
 
-void Node::cancel(int inv, int forward) {
+void Node::cancel_attempt(int inv, int forward) {
     to_do_.emplace_back([this, inv, forward] { pool_.cancel(inv, forward); });
 }
 
-void Node::throttle(int inv, double retry_after) {
-    answer(inv, busy_text(retry_after));
+void Node::reject(int inv, double retry_after) {
+    answer(inv, format_busy(retry_after));
     finish(inv);
 }
 
-void Node::error(int inv) {
+void Node::fail(int inv) {
     answer(inv, kFailed);
     finish(inv);
 }
 
-void Node::probe(int cache) {
-    to_do_.emplace_back([this, cache] { pool_.probe(cache, kProbeLimit); });
+void Node::check_health(int cache) {
+    to_do_.emplace_back([this, cache] { pool_.check_health(cache, kProbeLimit); });
 }
 
-void Node::release(int cache) {
-    to_do_.emplace_back([this, cache] { pool_.release(cache); });
+void Node::close_idle_connections(int cache) {
+    to_do_.emplace_back([this, cache] { pool_.close_idle(cache); });
 }
 
-void Node::watch_list() {
+void Node::poll_endpoints() {
     if (registry_ != nullptr) return;  // it is told without asking
-    to_do_.emplace_back([this] { discovery_.watch(); });
+    to_do_.emplace_back([this] { discovery_.poll(); });
 }
 
-void Node::wake(double after, std::uint64_t token) {
-    timers_.at(monotonic() + after, [this, token] {
-        inbox_.emplace_back([this, token](double now) { balancer_->woken(now, token); });
+void Node::set_timer(double after, std::uint64_t token) {
+    timers_.schedule(monotonic_now() + after, [this, token] {
+        inbox_.emplace_back([this, token](double now) { balancer_->on_timer(now, token); });
     });
 }
 
 void Node::log(std::string_view text) { log_.line(Topic::policy, "said", text); }
 
 void Node::answer(int inv, std::string text) {
-    if (invocation(inv).over) return;
-    to_do_.emplace_back([this, asker = invocation(inv).asker, said = std::move(text)]() mutable {
-        clients_.answer(asker, std::move(said));
+    if (invocation(inv).answered) return;
+    to_do_.emplace_back([this, asker = invocation(inv).client, said = std::move(text)]() mutable {
+        clients_.respond(asker, std::move(said));
     });
 }
 
 // ---- an invocation's end -----------------------------------------------------------------------------
 
 void Node::finish(int inv) {
-    Invocation& v = invocation(inv);
-    if (v.over) return;
-    v.over = true;
+    ActiveRequest& v = invocation(inv);
+    if (v.answered) return;
+    v.answered = true;
     --open_;
     open_ids_.erase(v.command.id);
-    timers_.call_off(v.overdue);
+    timers_.cancel(v.expiry_timer);
     to_settle_.push_back(inv);
 }
 
 // An invocation's place is given to another only once nothing of it can be heard any more.
 void Node::settle(int inv) {
-    Invocation& v = invocation(inv);
-    if (!v.over || v.out > 0 || v.asker.connection == 0) return;
+    ActiveRequest& v = invocation(inv);
+    if (!v.answered || v.in_flight > 0 || v.client.connection == 0) return;
     v = {};
     free_.push_back(inv);
 }
@@ -704,7 +716,7 @@
     constexpr std::string_view offline = "/offline";
     constexpr std::string_view online = "/online";
     const auto say = [this, caller](int status, const char* text) {
-        management_.answer(caller, status, text);
+        management_.respond(caller, status, text);
     };
     const std::string_view target(call.target);
     const bool out = target.ends_with(offline);
@@ -733,7 +745,7 @@
         if (call.method != "GET") return say(405, "the method here is GET");
         if (talk_ == nullptr)
             return say(404, "this node does not talk with others: [fleet] in the operators' file");
-        return management_.answer(caller, 200, talk_->state_text(monotonic()));
+        return management_.respond(caller, 200, talk_->state_json(monotonic_now()));
     }
     if (target != "/control/ready") return say(404, "no such path");
     if (call.method != "GET") return say(405, "the method here is GET");
@@ -744,15 +756,15 @@
 void Node::call_by_hand(std::uint64_t caller, const std::string& name, bool out) {
     inbox_.emplace_back([this, caller, name, out](double now) {
         const auto say = [this, caller](int status, const char* text) {
-            to_do_.emplace_back([this, caller, status, text] { management_.answer(caller, status, text); });
+            to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
         };
         const auto known = cache_index_.find(name);
-        if (known == cache_index_.end() && !by_hand_.ever_listed(name))
+        if (known == cache_index_.end() && !by_hand_.was_ever_listed(name))
             return say(404, "no such cache server was ever listed");
         // Without it no write and no miss could be answered, and there is no other to take its place.
         if (known != cache_index_.end() && is_origin(server(known->second)))
             return say(409, "the origin cannot be taken out");
-        if (!(out ? by_hand_.take_out(name) : by_hand_.call_back(name, wall_less_monotonic_ + now)))
+        if (!(out ? by_hand_.drain(name) : by_hand_.restore(name, wall_less_monotonic_ + now)))
             return say(503, "could not be written down, nothing has changed");
         merge_by_hand(now, {name});
         say(200, out ? "out" : "may serve");
@@ -764,16 +776,16 @@
 void Node::zone_by_hand(std::uint64_t caller, const std::string& name, bool out) {
     inbox_.emplace_back([this, caller, name, out](double now) {
         const auto say = [this, caller](int status, const std::string& text) {
-            to_do_.emplace_back([this, caller, status, text] { management_.answer(caller, status, text); });
+            to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
         };
         const std::string kept = kZoneByHand + name;
         if (talk_ == nullptr)
             return say(404, "this node does not talk with others: [fleet] in the operators' file");
         if (index_of(station_.names.zones, name) < 0) return say(404, "no such zone");
-        const std::string against = talk_->against_zones();
+        const std::string against = talk_->why_zones_unavailable();
         if (!against.empty()) return say(409, against);
         if (out && station_.names.zones.size() < 2) return say(409, "the only zone cannot be left");
-        if (!(out ? by_hand_.take_out(kept) : by_hand_.call_back(kept, wall_less_monotonic_ + now)))
+        if (!(out ? by_hand_.drain(kept) : by_hand_.restore(kept, wall_less_monotonic_ + now)))
             return say(503, "could not be written down, nothing has changed");
         merge_by_hand(now, {kept});
         say(200, out ? "left" : "is taken back in steps");
@@ -781,47 +793,47 @@
 }
 
 void Node::merge_by_hand(double now, const std::vector<std::string>& names) {
-    std::vector<Listing> entries;
+    std::vector<Endpoint> entries;
     for (const std::string& name : names) {
         if (name.starts_with(kZoneByHand) && talk_ != nullptr)
-            talk_->zone_by_hand(
+            talk_->set_zone_admin_state(
                 now, index_of(station_.names.zones, name.substr(std::string_view(kZoneByHand).size())),
-                by_hand_.of(name).out);
+                by_hand_.state_of(name).drained);
         const auto known = cache_index_.find(name);
         if (known == cache_index_.end()) continue;
-        Known& s = server(known->second);
-        if (s.by_hand == by_hand_.of(name)) continue;
-        s.by_hand = by_hand_.of(name);
-        log_.line(Topic::node, s.by_hand.out ? "taken_out" : "called_back",
-                  name + (s.by_hand.out ? " is out by hand" : " may serve again"));
+        Server& s = server(known->second);
+        if (s.admin_state == by_hand_.state_of(name)) continue;
+        s.admin_state = by_hand_.state_of(name);
+        log_.line(Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
+                  name + (s.admin_state.drained ? " is out by hand" : " may serve again"));
         entries.push_back(listing(known->second));
-        if (!takes_new(known->second)) pool_.withdraw(known->second);
+        if (!takes_new(known->second)) pool_.close_unstarted(known->second);
     }
-    if (!entries.empty()) balancer_->listed(now, ListKind::change, entries);
+    if (!entries.empty()) balancer_->on_endpoints(now, UpdateKind::delta, entries);
 }
 
 void Node::look_by_hand() {
-    std::vector<std::string> changed = by_hand_.look(wall_less_monotonic_ + monotonic());
+    std::vector<std::string> changed = by_hand_.reload(wall_less_monotonic_ + monotonic_now());
     if (!changed.empty()) {
         inbox_.emplace_back([this, names = std::move(changed)](double now) { merge_by_hand(now, names); });
     }
     share_budget();
-    timers_.at(monotonic() + kLookByHand, [this] { look_by_hand(); });
+    timers_.schedule(monotonic_now() + kLookByHand, [this] { look_by_hand(); });
 }
 
 // Descriptors and memory are one budget for all processes of this node: what the others hold is not this
 // one's.
 void Node::share_budget() {
     if (beside_ == nullptr) return;
-    beside_->holds(clients_.live() + pool_.live());
-    const Beside::Others others = beside_->others();
+    beside_->publish(clients_.open_count() + pool_.open_count());
+    const SiblingProcesses::Usage others = beside_->others_usage();
     const double all = station_.descriptors - kDescriptorsKept;
     const double taken = others.descriptors + others.processes * (kDescriptorsKept + kGrowMeanwhile);
     const double part = std::max(1 - taken / all, kPartLeast);
     if (part == part_) return;
     part_ = part;
-    clients_.keep_to(part);
-    pool_.keep_to(part);
+    clients_.set_budget_share(part);
+    pool_.set_budget_share(part);
 }
 
 // For the process that will take this one's place, which has no time to learn it anew.
@@ -831,16 +843,16 @@
     const std::string being_written = path + "-" + std::to_string(getpid());
     {
         std::ofstream file(being_written, std::ios::trunc);
-        file << learned_text(balancer_->learned(monotonic()), station_.names.kinds,
-                             [this](int cache) { return server(cache).name; });
+        file << format_warm_start(balancer_->snapshot(monotonic_now()), station_.names.kinds,
+                                  [this](int cache) { return server(cache).name; });
         if (!file.flush()) std::remove(being_written.c_str());
     }
     std::rename(being_written.c_str(), path.c_str());  // whole, or not at all
-    timers_.at(monotonic() + kLeaveLearned, [this] { leave_learned(); });
+    timers_.schedule(monotonic_now() + kLeaveLearned, [this] { leave_learned(); });
 }
 
 void Node::recall_learned(double now) {
-    if (!shared_ || station_.scratch.empty()) return;
+    if (!shared_ || station_.state_folder.empty()) return;
     const std::string path = own_folder(station_) + "/learned";
     struct stat told {};
     if (stat(path.c_str(), &told) != 0) return;
@@ -848,14 +860,14 @@
     if (age > kLearnedKept) return;
     std::ifstream file(path);
     const std::string said{std::istreambuf_iterator<char>(file), {}};
-    const auto learned = read_learned(said, station_.names.kinds, [this](const std::string& name) {
+    const auto learned = parse_warm_start(said, station_.names.kinds, [this](const std::string& name) {
         const auto known = cache_index_.find(name);
         return known == cache_index_.end() ? -1 : known->second;
     });
     if (!learned) return;
-    balancer_->recall(now, *learned);
+    balancer_->restore(now, *learned);
     log_.line(Topic::node, "recalled",
-              "goes on with what another process had learned of " + std::to_string(learned->caches.size()) +
+              "goes on with what another process had learned of " + std::to_string(learned->servers.size()) +
                   " cache servers");
 }
 
@@ -869,7 +881,7 @@
     double longest = 0;
     for (const Operation& op : station_.deployment.operations) longest = std::max(longest, op.client_timeout);
     const double left = std::min(longest, kKillMost) + kBeforeKill;
-    const double now = monotonic();
+    const double now = monotonic_now();
     last_answers_at_ = now + left;
     // Where client timeouts are short the kill comes early, and what was taken must be answered before it.
     takes_clients_ = false;
@@ -880,30 +892,30 @@
         return look_whether_done();
     }
     closes_at_ = now + std::min(kServeOn, left / 2);
-    timers_.at(closes_at_, [this] { clients_.begin_shutdown(false); });
+    timers_.schedule(closes_at_, [this] { clients_.begin_shutdown(false); });
     look_whether_done();
 }
 
 void Node::look_whether_done() {
-    const double now = monotonic();
+    const double now = monotonic_now();
     const bool left =
-        shared_ ? clients_.none() : now - closes_at_ >= kFrontMovesAway && clients_.quiet_since(now - kQuiet);
+        shared_ ? clients_.empty() : now - closes_at_ >= kFrontMovesAway && clients_.idle_since(now - kQuiet);
     if (left && open_ == 0) {
         done_ = true;
     } else if (now >= last_answers_at_ && open_ > 0) {
         log_.line(Topic::node, "errored_before_kill",
                   std::to_string(open_) + " invocations errored before the kill");
         for (std::size_t i = 0; i < invocations_.size(); ++i) {
-            if (invocations_[i].over) continue;
+            if (invocations_[i].answered) continue;
             inbox_.emplace_back([this, inv = static_cast<int>(i)](double then) {
-                error(inv);
+                fail(inv);
                 client_left(then, inv);
             });
         }
     } else if (now >= last_answers_at_ + kQuiet) {
         done_ = true;
     }
-    if (!done_) timers_.at(now + kLook, [this] { look_whether_done(); });
+    if (!done_) timers_.schedule(now + kLook, [this] { look_whether_done(); });
 }
 
 }  // namespace brookrelay
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -14,76 +14,76 @@
 #include <unordered_set>
 #include <vector>
 
-#include "balancer/balancer.h"
-#include "proxy/sibling_processes.h"
-#include "admin/admin_state.h"
-#include "downstream/client_connections.h"
-#include "discovery/endpoint_watch.h"
-#include "io/log.h"
 #include "admin/admin_server.h"
+#include "admin/admin_state.h"
+#include "balancer/balancer.h"
+#include "config/node_config.h"
 #include "config/operator_config.h"
-#include "upstream/upstream_pool.h"
 #include "discovery/coordination_client.h"
-#include "config/node_config.h"
+#include "discovery/endpoint_watch.h"
+#include "downstream/client_connections.h"
 #include "gossip_agent/gossip_agent.h"
+#include "io/log.h"
 #include "io/timer_queue.h"
+#include "proxy/sibling_processes.h"
+#include "upstream/upstream_pool.h"
 
 namespace brookrelay {
 
 class Node final : public Host {
   public:
-    Node(const Station& station, const OperatorFile& operator_file, Log& log);
+    Node(const NodeConfig& station, const OperatorConfig& operator_file, Log& log);
     // Listens: from here on it can serve. `inherited`: the clients' listener, shared with other processes;
     // else -1.
     bool start(int inherited, std::string& complaint);
-    void turn();
+    void run_iteration();
     bool has_work() const { return !inbox_.empty(); }
     // All of it that can be live, or nothing; of the operators' own file the fleet's limits.
-    void reload(const Station& station, const OperatorFile& operator_file);
+    void reload(const NodeConfig& station, const OperatorConfig& operator_file);
     void begin_shutdown();
-    bool done() const { return done_; }
+    bool is_done() const { return done_; }
 
-    void forward(int inv, int cache, double limit) override;
-    void cancel(int inv, int forward) override;
-    void throttle(int inv, double retry_after) override;
-    void error(int inv) override;
-    void probe(int cache) override;
-    void release(int cache) override;
-    void watch_list() override;
-    void wake(double after, std::uint64_t token) override;
+    void start_attempt(int inv, int cache, double limit) override;
+    void cancel_attempt(int inv, int forward) override;
+    void reject(int inv, double retry_after) override;
+    void fail(int inv) override;
+    void check_health(int cache) override;
+    void close_idle_connections(int cache) override;
+    void poll_endpoints() override;
+    void set_timer(double after, std::uint64_t token) override;
     void log(std::string_view text) override;
-    bool may_warm(int cache) override;
+    bool admit_slow_start(int cache) override;
 
   private:
-    struct Invocation {
-        Clients::Asker asker;
+    struct ActiveRequest {
+        ClientConnections::RequestHandle client;
         Command command;
-        double came = 0;
-        double due = 0;    // when its client stops waiting
-        int forwards = 0;  // their number so far, and those without an end
-        int out = 0;
-        bool over = true;
-        Timers::Handle overdue;
+        double received_at = 0;
+        double deadline = 0;  // when its client stops waiting
+        int attempts = 0;     // their number so far, and those without an end
+        int in_flight = 0;
+        bool answered = true;
+        TimerQueue::Handle expiry_timer;
     };
-    struct Known : ListedServer {
-        double gone_since = 0;  // 0: it is not gone
-        ByHand::State by_hand;
+    struct Server : EndpointRecord {
+        double removed_at = 0;  // 0: it is not gone
+        AdminState::ServerState admin_state;
     };
-    using Happening = std::function<void(double now)>;
+    using Event = std::function<void(double now)>;
 
-    Known& server(int cache) { return servers_[static_cast<std::size_t>(cache)]; }
-    Invocation& invocation(int inv) { return invocations_[static_cast<std::size_t>(inv)]; }
+    Server& server(int cache) { return servers_[static_cast<std::size_t>(cache)]; }
+    ActiveRequest& invocation(int inv) { return invocations_[static_cast<std::size_t>(inv)]; }
     double came_at();
-    int asked(const Clients::Asker& asker, Command&& command);
-    void left(const Clients::Asker& asker, int inv);
+    int asked(const ClientConnections::RequestHandle& asker, Command&& command);
+    void left(const ClientConnections::RequestHandle& asker, int inv);
     void arrived(double now, int inv, int operation);
-    void ended(double now, Pool::Ended& e);
+    void ended(double now, UpstreamPool::AttemptResult& e);
     void client_left(double now, int inv);
-    void listed(double now, ListKind kind, const ServerList& list);
+    void listed(double now, UpdateKind kind, const EndpointUpdate& list);
     void registered(const std::vector<RegistrationChange>& changes);
     int number_of(const std::string& name);
-    Listing listing(int cache);
-    void settle_limits(const OperatorFile& operator_file);
+    Endpoint listing(int cache);
+    void settle_limits(const OperatorConfig& operator_file);
     void limit_places();
     std::string placed_by(const Names& names, std::vector<std::pair<int, int>>& places) const;
     void forget_gone();
@@ -95,7 +95,7 @@
     void look_whether_done();
     void operators_call(std::uint64_t caller, const HttpRequest& call);
     void call_by_hand(std::uint64_t caller, const std::string& name, bool out);
-    bool is_origin(const Known& s) const;
+    bool is_origin(const Server& s) const;
     bool takes_new(int cache) const;
     bool cold(int cache) const;
     void zone_by_hand(std::uint64_t caller, const std::string& name, bool out);
@@ -107,38 +107,40 @@
     void found_by_fleet(double now, const std::string& name, bool bad, double apart);
     void tell_talk_of_list();
 
-    Station station_;
-    OperatorFile operator_file_;
+    NodeConfig station_;
+    OperatorConfig operator_file_;
     Log& log_;
-    Timers timers_;
+    TimerQueue timers_;
     const double wall_less_monotonic_;
     std::unique_ptr<Balancer> balancer_;
-    Pool pool_;
-    Clients clients_;
-    Discovery discovery_;
-    Management management_;
+    UpstreamPool pool_;
+    ClientConnections clients_;
+    EndpointWatch discovery_;
+    AdminServer management_;
     bool registry_heard_ = false;
-    std::unique_ptr<Talk>
+    std::unique_ptr<GossipAgent>
         talk_;  // with other nodes, where the operators have it so and the settings allow it
-    std::unique_ptr<Registry> registry_;  // in the place of discovery, where the operators have it so
-    std::vector<Happening> inbox_;
+    std::unique_ptr<CoordinationClient>
+        registry_;  // in the place of discovery, where the operators have it so
+    std::vector<Event> inbox_;
     std::vector<std::function<void()>> to_do_;
     std::vector<int> to_settle_;
-    std::vector<Invocation> invocations_;
+    std::vector<ActiveRequest> invocations_;
     std::vector<int> free_;
     int open_ = 0;
     std::unordered_set<std::string> open_ids_;
-    std::unordered_map<std::uint64_t, Clients::Asker> relays_;  // for whom each long value is
+    std::unordered_map<std::uint64_t, ClientConnections::RequestHandle>
+        relays_;  // for whom each long value is
     // Servers by the small numbers that the module and the pool know them by.
     std::unordered_map<std::string, int> cache_index_;
-    ByHand by_hand_;
-    std::unique_ptr<Beside> beside_;  // where the listener is shared
-    double turned_at_ = 0;            // when the last turn began, and where the process then stood still,
+    AdminState by_hand_;
+    std::unique_ptr<SiblingProcesses> beside_;  // where the listener is shared
+    double turned_at_ = 0;  // when the last turn began, and where the process then stood still,
     double stood_from_ = 0, behind_until_ = 0;  // from when, and until when what comes may be from that time
     double part_ = 1;                           // of the budget that is this process's
-    std::deque<Known> servers_;                 // names in it are lent to the module while more are added
+    std::deque<Server> servers_;                // names in it are lent to the module while more are added
     std::vector<int> free_numbers_;
-    Timers::Handle forgetting_;
+    TimerQueue::Handle forgetting_;
     double closes_at_ = 0;        // the clients' connections; 0: not told to end
     double last_answers_at_ = 0;  // some time before the kill
     bool done_ = false;
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -5,12 +5,12 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "util/address.h"
-#include "util/parse_number.h"
-#include "util/exit_codes.h"
 #include "config/json.h"
-#include "proxy/node.h"
 #include "config/node_config.h"
+#include "proxy/node.h"
+#include "util/address.h"
+#include "util/exit_codes.h"
+#include "util/parse_number.h"
 
 namespace brookrelay {
 namespace {
@@ -20,19 +20,19 @@
     const std::string& path;
     Log& log;
     Node& node;
-    const std::function<OperatorFile()>& read_operator_file;
+    const std::function<OperatorConfig()>& read_operator_file;
 };
 
 // The environment goes before the file: two processes of one node may share the file, but not the operators'
 // address.
-Station read_own_station(const std::string& path) {
-    Station station = read_station(path);
-    if (const char* scratch = std::getenv("TMPDIR")) station.scratch = scratch;
+NodeConfig read_own_station(const std::string& path) {
+    NodeConfig station = read_node_config(path);
+    if (const char* scratch = std::getenv("TMPDIR")) station.state_folder = scratch;
     const char* said = std::getenv("GW_MANAGEMENT");
     if (said == nullptr || *said == 0) return station;
     if (!parse_address(said))
-        throw BadInput(std::string("GW_MANAGEMENT is not an address and port: '") + said + "'");
-    station.management = said;
+        throw ConfigurationError(std::string("GW_MANAGEMENT is not an address and port: '") + said + "'");
+    station.admin_listen = said;
     return station;
 }
 
@@ -51,25 +51,25 @@
     const char* said = std::getenv("GW_ACCEPT_FD");
     if (said == nullptr || *said == 0) return -1;
     int descriptor = 0;
-    if (!read_digits(std::string_view(said), descriptor))
-        throw BadInput(std::string("GW_ACCEPT_FD is no descriptor: '") + said + "'");
+    if (!parse_number(std::string_view(said), descriptor))
+        throw ConfigurationError(std::string("GW_ACCEPT_FD is no descriptor: '") + said + "'");
     return descriptor;
 }
 
 }  // namespace
 
-int serve(const std::string& path, const OperatorFile& operator_file,
-          const std::function<OperatorFile()>& read_again_file) {
-    Station station;
+int serve(const std::string& path, const OperatorConfig& operator_file,
+          const std::function<OperatorConfig()>& read_again_file) {
+    NodeConfig station;
     int inherited = -1;
     try {
         station = read_own_station(path);
         inherited = inherited_descriptor();
-    } catch (const BadInput& bad) {
+    } catch (const ConfigurationError& bad) {
         std::fprintf(stderr, "brookrelay: %s: %s\n", path.c_str(), bad.what());
         return kWrongUse;
     }
-    Log log(station.name, operator_file.json_log, operator_file.log_lines_a_second);
+    Log log(station.name, operator_file.json_log, operator_file.log_lines_per_second);
     Node node(station, operator_file, log);
     Running running{path, log, node, read_again_file};
     const auto told_to_end = [](gpointer self) -> gboolean {
@@ -89,9 +89,9 @@
         return kBroken;
     }
     log.line(Topic::node, "serves", "serves on " + station.listen);
-    while (!node.done()) {
+    while (!node.is_done()) {
         g_main_context_iteration(nullptr, node.has_work() ? FALSE : TRUE);
-        node.turn();
+        node.run_iteration();
     }
     log.line(Topic::node, "ends", "ends");
     return kDone;
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -11,7 +11,7 @@
 
 // Returns the program's exit code: kDone after SIGTERM, kWrongUse for a wrong file, kBroken where it cannot
 // listen. `read_again`: the operators' own file as it is by then, for SIGHUP; throws what reading it throws.
-int serve(const std::string& station_path, const OperatorFile& operator_file,
-          const std::function<OperatorFile()>& read_again);
+int serve(const std::string& station_path, const OperatorConfig& operator_file,
+          const std::function<OperatorConfig()>& read_again);
 
 }  // namespace brookrelay
--- a/src/proxy/sibling_processes.cpp
+++ b/src/proxy/sibling_processes.cpp
@@ -20,27 +20,27 @@
 
 }  // namespace
 
-Beside::Beside(const std::string& folder) : folder_(folder) {
+SiblingProcesses::SiblingProcesses(const std::string& folder) : folder_(folder) {
     if (folder_.empty()) return;
     own_ = std::string(kAlive) + std::to_string(getpid());
     file_ = open((folder_ + "/" + own_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (file_ >= 0) flock(file_, LOCK_EX | LOCK_NB);
-    holds(0);
+    publish(0);
 }
 
-Beside::~Beside() {
+SiblingProcesses::~SiblingProcesses() {
     if (file_ < 0) return;
     unlink((folder_ + "/" + own_).c_str());
     close(file_);
 }
 
-void Beside::holds(int descriptors) {
+void SiblingProcesses::publish(int descriptors) {
     if (file_ < 0 || descriptors == told_) return;
     if (ftruncate(file_, descriptors) == 0) told_ = descriptors;
 }
 
-Beside::Others Beside::others() const {
-    Others others;
+SiblingProcesses::Usage SiblingProcesses::others_usage() const {
+    Usage others;
     const std::unique_ptr<DIR, CloseFolder> folder(file_ < 0 ? nullptr : opendir(folder_.c_str()));
     if (folder == nullptr) return others;
     while (const dirent* entry = readdir(folder.get())) {
--- a/src/proxy/sibling_processes.h
+++ b/src/proxy/sibling_processes.h
@@ -7,19 +7,19 @@
 
 namespace brookrelay {
 
-class Beside {
+class SiblingProcesses {
   public:
-    explicit Beside(const std::string& folder);  // empty: this process is alone
-    ~Beside();
-    Beside(const Beside&) = delete;
-    Beside& operator=(const Beside&) = delete;
+    explicit SiblingProcesses(const std::string& folder);  // empty: this process is alone
+    ~SiblingProcesses();
+    SiblingProcesses(const SiblingProcesses&) = delete;
+    SiblingProcesses& operator=(const SiblingProcesses&) = delete;
 
-    void holds(int descriptors);  // this process, by now
-    struct Others {
+    void publish(int descriptors);  // this process, by now
+    struct Usage {
         int processes = 0;
         int descriptors = 0;
     };
-    Others others() const;
+    Usage others_usage() const;
 
   private:
     std::string folder_, own_;
--- a/src/sim_adapter/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -27,15 +27,16 @@
 using Document = rapidjson::GenericDocument<rapidjson::UTF8<>, Pool, Pool>;
 using rapidjson::Value;
 
-constexpr std::array<std::pair<std::string_view, Ending>, 9> kEndings{{{"done", Ending::succeeded},
-                                                                       {"enoent", Ending::miss},
-                                                                       {"err", Ending::errored},
-                                                                       {"busy", Ending::busy},
-                                                                       {"etimedout", Ending::timed_out},
-                                                                       {"econnrefused", Ending::refused},
-                                                                       {"econnreset", Ending::reset},
-                                                                       {"ecanceled", Ending::cancelled},
-                                                                       {"skipped", Ending::not_sent}}};
+constexpr std::array<std::pair<std::string_view, AttemptOutcome>, 9> kEndings{
+    {{"done", AttemptOutcome::succeeded},
+     {"enoent", AttemptOutcome::miss},
+     {"err", AttemptOutcome::failed},
+     {"busy", AttemptOutcome::busy},
+     {"etimedout", AttemptOutcome::timed_out},
+     {"econnrefused", AttemptOutcome::refused},
+     {"econnreset", AttemptOutcome::reset},
+     {"ecanceled", AttemptOutcome::cancelled},
+     {"skipped", AttemptOutcome::not_sent}}};
 
 class Instance final : public Host {
   public:
@@ -56,75 +57,76 @@
     void list(double now, const Value& e) {
         const std::string_view mode = text(need(e, "mode"), "mode");
         if (mode == "error") {
-            balancer_->list_failed(now);
+            balancer_->on_poll_failed(now);
             return;
         }
-        ListKind kind = ListKind::change;
+        UpdateKind kind = UpdateKind::delta;
         if (mode == "snapshot")
-            kind = ListKind::whole;
+            kind = UpdateKind::full;
         else if (mode == "disk")
-            kind = ListKind::disk;
+            kind = UpdateKind::cached_on_disk;
         else if (mode != "diff")
-            throw BadInput("field 'mode' has the unknown value '" + std::string(mode) + "'");
-        std::vector<Listing> entries;
+            throw ConfigurationError("field 'mode' has the unknown value '" + std::string(mode) + "'");
+        std::vector<Endpoint> entries;
         if (const Value* array = find(e, "entries")) {
-            if (!array->IsArray()) throw BadInput("field 'entries' is not a list");
+            if (!array->IsArray()) throw ConfigurationError("field 'entries' is not a list");
             for (const Value& entry : array->GetArray()) {
-                if (!entry.IsObject()) throw BadInput("an entry of 'entries' is not an object");
-                Listing l;
+                if (!entry.IsObject()) throw ConfigurationError("an entry of 'entries' is not an object");
+                Endpoint l;
                 l.name = text(need(entry, "server"), "server");
-                l.cache = cache_index(l.name);
+                l.server = cache_index(l.name);
                 l.zone = small(entry, "locality", 0);
                 l.kind = small(entry, "machine", 0);
                 l.cell = small(entry, "group", 0);
-                l.size = number(entry, "scale", 0);
-                l.standing = read_standing(need(entry, "mode"), "mode");
-                l.started = seconds(entry, "since_us");
+                l.weight = number(entry, "scale", 0);
+                l.state = parse_endpoint_state(need(entry, "mode"), "mode");
+                l.started_at = seconds(entry, "since_us");
                 entries.push_back(l);
             }
         }
-        balancer_->listed(now, kind, entries);
+        balancer_->on_endpoints(now, kind, entries);
     }
 
     void arrive(double now, const Value& e) {
-        Arrival a;
+        Request a;
         const std::int64_t id = whole(need(e, "corr"), "corr");
         a.operation = small(e, "cls", -1);
-        if (a.operation < 0) throw BadInput("missing field 'cls'");
-        if (a.operation >= operations_) throw BadInput("field 'cls' names no operation");
-        a.time_left = number(need(e, "remaining_us"), "remaining_us") / 1e6;
+        if (a.operation < 0) throw ConfigurationError("missing field 'cls'");
+        if (a.operation >= operations_) throw ConfigurationError("field 'cls' names no operation");
+        a.time_remaining = number(need(e, "remaining_us"), "remaining_us") / 1e6;
         const int options = small(e, "options", 0);
-        a.write = (options & 4) != 0;
-        a.repeat = (options & 2) != 0;
+        a.is_write = (options & 4) != 0;
+        a.is_client_retry = (options & 2) != 0;
         a.tenant = small(e, "org", 0);
         if (const Value* key = find(e, "key")) {
             a.has_key = true;
             a.key = static_cast<std::uint64_t>(whole(*key, "key"));
         }
-        if (by_id_.contains(id)) throw BadInput("field 'corr' names an invocation that has already come");
+        if (by_id_.contains(id))
+            throw ConfigurationError("field 'corr' names an invocation that has already come");
         if (free_.empty()) {
             free_.push_back(static_cast<int>(slots_.size()));
             slots_.emplace_back();
         }
-        a.inv = free_.back();
+        a.id = free_.back();
         free_.pop_back();
-        slots_[static_cast<std::size_t>(a.inv)] = {id, 0, false};
-        by_id_.emplace(id, a.inv);
-        balancer_->arrived(now, a);
+        slots_[static_cast<std::size_t>(a.id)] = {id, 0, false};
+        by_id_.emplace(id, a.id);
+        balancer_->on_request(now, a);
         settle_ended();
     }
 
     void end(double now, const Value& e) {
         const int inv = invocation_index(e);
         const int forward = small(need_with(e, "copy"), "copy", 0);
-        const Ending ending = word(need(e, "result"), "result", kEndings);
+        const AttemptOutcome ending = word(need(e, "result"), "result", kEndings);
         const double took = number(need(e, "delay_seen_us"), "delay_seen_us") / 1e6;
         if (inv < 0) return;
         Slot& slot = slots_[static_cast<std::size_t>(inv)];
         --slot.out;
         const bool over = flag(e, "no_more") || slot.over;
         slot.over = over;
-        balancer_->ended(now, inv, forward, ending, took, over);
+        balancer_->on_attempt_finished(now, inv, forward, ending, took, over);
         settle(inv);
         settle_ended();
     }
@@ -133,7 +135,7 @@
         const int inv = invocation_index(e);
         if (inv < 0) return;
         slots_[static_cast<std::size_t>(inv)].over = true;
-        balancer_->client_left(now, inv);
+        balancer_->on_client_closed(now, inv);
         settle(inv);
         settle_ended();
     }
@@ -141,13 +143,14 @@
     void stream(double now, const Value& e) {
         const int inv = invocation_index(e);
         const int forward = small(need_with(e, "copy"), "copy", 0);
-        if (inv >= 0) balancer_->stream_started(now, inv, forward);
+        if (inv >= 0) balancer_->on_stream_started(now, inv, forward);
     }
 
     void probe_back(double now, const Value& e) {
         const auto at = caches_.find(std::string(text(need(e, "server"), "server")));
-        const Ending ending = word(need(e, "result"), "result", kEndings);
-        if (at != caches_.end()) balancer_->probed(now, at->second, ending, seconds(e, "delay_seen_us"));
+        const AttemptOutcome ending = word(need(e, "result"), "result", kEndings);
+        if (at != caches_.end())
+            balancer_->on_health_check(now, at->second, ending, seconds(e, "delay_seen_us"));
     }
 
     // Peers are heard where a deployment has them; nothing is decided from it.
@@ -163,11 +166,11 @@
             if (c < '0' || c > '9') return;  // none of ours
             value = value * 10 + static_cast<std::uint64_t>(c - '0');
         }
-        balancer_->woken(now, value);
+        balancer_->on_timer(now, value);
         settle_ended();
     }
 
-    void forward(int inv, int cache, double limit) override {
+    void start_attempt(int inv, int cache, double limit) override {
         begin("submit_to");
         ++slots_[static_cast<std::size_t>(inv)].out;
         corr(inv);
@@ -176,14 +179,14 @@
         server(cache);
         out_.EndObject();
     }
-    void cancel(int inv, int forward) override {
+    void cancel_attempt(int inv, int forward) override {
         begin("retract");
         corr(inv);
         out_.Key("copy");
         out_.Int(forward);
         out_.EndObject();
     }
-    void throttle(int inv, double retry_after) override {
+    void reject(int inv, double retry_after) override {
         begin("bounce");
         corr(inv);
         if (retry_after > 0) {
@@ -193,29 +196,29 @@
         out_.EndObject();
         over(inv);
     }
-    void error(int inv) override {
+    void fail(int inv) override {
         begin("drop_request");
         corr(inv);
         out_.EndObject();
         over(inv);
     }
-    void probe(int cache) override {
+    void check_health(int cache) override {
         begin("check");
         server(cache);
         out_.EndObject();
     }
-    void release(int cache) override {
+    void close_idle_connections(int cache) override {
         begin("release");
         server(cache);
         out_.EndObject();
     }
-    void watch_list() override {
+    void poll_endpoints() override {
         begin("observe");
         out_.Key("active");
         out_.Bool(true);
         out_.EndObject();
     }
-    void wake(double after, std::uint64_t token) override {
+    void set_timer(double after, std::uint64_t token) override {
         begin("remind");
         out_.Key("after_us");
         out_.Int64(std::max<std::int64_t>(1, std::llround(after * 1e6)));
@@ -302,12 +305,13 @@
         Document document(&pool_, 1024, &stack_);
         document.ParseInsitu(line.data());
         if (document.HasParseError()) {
-            throw BadInput(std::string("not JSON: ") + rapidjson::GetParseError_En(document.GetParseError()));
+            throw ConfigurationError(std::string("not JSON: ") +
+                                     rapidjson::GetParseError_En(document.GetParseError()));
         }
-        if (!document.IsObject()) throw BadInput("a batch is not an object");
+        if (!document.IsObject()) throw ConfigurationError("a batch is not an object");
         const double now = number(need(document, "t_us"), "t_us") / 1e6;
         const Value& input = need(document, "input");
-        if (!input.IsArray()) throw BadInput("field 'input' is not a list");
+        if (!input.IsArray()) throw ConfigurationError("field 'input' is not a list");
         buffer_.Clear();
         writer_.Reset(buffer_);
         writer_.StartObject();
@@ -322,14 +326,14 @@
 
   private:
     void event(double now, const Value& e) {
-        if (!e.IsObject()) throw BadInput("an event is not an object");
+        if (!e.IsObject()) throw ConfigurationError("an event is not an object");
         const std::string_view what = text(need(e, "msg"), "msg");
         try {
             const std::int64_t number = whole(need(e, "i"), "i");
             if (what == "provision") {
                 const Value& seed = need(e, "rng_seed");
                 if (!seed.IsUint64() && !seed.IsInt64())
-                    throw BadInput("field 'rng_seed' is not a whole number");
+                    throw ConfigurationError("field 'rng_seed' is not a whole number");
                 const auto value =
                     seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
                 auto& fresh = instances_[number];
@@ -338,10 +342,10 @@
                 return;
             }
             const auto handler = kHandlers.find(what);
-            if (handler == kHandlers.end()) throw BadInput("unknown event");
+            if (handler == kHandlers.end()) throw ConfigurationError("unknown event");
             const auto at = instances_.find(number);
             if (at == instances_.end()) {
-                throw BadInput("instance " + std::to_string(number) + " was never started");
+                throw ConfigurationError("instance " + std::to_string(number) + " was never started");
             }
             Instance& instance = *at->second;
             if (handler->second == nullptr) {
@@ -349,8 +353,8 @@
             } else if (instance.running()) {
                 (instance.*handler->second)(now, e);
             }
-        } catch (const BadInput& bad) {
-            throw BadInput("event '" + std::string(what) + "': " + bad.what());
+        } catch (const ConfigurationError& bad) {
+            throw ConfigurationError("event '" + std::string(what) + "': " + bad.what());
         }
     }
 
@@ -386,7 +390,7 @@
         ++lines;
         try {
             adapter->batch(line);
-        } catch (const BadInput& bad) {
+        } catch (const ConfigurationError& bad) {
             std::cerr << "brookrelay_adapter: line " << lines << ": " << bad.what() << '\n';
             return 1;
         }
--- a/src/testkit/connection.cpp
+++ b/src/testkit/connection.cpp
@@ -7,7 +7,7 @@
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 constexpr int kBacklog = 1024;
 constexpr std::size_t kUnreadMost =
@@ -197,4 +197,4 @@
     return probe.local_endpoint().port();
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/connection.h
+++ b/src/testkit/connection.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 using Io = boost::asio::io_context;
 using Tcp = boost::asio::ip::tcp;
@@ -108,4 +108,4 @@
 // A port of it that is free now, for a process that wants to be told one.
 unsigned short free_port(Io& io, const std::string& host);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/daemon_process.cpp
+++ b/src/testkit/daemon_process.cpp
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -238,13 +238,13 @@
         static constexpr const char* kScopes[] = {"all", "zone", "cell"};
         json.StartObject();
         put(json, "name", o.name);
-        put(json, "repeat", std::string(kRepeats[static_cast<int>(o.promised.repeat)]));
-        put(json, "group", std::string(kScopes[static_cast<int>(o.promised.scope)]));
-        put_us(json, "key_ttl_us", o.promised.dedup_window);
+        put(json, "repeat", std::string(kRepeats[static_cast<int>(o.promised.idempotency)]));
+        put(json, "group", std::string(kScopes[static_cast<int>(o.promised.deduplication_scope)]));
+        put_us(json, "key_ttl_us", o.promised.deduplication_window);
         put_us(json, "client_timeout_us", o.promised.client_timeout);
         put_us(json, "latency_objective_us", o.promised.latency_objective);
-        put(json, "billed_value", o.promised.billed_value);
-        put(json, "tardy_billed_value", o.promised.tardy_part);
+        put(json, "billed_value", o.promised.priority_weight);
+        put(json, "tardy_billed_value", o.promised.late_value_ratio);
         json.EndObject();
     }
     json.EndArray();
@@ -262,4 +262,4 @@
     return buffer.GetString();
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/daemon_process.h
+++ b/src/testkit/daemon_process.h
@@ -11,7 +11,7 @@
 
 #include "config/scenario.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 // What the kernel has counted for a process so far.
 struct ProcessFigures {
@@ -70,4 +70,4 @@
                          const std::string& discovery, const std::string& known, std::uint64_t seed,
                          const TalkPlace& talk = {});
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/experiment.cpp
+++ b/src/testkit/experiment.cpp
@@ -18,10 +18,10 @@
 #include <stdexcept>
 #include <thread>
 
-#include "util/parse_number.h"
 #include "testkit/svg.h"
+#include "util/parse_number.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 std::string short_name(const std::string& program) {
@@ -99,9 +99,9 @@
         const std::size_t dots = part.find("..");
         std::uint64_t first = 0, last = 0;
         const bool sound = dots == std::string::npos
-                               ? read_digits(part, first) && (last = first, true)
-                               : read_digits(std::string_view(part).substr(0, dots), first) &&
-                                     read_digits(std::string_view(part).substr(dots + 2), last);
+                               ? parse_number(part, first) && (last = first, true)
+                               : parse_number(std::string_view(part).substr(0, dots), first) &&
+                                     parse_number(std::string_view(part).substr(dots + 2), last);
         if (!sound || last < first || last - first >= kSeedsMost) {
             throw std::invalid_argument("expected seeds such as 3, 1..5 or 1,4,9, found '" + text + "'");
         }
@@ -399,4 +399,4 @@
     }
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/experiment.h
+++ b/src/testkit/experiment.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 struct Sweep {
     std::string path;
@@ -77,4 +77,4 @@
 // experiment.csv and experiment.html in the plan's folder.
 void write_experiment(const ExperimentPlan& plan, const ExperimentResult& result);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_cache_server.cpp
+++ b/src/testkit/fake_cache_server.cpp
@@ -4,7 +4,7 @@
 
 #include "testkit/fault_schedule.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kMissPart = 0.3;   // of the work, for saying that a key is not there
@@ -141,8 +141,8 @@
     const OperationPlan& op = world_.scenario.operations[static_cast<std::size_t>(job.operation)];
     if (job.write) {
         // Only where caches take writes for the origin; elsewhere none comes here.
-        if (op.promised.repeat == Repeat::deduplicated && job.mark != 0 &&
-            marks_.seen(now, job.mark, op.promised.dedup_window)) {
+        if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
+            marks_.seen(now, job.mark, op.promised.deduplication_window)) {
             world_.auditor.dropped_repeat(now, forward);
         } else {
             ++world_.versions[job.key];
@@ -275,4 +275,4 @@
     });
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_coordinator.cpp
+++ b/src/testkit/fake_coordinator.cpp
@@ -7,7 +7,7 @@
 
 #include "coordination/jute.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kTimeoutLeast = 0.1, kTimeoutMost = 40;  // s that a session may ask for
@@ -373,4 +373,4 @@
     if (type == CoordinatorCall::close) expire(session);
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_coordinator.h
+++ b/src/testkit/fake_coordinator.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 // The protocol's numbers.
 enum class CoordinatorCall {
@@ -106,4 +106,4 @@
     std::int64_t last_session_ = 0x1000;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_coordinator_server.cpp
+++ b/src/testkit/fake_coordinator_server.cpp
@@ -4,7 +4,7 @@
 
 #include "coordination/jute.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 CoordinatorServer::CoordinatorServer(Io& io, const Clock& clock, const std::string& host)
     : io_(io),
@@ -92,4 +92,4 @@
     }
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_coordinator_server.h
+++ b/src/testkit/fake_coordinator_server.h
@@ -10,7 +10,7 @@
 #include "testkit/connection.h"
 #include "testkit/fake_coordinator.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 class CoordinatorServer {
   public:
@@ -40,4 +40,4 @@
     Listener listener_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_discovery_server.cpp
+++ b/src/testkit/fake_discovery_server.cpp
@@ -7,17 +7,17 @@
 #include <chrono>
 #include <cmath>
 
-#include "util/parse_number.h"
 #include "testkit/wire.h"
+#include "util/parse_number.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr std::int64_t kRestartedAt = 1;  // the version with which a restarted discovery begins
 constexpr double kWaitMost = 60;
 
-const char* word(Standing s) {
-    return s == Standing::ready ? "SERVING" : s == Standing::draining ? "DRAINING" : "DELETED";
+const char* word(EndpointState s) {
+    return s == EndpointState::ready ? "SERVING" : s == EndpointState::draining ? "DRAINING" : "DELETED";
 }
 
 // `index` and `wait` of a target.
@@ -26,7 +26,7 @@
     if (at == std::string_view::npos) return false;
     std::string_view digits = target.substr(at + name.size() + 1);
     digits = digits.substr(0, std::min(digits.find('&'), digits.size()));
-    return read_digits(digits, value);
+    return parse_number(digits, value);
 }
 
 }  // namespace
@@ -44,12 +44,12 @@
     for (int n = 0; n < nodes; ++n) agents_.push_back(std::make_unique<Agent>(world, n, *this));
 }
 
-void DiscoveryServer::put(int server, const std::string& address, Standing standing, double started) {
+void DiscoveryServer::put(int server, const std::string& address, EndpointState standing, double started) {
     entries_[static_cast<std::size_t>(server)] = {address, standing, started, ++version_};
     tell_all();
 }
 
-void DiscoveryServer::list(int server, const std::string& address, Standing standing, double started) {
+void DiscoveryServer::list(int server, const std::string& address, EndpointState standing, double started) {
     const auto change = [this, server, address, standing, started] {
         put(server, address, standing, started);
     };
@@ -91,7 +91,7 @@
 std::string DiscoveryServer::whole_list(int node) const {
     std::string hosts;
     for (std::size_t i = 0; i < entries_.size(); ++i) {
-        if (entries_[i].standing == Standing::gone || entries_[i].address.empty()) continue;
+        if (entries_[i].standing == EndpointState::removed || entries_[i].address.empty()) continue;
         if (left_out_.contains(static_cast<int>(i))) continue;
         hosts += (hosts.empty() ? "" : ",") + entry_text(node, i);
     }
@@ -162,11 +162,11 @@
     for (std::size_t i = 0; i < entries_.size(); ++i) {
         const Entry& e = entries_[i];
         const int server = static_cast<int>(i);
-        const bool absent =
-            left_out_.contains(server) || (e.standing == Standing::gone && whole) || e.address.empty();
+        const bool absent = left_out_.contains(server) || (e.standing == EndpointState::removed && whole) ||
+                            e.address.empty();
         if (whole) {
             // Who is not in a whole list has left.
-            world_.auditor.told(now, node, server, absent ? Standing::gone : e.standing,
+            world_.auditor.told(now, node, server, absent ? EndpointState::removed : e.standing,
                                 !absent && e.started >= 0);
             continue;
         }
@@ -226,4 +226,4 @@
     tell_all();
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_discovery_server.h
+++ b/src/testkit/fake_discovery_server.h
@@ -10,15 +10,15 @@
 
 #include "testkit/test_environment.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 class DiscoveryServer {
   public:
     DiscoveryServer(World& world, int nodes);
 
     // What the list says of a server: at once, as before a day begins, or from `lag` after now on.
-    void put(int server, const std::string& address, Standing standing, double started);
-    void list(int server, const std::string& address, Standing standing, double started);
+    void put(int server, const std::string& address, EndpointState standing, double started);
+    void list(int server, const std::string& address, EndpointState standing, double started);
     std::string agent(int node) const { return agents_[static_cast<std::size_t>(node)]->listener.address(); }
     // The list as it now stands, in its own form: what a node that starts is given.
     std::string whole_list(int node) const;
@@ -40,7 +40,7 @@
   private:
     struct Entry {
         std::string address;
-        Standing standing = Standing::ready;
+        EndpointState standing = EndpointState::ready;
         double started = -1;
         std::int64_t changed = 0;  // the version in which it changed last
     };
@@ -78,4 +78,4 @@
     double second_ = -1, in_second_ = 0;  // calls that were answered in the second under way
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_origin_server.cpp
+++ b/src/testkit/fake_origin_server.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 constexpr double kLook = 0.1;  // s between looks at the push
 }
@@ -100,8 +100,8 @@
     const double now = world_.now();
     const OperationPlan& op = world_.scenario.operations[static_cast<std::size_t>(job.operation)];
     if (job.write) {
-        if (op.promised.repeat == Repeat::deduplicated && job.mark != 0 &&
-            marks_.seen(now, job.mark, op.promised.dedup_window)) {
+        if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
+            marks_.seen(now, job.mark, op.promised.deduplication_window)) {
             world_.auditor.dropped_repeat(now, forward);
         } else {
             ++world_.versions[job.key];
@@ -169,4 +169,4 @@
     meter_.clear();
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fake_origin_server.h
+++ b/src/testkit/fake_origin_server.h
@@ -9,10 +9,10 @@
 #include <unordered_map>
 
 #include "testkit/server_model.h"
-#include "testkit/wire.h"
 #include "testkit/test_environment.h"
+#include "testkit/wire.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 class OriginServer {
   public:
@@ -71,4 +71,4 @@
     Listener listener_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fault_schedule.cpp
+++ b/src/testkit/fault_schedule.cpp
@@ -9,7 +9,7 @@
 #include <cstring>
 #include <functional>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 // Boost's, not the standard library's: its distributions draw the same numbers on every machine.
@@ -171,4 +171,4 @@
     return h;
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fault_schedule.h
+++ b/src/testkit/fault_schedule.h
@@ -9,7 +9,7 @@
 
 #include "config/scenario.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 struct Planned {
     double at = 0;
@@ -28,4 +28,4 @@
 // One number for a schedule and the troubles: the same day has the same.
 std::uint64_t digest(const std::vector<Planned>& schedule, const std::vector<Trouble>& troubles);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fleet_views.cpp
+++ b/src/testkit/fleet_views.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <map>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 double when_all(const DayResult& day, double from, const Which& which, const Says& so) {
     std::map<int, bool> newest;
@@ -70,4 +70,4 @@
     return text;
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/fleet_views.h
+++ b/src/testkit/fleet_views.h
@@ -7,7 +7,7 @@
 
 #include "testkit/rehearsal.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 using Which = std::function<bool(int node)>;
 using Says = std::function<bool(const FleetView& view)>;
@@ -23,4 +23,4 @@
 // A line for each zone that its own nodes left: when, and when they used it in full again.
 std::string zones_text(const Scenario& scenario, const DayResult& day);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/greedy_peer.h
+++ b/src/testkit/greedy_peer.h
@@ -14,10 +14,10 @@
 #include <string>
 #include <thread>
 
-#include "gossip/quota_leases.h"
 #include "gossip/messages.h"
+#include "gossip/quota_leases.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 class Claimer {
   public:
@@ -42,14 +42,14 @@
                      static_cast<unsigned short>(std::stoul(address.substr(colon + 1)))});
         socket.non_blocking(true);
         std::map<Udp::endpoint, std::uint32_t> lives;
-        fleet::Datagram said;
+        gossip::Datagram said;
         said.node = node_;
         said.stamp = {static_cast<std::uint32_t>(std::time(nullptr)) + 100, 0};
         const auto say = [&](const Udp::endpoint& to) {
-            said.stamp.number += 8;
-            said.start_of_yours = lives[to];
+            said.stamp.sequence += 8;
+            said.receiver_incarnation = lives[to];
             boost::system::error_code ignored;
-            socket.send_to(boost::asio::buffer(fleet::encode(said)), to, 0, ignored);
+            socket.send_to(boost::asio::buffer(gossip::encode(said)), to, 0, ignored);
         };
         for (int turn = 0; !ends_; ++turn) {
             std::array<char, 512> room{};
@@ -57,16 +57,16 @@
             boost::system::error_code none;
             for (std::size_t n = 0;
                  (n = socket.receive_from(boost::asio::buffer(room), from, 0, none)) > 0 && !none;) {
-                fleet::Datagram heard;
-                if (!fleet::decode({room.data(), n}, heard)) continue;
-                lives[from] = heard.stamp.start;
-                said.grants.clear();
-                for (const fleet::Want& w : heard.wants)
-                    said.grants.push_back({w.limit, fleet::kWhole, heard.stamp.number});
-                claims_ += !said.grants.empty();
-                if (!said.grants.empty()) say(from);
+                gossip::Datagram heard;
+                if (!gossip::decode({room.data(), n}, heard)) continue;
+                lives[from] = heard.stamp.incarnation;
+                said.lease_grants.clear();
+                for (const gossip::LeaseRequest& w : heard.lease_requests)
+                    said.lease_grants.push_back({w.quota, gossip::kTotalUnits, heard.stamp.sequence});
+                claims_ += !said.lease_grants.empty();
+                if (!said.lease_grants.empty()) say(from);
             }
-            said.grants.clear();
+            said.lease_grants.clear();
             for (const auto& [to, life] : lives) {
                 if (turn % 10 == 0) say(to);  // so that it counts as there
             }
@@ -79,4 +79,4 @@
     std::thread thread_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/histogram.h
+++ b/src/testkit/histogram.h
@@ -6,7 +6,7 @@
 #include <boost/histogram.hpp>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 class LatencyHistogram {
   public:
@@ -55,4 +55,4 @@
     double sum_ = 0, most_ = 0;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -17,7 +17,7 @@
 #include "testkit/fault_schedule.h"
 #include "testkit/wire.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kReadyMost = 15;
@@ -281,4 +281,4 @@
     return line;
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/load.h
+++ b/src/testkit/load.h
@@ -9,7 +9,7 @@
 
 #include "testkit/histogram.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 struct LoadPlan {
     std::string program;
@@ -40,4 +40,4 @@
 LoadResult play_load(const LoadPlan& plan);
 std::string load_line(const LoadPlan& plan, const LoadResult& result);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -4,7 +4,7 @@
 #include <boost/random/uniform_01.hpp>
 #include <cmath>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kHoldOn = 0.03;  // s beyond what the judge allows, so that it sees a late answer as one
@@ -106,9 +106,9 @@
     if (user.tries == 0) user.first_asked = now;
     double wait = op.client_timeout * static_cast<double>(user.plan->patience);
     wait = std::min(wait, user.first_asked + op.client_timeout - now);
-    if (op.repeat == Repeat::deduplicated && user.tries > 0) {
+    if (op.idempotency == Idempotency::idempotency_key && user.tries > 0) {
         // Beyond its mark's time a repeat would be a second write; that is the client's to see to.
-        wait = std::min(wait, user.first_asked + op.dedup_window - kWindowKept - now);
+        wait = std::min(wait, user.first_asked + op.deduplication_window - kWindowKept - now);
     }
     if (wait < kLeastPatience) return;
     const int node = pick(user);
@@ -170,7 +170,7 @@
     std::string list = "Pc=" + op.name;
     if (plan.tenant >= 0) list += ",t=" + world_.scenario.tenants[static_cast<std::size_t>(plan.tenant)].name;
     list += ",d=" + std::to_string(std::llround(line->wait * 1e3));
-    if (op.promised.repeat == Repeat::deduplicated) list += ",k=" + key_text(line->user.mark);
+    if (op.promised.idempotency == Idempotency::idempotency_key) list += ",k=" + key_text(line->user.mark);
     if (line->user.tries > 0 && world_.scenario.clients.mark_repeats) list += ",r=1";
     const std::string id = id_text(world_.day, line->inv);
     const std::string key = key_text(plan.key);
@@ -292,7 +292,7 @@
     const Operation& op = world_.scenario.operations[static_cast<std::size_t>(user.plan->operation)].promised;
     if (stopped_ || user.tries >= world_.scenario.clients.retries) return;
     const bool may_have_run = after == After::errored || after == After::lost;
-    if (op.repeat == Repeat::non_idempotent && may_have_run) return;
+    if (op.idempotency == Idempotency::none && may_have_run) return;
     User again = user;
     ++again.tries;
     boost::random::uniform_01<double> unit;
@@ -383,4 +383,4 @@
     }
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/load_clients.h
+++ b/src/testkit/load_clients.h
@@ -9,12 +9,12 @@
 #include <set>
 #include <vector>
 
-#include "testkit/histogram.h"
 #include "testkit/fault_schedule.h"
-#include "testkit/wire.h"
+#include "testkit/histogram.h"
 #include "testkit/test_environment.h"
+#include "testkit/wire.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 // Named apart from the daemon's own Clients.
 class Crowd {
@@ -84,4 +84,4 @@
     std::vector<LatencyHistogram> latencies_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/network_fault_proxy.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 std::size_t index(int i) { return static_cast<std::size_t>(i); }
@@ -236,4 +236,4 @@
     }
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/network_fault_proxy.h
+++ b/src/testkit/network_fault_proxy.h
@@ -16,7 +16,7 @@
 
 #include "testkit/test_environment.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 class Links {
   public:
@@ -87,4 +87,4 @@
     Counts counts_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -15,13 +15,13 @@
 #include <utility>
 
 #include "testkit/fake_cache_server.h"
-#include "testkit/load_clients.h"
 #include "testkit/fake_discovery_server.h"
-#include "testkit/network_fault_proxy.h"
 #include "testkit/fake_origin_server.h"
 #include "testkit/fault_schedule.h"
+#include "testkit/load_clients.h"
+#include "testkit/network_fault_proxy.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kStartMost = 15;    // s for a daemon to answer at all
@@ -167,8 +167,9 @@
     }
     origin_ = std::make_unique<OriginServer>(world_, servers);
     discovery_ = std::make_unique<DiscoveryServer>(world_, scenario_.nodes);
-    for (int i = 0; i < servers; ++i) discovery_->put(i, caches_[index(i)]->address(), Standing::ready, -1);
-    discovery_->put(servers, origin_->address(), Standing::ready, -1);
+    for (int i = 0; i < servers; ++i)
+        discovery_->put(i, caches_[index(i)]->address(), EndpointState::ready, -1);
+    discovery_->put(servers, origin_->address(), EndpointState::ready, -1);
     world_.fill = [this](int to, std::uint64_t key, std::uint32_t version) {
         // A write since then has dropped the copies; an older answer must not bring one back.
         if (version == world_.version(key)) caches_[index(to)]->store(key, version);
@@ -370,26 +371,26 @@
         case TroubleKind::cold_return: {
             s.stop();
             const bool at_once = t.kind == TroubleKind::cold_return;
-            if (!at_once) discovery_->list(number, s.address(), Standing::gone, s.started());
+            if (!at_once) discovery_->list(number, s.address(), EndpointState::removed, s.started());
             const double away = at_once ? 0.05 : t.lasts > 0 ? t.lasts : kCrashUnsaid;
             world_.at(world_.now() + away, [this, &s, number] {
                 s.start_cold();
-                if (s.running()) discovery_->list(number, s.address(), Standing::ready, s.started());
+                if (s.running()) discovery_->list(number, s.address(), EndpointState::ready, s.started());
             });
             break;
         }
         case TroubleKind::drain:
-            discovery_->list(number, s.address(), Standing::draining, s.started());
+            discovery_->list(number, s.address(), EndpointState::draining, s.started());
             if (t.lasts > 0) {
                 world_.at(until, [this, &s, number] {
-                    discovery_->list(number, s.address(), Standing::ready, s.started());
+                    discovery_->list(number, s.address(), EndpointState::ready, s.started());
                 });
             }
             break;
         case TroubleKind::remove:
-            discovery_->list(number, s.address(), Standing::draining, s.started());
+            discovery_->list(number, s.address(), EndpointState::draining, s.started());
             world_.at(world_.now() + (t.lasts > 0 ? t.lasts : kRemoveUnsaid), [this, &s, number] {
-                discovery_->list(number, s.address(), Standing::gone, s.started());
+                discovery_->list(number, s.address(), EndpointState::removed, s.started());
                 // Work that is out there is ended first; a well-kept server goes only then.
                 world_.at(world_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
             });
@@ -783,4 +784,4 @@
     return day.play();
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "audit/auditor.h"
+#include "config/scenario.h"
 #include "testkit/daemon_process.h"
 #include "testkit/histogram.h"
-#include "config/scenario.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 struct DayPlan {
     Scenario scenario;
@@ -81,4 +81,4 @@
 
 DayResult play_day(const DayPlan& plan);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -13,7 +13,7 @@
 #include "testkit/svg.h"
 #include "testkit/wire.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 using Json = rapidjson::PrettyWriter<rapidjson::StringBuffer>;
@@ -526,4 +526,4 @@
     }
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/report.h
+++ b/src/testkit/report.h
@@ -6,7 +6,7 @@
 
 #include "testkit/rehearsal.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 constexpr int kReportSchema = 1;
 
@@ -24,4 +24,4 @@
 // Writes both below the day's folder; throws std::runtime_error where it cannot.
 void write_reports(const ReportHead& head, const DayPlan& plan, const DayResult& result);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -13,7 +13,7 @@
 
 #include "testkit/connection.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr int kBacklog = 64;
@@ -181,4 +181,4 @@
     ++ended;
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/scripted_peer.h
+++ b/src/testkit/scripted_peer.h
@@ -11,7 +11,7 @@
 #include <thread>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 constexpr int kPatienceMs = 20000;  // for what must come; it only ends a test that has failed already
 
@@ -90,4 +90,4 @@
 // A port of own_loopback() that is bound and not yet listened on; its socket.
 int bound_socket(int& port);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/server_model.cpp
+++ b/src/testkit/server_model.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 bool Workbench::enter(double now, int job, double work) {
     const int waits = static_cast<int>(waiting_.size() - forgotten_.size());
@@ -141,4 +141,4 @@
     return false;
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/server_model.h
+++ b/src/testkit/server_model.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
@@ -105,4 +105,4 @@
     std::list<std::pair<double, std::uint64_t>> order_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/svg.cpp
+++ b/src/testkit/svg.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <limits>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kWidth = 940, kHeight = 250, kLeft = 58, kRight = 14, kTop = 34, kBottom = 38;
@@ -187,4 +187,4 @@
     return out + legend + "</svg>";
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/svg.h
+++ b/src/testkit/svg.h
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 struct Curve2d {
     std::string name;
@@ -31,4 +31,4 @@
 std::string html_escaped(const std::string& text);
 std::string short_number(double value);
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/test_environment.h
+++ b/src/testkit/test_environment.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "audit/auditor.h"
-#include "testkit/connection.h"
 #include "config/scenario.h"
+#include "testkit/connection.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 struct World {
     Io& io;
@@ -52,4 +52,4 @@
     }
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/wire.cpp
+++ b/src/testkit/wire.cpp
@@ -6,7 +6,7 @@
 
 #include "util/parse_number.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr std::size_t kLineMost = 8192;
@@ -41,9 +41,9 @@
         const std::string_view name = one.substr(0, equals), value = one.substr(equals + 1);
         if (name == "c") p.operation = value;
         if (name == "t") p.tenant = value;
-        if (name == "k") (void)read_digits(value, p.mark, 16);
+        if (name == "k") (void)parse_number(value, p.mark, 16);
         std::uint64_t wait = 0;
-        if (name == "d" && read_digits(value, wait)) p.wait = static_cast<double>(wait) / 1e3;
+        if (name == "d" && parse_number(value, wait)) p.wait = static_cast<double>(wait) / 1e3;
     }
     return p;
 }
@@ -64,10 +64,10 @@
     }
     if (verb != "mg" && verb != "ms") return end + 2;
     out.key_text = next_word(rest);
-    if (!read_digits(out.key_text, out.key, 16)) out.key = std::hash<std::string_view>{}(out.key_text);
+    if (!parse_number(out.key_text, out.key, 16)) out.key = std::hash<std::string_view>{}(out.key_text);
     std::size_t length = 0, taken = end + 2;
     if (verb == "ms") {
-        if (!read_digits(next_word(rest), length) || length > kValueMost) return taken;
+        if (!parse_number(next_word(rest), length) || length > kValueMost) return taken;
         if (in.size() < taken + length + 2) return 0;
         out.value = in.substr(taken, length);
         taken += length + 2;
@@ -109,7 +109,7 @@
         const std::string_view name = line.substr(0, colon);
         std::string_view value = line.substr(colon + 1);
         while (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-        if (same_letters(name, "content-length") && (!read_digits(value, length) || length > kValueMost)) {
+        if (same_letters(name, "content-length") && (!parse_number(value, length) || length > kValueMost)) {
             out.sound = false;
             length = 0;
         }
@@ -130,7 +130,7 @@
     const std::string_view verb = next_word(rest);
     if (verb == "VA") {
         std::size_t length = 0;
-        if (!read_digits(next_word(rest), length) || length > kValueMost) return end + 2;
+        if (!parse_number(next_word(rest), length) || length > kValueMost) return end + 2;
         if (in.size() < end + 2 + length + 2) return 0;
         out.body = in.substr(end + 2, length);
         out.kind = Heard::Kind::value;
@@ -149,7 +149,7 @@
     if (verb == "SERVER_ERROR" && next_word(rest) == "busy") {
         out.kind = Heard::Kind::busy;
         std::uint64_t ms = 0;
-        if (read_digits(next_word(rest), ms)) out.advice = static_cast<double>(ms) / 1e3;
+        if (parse_number(next_word(rest), ms)) out.advice = static_cast<double>(ms) / 1e3;
     }
     return end + 2;
 }
@@ -162,7 +162,7 @@
 
 bool read_id(std::string_view text, std::uint32_t day, int& inv) {
     std::uint64_t whole = 0;
-    if (text.size() != 16 || !read_digits(text, whole, 16) || whole >> 32 != day) return false;
+    if (text.size() != 16 || !parse_number(text, whole, 16) || whole >> 32 != day) return false;
     inv = static_cast<int>(whole & 0xffffffffU);
     return true;
 }
@@ -186,7 +186,7 @@
     const auto field = [&](char name, auto& number, int base) {
         const std::size_t end = text.find(';');
         if (end == std::string_view::npos || end < 2 || text.front() != name) return false;
-        const bool sound = read_digits(text.substr(1, end - 1), number, base);
+        const bool sound = parse_number(text.substr(1, end - 1), number, base);
         text.remove_prefix(end + 1);
         return sound;
     };
@@ -201,4 +201,4 @@
     return out.append("\r\n").append(body);
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 // What the list behind `P` says.
 struct Properties {
@@ -57,4 +57,4 @@
 bool read_value(std::string_view text, Value& out);
 std::string http_response(int status, std::string_view body, std::string_view header = {});
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -14,88 +14,89 @@
 #include <unordered_map>
 #include <vector>
 
-#include "protocol/attempt_response.h"
 #include "io/log.h"
-#include "protocol/memcache_text.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
+#include "protocol/attempt_response.h"
+#include "protocol/memcache_text.h"
 
 namespace brookrelay {
 
-class Pool {
+class UpstreamPool {
   public:
-    struct Ended {
-        int inv;
-        int forward;
-        int cache;
-        Ending ending;
-        double took;
+    struct AttemptResult {
+        int request;
+        int attempt;
+        int server;
+        AttemptOutcome outcome;
+        double latency;
         std::string body;
         // A long value follows in pieces, `length` bytes of it, to whom this number stands for; 0: all is
         // told.
-        std::uint64_t relay = 0;
-        std::size_t length = 0;
+        std::uint64_t stream = 0;
+        std::size_t stream_length = 0;
     };
     // Who takes the pieces of long values: how many bytes it has room for, some of them, and their end. Where
     // there is no room it pulls once there is.
-    struct Taker {
-        std::function<std::size_t(std::uint64_t relay)> room;
-        std::function<void(std::uint64_t relay, std::string_view piece)> piece;
+    struct BodySink {
+        std::function<std::size_t(std::uint64_t relay)> capacity;
+        std::function<void(std::uint64_t relay, std::string_view piece)> write;
         std::function<void(std::uint64_t relay, bool whole)> end;
     };
-    using Tell = std::function<void(Ended&&)>;
+    using OnFinished = std::function<void(AttemptResult&&)>;
     // A forward's connection has come up, and nothing of it is sent: it waits for begin() or decline().
-    using Up = std::function<void(int inv, int forward)>;
+    using OnConnected = std::function<void(int inv, int forward)>;
     // How many connections to a server may be open, of which so many would be at work.
-    using Places = std::function<int(int cache, int wanted)>;
-    static constexpr int kProbe = -1;  // in the place of an invocation
+    using ConnectionLimit = std::function<int(int cache, int wanted)>;
+    static constexpr int kHealthCheck = -1;  // in the place of an invocation
 
-    Pool(Timers& timers, Log& log, const Deployment& deployment, std::size_t most, std::size_t bytes,
-         Tell tell, Up up, Taker taker);
+    UpstreamPool(TimerQueue& timers, Log& log, const Deployment& deployment, std::size_t most,
+                 std::size_t bytes, OnFinished tell, OnConnected up, BodySink taker);
 
-    void settle_in(const Deployment& deployment);  // for connections from now on
+    void apply_configuration(const Deployment& deployment);  // for connections from now on
     // Without: only the budget says. What is open beyond it is closed by keep_places(), or as it falls idle.
-    void limit_places(Places places) { places_ = std::move(places); }
-    void keep_places();
-    void know(int cache, const std::string& name, const std::string& address, bool origin);
-    bool in_use(int cache) const;  // something of it is still open
-    void forget(int cache);        // only what is not in use: its number may then stand for another server
+    void set_connection_limit(ConnectionLimit places) { server_connection_limit_ = std::move(places); }
+    void enforce_connection_limit();
+    void add_server(int cache, const std::string& name, const std::string& address, bool origin);
+    bool in_use(int cache) const;   // something of it is still open
+    void remove_server(int cache);  // only what is not in use: its number may then stand for another server
     // `begin_within`: s in which its last byte has to be handed on, or it is not sent; 0: its limit alone
     // counts.
-    void forward(int inv, int forward, int cache, const Command& command, double limit, double begin_within);
-    void probe(int cache, double limit);
-    void begin(int inv, int forward);
-    void decline(int inv, int forward);  // nobody wants it any more: it is not sent, and its connection rests
+    void start_attempt(int inv, int forward, int cache, const Command& command, double limit,
+                       double begin_within);
+    void check_health(int cache, double limit);
+    void send(int inv, int forward);
+    void abandon(int inv, int forward);  // nobody wants it any more: it is not sent, and its connection rests
     void cancel(int inv, int forward);
-    void pull(std::uint64_t relay);
-    void give_up(std::uint64_t relay);  // nobody wants the rest
-    void release(int cache);            // closes the idle ones
-    void withdraw(int cache);           // and those that have not begun to carry what they were opened for
-    int live() const { return static_cast<int>(live_); }
+    void resume(std::uint64_t relay);
+    void abandon_stream(std::uint64_t relay);  // nobody wants the rest
+    void close_idle(int cache);                // closes the idle ones
+    void close_unstarted(int cache);  // and those that have not begun to carry what they were opened for
+    int open_count() const { return static_cast<int>(open_count_); }
     double connect_timeout() const { return connect_timeout_; }
-    void keep_to(double part);  // of its connections and bytes: the rest is another process's
-    void sweep();               // takes away what was closed in this turn
+    void set_budget_share(double part);  // of its connections and bytes: the rest is another process's
+    void destroy_closed();               // takes away what was closed in this turn
 
   private:
     struct Connection {
-        int cache = 0;
-        std::unique_ptr<Stream> stream;
+        int server = 0;
+        std::unique_ptr<TcpConnection> socket;
         bool busy = false;
-        bool read = false;  // what is out is a read: only a value answers it
-        int inv = 0;
-        int forward = 0;
-        std::string id;
+        bool is_read = false;  // what is out is a read: only a value answers it
+        int request = 0;
+        int attempt = 0;
+        std::string request_id;
         std::string unsent;  // the forward's bytes, until its connection is up and it is still wanted then
-        double sent = 0;
-        double due = 0;  // when it is given up
-        double used = 0;
-        Timers::Handle limit;
-        Timers::Handle connect;
-        Timers::Handle begin_by;
-        Timers::Handle rest_by;
-        std::uint64_t relay = 0;  // its long value is being passed on
-        LongValue rest;           // what of it has not been
-        bool passing = false;     // a piece, whose taker may pull from inside
+        double sent_at = 0;
+        double deadline = 0;  // when it is given up
+        double last_used = 0;
+        TimerQueue::Handle attempt_timer;
+        TimerQueue::Handle connect_timer;
+        TimerQueue::Handle send_timer;
+        TimerQueue::Handle idle_timer;
+        std::uint64_t stream = 0;    // its long value is being passed on
+        StreamedValue remaining;     // what of it has not been
+        bool writing_chunk = false;  // a piece, whose taker may pull from inside
     };
     struct Server {
         std::string name, address;
@@ -106,48 +107,51 @@
 
     Server& server(int cache) { return servers_[static_cast<std::size_t>(cache)]; }
     Topic topic(int cache) const;
-    static std::uint64_t mark(int inv, int forward);
+    static std::uint64_t attempt_key(int inv, int forward);
     Connection* connection_to(int cache);
     Connection* open(int cache);
-    bool has_place(int cache);
-    bool make_room();
-    void start(Connection& c, int inv, int forward, double limit, double begin_within, std::string bytes);
-    void move_on(Connection& c);
-    void send_off(Connection& c);
-    void news(Connection& c, Stream::News news);
-    void read_answer(Connection& c, bool ended = false);  // `ended`: by an orderly end behind what has come
-    bool begin_relay(Connection& c);
-    void pass_on(Connection& c);
-    void watch_standstill(Connection& c);
-    void end_relay(Connection& c, bool whole);
-    void rest_or_drop(Connection& c, bool reusable);
-    static bool sent_whole(const Connection& c) { return c.unsent.empty() && c.stream->unwritten() == 0; }
-    std::size_t parse(const Connection& c, Answer& answer, bool ended);
-    void broken(Connection& c, Ending if_written);
-    void end(Connection& c, Ending ending, std::string body = {});
-    void drop(Connection& c);
-    void age();
+    bool has_capacity(int cache);
+    bool evict_idle();
+    void begin_attempt(Connection& c, int inv, int forward, double limit, double begin_within,
+                       std::string bytes);
+    void continue_attempt(Connection& c);
+    void write_request(Connection& c);
+    void on_event(Connection& c, TcpConnection::Event news);
+    void read_response(Connection& c, bool ended = false);  // `ended`: by an orderly end behind what has come
+    bool begin_stream(Connection& c);
+    void forward_chunks(Connection& c);
+    void restart_stall_timer(Connection& c);
+    void end_stream(Connection& c, bool whole);
+    void keep_or_close(Connection& c, bool reusable);
+    static bool is_fully_sent(const Connection& c) {
+        return c.unsent.empty() && c.socket->unwritten_bytes() == 0;
+    }
+    std::size_t parse(const Connection& c, AttemptResponse& answer, bool ended);
+    void on_broken(Connection& c, AttemptOutcome if_written);
+    void finish_attempt(Connection& c, AttemptOutcome ending, std::string body = {});
+    void close(Connection& c);
+    void close_expired();
 
-    Timers& timers_;
+    TimerQueue& timers_;
     Log& log_;
     double connect_timeout_ = 0;
-    double idle_most_ = 0;
-    const std::size_t most_ever_;
-    std::size_t most_;
-    const std::size_t bytes_ever_;
+    double idle_timeout_ = 0;
+    const std::size_t max_connections_;
+    std::size_t connection_limit_;
+    const std::size_t max_bytes_;
     ByteBudget budget_;
-    Tell tell_;
-    Up up_;
-    Taker taker_;
-    Places places_;
-    std::uint64_t last_relay_ = 0;
-    std::unordered_map<std::uint64_t, Connection*> relays_;
+    OnFinished on_finished_;
+    OnConnected on_connected_;
+    BodySink body_sink_;
+    ConnectionLimit server_connection_limit_;
+    std::uint64_t last_stream_ = 0;
+    std::unordered_map<std::uint64_t, Connection*> streams_;
     std::vector<Server> servers_;
     std::list<Connection> connections_;
-    std::size_t live_ = 0;
-    bool dropped_ = false;
-    int probes_ = 0;
-    std::unordered_map<std::uint64_t, Connection*> out_;
+    std::size_t open_count_ = 0;
+    bool has_closed_ = false;
+    int health_checks_ = 0;
+    std::unordered_map<std::uint64_t, Connection*> in_flight_;
 };
 
 }  // namespace brookrelay
--- a/src/util/address.cpp
+++ b/src/util/address.cpp
@@ -15,7 +15,7 @@
     Address address{std::string(host), 0};
     in6_addr room{};
     if (inet_pton(six ? AF_INET6 : AF_INET, address.host.c_str(), &room) != 1) return std::nullopt;
-    if (!read_digits(text.substr(colon + 1), address.port)) return std::nullopt;
+    if (!parse_number(text.substr(colon + 1), address.port)) return std::nullopt;
     if (address.port == 0 || address.port > 65535) return std::nullopt;
     return address;
 }
--- a/src/util/parse_number.h
+++ b/src/util/parse_number.h
@@ -7,7 +7,7 @@
 namespace brookrelay {
 
 template <typename Number>
-bool read_digits(std::string_view digits, Number& out, int base = 10) {
+bool parse_number(std::string_view digits, Number& out, int base = 10) {
     const char* end = digits.data() + digits.size();
     const auto [at, error] = std::from_chars(digits.data(), end, out, base);
     return error == std::errc() && at == end;
--- a/src/util/splitmix64.h
+++ b/src/util/splitmix64.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 
 // Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (2014): splitmix64's finalizer.
 inline std::uint64_t mix(std::uint64_t x) {
@@ -13,4 +13,4 @@
     return x ^ (x >> 31);
 }
 
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -21,10 +21,10 @@
     Operation read, dedup, once;
     read.client_timeout = dedup.client_timeout = once.client_timeout = 1;
     read.latency_objective = dedup.latency_objective = once.latency_objective = 0.5;
-    dedup.repeat = Repeat::deduplicated;
-    dedup.scope = Scope::zone;
-    dedup.dedup_window = 2;
-    once.repeat = Repeat::non_idempotent;
+    dedup.idempotency = Idempotency::idempotency_key;
+    dedup.deduplication_scope = DeduplicationScope::zone;
+    dedup.deduplication_window = 2;
+    once.idempotency = Idempotency::none;
     t.operations = {read, dedup, once};
     t.operation_names = {"read", "dedup", "once"};
     t.tenants = {{0}, {2}};
@@ -337,34 +337,34 @@
     // ---- rule 3
     {"a forward to a draining server after the grace", 3, "drains",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, Standing::draining, false);
+         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
          d.fine(1.36, 0);
      }},
     {"a forward to a draining server within the grace", 0, "",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, Standing::draining, false);
+         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
          d.fine(1.34, 0);
      }},
     {"another node was told", 0, "",
      [](Day& d) {
-         d.judge.told(1, 1, kBoxA, Standing::draining, false);
+         d.judge.told(1, 1, kBoxA, EndpointState::draining, false);
          d.fine(1.5, 0);
      }},
     {"told again, the grace runs from the first word", 3, "is gone",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, Standing::draining, false);
-         d.judge.told(1.3, 0, kBoxA, Standing::gone, false);
+         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
+         d.judge.told(1.3, 0, kBoxA, EndpointState::removed, false);
          d.fine(1.4, 0);
      }},
     {"it serves again", 0, "",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, Standing::draining, false);
-         d.judge.told(1.3, 0, kBoxA, Standing::ready, false);
+         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
+         d.judge.told(1.3, 0, kBoxA, EndpointState::ready, false);
          d.fine(2, 0);
      }},
     {"the node has restarted and knows nothing of it", 0, "",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, Standing::gone, false);
+         d.judge.told(1, 0, kBoxA, EndpointState::removed, false);
          d.judge.node_up(1.3, 0);
          d.fine(2, 0);
      }},
@@ -372,7 +372,7 @@
     {"a cold server pushed over by who knew", 4, "pushed over",
      [](Day& d) {
          d.judge.started(0.5, kBoxA, true);
-         d.judge.told(0.8, 0, kBoxA, Standing::ready, true);
+         d.judge.told(0.8, 0, kBoxA, EndpointState::ready, true);
          push(d, kBoxA, 0, 0, 100);
          d.judge.pushed_over(2, kBoxA);
      }},
@@ -385,7 +385,7 @@
     {"by two, of whom the lesser part knew", 0, "",
      [](Day& d) {
          d.judge.started(0.5, kBoxA, true);
-         d.judge.told(0.8, 0, kBoxA, Standing::ready, true);
+         d.judge.told(0.8, 0, kBoxA, EndpointState::ready, true);
          push(d, kBoxA, 0, 0, 60);
          push(d, kBoxA, 1, 60, 40);
          d.judge.pushed_over(2, kBoxA);
@@ -393,7 +393,7 @@
     {"it had become warm", 0, "",
      [](Day& d) {
          d.judge.started(0.5, kBoxA, true);
-         d.judge.told(0.8, 0, kBoxA, Standing::ready, true);
+         d.judge.told(0.8, 0, kBoxA, EndpointState::ready, true);
          d.judge.warm(0.9, kBoxA);
          push(d, kBoxA, 0, 0, 100);
          d.judge.pushed_over(2, kBoxA);
@@ -401,7 +401,7 @@
     {"it started anew, and nobody has been told of that", 0, "",
      [](Day& d) {
          d.judge.started(0.3, kBoxA, true);
-         d.judge.told(0.4, 0, kBoxA, Standing::ready, true);
+         d.judge.told(0.4, 0, kBoxA, EndpointState::ready, true);
          d.judge.started(0.5, kBoxA, true);
          push(d, kBoxA, 0, 0, 100);
          d.judge.pushed_over(2, kBoxA);
@@ -482,7 +482,7 @@
         t.origin_limit = t.cold_limit = 10;
         Day d{Auditor(t)};
         if (row.cold) d.judge.started(0.5, row.server, true);
-        if (row.told) d.judge.told(0.6, row.node, row.server, Standing::ready, true);
+        if (row.told) d.judge.told(0.6, row.node, row.server, EndpointState::ready, true);
         for (int i = 0; i < row.sends; ++i) {
             const double at = 1 + row.over * i / row.sends;
             d.ask(at, i, kRead, row.node);
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -113,15 +113,16 @@
     EXPECT_NE(content(out + "/report.json").find("\"interrupted\": true"), std::string::npos);
     EXPECT_NE(content(out + "/report.html").find("Interrupted after"), std::string::npos);
     const std::size_t at = log.find("serves on ") + 10, colon = log.find(':', at);
-    EXPECT_FALSE(brookrelay::kit::Line(log.substr(at, colon - at), std::stoi(log.substr(colon + 1))).up());
+    EXPECT_FALSE(
+        brookrelay::testkit::Line(log.substr(at, colon - at), std::stoi(log.substr(colon + 1))).up());
 }
 
 TEST(CommandLine, LogsOneObjectALine) {
     const std::string out = folder("json");
     std::ofstream(out + "/operator.toml") << "[log]\nformat = \"json\"\n";
     int port = 0;
-    close(brookrelay::kit::bound_socket(port));
-    const std::string listen = brookrelay::kit::own_loopback() + ":" + std::to_string(port);
+    close(brookrelay::testkit::bound_socket(port));
+    const std::string listen = brookrelay::testkit::own_loopback() + ":" + std::to_string(port);
     std::string station = content(BROOKRELAY_ROOT "/deploy/example.json");
     station.replace(station.find("127.0.0.1:11311"), 15, listen);
     std::ofstream(out + "/station.json") << station;
