--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "config/json.h"
-#include "config/warm_start.h"
 #include "config/node_config.h"
+#include "config/warm_start.h"
 
 using namespace brookrelay;
 
@@ -34,7 +34,7 @@
     return text.replace(at, from.size(), to);
 }
 
-Station read(const std::string& text) {
+NodeConfig read(const std::string& text) {
     char path[] = "/tmp/brookrelay_config_XXXXXX";
     const int file = mkstemp(path);
     EXPECT_GE(file, 0) << path;
@@ -44,33 +44,33 @@
         const char* path;
         ~Removed() { std::remove(path); }
     } removed{path};
-    return read_station(path);
+    return read_node_config(path);
 }
 
 TEST(NodeConfig, AValidFileIsReadInFull) {
-    const Station s = read(kGood);
+    const NodeConfig s = read(kGood);
     EXPECT_EQ(s.name, "n1");
     EXPECT_EQ(s.seed, 0x8c1f30d27a5be964ULL);
     EXPECT_EQ(s.descriptors, 1024);
     EXPECT_EQ(s.memory_mb, 192);
     EXPECT_EQ(s.deployment.zone, 1);
-    EXPECT_EQ(s.deployment.zones, 2);
+    EXPECT_EQ(s.deployment.zone_count, 2);
     EXPECT_EQ(s.deployment.origin_kind, 2);
-    EXPECT_TRUE(s.deployment.ask_for_list);
-    EXPECT_EQ(s.deployment.connection_idle, 60);
-    EXPECT_EQ(s.most_open, 20000);
+    EXPECT_TRUE(s.deployment.polls_endpoints);
+    EXPECT_EQ(s.deployment.connection_idle_timeout, 60);
+    EXPECT_EQ(s.max_open_requests, 20000);
     EXPECT_EQ(s.deployment.operations[0].latency_objective, 1.2);  // none is told: the client timeout
     EXPECT_EQ(s.names.operations[0], "read");
     EXPECT_EQ(s.names.tenants[0], "acme");
-    EXPECT_EQ(s.known.version, 41);
-    EXPECT_TRUE(s.known.whole);
-    ASSERT_EQ(s.known.servers.size(), 2U);
-    const ListedServer& first = s.known.servers[0];
+    EXPECT_EQ(s.cached_endpoints.version, 41);
+    EXPECT_TRUE(s.cached_endpoints.is_full);
+    ASSERT_EQ(s.cached_endpoints.servers.size(), 2U);
+    const EndpointRecord& first = s.cached_endpoints.servers[0];
     EXPECT_EQ(first.zone, 1);
     EXPECT_EQ(first.kind, 1);
     EXPECT_EQ(first.cell, 3);
-    EXPECT_EQ(first.born, 1.5);
-    EXPECT_EQ(s.known.servers[1].standing, Standing::gone);
+    EXPECT_EQ(first.started_at, 1.5);
+    EXPECT_EQ(s.cached_endpoints.servers[1].state, EndpointState::removed);
 }
 
 TEST(NodeConfig, AnErrorNamesTheKey) {
@@ -124,7 +124,7 @@
         std::string complaint;
         try {
             read(with(c.from, c.to));
-        } catch (const BadInput& bad) {
+        } catch (const ConfigurationError& bad) {
             complaint = bad.what();
         }
         EXPECT_NE(complaint.find(c.key), std::string::npos) << complaint;
@@ -135,15 +135,15 @@
     rapidjson::Document list;
     list.Parse(R"({"seq":43,"whole":false,"hosts":[
         {"host":"s-1","health":"SERVING"},{"host":"s-2","health":"DRAINING"}]})");
-    const ServerList news = read_server_list(list, read(kGood).names);
+    const EndpointUpdate news = parse_endpoint_update(list, read(kGood).names);
     EXPECT_EQ(news.version, 43);
-    EXPECT_FALSE(news.whole);
+    EXPECT_FALSE(news.is_full);
     ASSERT_EQ(news.servers.size(), 1U);
     EXPECT_EQ(news.servers[0].name, "s-2");
-    EXPECT_EQ(news.servers[0].standing, Standing::draining);
+    EXPECT_EQ(news.servers[0].state, EndpointState::draining);
     EXPECT_LT(news.servers[0].zone, 0);  // as it was
-    ASSERT_EQ(news.complaints.size(), 1U);
-    EXPECT_NE(news.complaints[0].find("dial"), std::string::npos) << news.complaints[0];
+    ASSERT_EQ(news.errors.size(), 1U);
+    EXPECT_NE(news.errors[0].find("dial"), std::string::npos) << news.errors[0];
 }
 
 // A reload may add keys and drop entries, not keys: what lacks one was cut short, or written by a wrong hand.
@@ -152,7 +152,7 @@
         with(R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000})",
              R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000,"billed_value":1},
   {"name":"put","repeat":"deduplicated","client_timeout_us":900000,"billed_value":2,"key_ttl_us":3000000})");
-    const Station running = read(running_text);
+    const NodeConfig running = read(running_text);
     struct Case {
         const char *from, *to, *key;  // the key that is complained of; empty: it is taken
     };
@@ -183,7 +183,7 @@
             ASSERT_NE(at, std::string::npos);
             text.replace(at, std::string(c.from).size(), c.to);
         }
-        const std::string against = cannot_be_live(running, read(text));
+        const std::string against = why_not_reloadable(running, read(text));
         if (*c.key == 0) {
             EXPECT_EQ(against, "");
         } else {
@@ -197,7 +197,7 @@
         bool refused = false;
         try {
             read(kGood.substr(0, length));
-        } catch (const BadInput&) {
+        } catch (const ConfigurationError&) {
             refused = true;
         }
         EXPECT_TRUE(refused) << "cut at " << length;
@@ -205,27 +205,29 @@
 }
 
 TEST(LearnedFile, MapsKindsAndCachesByName) {
-    const Learned learned{0.25, 0.5, 0.75, 3, 0.125, {1, 0.5}, {{0, 2.5, -4, false}, {1, 1, 0.5, true}}};
+    const WarmStartSnapshot learned{
+        0.25, 0.5, 0.75, 3, 0.125, {1, 0.5}, {{0, 2.5, -4, false}, {1, 1, 0.5, true}}};
     const std::string text =
-        learned_text(learned, {"m1", "m2"}, [](int cache) { return cache == 0 ? "s-1" : "s-2"; });
+        format_warm_start(learned, {"m1", "m2"}, [](int cache) { return cache == 0 ? "s-1" : "s-2"; });
     const auto number = [](const std::string& name) { return name == "s-2" ? 7 : -1; };
-    const auto back = read_learned(text, {"m2", "new"}, number);
+    const auto back = parse_warm_start(text, {"m2", "new"}, number);
     ASSERT_TRUE(back.has_value());
-    EXPECT_EQ(back->reach, 0.25);
-    EXPECT_EQ(back->pressure, 0.5);
-    EXPECT_EQ(back->admitted, 0.75);
-    EXPECT_EQ(back->origin_limit, 3);
-    EXPECT_EQ(back->origin_pace, 0.125);
-    EXPECT_EQ(back->kind_shares, std::vector<double>({0.5, 1}));
-    ASSERT_EQ(back->caches.size(), 1U);
-    EXPECT_EQ(back->caches[0].cache, 7);
-    EXPECT_EQ(back->caches[0].limit, 1);
-    EXPECT_EQ(back->caches[0].rest, 0.5);
-    EXPECT_TRUE(back->caches[0].suspect);
+    EXPECT_EQ(back->spillover_ratio, 0.25);
+    EXPECT_EQ(back->shedding_ratio, 0.5);
+    EXPECT_EQ(back->admission_ratio, 0.75);
+    EXPECT_EQ(back->origin_concurrency_limit, 3);
+    EXPECT_EQ(back->origin_latency, 0.125);
+    EXPECT_EQ(back->kind_traffic_shares, std::vector<double>({0.5, 1}));
+    ASSERT_EQ(back->servers.size(), 1U);
+    EXPECT_EQ(back->servers[0].server, 7);
+    EXPECT_EQ(back->servers[0].concurrency_limit, 1);
+    EXPECT_EQ(back->servers[0].backoff_remaining, 0.5);
+    EXPECT_TRUE(back->servers[0].ejected);
     for (std::size_t length = 0; length < text.size(); ++length)
-        EXPECT_FALSE(read_learned(text.substr(0, length), {"m2"}, number).has_value()) << "cut at " << length;
-    EXPECT_FALSE(read_learned("[]", {}, number).has_value());
-    EXPECT_FALSE(read_learned(R"({"reach":"far"})", {}, number).has_value());
+        EXPECT_FALSE(parse_warm_start(text.substr(0, length), {"m2"}, number).has_value())
+            << "cut at " << length;
+    EXPECT_FALSE(parse_warm_start("[]", {}, number).has_value());
+    EXPECT_FALSE(parse_warm_start(R"({"reach":"far"})", {}, number).has_value());
 }
 
 }  // namespace
--- a/tests/coordinator_test.cpp
+++ b/tests/coordinator_test.cpp
@@ -1,6 +1,4 @@
 // The stand-in coordinator by its wire, message by message, and with bytes that are none.
-#include "testkit/fake_coordinator.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,11 +9,12 @@
 #include <vector>
 
 #include "coordination/jute.h"
+#include "testkit/fake_coordinator.h"
 
 namespace {
 
 using namespace brookrelay;
-using namespace brookrelay::kit;
+using namespace brookrelay::testkit;
 
 struct Peer {
     std::map<std::uint64_t, std::vector<std::string>> sent;
--- a/tests/days.h
+++ b/tests/days.h
@@ -16,7 +16,7 @@
 #include "testkit/rehearsal.h"
 #include "testkit/report.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 // Thin traffic on caches that have work to do: a node meets each of them about once a second.
 inline Scenario fleet_day(int nodes, int zones, double length) {
@@ -43,8 +43,8 @@
     submit.name = "submit";
     submit.write = true;
     submit.share = 1;
-    submit.promised.repeat = Repeat::deduplicated;
-    submit.promised.dedup_window = 3;
+    submit.promised.idempotency = Idempotency::idempotency_key;
+    submit.promised.deduplication_window = 3;
     s.operations = {read, submit};
     s.clients.rate = 12.0 * nodes;
     s.keys.count = 3000;
@@ -102,4 +102,4 @@
     return p;
 }
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/tests/files_test.cpp
+++ b/tests/files_test.cpp
@@ -26,7 +26,7 @@
     const std::string path = file_with(text);
     try {
         read(path);
-    } catch (const BadFile& bad) {
+    } catch (const ConfigurationFileError& bad) {
         std::string all = bad.what();
         for (std::size_t at = all.find(path); at != std::string::npos; at = all.find(path)) {
             all.replace(at, path.size(), "F");
@@ -83,12 +83,13 @@
          "F:3: log.format: expected one of \"human\", \"json\", found ''\nF:2: log.lines"},
     };
     for (const auto& c : cases) {
-        const std::string all = said(c.text, [](const std::string& path) { (void)read_operator_file(path); });
+        const std::string all =
+            said(c.text, [](const std::string& path) { (void)read_operator_config(path); });
         EXPECT_EQ(all.substr(0, std::string(c.complaint).size()), c.complaint) << c.text;
         EXPECT_EQ(all.empty(), std::string(c.complaint).empty()) << all;
     }
-    EXPECT_THROW((void)read_operator_file("/no/such/file.toml"), BadFile);
-    EXPECT_TRUE(read_operator_file(file_with("[log]\nformat = \"json\"\n")).json_log);
+    EXPECT_THROW((void)read_operator_config("/no/such/file.toml"), ConfigurationFileError);
+    EXPECT_TRUE(read_operator_config(file_with("[log]\nformat = \"json\"\n")).json_log);
 }
 
 const char* const kScenario =
@@ -166,10 +167,10 @@
     EXPECT_EQ(s.server_names(),
               (std::vector<std::string>{"box-1", "box-2", "box-3", "box-4", "box-5", "origin"}));
     for (const char* wrong : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
-        EXPECT_THROW((void)read_scenario(path, {wrong}), BadFile) << wrong;
+        EXPECT_THROW((void)read_scenario(path, {wrong}), ConfigurationFileError) << wrong;
     }
     // What is put over is checked as the file is.
-    EXPECT_THROW((void)read_scenario(path, {"day.lenght=30s"}), BadFile);
+    EXPECT_THROW((void)read_scenario(path, {"day.lenght=30s"}), ConfigurationFileError);
 }
 
 TEST(Durations, NeedTheirUnits) {
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -29,7 +29,7 @@
 #include "testkit/daemon_process.h"
 #include "testkit/scripted_peer.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 
 // What never comes fails the test at the line that waits for it, and the test goes on: returning from its
 // middle would leave scripts waiting for what only it tells them.
@@ -264,4 +264,4 @@
     std::vector<std::string> news_;
 };
 
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -1,7 +1,5 @@
 // The follower against the stand-in coordinator, without sockets: each step of the clock and each message is
 // the test's. What the decision module would be told is looked at after it.
-#include "coordination/coordination_session.h"
-
 #include <gtest/gtest.h>
 
 #include <boost/random/mersenne_twister.hpp>
@@ -9,13 +7,14 @@
 #include <deque>
 #include <string>
 
-#include "testkit/fake_coordinator.h"
+#include "coordination/coordination_session.h"
 #include "coordination/jute.h"
+#include "testkit/fake_coordinator.h"
 
 namespace {
 
 using namespace brookrelay;
-using kit::Coordinator;
+using testkit::Coordinator;
 
 // One follower and one service, and the messages between them, which stay on the way until deliver().
 struct Pair {
@@ -27,8 +26,8 @@
                              if (c == connection) to_follower.push_back(frame.substr(4));
                          },
                          [](std::uint64_t) {}}};
-    Registrations registrations;
-    Follower follower{
+    ServiceRegistrations registrations;
+    CoordinationSession follower{
         "/fleet",
         4,
         registrations,
@@ -54,10 +53,10 @@
     }
     void add(const std::string& name, const std::string& data = "127.0.0.1:1") {
         EXPECT_EQ(service.create(now, owner, "/fleet/" + name, data, true, false),
-                  kit::CoordinatorError::none);
+                  testkit::CoordinatorError::none);
     }
     void drop(const std::string& name) {
-        EXPECT_EQ(service.remove("/fleet/" + name), kit::CoordinatorError::none);
+        EXPECT_EQ(service.remove("/fleet/" + name), testkit::CoordinatorError::none);
     }
     void up() {
         ++connection;
@@ -78,9 +77,9 @@
         std::string all;
         for (const RegistrationChange& c : registrations.take_changes()) {
             all += (all.empty() ? "" : " ") +
-                   std::string(c.standing == Standing::gone ? "-"
-                               : c.fresh                    ? "+"
-                                                            : "=") +
+                   std::string(c.standing == EndpointState::removed ? "-"
+                               : c.fresh                            ? "+"
+                                                                    : "=") +
                    c.who.name;
         }
         return all;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -33,18 +33,18 @@
 #include <vector>
 
 #include "admin/admin_state.h"
-#include "protocol/http1.h"
 #include "config/json.h"
-#include "config/warm_start.h"
-#include "io/log.h"
-#include "protocol/memcache_text.h"
+#include "config/node_config.h"
 #include "config/operator_config.h"
-#include "protocol/origin_http.h"
 #include "config/scenario.h"
-#include "config/node_config.h"
+#include "config/warm_start.h"
+#include "gossip/messages.h"
 #include "gossip_agent/gossip_agent.h"
+#include "io/log.h"
 #include "io/timer_queue.h"
-#include "gossip/messages.h"
+#include "protocol/http1.h"
+#include "protocol/memcache_text.h"
+#include "protocol/origin_http.h"
 
 namespace {
 
@@ -206,79 +206,80 @@
 
 // ---- gossip datagrams -----------------------------------------------------------------------------------
 
-fleet::Datagram headed() {
-    fleet::Datagram d;
+gossip::Datagram headed() {
+    gossip::Datagram d;
     d.node = 513;
     d.stamp = {1'790'000'123, 70'001};
     d.zone = 7;
-    d.start_of_yours = 1'790'000'456;
+    d.receiver_incarnation = 1'790'000'456;
     return d;
 }
 
-std::vector<std::pair<std::string, fleet::Datagram>> datagrams() {
-    const fleet::Subject cache = fleet::subject_of("10.0.0.1:9000"), other = fleet::subject_of("cache-2");
-    fleet::Datagram empty = headed(), alive = headed(), sights = headed(), findings = headed(),
-                    zones = headed(), wants = headed(), grants = headed(), beyond = headed(), least;
-    alive.alive = {{3, 0.375, 2}, {300, 15.875, -1}, {65'000, 1.01, 31}};
-    sights.sights = {{cache, 12, 3}, {other, 0, 127}};
-    findings.findings = {{cache, 5, {1'790'000'001, 255}, 0b101, 4, 0.5},
+std::vector<std::pair<std::string, gossip::Datagram>> datagrams() {
+    const gossip::ServerKey cache = gossip::server_key("10.0.0.1:9000"),
+                            other = gossip::server_key("cache-2");
+    gossip::Datagram empty = headed(), alive = headed(), sights = headed(), findings = headed(),
+                     zones = headed(), wants = headed(), grants = headed(), beyond = headed(), least;
+    alive.heartbeats = {{3, 0.375, 2}, {300, 15.875, -1}, {65'000, 1.01, 31}};
+    sights.observations = {{cache, 12, 3}, {other, 0, 127}};
+    findings.verdicts = {{cache, 5, {1'790'000'001, 255}, 0b101, 4, 0.5},
                          {other, 260, {1'790'000'002, 65'536}, 0x80000000U, 300, 7.25}};
-    zones.zones = {{1, fleet::ZoneSight::lost, 0, 3},
-                   {2, fleet::ZoneSight::answers, 4, 0},
-                   {31, fleet::ZoneSight::strained, 2, 15},
-                   {0, fleet::ZoneSight::nothing, 5, 1}};
-    wants.wants = {{fleet::subject_of("origin"), 250'000}, {fleet::subject_of("tenant first"), 1}};
-    grants.grants = {{fleet::subject_of("origin"), 125'000, 70'000},
-                     {fleet::subject_of("cold"), 1'000'000, 3}};
-    fleet::Datagram all = alive;
-    all.sights = sights.sights;
-    all.findings = findings.findings;
-    all.zones = zones.zones;
-    all.wants = wants.wants;
-    all.grants = grants.grants;
+    zones.zone_reports = {{1, gossip::ZoneObservation::unreachable, 0, 3},
+                          {2, gossip::ZoneObservation::reachable, 4, 0},
+                          {31, gossip::ZoneObservation::strained, 2, 15},
+                          {0, gossip::ZoneObservation::nothing, 5, 1}};
+    wants.lease_requests = {{gossip::server_key("origin"), 250'000}, {gossip::server_key("tenant first"), 1}};
+    grants.lease_grants = {{gossip::server_key("origin"), 125'000, 70'000},
+                           {gossip::server_key("cold"), 1'000'000, 3}};
+    gossip::Datagram all = alive;
+    all.observations = sights.observations;
+    all.verdicts = findings.verdicts;
+    all.zone_reports = zones.zone_reports;
+    all.lease_requests = wants.lease_requests;
+    all.lease_grants = grants.lease_grants;
     beyond.zone = 40;  // what goes past its bound is said as the bound
-    beyond.alive = {{1, 1000, 50}};
-    beyond.sights = {{cache, 1000, 128}};
-    beyond.zones = {{3, fleet::ZoneSight::lost, 9, 99}};
+    beyond.heartbeats = {{1, 1000, 50}};
+    beyond.observations = {{cache, 1000, 128}};
+    beyond.zone_reports = {{3, gossip::ZoneObservation::unreachable, 9, 99}};
     return {{"least", least},       {"empty", empty},         {"alive", alive}, {"sights", sights},
             {"findings", findings}, {"zones", zones},         {"wants", wants}, {"grants", grants},
             {"all", all},           {"beyond bounds", beyond}};
 }
 
-std::string fields_of(const fleet::Datagram& d) {
+std::string fields_of(const gossip::Datagram& d) {
     Fields f;
     f.put("node", d.node)
-        .put("stamp.start", d.stamp.start)
-        .put("stamp.number", d.stamp.number)
+        .put("stamp.start", d.stamp.incarnation)
+        .put("stamp.number", d.stamp.sequence)
         .put("zone", d.zone);
-    f.put("start_of_yours", d.start_of_yours);
-    for (const auto& a : d.alive)
+    f.put("start_of_yours", d.receiver_incarnation);
+    for (const auto& a : d.heartbeats)
         f.put("alive.node", a.node).put("alive.age", a.age).put("alive.zone", a.zone);
-    for (const auto& s : d.sights)
-        f.put("sight.subject", s.subject).put("sight.good", s.good).put("sight.bad", s.bad);
-    for (const auto& x : d.findings) {
-        f.put("finding.subject", x.subject)
-            .put("finding.keeper", x.keeper)
-            .put("finding.stamp.start", x.stamp.start);
-        f.put("finding.stamp.number", x.stamp.number)
-            .put("finding.zones", x.zones)
-            .put("finding.voices", x.voices);
+    for (const auto& s : d.observations)
+        f.put("sight.subject", s.server).put("sight.good", s.successes).put("sight.bad", s.failures);
+    for (const auto& x : d.verdicts) {
+        f.put("finding.subject", x.server)
+            .put("finding.keeper", x.owner)
+            .put("finding.stamp.start", x.stamp.incarnation);
+        f.put("finding.stamp.number", x.stamp.sequence)
+            .put("finding.zones", x.bad_zones)
+            .put("finding.voices", x.reporters);
         f.put("finding.age", x.age);
     }
-    for (const auto& z : d.zones)
+    for (const auto& z : d.zone_reports)
         f.put("zone.zone", z.zone)
-            .put("zone.sight", z.sight)
+            .put("zone.sight", z.observation)
             .put("zone.step", z.step)
-            .put("zone.falls", z.falls);
-    for (const auto& w : d.wants) f.put("want.limit", w.limit).put("want.crumbs", w.crumbs);
-    for (const auto& g : d.grants)
-        f.put("grant.limit", g.limit).put("grant.crumbs", g.crumbs).put("grant.of", g.of);
+            .put("zone.falls", z.relapses);
+    for (const auto& w : d.lease_requests) f.put("want.limit", w.quota).put("want.crumbs", w.units);
+    for (const auto& g : d.lease_grants)
+        f.put("grant.limit", g.quota).put("grant.crumbs", g.units).put("grant.of", g.request_sequence);
     return f.text;
 }
 
 TEST(Golden, GossipDatagramsHaveTheSameBytes) {
     std::string bytes;
-    for (const auto& [name, d] : datagrams()) bytes += name + ": " + hex(fleet::encode(d)) + "\n";
+    for (const auto& [name, d] : datagrams()) bytes += name + ": " + hex(gossip::encode(d)) + "\n";
     expect_golden("datagrams.txt", bytes);
 }
 
@@ -289,9 +290,9 @@
     for (std::string line; std::getline(lines, line); ++count) {
         const std::size_t colon = line.find(": ");
         const std::string bytes = unhex(line.substr(colon + 2));
-        fleet::Datagram d;
-        EXPECT_TRUE(fleet::decode(bytes, d)) << line;
-        EXPECT_EQ(hex(fleet::encode(d)), hex(bytes)) << line;
+        gossip::Datagram d;
+        EXPECT_TRUE(gossip::decode(bytes, d)) << line;
+        EXPECT_EQ(hex(gossip::encode(d)), hex(bytes)) << line;
         fields += "[" + line.substr(0, colon) + "]\n" + fields_of(d);
     }
     EXPECT_EQ(count, datagrams().size());
@@ -303,20 +304,20 @@
 const std::vector<std::string> kKinds{"box", "big \"x\"", "origin"};
 const std::vector<std::string> kCaches{"cache-1", "10.0.0.1:9000", "odd \"name\"\\/\n\x01\xc3\xbc"};
 
-Learned learned_values() {
-    Learned l;
-    l.reach = 0.1;
-    l.pressure = 1.0 / 3;
-    l.admitted = 0.875;
-    l.origin_limit = 1234.5;
-    l.origin_pace = 2e-7;
-    l.kind_shares = {0.25, 1.5, 3};
-    l.caches = {{0, 12.75, 0.0625, true}, {2, 1e21, 3, false}, {1, 0, 1e-9, true}};
+WarmStartSnapshot learned_values() {
+    WarmStartSnapshot l;
+    l.spillover_ratio = 0.1;
+    l.shedding_ratio = 1.0 / 3;
+    l.admission_ratio = 0.875;
+    l.origin_concurrency_limit = 1234.5;
+    l.origin_latency = 2e-7;
+    l.kind_traffic_shares = {0.25, 1.5, 3};
+    l.servers = {{0, 12.75, 0.0625, true}, {2, 1e21, 3, false}, {1, 0, 1e-9, true}};
     return l;
 }
 
-std::string snapshot_text(const Learned& l) {
-    return learned_text(l, kKinds, [](int cache) { return kCaches[static_cast<std::size_t>(cache)]; });
+std::string snapshot_text(const WarmStartSnapshot& l) {
+    return format_warm_start(l, kKinds, [](int cache) { return kCaches[static_cast<std::size_t>(cache)]; });
 }
 
 TEST(Golden, WarmStartSnapshotHasTheSameBytes) {
@@ -326,16 +327,21 @@
 TEST(Golden, WarmStartSnapshotIsReadAsTheSameValues) {
     const std::string text = golden("snapshot.json");
     const auto read =
-        read_learned(text, kKinds, [](const std::string& name) { return index_of(kCaches, name); });
+        parse_warm_start(text, kKinds, [](const std::string& name) { return index_of(kCaches, name); });
     ASSERT_TRUE(read.has_value());
     EXPECT_EQ(snapshot_text(*read), text);
     Fields f;
-    f.put("reach", read->reach).put("pressure", read->pressure).put("admitted", read->admitted);
-    f.put("origin_limit", read->origin_limit)
-        .put("origin_pace", read->origin_pace)
-        .put("kind_shares", read->kind_shares);
-    for (const auto& c : read->caches)
-        f.put("cache", c.cache).put("limit", c.limit).put("rest", c.rest).put("suspect", c.suspect);
+    f.put("reach", read->spillover_ratio)
+        .put("pressure", read->shedding_ratio)
+        .put("admitted", read->admission_ratio);
+    f.put("origin_limit", read->origin_concurrency_limit)
+        .put("origin_pace", read->origin_latency)
+        .put("kind_shares", read->kind_traffic_shares);
+    for (const auto& c : read->servers)
+        f.put("cache", c.server)
+            .put("limit", c.concurrency_limit)
+            .put("rest", c.backoff_remaining)
+            .put("suspect", c.ejected);
     expect_golden("snapshot-fields.txt", f.text);
 }
 
@@ -368,32 +374,32 @@
     EXPECT_EQ(utimensat(AT_FDCWD, path.c_str(), times, 0), 0) << path;
 }
 
-std::string state_of(const ByHand& by_hand) {
+std::string state_of(const AdminState& by_hand) {
     Fields f;
     for (const std::string& name : kNames) {
-        const ByHand::State s = by_hand.of(name);
+        const AdminState::ServerState s = by_hand.state_of(name);
         f.put("name", name)
-            .put("out", s.out)
-            .put("back_at", s.back_at)
-            .put("ever_listed", by_hand.ever_listed(name));
+            .put("out", s.drained)
+            .put("back_at", s.restored_at)
+            .put("ever_listed", by_hand.was_ever_listed(name));
     }
     return f.text;
 }
 
 TEST(Golden, AdministrativeStateIsTheSameFiles) {
     const Folder folder;
-    ByHand by_hand(folder.at("state"));
-    by_hand.listed({kNames[0], kNames[1]});
-    by_hand.listed({kNames[1], kNames[2], kNames[3], kNames[4], kNames[6]});
+    AdminState by_hand(folder.at("state"));
+    by_hand.record_listed({kNames[0], kNames[1]});
+    by_hand.record_listed({kNames[1], kNames[2], kNames[3], kNames[4], kNames[6]});
     for (const std::string& name : kNames) {
         if (name == kNames[1]) continue;
-        EXPECT_TRUE(by_hand.take_out(name)) << name;
+        EXPECT_TRUE(by_hand.drain(name)) << name;
     }
-    EXPECT_TRUE(by_hand.call_back(kNames[1], kWall));  // was not out: nothing is left of it
-    EXPECT_TRUE(by_hand.call_back(kNames[2], kWall));
-    EXPECT_TRUE(by_hand.call_back(kNames[5], kWall));
-    EXPECT_TRUE(by_hand.call_back(kNames[0], kWall));
-    EXPECT_TRUE(by_hand.take_out(kNames[0]));
+    EXPECT_TRUE(by_hand.restore(kNames[1], kWall));  // was not out: nothing is left of it
+    EXPECT_TRUE(by_hand.restore(kNames[2], kWall));
+    EXPECT_TRUE(by_hand.restore(kNames[5], kWall));
+    EXPECT_TRUE(by_hand.restore(kNames[0], kWall));
+    EXPECT_TRUE(by_hand.drain(kNames[0]));
     // When they were taken out or called back is the time of the file: the only thing here that is not fixed.
     int at = 0;
     std::set<std::string> files;
@@ -423,12 +429,12 @@
         std::filesystem::permissions(path, static_cast<std::filesystem::perms>(mode));
         set_time(path, seconds, nanoseconds);
     }
-    ByHand by_hand(folder.at("state"));
-    std::vector<std::string> changed = by_hand.look(kWall + 100);
+    AdminState by_hand(folder.at("state"));
+    std::vector<std::string> changed = by_hand.reload(kWall + 100);
     std::sort(changed.begin(), changed.end());
     const std::string early = state_of(by_hand);
     std::vector<std::string> later =
-        by_hand.look(kWall + 615);  // one of those called back is forgotten by then
+        by_hand.reload(kWall + 615);  // one of those called back is forgotten by then
     std::sort(later.begin(), later.end());
     Fields f;
     f.put("changed", changed).text += early;
@@ -439,27 +445,33 @@
 // ---- files that are read --------------------------------------------------------------------------------
 
 TEST(Golden, OperatorsFileIsReadAsTheSameFields) {
-    const OperatorFile o = read_operator_file(golden_path("operator.toml"));
+    const OperatorConfig o = read_operator_config(golden_path("operator.toml"));
     Fields f;
-    f.put("json_log", o.json_log).put("log_lines_a_second", o.log_lines_a_second);
+    f.put("json_log", o.json_log).put("log_lines_a_second", o.log_lines_per_second);
     f.put("registry_addresses", o.registry_addresses)
         .put("registry_path", o.registry_path)
-        .put("registry_session", o.registry_session);
-    f.put("fleet_talk", o.fleet_talk)
-        .put("fleet_verdicts", o.fleet_verdicts)
-        .put("fleet_zones", o.fleet_zones);
-    f.put("fleet_regions", o.fleet_regions);
-    f.put("fleet_limits.tenants", o.fleet_limits.tenants).put("fleet_limits.origin", o.fleet_limits.origin);
-    f.put("fleet_limits.cold", o.fleet_limits.cold)
-        .put("fleet_limits.connections", o.fleet_limits.connections);
-    f.put("fleet_bytes_a_second", o.fleet_bytes_a_second).put("fleet_price_part", o.fleet_price_part);
+        .put("registry_session", o.registry_session_timeout);
+    f.put("fleet_talk", o.gossip_enabled)
+        .put("fleet_verdicts", o.apply_outlier_verdicts)
+        .put("fleet_zones", o.apply_zone_failover);
+    f.put("fleet_regions", o.failure_domains);
+    f.put("fleet_limits.tenants", o.fleet_quotas.share_tenant_quotas)
+        .put("fleet_limits.origin", o.fleet_quotas.origin_attempts_per_second);
+    f.put("fleet_limits.cold", o.fleet_quotas.slow_start_attempts_per_second)
+        .put("fleet_limits.connections", o.fleet_quotas.connections_per_server);
+    f.put("fleet_bytes_a_second", o.gossip_bytes_per_second)
+        .put("fleet_price_part", o.gossip_max_price_ratio);
     expect_golden("operator-fields.txt", f.text);
 }
 
 void put_operation(Fields& f, const Operation& o) {
-    f.put("repeat", o.repeat).put("scope", o.scope).put("dedup_window", o.dedup_window);
+    f.put("repeat", o.idempotency)
+        .put("scope", o.deduplication_scope)
+        .put("dedup_window", o.deduplication_window);
     f.put("latency_objective", o.latency_objective).put("client_timeout", o.client_timeout);
-    f.put("billed_value", o.billed_value).put("tardy_part", o.tardy_part).put("streamed", o.streamed);
+    f.put("billed_value", o.priority_weight)
+        .put("tardy_part", o.late_value_ratio)
+        .put("streamed", o.streamed);
 }
 
 std::string fields_of(const Scenario& s) {
@@ -576,8 +588,8 @@
                   fields_of(read_scenario(golden_path("scenario.toml"), overrides)));
 }
 
-void put_list(Fields& f, const ServerList& list) {
-    f.put("version", list.version).put("whole", list.whole).put("complaints", list.complaints);
+void put_list(Fields& f, const EndpointUpdate& list) {
+    f.put("version", list.version).put("whole", list.is_full).put("complaints", list.errors);
     for (const auto& s : list.servers) {
         f.head("server")
             .put("name", s.name)
@@ -585,45 +597,51 @@
             .put("zone", s.zone)
             .put("kind", s.kind)
             .put("cell", s.cell);
-        f.put("size", s.size).put("standing", s.standing).put("born", s.born);
+        f.put("size", s.weight).put("standing", s.state).put("born", s.started_at);
     }
 }
 
 TEST(Golden, NodesConfigurationIsReadAsTheSameFields) {
-    const Station s = read_station(golden_path("station.json"));
+    const NodeConfig s = read_node_config(golden_path("station.json"));
     Fields f;
     f.put("name", s.name)
         .put("listen", s.listen)
         .put("discovery", s.discovery)
-        .put("management", s.management);
+        .put("management", s.admin_listen);
     f.put("peer_listen", s.peer_listen)
         .put("peers", s.peers)
-        .put("peer_price", s.peer_price)
-        .put("scratch", s.scratch);
+        .put("peer_price", s.gossip_price)
+        .put("scratch", s.state_folder);
     f.put("seed", s.seed)
         .put("descriptors", s.descriptors)
         .put("memory_mb", s.memory_mb)
-        .put("most_open", s.most_open);
+        .put("most_open", s.max_open_requests);
     const auto& d = s.deployment;
     f.head("deployment")
         .put("zone", d.zone)
-        .put("zones", d.zones)
-        .put("node", d.node)
-        .put("nodes", d.nodes)
-        .put("tick", d.tick);
-    f.put("ask_for_list", d.ask_for_list).put("ask_every", d.ask_every).put("origin_kind", d.origin_kind);
-    f.put("origin_fall_multiple", d.origin_fall_multiple)
-        .put("may_duplicate", d.may_duplicate)
+        .put("zones", d.zone_count)
+        .put("node", d.node_index)
+        .put("nodes", d.node_count)
+        .put("tick", d.tick_interval);
+    f.put("ask_for_list", d.polls_endpoints)
+        .put("ask_every", d.poll_interval)
+        .put("origin_kind", d.origin_kind);
+    f.put("origin_fall_multiple", d.origin_overload_multiple)
+        .put("may_duplicate", d.may_hedge)
         .put("may_cancel", d.may_cancel);
-    f.put("may_probe", d.may_probe)
-        .put("may_tell_peers", d.may_tell_peers)
-        .put("most_forwards", d.most_forwards);
-    f.put("longest_retry_advice", d.longest_retry_advice).put("connect_timeout", d.connect_timeout);
-    f.put("connection_idle", d.connection_idle)
-        .put("answer_grace", d.answer_grace)
+    f.put("may_probe", d.may_health_check)
+        .put("may_tell_peers", d.may_gossip)
+        .put("most_forwards", d.max_attempts);
+    f.put("longest_retry_advice", d.max_retry_after).put("connect_timeout", d.connect_timeout);
+    f.put("connection_idle", d.connection_idle_timeout)
+        .put("answer_grace", d.response_grace)
         .put("drain_grace", d.drain_grace);
-    f.put("cold_from", d.cold_from).put("warm_within", d.warm_within).put("fall_multiple", d.fall_multiple);
-    f.put("fall_time", d.fall_time).put("sizes", d.sizes).put("beyond_share_part", d.beyond_share_part);
+    f.put("cold_from", d.cold_capacity_ratio)
+        .put("warm_within", d.slow_start_duration)
+        .put("fall_multiple", d.overload_multiple);
+    f.put("fall_time", d.overload_window)
+        .put("sizes", d.endpoint_weights)
+        .put("beyond_share_part", d.over_quota_value_ratio);
     for (const auto& o : d.operations) put_operation(f.head("operation"), o);
     for (const auto& t : d.tenants) f.head("tenant").put("quota", t.quota);
     f.head("names")
@@ -631,9 +649,9 @@
         .put("kinds", s.names.kinds)
         .put("operations", s.names.operations);
     f.put("tenants", s.names.tenants);
-    put_list(f.head("known"), s.known);
+    put_list(f.head("known"), s.cached_endpoints);
     f.head("given");
-    for (const auto& [path, keys] : s.given) f.put(path.c_str(), keys);
+    for (const auto& [path, keys] : s.given_keys) f.put(path.c_str(), keys);
     expect_golden("station-fields.txt", f.text);
 }
 
@@ -642,7 +660,7 @@
     root.Parse(golden("server-list.json").c_str());
     ASSERT_FALSE(root.HasParseError());
     Fields f;
-    put_list(f, read_server_list(root, read_station(golden_path("station.json")).names));
+    put_list(f, parse_endpoint_update(root, read_node_config(golden_path("station.json")).names));
     expect_golden("server-list-fields.txt", f.text);
 }
 
@@ -687,54 +705,57 @@
 // Node 2 of five in the golden configuration, with peers that the test plays; its clock moves by hand.
 struct TalkingNode {
     std::array<Datagrams, 5> peers;
-    Station station = read_station(golden_path("station.json"));
-    OperatorFile operator_file = read_operator_file(golden_path("operator.toml"));
-    Timers timers;
+    NodeConfig station = read_node_config(golden_path("station.json"));
+    OperatorConfig operator_file = read_operator_config(golden_path("operator.toml"));
+    TimerQueue timers;
     Log log{"golden"};
-    std::unique_ptr<Talk> talk;
+    std::unique_ptr<GossipAgent> talk;
     int sent = 0;
 
     explicit TalkingNode(bool with_socket) {
         clock_us = 1'000'000'000;
-        operator_file.fleet_verdicts = operator_file.fleet_zones = true;
+        operator_file.apply_outlier_verdicts = operator_file.apply_zone_failover = true;
         station.peers.clear();
         for (const Datagrams& peer : peers) station.peers.push_back(peer.address());
         station.peer_listen = with_socket ? peers[2].address() : std::string();
         peers[2].close();
-        EXPECT_EQ(Talk::against(station), with_socket ? "" : "the configuration has no peer_listen");
-        talk = std::make_unique<Talk>(
+        EXPECT_EQ(GossipAgent::why_unavailable(station),
+                  with_socket ? "" : "the configuration has no peer_listen");
+        talk = std::make_unique<GossipAgent>(
             timers, log, station, operator_file, [] {}, [](double, const std::string&, bool, double) {},
-            [](double, const fleet::Zones::Order&) {}, [](double, int, double) {});
-        talk->listed({"cache-1", "cache-2", "origin"}, 2);
+            [](double, const gossip::ZoneFailover::Change&) {}, [](double, int, double) {});
+        talk->on_endpoints({"cache-1", "cache-2", "origin"}, 2);
     }
-    double now() const { return monotonic(); }
+    double now() const { return monotonic_now(); }
     void step() {
         clock_us += 125'000;
-        talk->step(now());
+        talk->tick(now());
     }
     void hear(int from, const std::string& bytes) {
         peers[static_cast<std::size_t>(from)].send(peers[2], bytes);
         const std::string wanted = "\"received\":" + std::to_string(++sent) + ",";
-        for (int tries = 0; tries < 5000 && talk->state_text(now()).find(wanted) == std::string::npos;
+        for (int tries = 0; tries < 5000 && talk->state_json(now()).find(wanted) == std::string::npos;
              ++tries) {
             if (g_main_context_iteration(nullptr, FALSE) == FALSE) usleep(1000);
         }
-        EXPECT_NE(talk->state_text(now()).find(wanted), std::string::npos)
+        EXPECT_NE(talk->state_json(now()).find(wanted), std::string::npos)
             << "a datagram from node " << from << " did not come";
     }
     // What this node itself does in one step.
     void work(int step) {
-        talk->asked(now());
-        for (int t = 0; t < 3; ++t) talk->tenant_asked(now(), 0);
-        talk->origin_may(now());
-        talk->cold_may(now(), "cache-2");
-        talk->connections_most(now(), "cache-1", 30);
+        talk->on_request(now());
+        for (int t = 0; t < 3; ++t) talk->on_tenant_request(now(), 0);
+        talk->admit_origin_attempt(now());
+        talk->admit_slow_start(now(), "cache-2");
+        talk->max_connections(now(), "cache-1", 30);
         const auto forward = static_cast<std::uint64_t>(2 * step);
-        talk->began(now(), forward, "cache-1", 1, 0.4);
-        talk->began(now(), forward + 1, "cache-2", 0, 0.4);
-        talk->ended(now(), forward + 1, "cache-2", 0, step % 3 == 0 ? Ending::busy : Ending::succeeded, 0.05,
-                    0.4);
-        if (step % 2 == 0) talk->ended(now(), forward, "cache-1", 1, Ending::refused, 0.05, 0.4);
+        talk->on_attempt_started(now(), forward, "cache-1", 1, 0.4);
+        talk->on_attempt_started(now(), forward + 1, "cache-2", 0, 0.4);
+        talk->on_attempt_finished(now(), forward + 1, "cache-2", 0,
+                                  step % 3 == 0 ? AttemptOutcome::busy : AttemptOutcome::succeeded, 0.05,
+                                  0.4);
+        if (step % 2 == 0)
+            talk->on_attempt_finished(now(), forward, "cache-1", 1, AttemptOutcome::refused, 0.05, 0.4);
     }
 };
 
@@ -755,38 +776,38 @@
         node.work(s);
         node.step();
     }
-    node.talk->zone_by_hand(node.now(), 2, true);
+    node.talk->set_zone_admin_state(node.now(), 2, true);
     node.step();
-    expect_golden("fleet-state-alone.txt", in_lines(node.talk->state_text(node.now())));
+    expect_golden("fleet-state-alone.txt", in_lines(node.talk->state_json(node.now())));
 }
 
 TEST(Golden, FleetStateOfANodeThatHearsOthersIsTheSameJson) {
     TalkingNode node(true);
-    const fleet::Subject bad = fleet::subject_of("cache-1");
+    const gossip::ServerKey failures = gossip::server_key("cache-1");
     for (int s = 0; s < 48; ++s) {
         node.work(s);
         node.step();
         for (const int from : {0, 1, 3, 4}) {
             if ((s + from) % 4 != 0) continue;
-            fleet::Datagram d;
+            gossip::Datagram d;
             d.node = from;
             d.stamp = {1'790'000'500U + static_cast<std::uint32_t>(from),
                        1000U + static_cast<std::uint32_t>(s) * 32};
             d.zone = from == 0 ? 0 : 1;
-            if (from != 4 || s < 16) d.alive = {{1, 0.25, 1}, {3, 0.5, 1}};
-            d.sights = {{bad, 1, 9}};
-            d.findings = {{bad, from, d.stamp, 0b11, 3, 0.125}};
-            if (from != 0) d.zones = {{2, fleet::ZoneSight::lost, 5, 2}};
-            d.wants = {{fleet::subject_of("origin"), 20'000}};
-            if (from != 4 || s < 36) node.hear(from, fleet::encode(d));
+            if (from != 4 || s < 16) d.heartbeats = {{1, 0.25, 1}, {3, 0.5, 1}};
+            d.observations = {{failures, 1, 9}};
+            d.verdicts = {{failures, from, d.stamp, 0b11, 3, 0.125}};
+            if (from != 0) d.zone_reports = {{2, gossip::ZoneObservation::unreachable, 5, 2}};
+            d.lease_requests = {{gossip::server_key("origin"), 20'000}};
+            if (from != 4 || s < 36) node.hear(from, gossip::encode(d));
         }
     }
     node.hear(1, "no datagram");
-    fleet::Datagram dead;
+    gossip::Datagram dead;
     dead.node = 3;
     dead.stamp = {1'789'000'000, 1};
-    node.hear(3, fleet::encode(dead));
-    const std::string text = node.talk->state_text(node.now());
+    node.hear(3, gossip::encode(dead));
+    const std::string text = node.talk->state_json(node.now());
     for (const char* filled : {"\"said_by\":[{", "\"said_lost\":[1", "\"takers\":4"})
         EXPECT_NE(text.find(filled), std::string::npos) << filled;
     expect_golden("fleet-state.txt", in_lines(text));
@@ -881,34 +902,37 @@
     for (const std::string& input : inputs) {
         Command c;
         f.head(shown(input))
-            .put("taken", read_command(input, c))
+            .put("taken", parse_command(input, c))
             .put("kind", c.kind)
             .put("key", c.key)
             .put("id", c.id);
-        f.put("value", c.value).put("complaint", c.complaint).put("framing_lost", c.framing_lost);
-        f.put("operation", c.properties.operation)
-            .put("tenant", c.properties.tenant)
-            .put("repeat", c.properties.repeat);
-        f.put("time_left", c.properties.time_left);
+        f.put("value", c.value).put("complaint", c.error).put("framing_lost", c.framing_lost);
+        f.put("operation", c.attributes.operation)
+            .put("tenant", c.attributes.tenant)
+            .put("repeat", c.attributes.is_client_retry);
+        f.put("time_left", c.attributes.time_remaining);
         if (c.kind != Command::Kind::read && c.kind != Command::Kind::write) continue;
         for (const double left : {0.0, 0.0004, 1.2345, 3600.0}) {
-            f.put("properties_text", properties_text(c.properties, left))
-                .put("command_text", command_text(c, left));
-            f.put("origin_request", origin_request(c, left, "127.0.0.1:8080"));
+            f.put("properties_text", format_attributes(c.attributes, left))
+                .put("command_text", format_command(c, left));
+            f.put("origin_request", format_origin_request(c, left, "127.0.0.1:8080"));
         }
     }
     f.head("answers")
-        .put("value_head", value_head("id-7", 4'194'304))
-        .put("value_text", value_text("id-7", "a\r\nb"));
-    f.put("value_text", value_text("", ""))
-        .put("receipt_text", receipt_text("w1", "77"))
-        .put("busy_text", busy_text(0));
-    f.put("busy_text", busy_text(0.25))
-        .put("busy_text", busy_text(0.0004))
-        .put("busy_text", busy_text(12.3456));
-    f.head("http").put("path_of", path_of("a b/c?d#e%f:@~\xc3\xbc")).put("path_of", path_of(""));
-    f.put("http_request", http_request("POST", "/x", "[::1]:80", {{"A", "1"}, {"B-c", "two words"}}, "body"));
-    f.put("http_request", http_request("GET", "/", "h", {}, ""));
+        .put("value_head", format_value_header("id-7", 4'194'304))
+        .put("value_text", format_value("id-7", "a\r\nb"));
+    f.put("value_text", format_value("", ""))
+        .put("receipt_text", format_receipt("w1", "77"))
+        .put("busy_text", format_busy(0));
+    f.put("busy_text", format_busy(0.25))
+        .put("busy_text", format_busy(0.0004))
+        .put("busy_text", format_busy(12.3456));
+    f.head("http")
+        .put("path_of", percent_encode_segment("a b/c?d#e%f:@~\xc3\xbc"))
+        .put("path_of", percent_encode_segment(""));
+    f.put("http_request",
+          format_http_request("POST", "/x", "[::1]:80", {{"A", "1"}, {"B-c", "two words"}}, "body"));
+    f.put("http_request", format_http_request("GET", "/", "h", {}, ""));
     expect_golden("codecs.txt", f.text);
 }
 
@@ -919,7 +943,7 @@
                                     "VA 3 Oid\r\nabcd\r\n", "VA 3 Oid\r\nab", "what\r\n"}) {
         Reply r;
         f.head(shown(input))
-            .put("taken", read_reply(input, r))
+            .put("taken", parse_reply(input, r))
             .put("kind", r.kind)
             .put("id", r.id)
             .put("body", r.body);
@@ -930,12 +954,12 @@
           "HTTP/1.1 500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
           "HTTP/1.0 200 OK\r\n\r\nabc", "no http\r\n\r\n"}) {
-        Answer a;
+        AttemptResponse a;
         f.head(shown(input))
-            .put("taken", read_origin_answer(input, a))
-            .put("sound", a.sound)
+            .put("taken", parse_origin_response(input, a))
+            .put("sound", a.valid)
             .put("reusable", a.reusable);
-        f.put("unsized", a.unsized).put("ending", a.ending).put("body", a.body);
+        f.put("unsized", a.unknown_length).put("ending", a.outcome).put("body", a.body);
     }
     expect_golden("codec-fields.txt", f.text);
 }
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -16,10 +16,10 @@
 #include <thread>
 
 #include "testkit/experiment.h"
+#include "testkit/fault_schedule.h"
 #include "testkit/histogram.h"
 #include "testkit/rehearsal.h"
 #include "testkit/report.h"
-#include "testkit/fault_schedule.h"
 #include "testkit/scripted_peer.h"
 #include "testkit/server_model.h"
 #include "testkit/wire.h"
@@ -27,7 +27,7 @@
 namespace {
 
 using namespace brookrelay;
-using namespace brookrelay::kit;
+using namespace brookrelay::testkit;
 
 // ---- parts ----------------------------------------------------------------------------------------------
 
@@ -193,20 +193,20 @@
     box.count = 3;
     box.keys = 2000;
     s.kinds = {box};
-    const auto operation = [](const char* name, Repeat repeat, bool write, double share) {
+    const auto operation = [](const char* name, Idempotency repeat, bool write, double share) {
         OperationPlan o;
         o.name = name;
         o.write = write;
         o.share = share;
-        o.promised.repeat = repeat;
-        o.promised.dedup_window = repeat == Repeat::deduplicated ? 3 : 0;
+        o.promised.idempotency = repeat;
+        o.promised.deduplication_window = repeat == Idempotency::idempotency_key ? 3 : 0;
         o.promised.client_timeout = 1;
         o.promised.latency_objective = 0.4;
         return o;
     };
-    s.operations = {operation("read", Repeat::idempotent, false, 80),
-                    operation("submit", Repeat::deduplicated, true, 12),
-                    operation("once", Repeat::non_idempotent, true, 8)};
+    s.operations = {operation("read", Idempotency::idempotent, false, 80),
+                    operation("submit", Idempotency::idempotency_key, true, 12),
+                    operation("once", Idempotency::none, true, 8)};
     s.tenants = {{"shops", 1, 0}, {"partners", 1, 0}};
     s.clients.rate = 250;
     s.keys.count = 3000;
--- a/tests/limit_days_test.cpp
+++ b/tests/limit_days_test.cpp
@@ -7,10 +7,10 @@
 #include <chrono>
 #include <cstdio>
 
-#include "testkit/greedy_peer.h"
 #include "days.h"
+#include "testkit/greedy_peer.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr double kOrigin = 60;  // a second, of all daemons together
@@ -331,4 +331,4 @@
 }
 
 }  // namespace
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -18,7 +18,7 @@
 #include "model/quota_fleet.h"
 #include "model/quota_lease_model.h"
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 namespace {
 
 using World = model::LimitFleet;
@@ -33,20 +33,20 @@
 
 struct Two {
     double now = 100;
-    Limits giver{{0, 4}, 90}, taker{{1, 4}, 90};
+    QuotaLeases giver{{0, 4}, 90}, taker{{1, 4}, 90};
     std::uint32_t number = 0;
-    Two() { giver.needs(now, 0, 0); }  // it knows of the limit, and needs nothing
-    static constexpr std::uint32_t kBase = kWhole / 4;
+    Two() { giver.set_demand(now, 0, 0); }  // it knows of the limit, and needs nothing
+    static constexpr std::uint32_t kBase = kTotalUnits / 4;
     // The taker needs half of the whole; what it asks the giver, and under which number.
-    std::pair<std::uint32_t, Want> ask(double part = 0.5) {
-        taker.needs(now, 0, part * kWhole);
-        for (const Limits::Ask& a : taker.tick(now, {0}, 0)) {
-            taker.asked(0, a.want, ++number, now);
-            return {number, a.want};
+    std::pair<std::uint32_t, LeaseRequest> ask(double part = 0.5) {
+        taker.set_demand(now, 0, part * kTotalUnits);
+        for (const QuotaLeases::OutgoingRequest& a : taker.tick(now, {0}, 0)) {
+            taker.on_request_sent(0, a.request, ++number, now);
+            return {number, a.request};
         }
         return {0, {}};
     }
-    std::uint32_t all() const { return giver.part(0, now) + taker.part(0, now); }
+    std::uint32_t all() const { return giver.share(0, now) + taker.share(0, now); }
 };
 
 TEST(Limits, ALentPartIsTheLendersAgainOnlyWhenItCannotBeInUse) {
@@ -54,64 +54,64 @@
     const auto [number, want] = t.ask();
     ASSERT_NE(number, 0U);
     t.now += 0.5;  // on its way
-    const Grant grant = t.giver.wanted(t.now, 1, number, want);
-    EXPECT_GT(grant.crumbs, 0U);
-    EXPECT_EQ(t.giver.part(0, t.now), Two::kBase - grant.crumbs) << "before anybody has heard of it";
+    const LeaseGrant grant = t.giver.on_request(t.now, 1, number, want);
+    EXPECT_GT(grant.units, 0U);
+    EXPECT_EQ(t.giver.share(0, t.now), Two::kBase - grant.units) << "before anybody has heard of it";
     t.now += 1;
-    t.taker.granted(t.now, 0, grant);
-    EXPECT_EQ(t.taker.part(0, t.now), Two::kBase + grant.crumbs);
+    t.taker.on_grant(t.now, 0, grant);
+    EXPECT_EQ(t.taker.share(0, t.now), Two::kBase + grant.units);
     EXPECT_EQ(t.all(), 2 * Two::kBase);
-    t.now = 100 + kLease;  // since it asked
-    EXPECT_EQ(t.taker.part(0, t.now), Two::kBase);
-    EXPECT_LT(t.giver.part(0, t.now), Two::kBase);
-    t.now = 100.5 + kLease * 1.03;
-    EXPECT_EQ(t.giver.part(0, t.now), Two::kBase);
+    t.now = 100 + kLeaseDuration;  // since it asked
+    EXPECT_EQ(t.taker.share(0, t.now), Two::kBase);
+    EXPECT_LT(t.giver.share(0, t.now), Two::kBase);
+    t.now = 100.5 + kLeaseDuration * 1.03;
+    EXPECT_EQ(t.giver.share(0, t.now), Two::kBase);
 }
 
 TEST(Limits, DoubledLateUnaskedAndOverlargeGrantsAddNothing) {
     Two t;
     const auto [number, want] = t.ask();
-    const Grant grant = t.giver.wanted(t.now, 1, number, want);
-    const Grant again = t.giver.wanted(t.now, 1, number, want);
-    for (const Grant& g : {grant, again, grant}) t.taker.granted(t.now, 0, g);
+    const LeaseGrant grant = t.giver.on_request(t.now, 1, number, want);
+    const LeaseGrant again = t.giver.on_request(t.now, 1, number, want);
+    for (const LeaseGrant& g : {grant, again, grant}) t.taker.on_grant(t.now, 0, g);
     EXPECT_EQ(t.all(), 2 * Two::kBase);
     Two late;
     const auto [n2, w2] = late.ask();
-    const Grant old = late.giver.wanted(late.now, 1, n2, w2);
-    late.now += kLease;
-    late.taker.granted(late.now, 0, old);
-    EXPECT_EQ(late.taker.part(0, late.now), Two::kBase) << "as old as a lease";
+    const LeaseGrant old = late.giver.on_request(late.now, 1, n2, w2);
+    late.now += kLeaseDuration;
+    late.taker.on_grant(late.now, 0, old);
+    EXPECT_EQ(late.taker.share(0, late.now), Two::kBase) << "as old as a lease";
     Two lies;
     const auto [n3, w3] = lies.ask();
-    lies.taker.granted(lies.now, 0, {0, kWhole, n3 + 7});
-    EXPECT_EQ(lies.taker.part(0, lies.now), Two::kBase) << "under a number that was never asked";
-    lies.taker.granted(lies.now, 2, {0, kWhole, n3});
-    EXPECT_EQ(lies.taker.part(0, lies.now), Two::kBase) << "asked of another";
-    lies.taker.granted(lies.now, 0, {0, kWhole, n3});
-    EXPECT_LE(lies.taker.part(0, lies.now), Two::kBase + Limits::most_lent(4))
+    lies.taker.on_grant(lies.now, 0, {0, kTotalUnits, n3 + 7});
+    EXPECT_EQ(lies.taker.share(0, lies.now), Two::kBase) << "under a number that was never asked";
+    lies.taker.on_grant(lies.now, 2, {0, kTotalUnits, n3});
+    EXPECT_EQ(lies.taker.share(0, lies.now), Two::kBase) << "asked of another";
+    lies.taker.on_grant(lies.now, 0, {0, kTotalUnits, n3});
+    EXPECT_LE(lies.taker.share(0, lies.now), Two::kBase + QuotaLeases::max_lent(4))
         << "who claims the whole gives what one may";
 }
 
 TEST(Limits, WhatIsNeededOrBorrowedIsNotLent) {
     Two t;
-    t.giver.needs(t.now, 0, 0.2 * kWhole);  // with headroom all of its quarter
+    t.giver.set_demand(t.now, 0, 0.2 * kTotalUnits);  // with headroom all of its quarter
     const auto [number, want] = t.ask();
-    EXPECT_EQ(t.giver.wanted(t.now, 1, number, want).crumbs, 0U);
+    EXPECT_EQ(t.giver.on_request(t.now, 1, number, want).units, 0U);
     Two lent;
     const auto [n2, w2] = lent.ask();
-    lent.taker.granted(lent.now, 0, lent.giver.wanted(lent.now, 1, n2, w2));
-    lent.taker.needs(lent.now, 0, 0);
-    const Grant on = lent.taker.wanted(lent.now, 2, 9, {0, kWhole});
-    EXPECT_LE(on.crumbs, Limits::most_lent(4)) << "of its own alone";
+    lent.taker.on_grant(lent.now, 0, lent.giver.on_request(lent.now, 1, n2, w2));
+    lent.taker.set_demand(lent.now, 0, 0);
+    const LeaseGrant on = lent.taker.on_request(lent.now, 2, 9, {0, kTotalUnits});
+    EXPECT_LE(on.units, QuotaLeases::max_lent(4)) << "of its own alone";
 }
 
 TEST(Limits, ANewLifeUsesOnlyWhatIsNeverLentUntilAnEarlierOnesLeasesHaveLapsed) {
-    Limits started({0, 4}, 100);
-    EXPECT_EQ(started.part(0, 100.1), Two::kBase - Limits::most_lent(4));
-    EXPECT_EQ(started.wanted(100.1, 1, 1, {0, 1000}).crumbs, 0U);
-    EXPECT_EQ(started.part(0, 100 + kLease * 1.03), Two::kBase);
-    started.anew(110);  // another process of the node held its address until now
-    EXPECT_EQ(started.part(0, 110.1), Two::kBase - Limits::most_lent(4));
+    QuotaLeases started({0, 4}, 100);
+    EXPECT_EQ(started.share(0, 100.1), Two::kBase - QuotaLeases::max_lent(4));
+    EXPECT_EQ(started.on_request(100.1, 1, 1, {0, 1000}).units, 0U);
+    EXPECT_EQ(started.share(0, 100 + kLeaseDuration * 1.03), Two::kBase);
+    started.reset(110);  // another process of the node held its address until now
+    EXPECT_EQ(started.share(0, 110.1), Two::kBase - QuotaLeases::max_lent(4));
 }
 
 // ---- what is done with a part ---------------------------------------------------------------------------
@@ -124,38 +124,38 @@
         int slack;  // over or under, in any second
     };
     for (const Row& row : {Row{12, 30, 4}, Row{300, 30, 4}, Row{300, 600, 20}, Row{40, 4, 3}}) {
-        std::vector<Budgets> fleet;
+        std::vector<FleetQuotas> fleet;
         for (int n = 0; n < row.nodes; ++n) {
             fleet.emplace_back(n, row.nodes);
-            EXPECT_TRUE(fleet.back().settle_in({false, 0, row.cold, 0}, {}).empty());
+            EXPECT_TRUE(fleet.back().apply_configuration({false, 0, row.cold, 0}, {}).empty());
         }
-        for (const Subject server : {7U, 991U}) {
+        for (const ServerKey server : {7U, 991U}) {
             for (int second = 0; second < 6; ++second) {
                 int sent = 0;
                 for (int step = 0; step < 50; ++step) {
                     const double now = 100 + second + step / 50.0;
-                    for (Budgets& b : fleet) {
-                        if (!b.cold_may(now, server, 1.0 / row.nodes)) continue;
-                        b.cold_sent(now, server, 1.0 / row.nodes);
+                    for (FleetQuotas& b : fleet) {
+                        if (!b.may_start_slow_start_attempt(now, server, 1.0 / row.nodes)) continue;
+                        b.on_slow_start_attempt(now, server, 1.0 / row.nodes);
                         ++sent;
                     }
                 }
                 EXPECT_NEAR(sent, row.cold, row.slack) << row.nodes << " nodes, second " << second;
             }
         }
-        for (const Budgets::Limit& l : fleet[0].limits(105.99))
-            EXPECT_NEAR(l.need * row.cold, 50, 1) << "asked for, not what was sent";
+        for (const FleetQuotas::Quota& l : fleet[0].quotas(105.99))
+            EXPECT_NEAR(l.demand * row.cold, 50, 1) << "asked for, not what was sent";
     }
 }
 
 TEST(Budgets, WhoGoesToAColdServerWithoutAskingIsMadeUpFor) {
-    Budgets b(0, 1);
-    b.settle_in({false, 0, 4, 0}, {});
-    (void)b.cold_may(100, 7, 1);
-    for (int i = 0; i < 9; ++i) b.cold_sent(100, 7, 1);  // who waited for one fetch
-    EXPECT_FALSE(b.cold_may(102, 7, 1));
-    EXPECT_TRUE(b.cold_may(103, 7, 1));
-    EXPECT_FALSE(b.cold_may(103, 8, 1)) << "another server's is another's";
+    FleetQuotas b(0, 1);
+    b.apply_configuration({false, 0, 4, 0}, {});
+    (void)b.may_start_slow_start_attempt(100, 7, 1);
+    for (int i = 0; i < 9; ++i) b.on_slow_start_attempt(100, 7, 1);  // who waited for one fetch
+    EXPECT_FALSE(b.may_start_slow_start_attempt(102, 7, 1));
+    EXPECT_TRUE(b.may_start_slow_start_attempt(103, 7, 1));
+    EXPECT_FALSE(b.may_start_slow_start_attempt(103, 8, 1)) << "another server's is another's";
 }
 
 TEST(Budgets, ConnectionsOfAllNodesNeverComeToMoreThanTheWhole) {
@@ -165,46 +165,46 @@
         for (int n = 1; n <= 8; ++n) parts[static_cast<std::size_t>(n)] /= 16;
         int all = 0;
         for (int n = 0; n < 12; ++n) {
-            Budgets b(n, 12);
-            b.settle_in({false, 0, 0, whole}, {});
-            const int most = b.connections_most(100, 7, whole, parts[static_cast<std::size_t>(n)]);
+            FleetQuotas b(n, 12);
+            b.apply_configuration({false, 0, 0, whole}, {});
+            const int most = b.max_connections(100, 7, whole, parts[static_cast<std::size_t>(n)]);
             EXPECT_GE(most, 1);
             all += most;
             // What it could use is told as a part, and of that it would get all that it wants.
-            for (const Budgets::Limit& l : b.limits(100))
-                EXPECT_GE(1 + l.need * (whole - 12), whole == 12 ? 1 : whole);
+            for (const FleetQuotas::Quota& l : b.quotas(100))
+                EXPECT_GE(1 + l.demand * (whole - 12), whole == 12 ? 1 : whole);
         }
         EXPECT_LE(all, whole);
     }
 }
 
 TEST(Budgets, ALimitTooSmallForSoManyNodesIsNotTakenAndSaidSo) {
-    Budgets b(0, 12);
-    EXPECT_EQ(b.settle_in({false, 11, 0, 0}, {}).size(), 1U);
-    EXPECT_EQ(b.settle_in({true, 11, 3, 11}, {{"acme", 5}, {"bolt", 0}}).size(), 2U);
-    EXPECT_TRUE(b.origin_may(100, 0)) << "left to each node";
-    const std::vector<Budgets::Limit> all = b.limits(100);
+    FleetQuotas b(0, 12);
+    EXPECT_EQ(b.apply_configuration({false, 11, 0, 0}, {}).size(), 1U);
+    EXPECT_EQ(b.apply_configuration({true, 11, 3, 11}, {{"acme", 5}, {"bolt", 0}}).size(), 2U);
+    EXPECT_TRUE(b.admit_origin_attempt(100, 0)) << "left to each node";
+    const std::vector<FleetQuotas::Quota> all = b.quotas(100);
     ASSERT_EQ(all.size(), 2U);
     EXPECT_EQ(all[0].name, "cold");
-    EXPECT_EQ(all[1].id, Budgets::id("tenant acme"));
+    EXPECT_EQ(all[1].id, FleetQuotas::id("tenant acme"));
 }
 
 // Tenants numbered otherwise by a reload keep their parts, and what a limit lent while it was none stays
 // lent.
 TEST(Budgets, PartsGoByTheLimitsNameWhateverItsNumber) {
-    Budgets before(0, 2), after(1, 2);
-    before.settle_in({true, 0, 0, 0}, {{"acme", 5}, {"bolt", 9}});
-    after.settle_in({true, 0, 0, 0}, {{"bolt", 9}, {"acme", 5}});
-    EXPECT_EQ(before.limits(100)[0].id, after.limits(100)[1].id);
+    FleetQuotas before(0, 2), after(1, 2);
+    before.apply_configuration({true, 0, 0, 0}, {{"acme", 5}, {"bolt", 9}});
+    after.apply_configuration({true, 0, 0, 0}, {{"bolt", 9}, {"acme", 5}});
+    EXPECT_EQ(before.quotas(100)[0].id, after.quotas(100)[1].id);
     Two t;
     const auto [number, want] = t.ask();
-    EXPECT_EQ(t.giver.wanted(t.now, 1, number, {want.limit + 1, want.crumbs}).crumbs, 0U)
+    EXPECT_EQ(t.giver.on_request(t.now, 1, number, {want.quota + 1, want.units}).units, 0U)
         << "none that it knows";
 }
 
 TEST(Spending, SavesUpAQuarterOfASecondsAtTheMostHoweverLongItStood) {
     for (const double rate : {0.5, 40.0}) {
-        Spending s;
+        TokenBucket s;
         (void)s.take(100, rate);
         int after = 0;
         for (int i = 0; i < 100; ++i) after += s.take(160, rate);
@@ -325,32 +325,32 @@
 
 // Numbers begin anew in each life: what was granted to an earlier one must not pass for what this one asked.
 TEST(LimitsFleet, AGrantThatAnEarlierLifeAskedForIsNone) {
-    Terms t;
-    t.nodes = 2;
-    Exchange e(t, 20, 1, 100);
+    GossipSettings t;
+    t.node_count = 2;
+    OutlierExchange e(t, 20, 1, 100);
     double now = 104;
     std::uint32_t number = 0;
     const auto step = [&](std::uint32_t start_of_yours) {
-        now += Exchange::kStep;
-        e.limit_needs(now, 0, kWhole);
+        now += OutlierExchange::kTickInterval;
+        e.set_quota_demand(now, 0, kTotalUnits);
         for (const Outgoing& o : e.tick(now)) {
             Datagram d;
             ASSERT_TRUE(decode(o.bytes, d));
-            if (!d.wants.empty()) number = d.stamp.number;
+            if (!d.lease_requests.empty()) number = d.stamp.sequence;
         }
         Datagram d;
         d.node = 1;
-        d.stamp = {5, static_cast<std::uint32_t>((now - 100) / kTick)};
-        d.start_of_yours = start_of_yours;
-        if (number != 0) d.grants = {{0, 1000, number}};
-        e.received(now, 1, encode(d));
+        d.stamp = {5, static_cast<std::uint32_t>((now - 100) / kTickSeconds)};
+        d.receiver_incarnation = start_of_yours;
+        if (number != 0) d.lease_grants = {{0, 1000, number}};
+        e.on_datagram(now, 1, encode(d));
     };
-    const std::uint32_t own = kWhole / 2;
+    const std::uint32_t own = kTotalUnits / 2;
     for (int i = 0; i < 6; ++i) step(19);
     EXPECT_NE(number, 0U);
-    EXPECT_EQ(e.limit_part(0, now), own);
+    EXPECT_EQ(e.quota_share(0, now), own);
     for (int i = 0; i < 6; ++i) step(20);
-    EXPECT_EQ(e.limit_part(0, now), own + 1000);
+    EXPECT_EQ(e.quota_share(0, now), own + 1000);
 }
 
 TEST(LimitsFleet, TwoHalvesKeepToTheWholeTogetherAndAgreeAgain) {
@@ -370,4 +370,4 @@
 }
 
 }  // namespace
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -2,11 +2,11 @@
 // discovery, and spoken to as clients would.
 #include <gtest/gtest.h>
 
-#include "cli/fleet_commands.h"
+#include "fleet.h"
 
 namespace {
 
-using namespace brookrelay::kit;
+using namespace brookrelay::testkit;
 
 TEST(Proxy, AHitIsServedByOneCacheOverOneConnection) {
     Fleet fleet(3);
@@ -537,7 +537,7 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// Seen on the bench: served with a value made for another client's request.
+// AttemptHealth on the bench: served with a value made for another client's request.
 TEST(Proxy, AnIdStillInUseIsRejected) {
     Fleet fleet(1);
     std::atomic<bool> go{false};
@@ -579,8 +579,8 @@
     EXPECT_EQ(kept.until("\r\n"), "VA 5 Ok1\r\n");
 }
 
-// Seen on the bench with 80 descriptors: a client that had just connected was taken for an idle one and
-// closed with its command unread.
+// AttemptHealth on the bench with 80 descriptors: a client that had just connected was taken for an idle one
+// and closed with its command unread.
 TEST(Proxy, AtTheConnectionLimitAnsweredClientsAreClosed) {
     Fleet fleet(1, {64, 250, silent});  // room for 28 clients
     std::list<Line> lines;
@@ -593,7 +593,7 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// Seen on the bench: clients that asked once and stayed held every connection that clients may hold.
+// AttemptHealth on the bench: clients that asked once and stayed held every connection that clients may hold.
 TEST(Proxy, OnlySomeIdleClientsAreKept) {
     Fleet fleet(1);  // room for 144 clients
     std::list<Line> lines;
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -3,11 +3,11 @@
 
 #include <filesystem>
 
-#include "cli/fleet_commands.h"
+#include "fleet.h"
 
 namespace {
 
-using namespace brookrelay::kit;
+using namespace brookrelay::testkit;
 
 Around run_by_operators() {
     Around around;
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -8,11 +8,11 @@
 #include <functional>
 #include <set>
 
-#include "testkit/connection.h"
 #include "days.h"
 #include "gossip/messages.h"
+#include "testkit/connection.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 using Which = std::function<bool(int node)>;
@@ -255,15 +255,15 @@
         play(s, 1, [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
             for (int i = 0; i < 50; ++i) {
                 for (const std::string& listen : listens) {
-                    fleet::Datagram d;
+                    gossip::Datagram d;
                     d.node = i % 4;
                     d.stamp = {4'000'000'000U, 1000U + static_cast<std::uint32_t>(i)};
                     for (int c = 1; c <= 8; ++c)
-                        d.findings.push_back(
-                            {fleet::subject_of("box-" + std::to_string(c)), (i + 1) % 4, d.stamp, 1, 9, 0});
+                        d.verdicts.push_back(
+                            {gossip::server_key("box-" + std::to_string(c)), (i + 1) % 4, d.stamp, 1, 9, 0});
                     const std::size_t colon = listen.find(':');
                     stranger.send_to(
-                        boost::asio::buffer(fleet::encode(d)),
+                        boost::asio::buffer(gossip::encode(d)),
                         Udp::endpoint(boost::asio::ip::make_address(listen.substr(0, colon)),
                                       static_cast<unsigned short>(std::stoul(listen.substr(colon + 1)))));
                 }
@@ -303,4 +303,4 @@
 }
 
 }  // namespace
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -5,11 +5,11 @@
 
 #include <algorithm>
 
-#include "cli/fleet_commands.h"
+#include "fleet.h"
 
 namespace {
 
-using namespace brookrelay::kit;
+using namespace brookrelay::testkit;
 
 double seconds() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -364,7 +364,7 @@
 
 // The repeat of a deduplicated write has to begin while the first is remembered. A long one begins with its
 // last byte: one that the origin does not take in for so long is taken back, since it has not run.
-TEST(Repeat, DoesNotBeginAfterItsWindow) {
+TEST(Idempotency, DoesNotBeginAfterItsWindow) {
     Around around;
     around.put = R"("deduplicated","group":"all","key_ttl_us":1000000)";
     Fleet fleet(1, around);
--- a/tests/registrations_test.cpp
+++ b/tests/registrations_test.cpp
@@ -1,13 +1,13 @@
 // What is made of ephemeral registrations: views written by hand, and what the decision module is told of
 // them.
-#include "coordination/service_registrations.h"
-
 #include <gtest/gtest.h>
 
 #include <cmath>
 #include <string>
 #include <vector>
 
+#include "coordination/service_registrations.h"
+
 namespace {
 
 using namespace brookrelay;
@@ -27,20 +27,20 @@
 }
 
 // "+a" ready and fresh, "=a" ready as it was, "-a" gone.
-std::string told(Registrations& r) {
+std::string told(ServiceRegistrations& r) {
     std::string all;
     for (const RegistrationChange& c : r.take_changes()) {
         all += (all.empty() ? "" : " ") +
-               std::string(c.standing == Standing::gone ? "-"
-                           : c.fresh                    ? "+"
-                                                        : "=") +
+               std::string(c.standing == EndpointState::removed ? "-"
+                           : c.fresh                            ? "+"
+                                                                : "=") +
                c.who.name;
     }
     return all;
 }
 
 TEST(Registrations, TellsWhoComesAndGoes) {
-    Registrations r;
+    ServiceRegistrations r;
     EXPECT_TRUE(r.view(0, 1, {box("a"), box("b"), box("c"), box("d")}));
     EXPECT_EQ(told(r), "+a +b +c +d");
     EXPECT_TRUE(r.view(100, 2, {box("a"), box("c"), box("d")}));
@@ -56,7 +56,7 @@
 }
 
 TEST(Registrations, AFlappingOneIsToldGoneAtOnceAndTrustedLaterEachTime) {
-    Registrations r;
+    ServiceRegistrations r;
     std::int64_t order = 0;
     double now = 0, longest = 0;
     int comings = 0;
@@ -92,7 +92,7 @@
 }
 
 TEST(Registrations, AListWipedCleanIsDoubted) {
-    Registrations r;
+    ServiceRegistrations r;
     (void)r.view(0, 1, boxes(10));
     (void)told(r);
     (void)r.view(100, 2, {});
@@ -113,7 +113,7 @@
 
 // Sessions that expire one after another within a moment, each in a view of its own.
 TEST(Registrations, AWipeInManyViewsIsDoubtedToo) {
-    Registrations r;
+    ServiceRegistrations r;
     (void)r.view(0, 1, boxes(10));
     (void)told(r);
     for (int gone = 1; gone <= 10; ++gone) (void)r.view(100 + 0.02 * gone, 1 + gone, boxes(10, gone));
@@ -122,7 +122,7 @@
     r.believe(101);  // an operator knows better
     EXPECT_EQ(r.standing(), 0U);
     // Over a longer time they are gone, one by one.
-    Registrations slow;
+    ServiceRegistrations slow;
     (void)slow.view(0, 1, boxes(10));
     for (int gone = 1; gone <= 10; ++gone) (void)slow.view(100 + 2.0 * gone, 1 + gone, boxes(10, gone));
     EXPECT_EQ(slow.standing(), 0U);
@@ -135,7 +135,7 @@
     } cases[] = {{2, 2, false},  {3, 3, true},  {10, 1, false},
                  {10, 5, false}, {10, 6, true}, {1000, 500, false}};
     for (const auto& c : cases) {
-        Registrations r;
+        ServiceRegistrations r;
         (void)r.view(0, 1, boxes(c.all));
         (void)r.view(100, 2, boxes(c.all, c.go));
         EXPECT_EQ(r.doubted(), c.doubted ? static_cast<std::size_t>(c.go) : 0U) << c.all << " " << c.go;
@@ -144,7 +144,7 @@
 }
 
 TEST(Registrations, WithoutTheCoordinatorTheListStands) {
-    Registrations r;
+    ServiceRegistrations r;
     (void)r.view(0, 1, boxes(5));
     (void)told(r);
     r.lost(10);
@@ -162,7 +162,7 @@
 }
 
 TEST(Registrations, NamesThatNeverReturnAreForgotten) {
-    Registrations r;
+    ServiceRegistrations r;
     for (int i = 0; i < 5000; ++i) {
         std::vector<Registration> all = boxes(4);
         all.push_back(box("once-" + std::to_string(i), i));
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -14,15 +14,15 @@
 #include <string>
 #include <thread>
 
-#include "testkit/fake_coordinator_server.h"
 #include "config/json.h"
 #include "config/registration.h"
+#include "testkit/fake_coordinator_server.h"
 #include "testkit/scripted_peer.h"
 
 namespace {
 
 using namespace brookrelay;
-using namespace brookrelay::kit;
+using namespace brookrelay::testkit;
 
 class Watched {
   public:
@@ -221,7 +221,7 @@
         try {
             (void)read_registration(data, names);
             ADD_FAILURE() << data;
-        } catch (const BadInput& bad) {
+        } catch (const ConfigurationError& bad) {
             EXPECT_NE(std::string(bad.what()).find(said), std::string::npos) << bad.what();
         }
     }
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -33,20 +33,20 @@
 
 TEST(Ring, EveryNodeComputesTheSameOwners) {
     Fleet a(6), b(6);
-    b.deployment.node = 1;
+    b.deployment.node_index = 1;
     a.start();
     b.start();
     EXPECT_EQ(owners(a, 300), owners(b, 300));
 }
 
 TEST(Ring, ALeavingCacheMovesOnlyItsOwnKeys) {
-    for (Standing standing : {Standing::draining, Standing::gone}) {
-        SCOPED_TRACE(standing == Standing::draining ? "draining" : "gone");
+    for (EndpointState standing : {EndpointState::draining, EndpointState::removed}) {
+        SCOPED_TRACE(standing == EndpointState::draining ? "draining" : "gone");
         Fleet fleet(6);
         fleet.start();
         const auto before = owners(fleet, 400);
-        fleet.list[3].standing = standing;
-        fleet.tell(ListKind::change);
+        fleet.list[3].state = standing;
+        fleet.tell(UpdateKind::delta);
         const auto after = owners(fleet, 400);
         for (std::size_t k = 0; k < before.size(); ++k) {
             EXPECT_NE(after[k], 3);
@@ -54,8 +54,8 @@
                 EXPECT_EQ(after[k], before[k]);
             }
         }
-        fleet.list[3].standing = Standing::ready;
-        fleet.tell(ListKind::whole);
+        fleet.list[3].state = EndpointState::ready;
+        fleet.tell(UpdateKind::full);
         EXPECT_EQ(owners(fleet, 400), before);
     }
 }
@@ -64,10 +64,10 @@
     Fleet fleet(6, 2);
     fleet.start();
     for (int c : owners(fleet, 200)) EXPECT_EQ(c % 2, 1);
-    for (Listing& l : fleet.list) {
-        if (l.cache != kOrigin && l.zone == 0) l.standing = Standing::gone;
+    for (Endpoint& l : fleet.list) {
+        if (l.server != kOrigin && l.zone == 0) l.state = EndpointState::removed;
     }
-    fleet.tell(ListKind::change);
+    fleet.tell(UpdateKind::delta);
     for (int c : owners(fleet, 200)) {
         EXPECT_EQ(c % 2, 0);
         EXPECT_NE(c, kOrigin);
@@ -133,7 +133,7 @@
     for (const Case& c : {Case{0.05, 400, 400}, Case{0.25, 100, 200}}) {
         SCOPED_TRACE(testing::Message() << "took " << c.took);
         Fleet fleet(6);
-        for (Listing& l : fleet.list) l.kind = l.cache == kOrigin ? 1 : l.cache % 2 * 2;
+        for (Endpoint& l : fleet.list) l.kind = l.server == kOrigin ? 1 : l.server % 2 * 2;
         fleet.start();
         std::vector<std::uint64_t> at_home;
         for (std::uint64_t key = 0; at_home.size() < 400; ++key) {
@@ -143,7 +143,8 @@
             fleet.now += 0.5;
             const int inv = fleet.arrive(static_cast<std::uint64_t>(n));
             const bool slow = fleet.host.sent.back().cache % 2 == 1;
-            if (fleet.finals(inv) == 0) fleet.end(inv, 0, Ending::succeeded, slow ? c.took : 0.05, true);
+            if (fleet.finals(inv) == 0)
+                fleet.end(inv, 0, AttemptOutcome::succeeded, slow ? c.took : 0.05, true);
         }
         int stay = 0;
         for (std::uint64_t key : at_home) stay += fleet.owner(key) % 2 == 1;
@@ -154,20 +155,22 @@
 
 TEST(Ring, PointsFollowTheListedSizeOfTheServerKind) {
     struct Case {
-        Sizes sizes;
+        EndpointWeights sizes;
         double small, big;   // listed sizes of the odd and the even caches
         double least, most;  // share of keys on the odd ones
     };
-    for (const Case& c : {Case{Sizes::untold, 0.5, 4, 0.4, 0.6}, Case{Sizes::fixed, 1, 1, 0.4, 0.6},
-                          Case{Sizes::fixed, 1, 3, 0.18, 0.33}, Case{Sizes::live, 0.5, 4, 0.05, 0.18}}) {
+    for (const Case& c :
+         {Case{EndpointWeights::absent, 0.5, 4, 0.4, 0.6}, Case{EndpointWeights::fixed, 1, 1, 0.4, 0.6},
+          Case{EndpointWeights::fixed, 1, 3, 0.18, 0.33},
+          Case{EndpointWeights::load_adjusted, 0.5, 4, 0.05, 0.18}}) {
         SCOPED_TRACE(testing::Message()
                      << "sizes " << static_cast<int>(c.sizes) << ", " << c.small << " and " << c.big);
         Fleet fleet(6);
-        fleet.deployment.sizes = c.sizes;
-        for (Listing& l : fleet.list) {
-            if (l.cache == kOrigin) continue;
-            l.kind = l.cache % 2 * 2;
-            l.size = l.cache % 2 == 1 ? c.small : c.big;
+        fleet.deployment.endpoint_weights = c.sizes;
+        for (Endpoint& l : fleet.list) {
+            if (l.server == kOrigin) continue;
+            l.kind = l.server % 2 * 2;
+            l.weight = l.server % 2 == 1 ? c.small : c.big;
         }
         fleet.start();
         const auto before = owners(fleet, 600);
@@ -176,8 +179,8 @@
         EXPECT_GE(small / 600, c.least);
         EXPECT_LE(small / 600, c.most);
         // Load lowers what is listed; a point that moved with it would tear keys from their copies.
-        for (Listing& l : fleet.list) l.size *= 0.7;
-        fleet.tell(ListKind::change);
+        for (Endpoint& l : fleet.list) l.weight *= 0.7;
+        fleet.tell(UpdateKind::delta);
         EXPECT_EQ(owners(fleet, 600), before);
     }
 }
@@ -186,8 +189,8 @@
     for (bool live : {true, false}) {
         SCOPED_TRACE(live ? "live sizes" : "fixed sizes");
         Fleet fleet(6);
-        fleet.deployment.sizes = live ? Sizes::live : Sizes::fixed;
-        for (Listing& l : fleet.list) l.size = 2;
+        fleet.deployment.endpoint_weights = live ? EndpointWeights::load_adjusted : EndpointWeights::fixed;
+        for (Endpoint& l : fleet.list) l.weight = 2;
         fleet.start();
         const auto kept = [&fleet] {
             int n = 0;
@@ -195,15 +198,15 @@
             return n;
         };
         const int home = kept();
-        fleet.list[1].size = 0.2;  // nine held a core
-        for (int n = 0; n < 8; ++n) fleet.tell(ListKind::change);
+        fleet.list[1].weight = 0.2;  // nine held a core
+        for (int n = 0; n < 8; ++n) fleet.tell(UpdateKind::delta);
         if (live) {
             EXPECT_LT(kept(), home / 3);
         } else {
             EXPECT_EQ(kept(), home);
         }
-        fleet.list[1].size = 2;
-        for (int n = 0; n < 12; ++n) fleet.tell(ListKind::change);
+        fleet.list[1].weight = 2;
+        for (int n = 0; n < 12; ++n) fleet.tell(UpdateKind::delta);
         EXPECT_EQ(kept(), home);
     }
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -19,17 +19,17 @@
 TEST(Retry, DependsOnTheOutcomeAndTheOperation) {
     struct Case {
         int operation;
-        Ending ending;
+        AttemptOutcome ending;
         bool retried;
         bool rejected;  // when it is not, or when that fails too and the client's time is up
     };
     const Case cases[] = {
-        {0, Ending::errored, true, true},   {0, Ending::timed_out, true, true},
-        {0, Ending::busy, true, true},      {1, Ending::errored, true, true},
-        {1, Ending::reset, true, true},     {1, Ending::refused, true, true},
-        {2, Ending::errored, false, false}, {2, Ending::timed_out, false, false},
-        {2, Ending::reset, false, false},   {2, Ending::cancelled, false, false},
-        {2, Ending::busy, true, true},      {2, Ending::refused, true, true},
+        {0, AttemptOutcome::failed, true, true},   {0, AttemptOutcome::timed_out, true, true},
+        {0, AttemptOutcome::busy, true, true},     {1, AttemptOutcome::failed, true, true},
+        {1, AttemptOutcome::reset, true, true},    {1, AttemptOutcome::refused, true, true},
+        {2, AttemptOutcome::failed, false, false}, {2, AttemptOutcome::timed_out, false, false},
+        {2, AttemptOutcome::reset, false, false},  {2, AttemptOutcome::cancelled, false, false},
+        {2, AttemptOutcome::busy, true, true},     {2, AttemptOutcome::refused, true, true},
     };
     for (const Case& c : cases) {
         SCOPED_TRACE(testing::Message()
@@ -53,19 +53,22 @@
 
 TEST(Retry, OfADeduplicatedRequestStaysInItsGroupAndWindow) {
     struct Case {
-        Scope scope;
+        DeduplicationScope scope;
         double after;
         bool retried, rejected;
     };
-    for (const Case& c : {Case{Scope::all, 0.3, true, true}, Case{Scope::zone, 0.3, true, false},
-                          Case{Scope::all, 1.5, false, true}, Case{Scope::zone, 1.5, false, false}}) {
-        SCOPED_TRACE(testing::Message() << (c.scope == Scope::all ? "all" : "zone") << ", after " << c.after);
+    for (const Case& c :
+         {Case{DeduplicationScope::all, 0.3, true, true}, Case{DeduplicationScope::zone, 0.3, true, false},
+          Case{DeduplicationScope::all, 1.5, false, true},
+          Case{DeduplicationScope::zone, 1.5, false, false}}) {
+        SCOPED_TRACE(testing::Message()
+                     << (c.scope == DeduplicationScope::all ? "all" : "zone") << ", after " << c.after);
         Fleet fleet(6, 2);
-        fleet.deployment.operations[1].scope = c.scope;
+        fleet.deployment.operations[1].deduplication_scope = c.scope;
         fleet.start();
         const int inv = fleet.arrive(11, 1, false, 5.0);
         fleet.now += c.after;
-        fleet.end(inv, 0, Ending::timed_out);
+        fleet.end(inv, 0, AttemptOutcome::timed_out);
         ASSERT_EQ(fleet.host.sent.size() == 2, c.retried);
         if (c.retried) {
             EXPECT_EQ(fleet.host.sent[1].cache % 2, fleet.host.sent[0].cache % 2);
@@ -80,15 +83,15 @@
     Fleet fleet(4);
     fleet.start();
     const int left = fleet.arrive(5);
-    fleet.node->client_left(fleet.now, left);
-    fleet.end(left, 0, Ending::timed_out, 0.05, true);
+    fleet.node->on_client_closed(fleet.now, left);
+    fleet.end(left, 0, AttemptOutcome::timed_out, 0.05, true);
     EXPECT_EQ(fleet.finals(left), 0);
     EXPECT_EQ(fleet.host.sent.size(), 1U);
     const int late = fleet.arrive(6);
     fleet.now += 1.2;
-    fleet.end(late, 0, Ending::timed_out, 1.2);
+    fleet.end(late, 0, AttemptOutcome::timed_out, 1.2);
     EXPECT_EQ(fleet.finals(late), 1);
-    fleet.end(late, 0, Ending::timed_out, 1.2);
+    fleet.end(late, 0, AttemptOutcome::timed_out, 1.2);
     EXPECT_EQ(fleet.finals(late), 1);
     Fleet none(0);
     none.list.clear();
@@ -99,21 +102,21 @@
 TEST(Draining, ADrainingOrRemovedCacheGetsNoNewRequests) {
     Fleet fleet(2);
     fleet.start();
-    fleet.list[1].standing = Standing::draining;
-    fleet.list[2].standing = Standing::gone;
-    fleet.tell(ListKind::change);
+    fleet.list[1].state = EndpointState::draining;
+    fleet.list[2].state = EndpointState::removed;
+    fleet.tell(UpdateKind::delta);
     for (std::uint64_t k = 0; k < 50; ++k) fleet.arrive(k);
     for (const Sent& s : fleet.host.sent) EXPECT_EQ(s.cache, kOrigin);
 }
 
 TEST(SlowStart, GivesAColdCacheAGrowingShareWithinABudget) {
     Fleet fleet(4);
-    fleet.deployment.warm_within = 100;
+    fleet.deployment.slow_start_duration = 100;
     fleet.start();
     std::vector<int> before;
     for (std::uint64_t k = 0; k < 800; ++k) before.push_back(fleet.owner(k));
-    fleet.list[2].started = fleet.now;
-    fleet.tell(ListKind::change);
+    fleet.list[2].started_at = fleet.now;
+    fleet.tell(UpdateKind::delta);
     double last = 0;
     for (double age : {1.0, 50.0, 120.0}) {
         int owned = 0, kept = 0;
@@ -135,8 +138,8 @@
     }
     EXPECT_EQ(last, 1);
     // However many at once ask for its keys, the budget holds.
-    fleet.list[2].started = fleet.now;
-    fleet.tell(ListKind::change);
+    fleet.list[2].started_at = fleet.now;
+    fleet.tell(UpdateKind::delta);
     std::size_t sent = fleet.host.sent.size();
     for (std::uint64_t k = 0; k < 4000; ++k) fleet.owner(k);
     int at_cold = 0;
@@ -147,35 +150,35 @@
 
 TEST(Retry, AttemptsDoNotOverlapWhereDuplicatesAreForbidden) {
     Fleet fleet(4);
-    fleet.deployment.may_duplicate = false;
+    fleet.deployment.may_hedge = false;
     fleet.start();
     const int inv = fleet.arrive(3);
-    fleet.end(inv, 0, Ending::miss);
+    fleet.end(inv, 0, AttemptOutcome::miss);
     ASSERT_EQ(fleet.host.sent.size(), 2U);
     EXPECT_EQ(fleet.host.sent[1].cache, kOrigin);
     fleet.now += 0.3;
     for (const auto& timer : std::vector<RecordingHost::Wake>(fleet.host.timers)) {
-        fleet.node->woken(fleet.now, timer.token);
+        fleet.node->on_timer(fleet.now, timer.token);
     }
     EXPECT_EQ(fleet.host.sent.size(), 2U);
 }
 
-// Seen with 1,790 nodes: the first caches of a zone to come back cold had all of the zone's traffic, and keys
-// that no node sees often enough to call hot were one cold cache's alone.
+// AttemptHealth with 1,790 nodes: the first caches of a zone to come back cold had all of the zone's traffic,
+// and keys that no node sees often enough to call hot were one cold cache's alone.
 TEST(SlowStart, GivesAColdCacheNoWholeKeyFromNodesThatKnowNothing) {
     for (int zone_caches : {1, 2}) {  // of 40 in two zones; all of the own zone's have just started
         SCOPED_TRACE(testing::Message() << zone_caches << " caches of the own zone");
         int there = 0;
         for (int n = 0; n < 400; ++n) {
             Fleet fleet(40, 2);
-            fleet.deployment.nodes = 1000;
-            fleet.deployment.node = n;
-            for (Listing& l : fleet.list) {
-                if (l.cache == kOrigin) continue;
-                l.zone = l.cache <= zone_caches ? 0 : 1;
-                if (l.zone == 0) l.started = 100;
+            fleet.deployment.node_count = 1000;
+            fleet.deployment.node_index = n;
+            for (Endpoint& l : fleet.list) {
+                if (l.server == kOrigin) continue;
+                l.zone = l.server <= zone_caches ? 0 : 1;
+                if (l.zone == 0) l.started_at = 100;
             }
-            fleet.start(ListKind::whole, static_cast<std::uint64_t>(n) + 7);
+            fleet.start(UpdateKind::full, static_cast<std::uint64_t>(n) + 7);
             const int at = fleet.owner(static_cast<std::uint64_t>(n));
             there += at >= 1 && at <= zone_caches;
         }
@@ -187,10 +190,10 @@
     int nodes = 0;
     for (int n = 0; n < 1000; ++n) {
         Fleet fleet(200);
-        fleet.deployment.nodes = 1000;
-        fleet.deployment.node = n;
-        fleet.list[static_cast<std::size_t>(home)].started = 100;
-        fleet.start(ListKind::whole, static_cast<std::uint64_t>(n) + 7);
+        fleet.deployment.node_count = 1000;
+        fleet.deployment.node_index = n;
+        fleet.list[static_cast<std::size_t>(home)].started_at = 100;
+        fleet.start(UpdateKind::full, static_cast<std::uint64_t>(n) + 7);
         nodes += fleet.owner(77) == home;
     }
     EXPECT_LE(nodes, 4);  // one of all nodes is meant, and chance
@@ -219,10 +222,10 @@
         const auto fresh = [&c](int n, double now, double started) {
             auto f = std::make_unique<Fleet>(c.caches);
             f->now = now;
-            f->deployment.nodes = c.nodes;
-            f->deployment.node = n;
-            f->list[1].started = started;
-            f->start(ListKind::whole, static_cast<std::uint64_t>(n) * 31 + 5);
+            f->deployment.node_count = c.nodes;
+            f->deployment.node_index = n;
+            f->list[1].started_at = started;
+            f->start(UpdateKind::full, static_cast<std::uint64_t>(n) * 31 + 5);
             return f;
         };
         for (int n = 0; n < c.nodes; ++n) nodes.push_back(fresh(n, 100, 0));
@@ -236,16 +239,16 @@
         std::deque<double> window;
         int in_all = 0;
         bool told = false;
-        for (double now = 100; now < start + d.warm_within; now += 1 / c.rate) {
+        for (double now = 100; now < start + d.slow_start_duration; now += 1 / c.rate) {
             if (now >= start && !std::exchange(told, true)) {
                 for (int n = 0; n < c.nodes; ++n) {
                     Fleet& f = *nodes[static_cast<std::size_t>(n)];
                     f.now = now;
-                    f.list[1].started = start;
+                    f.list[1].started_at = start;
                     if (c.restarted) {
                         nodes[static_cast<std::size_t>(n)] = fresh(n + 1000, now, start);
                     } else {
-                        f.tell(ListKind::change);
+                        f.tell(UpdateKind::delta);
                     }
                 }
             }
@@ -258,9 +261,10 @@
                 continue;
             ++in_all;
             window.push_back(now);
-            while (window.front() < now - d.fall_time) window.pop_front();
-            const double warm = d.cold_from + (1 - d.cold_from) * (now - start) / d.warm_within;
-            const double n_allowed = d.fall_multiple * warm * capacity * d.fall_time;
+            while (window.front() < now - d.overload_window) window.pop_front();
+            const double warm =
+                d.cold_capacity_ratio + (1 - d.cold_capacity_ratio) * (now - start) / d.slow_start_duration;
+            const double n_allowed = d.overload_multiple * warm * capacity * d.overload_window;
             ASSERT_LE(static_cast<double>(window.size()), n_allowed + 2 * std::sqrt(n_allowed) + 2)
                 << "run " << run << ": " << n_allowed << " allowed, " << now - start << " s after the start";
         }
@@ -302,15 +306,15 @@
     Fleet fleet(4);
     fleet.start();
     const int early = fleet.arrive(1);
-    fleet.deployment.most_forwards = 1;
-    fleet.node->redeployed(fleet.now, fleet.deployment);
-    fleet.tell(ListKind::whole);
+    fleet.deployment.max_attempts = 1;
+    fleet.node->on_configuration(fleet.now, fleet.deployment);
+    fleet.tell(UpdateKind::full);
     const int late = fleet.arrive(2);
-    fleet.end(early, 0, Ending::refused);
+    fleet.end(early, 0, AttemptOutcome::refused);
     ASSERT_EQ(fleet.host.sent.size(), 3U);
     EXPECT_EQ(fleet.host.sent.back().inv, early);
     EXPECT_EQ(fleet.finals(early), 0);
-    fleet.end(late, 0, Ending::refused);
+    fleet.end(late, 0, AttemptOutcome::refused);
     EXPECT_EQ(fleet.host.sent.size(), 3U);
     EXPECT_EQ(fleet.finals(late), 1);
 }
--- a/tests/text_test.cpp
+++ b/tests/text_test.cpp
@@ -47,15 +47,15 @@
         {"ms a -1 O9b " + list + "\r\n", Kind::malformed, "", "", true},
         {"ms a 4194305 O9b " + list + "\r\n", Kind::malformed, "", "", true},
         {"ms a 3 O9b " + list + "\r\nhello\r\n", Kind::malformed, "", "", true},
-        {std::string(kLineMost, 'x'), Kind::malformed, "", "", true},
+        {std::string(kMaxLineBytes, 'x'), Kind::malformed, "", "", true},
     };
     for (const Case& c : cases) {
         SCOPED_TRACE(c.in);
         Command command;
         const bool closes = c.framing_lost;
         for (std::size_t n = 0; !closes && n < c.in.size(); ++n)
-            EXPECT_EQ(read_command(std::string_view(c.in).substr(0, n), command), 0U);
-        const std::size_t taken = read_command(c.in + (closes ? "" : "mn\r\n"), command);
+            EXPECT_EQ(parse_command(std::string_view(c.in).substr(0, n), command), 0U);
+        const std::size_t taken = parse_command(c.in + (closes ? "" : "mn\r\n"), command);
         if (closes) {
             EXPECT_GT(taken, 0U);
         } else {
@@ -79,17 +79,17 @@
           Case{"ms a 3 O1 Pc=w,d=480,k=d=7\r\nxyz\r\n", "ms a 3 O1 Pc=w,d=125,k=d=7\r\nxyz\r\n"}}) {
         SCOPED_TRACE(c.in);
         Command command;
-        EXPECT_EQ(read_command(c.in, command), c.in.size());
-        EXPECT_EQ(command_text(command, 0.125), c.out);
+        EXPECT_EQ(parse_command(c.in, command), c.in.size());
+        EXPECT_EQ(format_command(command, 0.125), c.out);
     }
     Command command;
-    read_command("ms a 3 O1 Pc=w,t=acme,r=1,d=480\r\nxyz\r\n", command);
-    const Properties& p = command.properties;
+    parse_command("ms a 3 O1 Pc=w,t=acme,r=1,d=480\r\nxyz\r\n", command);
+    const RequestAttributes& p = command.attributes;
     EXPECT_EQ(p.operation, "w");
     EXPECT_EQ(p.tenant, "acme");
-    EXPECT_TRUE(p.repeat);
-    EXPECT_LT(std::abs(p.time_left - 0.48), 1e-9);
-    EXPECT_NE(properties_text(p, 0).find("d=1"), std::string::npos);  // never "no time at all"
+    EXPECT_TRUE(p.is_client_retry);
+    EXPECT_LT(std::abs(p.time_remaining - 0.48), 1e-9);
+    EXPECT_NE(format_attributes(p, 0).find("d=1"), std::string::npos);  // never "no time at all"
 }
 
 TEST(MemcacheText, RepliesAreReadOnlyWhenWhole) {
@@ -105,24 +105,24 @@
           Case{"VA 5 h1 O9b\r\n\r\nxyz\r\n", Kind::value, "9b", "\r\nxyz"},
           Case{"HD O9b c77\r\n", Kind::receipt, "9b", "77"}, Case{"EN O9b h0 Z\r\n", Kind::miss, "9b", ""},
           Case{"MN\r\n", Kind::hello, "", ""}, Case{"SERVER_ERROR busy\r\n", Kind::busy, "", ""},
-          Case{"SERVER_ERROR busy or not\r\n", Kind::errored, "", ""},
-          Case{"SERVER_ERROR failed\r\n", Kind::errored, "", ""}, Case{"hello\r\n", Kind::nonsense, "", ""},
-          Case{"VA x O9b\r\n", Kind::nonsense, "", ""},
-          Case{"VA 3000000000 O9b\r\n", Kind::nonsense, "", ""}}) {
+          Case{"SERVER_ERROR busy or not\r\n", Kind::failed, "", ""},
+          Case{"SERVER_ERROR failed\r\n", Kind::failed, "", ""}, Case{"hello\r\n", Kind::malformed, "", ""},
+          Case{"VA x O9b\r\n", Kind::malformed, "", ""},
+          Case{"VA 3000000000 O9b\r\n", Kind::malformed, "", ""}}) {
         SCOPED_TRACE(c.in);
         Reply reply;
         for (std::size_t n = 0; n < c.in.size(); ++n)
-            EXPECT_EQ(read_reply(std::string_view(c.in).substr(0, n), reply), 0U);
-        EXPECT_EQ(read_reply(c.in + "EN", reply), c.in.size());
+            EXPECT_EQ(parse_reply(std::string_view(c.in).substr(0, n), reply), 0U);
+        EXPECT_EQ(parse_reply(c.in + "EN", reply), c.in.size());
         EXPECT_EQ(reply.kind, c.kind);
         EXPECT_EQ(reply.id, c.id);
         EXPECT_EQ(reply.body, c.body);
     }
     Reply wrong;
-    EXPECT_GT(read_reply("VA 3 O9b\r\nhello\r\n", wrong), 0U);
-    EXPECT_EQ(wrong.kind, Kind::nonsense);
-    EXPECT_EQ(busy_text(0), "SERVER_ERROR busy\r\n");
-    EXPECT_EQ(busy_text(0.25), "SERVER_ERROR busy 250\r\n");
+    EXPECT_GT(parse_reply("VA 3 O9b\r\nhello\r\n", wrong), 0U);
+    EXPECT_EQ(wrong.kind, Kind::malformed);
+    EXPECT_EQ(format_busy(0), "SERVER_ERROR busy\r\n");
+    EXPECT_EQ(format_busy(0.25), "SERVER_ERROR busy 250\r\n");
 }
 
 TEST(HttpResponses, AreReadOnlyWhenWhole) {
@@ -146,7 +146,7 @@
           Case{ok + "Content-Length: five\r\n\r\n", false, 200, "", true},
           Case{ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", false, 200, "", true},
           Case{ok + "no colon\r\n\r\n", false, 200, "", true},
-          // Seen on the bench: a client was served the first three bytes of a value.
+          // AttemptHealth on the bench: a client was served the first three bytes of a value.
           Case{ok + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhello", false, 200, "", true},
           Case{ok + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", true, 200, "hello", true},
           Case{ok + "Content-Length: -1\r\n\r\n", false, 200, "", true},
@@ -157,13 +157,14 @@
         SCOPED_TRACE(c.in);
         HttpResponse r;
         for (std::size_t n = 0; c.sound && n < c.in.size(); ++n)
-            EXPECT_EQ(read_response(std::string_view(c.in).substr(0, n), kWholeMost, r), 0U);
-        EXPECT_EQ(read_response(c.in, kWholeMost, r), c.in.size());
-        EXPECT_EQ(r.sound, c.sound);
+            EXPECT_EQ(parse_http_response(std::string_view(c.in).substr(0, n), kMaxBufferedValueBytes, r),
+                      0U);
+        EXPECT_EQ(parse_http_response(c.in, kMaxBufferedValueBytes, r), c.in.size());
+        EXPECT_EQ(r.valid, c.sound);
         EXPECT_EQ(r.status, c.status);
         if (c.sound) {
             EXPECT_EQ(r.body, c.body);
-            EXPECT_EQ(r.keep_open, c.keep_open);
+            EXPECT_EQ(r.keep_alive, c.keep_open);
         }
     }
     HttpResponse r;
@@ -172,60 +173,63 @@
         SCOPED_TRACE(body);
         const std::string in = ok + "A: b\r\n\r\n" + body;
         for (std::size_t n = 0; n <= in.size(); ++n)
-            EXPECT_EQ(read_response(std::string_view(in).substr(0, n), kWholeMost, r), 0U);
-        EXPECT_EQ(read_response(in, kWholeMost, r, true), in.size());
-        EXPECT_TRUE(r.sound);
+            EXPECT_EQ(parse_http_response(std::string_view(in).substr(0, n), kMaxBufferedValueBytes, r), 0U);
+        EXPECT_EQ(parse_http_response(in, kMaxBufferedValueBytes, r, true), in.size());
+        EXPECT_TRUE(r.valid);
         EXPECT_EQ(r.body, body);
-        EXPECT_FALSE(r.keep_open);
-        EXPECT_TRUE(r.unsized());
+        EXPECT_FALSE(r.keep_alive);
+        EXPECT_TRUE(r.has_unknown_length());
     }
-    EXPECT_EQ(read_response(ok + "Content-Length: 5\r\n\r\nhell", kWholeMost, r, true), 0U);
-    EXPECT_EQ(read_response(ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n", kWholeMost, r, true), 0U);
-    EXPECT_EQ(read_response(ok + "A: b", kWholeMost, r, true), 0U);
-    EXPECT_GT(read_response(ok + "\r\n" + std::string(9, 'x'), {99, 8}, r), 0U);
-    EXPECT_FALSE(r.sound);
-    EXPECT_GT(read_response("SSH-2.0", kWholeMost, r), 0U);
-    EXPECT_FALSE(r.sound);
+    EXPECT_EQ(parse_http_response(ok + "Content-Length: 5\r\n\r\nhell", kMaxBufferedValueBytes, r, true), 0U);
+    EXPECT_EQ(parse_http_response(ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n",
+                                  kMaxBufferedValueBytes, r, true),
+              0U);
+    EXPECT_EQ(parse_http_response(ok + "A: b", kMaxBufferedValueBytes, r, true), 0U);
+    EXPECT_GT(parse_http_response(ok + "\r\n" + std::string(9, 'x'), {99, 8}, r), 0U);
+    EXPECT_FALSE(r.valid);
+    EXPECT_GT(parse_http_response("SSH-2.0", kMaxBufferedValueBytes, r), 0U);
+    EXPECT_FALSE(r.valid);
     std::string endless;
     for (int n = 0; n < 400; ++n) endless += "HTTP/1.1 102 Processing\r\n\r\n";
-    EXPECT_GT(read_response(endless, kWholeMost, r), 0U);
-    EXPECT_FALSE(r.sound);
+    EXPECT_GT(parse_http_response(endless, kMaxBufferedValueBytes, r), 0U);
+    EXPECT_FALSE(r.valid);
 }
 
 TEST(OriginProtocol, MapsResponsesToOutcomesAndCommandsToRequests) {
     struct Case {
         const char* head;
-        Ending ending;
+        AttemptOutcome ending;
     };
     for (const Case& c :
-         {Case{"HTTP/1.1 200 OK\r\n", Ending::succeeded}, Case{"HTTP/1.1 500 E\r\n", Ending::errored},
-          Case{"HTTP/1.1 503 B\r\nX-Never-Ran: 1\r\n", Ending::busy},
-          Case{"HTTP/1.1 504 L\r\nx-never-ran: 1\r\n", Ending::busy},
-          Case{"HTTP/1.1 503 B\r\n", Ending::errored},  // it does not say that it never ran
-          Case{"HTTP/1.1 500 E\r\nX-Never-Ran: 1\r\n", Ending::errored},
-          Case{"HTTP/1.1 404 N\r\n", Ending::errored}}) {
+         {Case{"HTTP/1.1 200 OK\r\n", AttemptOutcome::succeeded},
+          Case{"HTTP/1.1 500 E\r\n", AttemptOutcome::failed},
+          Case{"HTTP/1.1 503 B\r\nX-Never-Ran: 1\r\n", AttemptOutcome::busy},
+          Case{"HTTP/1.1 504 L\r\nx-never-ran: 1\r\n", AttemptOutcome::busy},
+          Case{"HTTP/1.1 503 B\r\n", AttemptOutcome::failed},  // it does not say that it never ran
+          Case{"HTTP/1.1 500 E\r\nX-Never-Ran: 1\r\n", AttemptOutcome::failed},
+          Case{"HTTP/1.1 404 N\r\n", AttemptOutcome::failed}}) {
         SCOPED_TRACE(c.head);
-        Answer answer;
-        EXPECT_GT(read_origin_answer(std::string(c.head) + "Content-Length: 1\r\n\r\nx", answer), 0U);
-        EXPECT_TRUE(answer.sound);
-        EXPECT_EQ(answer.ending, c.ending);
+        AttemptResponse answer;
+        EXPECT_GT(parse_origin_response(std::string(c.head) + "Content-Length: 1\r\n\r\nx", answer), 0U);
+        EXPECT_TRUE(answer.valid);
+        EXPECT_EQ(answer.outcome, c.ending);
         // No length: a success waits for the end, of the others the head says all.
         const std::string open = std::string(c.head) + "\r\nx";
-        const bool success = c.ending == Ending::succeeded;
-        EXPECT_EQ(read_origin_answer(open, answer) == 0, success);
-        EXPECT_GT(read_origin_answer(open, answer, true), 0U);
-        EXPECT_TRUE(answer.sound);
-        EXPECT_EQ(answer.ending, c.ending);
+        const bool success = c.ending == AttemptOutcome::succeeded;
+        EXPECT_EQ(parse_origin_response(open, answer) == 0, success);
+        EXPECT_GT(parse_origin_response(open, answer, true), 0U);
+        EXPECT_TRUE(answer.valid);
+        EXPECT_EQ(answer.outcome, c.ending);
         EXPECT_FALSE(answer.reusable);
         EXPECT_EQ(answer.body, success ? "x" : "");
     }
     Command command;
-    read_command("ms a/b? 3 O9b Pc=w,d=480\r\nxyz\r\n", command);
-    EXPECT_EQ(origin_request(command, 0.1, "h:1"),
+    parse_command("ms a/b? 3 O9b Pc=w,d=480\r\nxyz\r\n", command);
+    EXPECT_EQ(format_origin_request(command, 0.1, "h:1"),
               "PUT /a%2Fb%3F HTTP/1.1\r\nHost: h:1\r\nX-Trace-Id: 9b\r\nX-Props: c=w,d=100\r\n"
               "Content-Length: 3\r\n\r\nxyz");
-    read_command("mg k1 v O9b Pc=r,d=480\r\n", command);
-    EXPECT_EQ(origin_request(command, 0.1, "h:1"),
+    parse_command("mg k1 v O9b Pc=r,d=480\r\n", command);
+    EXPECT_EQ(format_origin_request(command, 0.1, "h:1"),
               "GET /k1 HTTP/1.1\r\nHost: h:1\r\nX-Trace-Id: 9b\r\nX-Props: c=r,d=100\r\n\r\n");
 }
 
--- a/tests/zone_days_test.cpp
+++ b/tests/zone_days_test.cpp
@@ -13,7 +13,7 @@
 #include "days.h"
 #include "testkit/fleet_views.h"
 
-namespace brookrelay::kit {
+namespace brookrelay::testkit {
 namespace {
 
 constexpr int kRooms = 3;
@@ -317,4 +317,4 @@
 }
 
 }  // namespace
-}  // namespace brookrelay::kit
+}  // namespace brookrelay::testkit
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -17,7 +17,7 @@
 #include "model/zone_failover_model.h"
 #include "model/zone_fleet.h"
 
-namespace brookrelay::fleet {
+namespace brookrelay::gossip {
 namespace {
 
 using World = model::ZoneFleet;
@@ -211,22 +211,23 @@
 // ---- by itself ------------------------------------------------------------------------------------------
 
 struct Alone {
-    Zones z{{0, 0, 2, 8, {}}, 100};
+    ZoneFailover z{{0, 0, 2, 8, {}}, 100};
     double now = 110;
     std::uint32_t number = 1;
     std::vector<int> voters{0, 1, 2, 3, 4};
     double part = 1;
-    void says(int node, ZoneSight sight, int step = kStepWell) {
-        z.heard(now, node, {1, ++number}, {{1, sight, step}}, 0);
+    void says(int node, ZoneObservation sight, int step = kStepHealthy) {
+        z.on_reports(now, node, {1, ++number}, {{1, sight, step}}, 0);
     }
     void tick() {
         now += kStep;
-        for (const Zones::Order& o : z.tick(now, voters, 0)) {
-            if (o.zone == 1) part = o.part;
+        for (const ZoneFailover::Change& o : z.tick(now, voters, 0)) {
+            if (o.zone == 1) part = o.weight;
         }
     }
     void fails(int times) {
-        for (int i = 0; i < times; ++i) z.ended(now, 1, static_cast<Subject>(i), ZoneEnd::silent);
+        for (int i = 0; i < times; ++i)
+            z.on_attempt_finished(now, 1, static_cast<ServerKey>(i), ZoneAttempt::silent);
     }
 };
 
@@ -243,10 +244,10 @@
           Case{"others, but it was answered", 0, 1, 4, 0, false},
           Case{"as many say that it answers", 2, 0, 2, 2, false}, Case{"by itself", 9, 0, 0, 0, false}}) {
         Alone a;
-        if (c.own_answers > 0) a.z.ended(a.now, 1, 1, ZoneEnd::strained);
+        if (c.own_answers > 0) a.z.on_attempt_finished(a.now, 1, 1, ZoneAttempt::strained);
         a.fails(c.own_silent);
-        for (int n = 1; n <= c.lost; ++n) a.says(n, ZoneSight::lost);
-        for (int n = c.lost + 1; n <= c.lost + c.object; ++n) a.says(n, ZoneSight::answers);
+        for (int n = 1; n <= c.lost; ++n) a.says(n, ZoneObservation::unreachable);
+        for (int n = c.lost + 1; n <= c.lost + c.object; ++n) a.says(n, ZoneObservation::reachable);
         a.tick();
         EXPECT_EQ(a.part <= 0, c.leaves) << c.name;
     }
@@ -255,9 +256,10 @@
 TEST(Zones, WordsOfBeforeItWasLeftDoNotTakeItBack) {
     Alone a;
     for (int n = 5; n < 20; ++n) a.voters.push_back(n);
-    for (int n = 1; n <= 4; ++n) a.says(n, ZoneSight::answers);  // they objected to somebody, a moment ago
+    for (int n = 1; n <= 4; ++n)
+        a.says(n, ZoneObservation::reachable);  // they objected to somebody, a moment ago
     a.fails(2);
-    for (int n = 5; n < 20; ++n) a.says(n, ZoneSight::lost);
+    for (int n = 5; n < 20; ++n) a.says(n, ZoneObservation::unreachable);
     a.tick();
     EXPECT_EQ(a.part, 0);
     for (int i = 0; i < 16; ++i) {
@@ -265,23 +267,23 @@
         EXPECT_EQ(a.part, 0) << i;
     }
     a.now += 1;
-    for (int n = 1; n <= 2; ++n) a.says(n, ZoneSight::answers);
+    for (int n = 1; n <= 2; ++n) a.says(n, ZoneObservation::reachable);
     a.tick();
     EXPECT_GT(a.part, 0) << "two trials were answered since";
 }
 
 TEST(Zones, OfARegionOfWhichOneIsLeftTwoWordsAreEnough) {
     for (const bool region : {false, true}) {
-        Zones z({0, 0, 3, 8, region ? std::vector<int>{7, 8, 8} : std::vector<int>{7, 8, 9}}, 100);
+        ZoneFailover z({0, 0, 3, 8, region ? std::vector<int>{7, 8, 8} : std::vector<int>{7, 8, 9}}, 100);
         const std::vector<int> voters{0, 1, 2, 3, 4};
         std::map<int, double> part;
         const auto others_say = [&](double now, int zone, int nodes) {
-            for (Subject s = 0; s < 2; ++s) z.ended(now, zone, s, ZoneEnd::silent);
-            z.ended(now, 0, 9, ZoneEnd::well);
+            for (ServerKey s = 0; s < 2; ++s) z.on_attempt_finished(now, zone, s, ZoneAttempt::silent);
+            z.on_attempt_finished(now, 0, 9, ZoneAttempt::healthy);
             for (int n = 1; n <= nodes; ++n)
-                z.heard(now, n, {1, static_cast<std::uint32_t>(now * 10) + 1},
-                        {{zone, ZoneSight::lost, kStepWell}}, 0);
-            for (const Zones::Order& o : z.tick(now, voters, 0)) part[o.zone] = o.part;
+                z.on_reports(now, n, {1, static_cast<std::uint32_t>(now * 10) + 1},
+                             {{zone, ZoneObservation::unreachable, kStepHealthy}}, 0);
+            for (const ZoneFailover::Change& o : z.tick(now, voters, 0)) part[o.zone] = o.weight;
         };
         others_say(110, 1, 2);
         EXPECT_EQ(part.at(1), 0);
@@ -293,33 +295,33 @@
 TEST(Zones, OldDoubledAndLateWordsDoNotCount) {
     Alone a;
     a.fails(2);
-    for (int i = 0; i < 3; ++i) a.says(1, ZoneSight::lost);
+    for (int i = 0; i < 3; ++i) a.says(1, ZoneObservation::unreachable);
     a.tick();
     EXPECT_EQ(a.part, 1) << "one node has one word, however often it says it";
-    a.z.heard(a.now, 2, {1, 500}, {{1, ZoneSight::lost, kStepWell}}, 2.9);
-    a.z.heard(a.now, 3, {1, 500}, {{1, ZoneSight::lost, kStepWell}}, 2.9);
+    a.z.on_reports(a.now, 2, {1, 500}, {{1, ZoneObservation::unreachable, kStepHealthy}}, 2.9);
+    a.z.on_reports(a.now, 3, {1, 500}, {{1, ZoneObservation::unreachable, kStepHealthy}}, 2.9);
     for (int i = 0; i < 2; ++i) a.tick();
     EXPECT_EQ(a.part, 1) << "over three seconds old, two ticks on";
-    a.z.heard(a.now, 3, {1, 900}, {{1, ZoneSight::answers, kStepWell}}, 0);
-    a.z.heard(a.now, 3, {1, 800}, {{1, ZoneSight::lost, kStepWell}}, 0);
-    a.z.heard(a.now, 4, {1, 900}, {}, 0);
+    a.z.on_reports(a.now, 3, {1, 900}, {{1, ZoneObservation::reachable, kStepHealthy}}, 0);
+    a.z.on_reports(a.now, 3, {1, 800}, {{1, ZoneObservation::unreachable, kStepHealthy}}, 0);
+    a.z.on_reports(a.now, 4, {1, 900}, {}, 0);
     a.tick();
     EXPECT_EQ(a.part, 1) << "an older word came later";
 }
 
 TEST(Zones, ByHandAreLeftAndTakenBackThroughTheSameSteps) {
     Alone a;
-    a.z.by_hand(a.now, 1, true);
+    a.z.set_admin_state(a.now, 1, true);
     a.tick();
     EXPECT_EQ(a.part, 0);
-    EXPECT_TRUE(a.z.voices(a.now).empty()) << "a hand says nothing of the zone to others";
-    for (int n = 1; n <= 4; ++n) a.says(n, ZoneSight::answers);
+    EXPECT_TRUE(a.z.reports(a.now).empty()) << "a hand says nothing of the zone to others";
+    for (int n = 1; n <= 4; ++n) a.says(n, ZoneObservation::reachable);
     for (int i = 0; i < 80; ++i) a.tick();
     EXPECT_EQ(a.part, 0) << "nothing but the hand takes it back";
-    a.z.by_hand(a.now, 1, false);
+    a.z.set_admin_state(a.now, 1, false);
     std::vector<double> parts;
     for (int i = 0; i < 200; ++i) {
-        a.z.ended(a.now, 1, 1, ZoneEnd::well);
+        a.z.on_attempt_finished(a.now, 1, 1, ZoneAttempt::healthy);
         a.tick();
         if (parts.empty() || parts.back() != a.part) parts.push_back(a.part);
     }
@@ -328,33 +330,34 @@
 
 TEST(Zones, NoneGoesOnBeforeTheOthers) {
     Alone a;
-    a.z.by_hand(a.now, 1, true);
+    a.z.set_admin_state(a.now, 1, true);
     a.tick();
-    a.z.by_hand(a.now, 1, false);
+    a.z.set_admin_state(a.now, 1, false);
     const auto seconds = [&](int n, int step) {
         for (int i = 0; i < 8 * n; ++i) {
-            for (int node = 1; node <= 4; ++node) a.says(node, ZoneSight::answers, step);
-            a.z.ended(a.now, 1, 1, ZoneEnd::well);
+            for (int node = 1; node <= 4; ++node) a.says(node, ZoneObservation::reachable, step);
+            a.z.on_attempt_finished(a.now, 1, 1, ZoneAttempt::healthy);
             a.tick();
         }
     };
-    seconds(12, kStepLeft + 1);
+    seconds(12, kStepDrained + 1);
     EXPECT_EQ(a.part, 0.125) << "one step before them at the most";
-    seconds(4, kStepLeft + 3);
+    seconds(4, kStepDrained + 3);
     EXPECT_GE(a.part, 0.25);
 }
 
 TEST(Zones, HoldTheRampWhileStrainedAndGoBackAStepWhenManyAre) {
     Alone a;
-    a.z.by_hand(a.now, 1, true);
+    a.z.set_admin_state(a.now, 1, true);
     a.tick();
-    a.z.by_hand(a.now, 1, false);
+    a.z.set_admin_state(a.now, 1, false);
     a.tick();
     const auto second = [&](int strained) {
         for (int i = 0; i < 8; ++i) {
             for (int n = 1; n <= 4; ++n)
-                a.says(n, n <= strained ? ZoneSight::strained : ZoneSight::answers, kStepLeft + 2);
-            a.z.ended(a.now, 1, 1, ZoneEnd::well);
+                a.says(n, n <= strained ? ZoneObservation::strained : ZoneObservation::reachable,
+                       kStepDrained + 2);
+            a.z.on_attempt_finished(a.now, 1, 1, ZoneAttempt::healthy);
             a.tick();
         }
     };
@@ -368,10 +371,11 @@
 TEST(Zones, WhereNothingAnswersAnywhereTheOwnWayIsAtFault) {
     Alone a;
     a.fails(3);
-    for (int i = 0; i < 3; ++i) a.z.ended(a.now, 0, static_cast<Subject>(50 + i), ZoneEnd::silent);
-    EXPECT_TRUE(a.z.voices(a.now).empty());
-    a.z.ended(a.now, 0, 60, ZoneEnd::well);
-    EXPECT_FALSE(a.z.voices(a.now).empty());
+    for (int i = 0; i < 3; ++i)
+        a.z.on_attempt_finished(a.now, 0, static_cast<ServerKey>(50 + i), ZoneAttempt::silent);
+    EXPECT_TRUE(a.z.reports(a.now).empty());
+    a.z.on_attempt_finished(a.now, 0, 60, ZoneAttempt::healthy);
+    EXPECT_FALSE(a.z.reports(a.now).empty());
 }
 
 // ---- every order of faults ------------------------------------------------------------------------------
@@ -393,4 +397,4 @@
 }
 
 }  // namespace
-}  // namespace brookrelay::fleet
+}  // namespace brookrelay::gossip
