--- /dev/null
+++ b/src/balancer/timer_token.h
@@ -0,0 +1,28 @@
+// What a timer of the balancer is for, packed into the opaque number that its host hands back.
+#pragma once
+
+#include <cstdint>
+
+namespace brookrelay {
+
+struct TimerToken {
+    enum class Kind : std::uint64_t { request_expiry = 1, poll, origin_backoff };
+    Kind kind = Kind::poll;
+    std::uint32_t generation = 0;  // of the request; its lower 24 bits count
+    std::uint32_t request = 0;
+
+    std::uint64_t encode() const {
+        return (static_cast<std::uint64_t>(kind) << 56) |
+               (static_cast<std::uint64_t>(generation & kGenerationMask) << 32) | request;
+    }
+    static TimerToken decode(std::uint64_t token) {
+        return {static_cast<Kind>(token >> 56), static_cast<std::uint32_t>(token >> 32) & kGenerationMask,
+                static_cast<std::uint32_t>(token)};
+    }
+    bool is_of_generation(std::uint32_t other) const { return generation == (other & kGenerationMask); }
+
+  private:
+    static constexpr std::uint32_t kGenerationMask = 0xffffffU;
+};
+
+}  // namespace brookrelay
--- /dev/null
+++ b/src/util/sliding_window.h
@@ -0,0 +1,63 @@
+// Sums and counts of samples over the last few seconds.
+#pragma once
+
+#include <algorithm>
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <numeric>
+
+namespace brookrelay {
+
+// A window of fixed length over a stream of samples, in eight buckets of time that are reused as a ring. A
+// sample leaves the window when its whole bucket does. Times are seconds of any clock that never goes back.
+class SlidingWindow {
+  public:
+    explicit SlidingWindow(double length) : bucket_seconds_(length / kBuckets) {}
+
+    void add(double now, double value) {
+        advance(now);
+        sums_[current_] += value;
+        ++counts_[current_];
+    }
+    double sum(double now) {
+        advance(now);
+        return std::accumulate(sums_.begin(), sums_.end(), 0.0);
+    }
+    int count(double now) {
+        advance(now);
+        return std::accumulate(counts_.begin(), counts_.end(), 0);
+    }
+    // 0 if the window holds no sample.
+    double mean(double now) { return count(now) > 0 ? sum(now) / count(now) : 0; }
+    // Another length, at least 0.1 s; samples stay in their buckets.
+    void set_length(double length) { bucket_seconds_ = std::max(length, kMinLength) / kBuckets; }
+    void clear() {
+        sums_.fill(0);
+        counts_.fill(0);
+    }
+
+  private:
+    static constexpr int kBuckets = 8;
+    static constexpr double kMinLength = 0.1;  // s
+
+    // Empties the buckets that have passed since the last call.
+    void advance(double now) {
+        const auto bucket = static_cast<std::int64_t>(now / bucket_seconds_);
+        const std::int64_t steps = std::min<std::int64_t>(bucket - bucket_number_, kBuckets);
+        for (std::int64_t step = 0; step < steps; ++step) {
+            current_ = (current_ + 1) % kBuckets;
+            sums_[current_] = 0;
+            counts_[current_] = 0;
+        }
+        bucket_number_ = std::max(bucket_number_, bucket);
+    }
+
+    double bucket_seconds_;
+    std::array<double, kBuckets> sums_{};
+    std::array<int, kBuckets> counts_{};
+    std::size_t current_ = 0;
+    std::int64_t bucket_number_ = 0;
+};
+
+}  // namespace brookrelay
--- a/src/util/splitmix64.h
+++ b/src/util/splitmix64.h
@@ -1,11 +1,13 @@
-// One mixing of numbers for whoever picks nodes by hash: the same at every node.
+// Hashing of numbers for choices that have to come out the same at every node.
 #pragma once
 
 #include <cstdint>
+#include <string_view>
 
-namespace brookrelay::gossip {
+namespace brookrelay {
 
-// Steele, Lea and Flood, "Fast splittable pseudorandom number generators" (2014): splitmix64's finalizer.
+// The finalizer of splitmix64: Steele, Lea and Flood, "Fast splittable pseudorandom number generators"
+// (2014).
 inline std::uint64_t mix(std::uint64_t x) {
     x += 0x9e3779b97f4a7c15ULL;
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -13,4 +15,14 @@
     return x ^ (x >> 31);
 }
 
-}  // namespace brookrelay::gossip
+// The upper 53 bits of a hash as a fraction in [0, 1).
+inline double unit_interval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1.0p-53; }
+
+// FNV-1a from a given start, mixed once more.
+inline std::uint64_t hash_text(std::string_view text, std::uint64_t start) {
+    constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
+    for (const unsigned char byte : text) start = (start ^ byte) * kFnvPrime;
+    return mix(start);
+}
+
+}  // namespace brookrelay
