--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -10,514 +10,563 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kInMost =
-    kMaxBufferedValueBytes + 16 * 1024;  // a whole value and its head, or a window of a long one
-constexpr std::size_t kUnsizedMost =
-    kMaxValueBytes + 16 * 1024;       // where no length is told, it has to be held whole
-constexpr double kStandstill = 10.0;  // s in which a server gives nothing more of a value that it has begun
-constexpr double kHttpRest = 0.04;  // s after an answer over HTTP in which a second copy of it may still come
-constexpr double kIdlePart = 0.8;   // of the idle time told; later the peer may be about to close
-constexpr double kAgeEvery = 1.0;
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
+// A whole buffered value with its header, or a window of a streamed one.
+constexpr std::size_t kReadLimitBytes = kMaxBufferedValueBytes + kMaxHeaderBytes;
+// A response of unknown length cannot be streamed and is buffered whole.
+constexpr std::size_t kUnknownLengthReadLimitBytes = kMaxValueBytes + kMaxHeaderBytes;
+constexpr double kStallTimeoutSeconds = 10.0;  // without progress of a streamed response
+// After an HTTP response a duplicate of it may still arrive within this time.
+constexpr double kHttpReuseDelaySeconds = 0.04;
+// Connections are reused for this fraction of the idle timeout; later the peer may be about to close them.
+constexpr double kIdleTimeoutFraction = 0.8;
+constexpr double kDefaultConnectTimeoutSeconds = 1.0;
+constexpr double kNoIdleTimeoutSeconds = 1e9;
+constexpr double kExpiryCheckIntervalSeconds = 1.0;
+constexpr double kMinSendTimeoutSeconds = 1e-6;  // above 0, which means no send timeout
+constexpr std::size_t kLoggedInputBytes = 80;
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(TimerQueue& timers, Log& log, const Deployment& d, std::size_t most,
-                           std::size_t bytes, OnFinished tell, OnConnected up, BodySink taker)
+UpstreamPool::UpstreamPool(TimerQueue& timers, Log& log, const Deployment& deployment,
+                           std::size_t max_connections, std::size_t max_bytes, OnFinished on_finished,
+                           OnConnected on_connected, BodySink body_sink)
     : timers_(timers),
       log_(log),
-      max_connections_(most),
-      connection_limit_(most),
-      max_bytes_(bytes),
-      budget_{bytes},
-      on_finished_(std::move(tell)),
-      on_connected_(std::move(up)),
-      body_sink_(std::move(taker)) {
-    apply_configuration(d);
+      max_connections_(max_connections),
+      connection_limit_(max_connections),
+      max_bytes_(max_bytes),
+      budget_{max_bytes},
+      on_finished_(std::move(on_finished)),
+      on_connected_(std::move(on_connected)),
+      body_sink_(std::move(body_sink)) {
+    apply_configuration(deployment);
     close_expired();
 }
 
-void UpstreamPool::apply_configuration(const Deployment& d) {
-    connect_timeout_ = d.connect_timeout > 0 ? d.connect_timeout : 1.0;
-    idle_timeout_ = d.connection_idle_timeout > 0 ? kIdlePart * d.connection_idle_timeout : 1e9;
+void UpstreamPool::apply_configuration(const Deployment& deployment) {
+    connect_timeout_ =
+        deployment.connect_timeout > 0 ? deployment.connect_timeout : kDefaultConnectTimeoutSeconds;
+    idle_timeout_ = deployment.connection_idle_timeout > 0
+                        ? kIdleTimeoutFraction * deployment.connection_idle_timeout
+                        : kNoIdleTimeoutSeconds;
 }
 
-void UpstreamPool::set_budget_share(double part) {
-    connection_limit_ = static_cast<std::size_t>(part * static_cast<double>(max_connections_));
-    budget_.limit = static_cast<std::size_t>(part * static_cast<double>(max_bytes_));
+void UpstreamPool::set_budget_share(double share) {
+    connection_limit_ = static_cast<std::size_t>(share * static_cast<double>(max_connections_));
+    budget_.limit = static_cast<std::size_t>(share * static_cast<double>(max_bytes_));
     while (open_count_ > connection_limit_ && evict_idle()) continue;
 }
 
-void UpstreamPool::add_server(int cache, const std::string& name, const std::string& address, bool origin) {
-    if (cache >= static_cast<int>(servers_.size())) servers_.resize(static_cast<std::size_t>(cache) + 1);
-    Server& s = server(cache);
-    if (s.address != address) close_idle(cache);  // the old address may be another's by now
-    s.name = name;
-    s.address = address;
-    s.origin = origin;
+void UpstreamPool::add_server(int server_id, const std::string& name, const std::string& address,
+                              bool origin) {
+    if (server_id >= static_cast<int>(servers_.size()))
+        servers_.resize(static_cast<std::size_t>(server_id) + 1);
+    Server& server = server_at(server_id);
+    if (server.address != address) close_idle(server_id);  // another server may have the old address now
+    server.name = name;
+    server.address = address;
+    server.origin = origin;
 }
 
-bool UpstreamPool::in_use(int cache) const {
-    return std::any_of(connections_.begin(), connections_.end(),
-                       [cache](const Connection& c) { return c.server == cache && !c.socket->is_closed(); });
+bool UpstreamPool::in_use(int server_id) const {
+    return std::any_of(connections_.begin(), connections_.end(), [server_id](const Connection& connection) {
+        return connection.server == server_id && !connection.socket->is_closed();
+    });
 }
 
-void UpstreamPool::remove_server(int cache) { server(cache) = {}; }
+void UpstreamPool::remove_server(int server_id) { server_at(server_id) = {}; }
 
-Topic UpstreamPool::topic(int cache) const {
-    return servers_[static_cast<std::size_t>(cache)].origin ? Topic::origin : Topic::cache;
+Topic UpstreamPool::topic(int server_id) const {
+    return servers_[static_cast<std::size_t>(server_id)].origin ? Topic::origin : Topic::cache;
 }
 
-std::uint64_t UpstreamPool::attempt_key(int inv, int forward) {
-    return (static_cast<std::uint64_t>(static_cast<std::uint32_t>(inv)) << 32U) |
-           static_cast<std::uint32_t>(forward);
+std::uint64_t UpstreamPool::attempt_key(int request, int attempt) {
+    return (static_cast<std::uint64_t>(static_cast<std::uint32_t>(request)) << 32U) |
+           static_cast<std::uint32_t>(attempt);
 }
 
-void UpstreamPool::start_attempt(int inv, int forward, int cache, const Command& command, double limit,
-                                 double begin_within) {
-    const Server& s = server(cache);
-    if (!has_capacity(cache)) {
-        log_.line(topic(cache), "no_place_left",
-                  s.name + ": this node's part of the fleet's connections is in use, forward not sent");
-        on_finished_({inv, forward, cache, AttemptOutcome::not_sent, 0, {}, 0, 0});
+void UpstreamPool::start_attempt(int request, int attempt, int server_id, const Command& command,
+                                 double timeout, double send_timeout) {
+    const Server& server = server_at(server_id);
+    if (!has_capacity(server_id)) {
+        log_.line(topic(server_id), "no_place_left",
+                  server.name + ": this node's part of the fleet's connections is in use, forward not sent");
+        on_finished_({request, attempt, server_id, AttemptOutcome::not_sent, 0, {}, 0, 0});
         return;
     }
-    Connection* c = connection_to(cache);
-    if (c == nullptr) {
-        log_.line(topic(cache), "no_connection_left",
-                  s.name + ": no connection is left in the budget, forward not sent");
-        on_finished_({inv, forward, cache, AttemptOutcome::refused, 0, {}, 0, 0});
+    Connection* connection = connection_to(server_id);
+    if (connection == nullptr) {
+        log_.line(topic(server_id), "no_connection_left",
+                  server.name + ": no connection is left in the budget, forward not sent");
+        on_finished_({request, attempt, server_id, AttemptOutcome::refused, 0, {}, 0, 0});
         return;
     }
-    c->is_read = command.kind == Command::Kind::read;
-    c->request_id = command.id;
-    begin_attempt(
-        *c, inv, forward, limit, begin_within,
-        s.origin ? format_origin_request(command, limit, s.address) : format_command(command, limit));
-}
-
-void UpstreamPool::check_health(int cache, double limit) {
-    Connection* c = connection_to(cache);
-    const int number = health_checks_++;
-    if (c == nullptr) {
-        on_finished_({kHealthCheck, number, cache, AttemptOutcome::refused, 0, {}, 0, 0});
+    connection->is_read = command.kind == Command::Kind::read;
+    connection->request_id = command.id;
+    begin_attempt(*connection, request, attempt, timeout, send_timeout,
+                  server.origin ? format_origin_request(command, timeout, server.address)
+                                : format_command(command, timeout));
+}
+
+void UpstreamPool::check_health(int server_id, double timeout) {
+    Connection* connection = connection_to(server_id);
+    const int check_number = next_health_check_++;
+    if (connection == nullptr) {
+        on_finished_({kHealthCheck, check_number, server_id, AttemptOutcome::refused, 0, {}, 0, 0});
         return;
     }
-    c->is_read = false;
-    c->request_id.clear();
-    const Server& s = server(cache);
-    begin_attempt(*c, kHealthCheck, number, limit, 0,
-                  s.origin ? format_http_request("GET", "/alive", s.address, {}, {}) : "mn\r\n");
-}
-
-void UpstreamPool::begin_attempt(Connection& c, int inv, int forward, double limit, double begin_within,
-                                 std::string bytes) {
-    c.busy = true;
-    c.request = inv;
-    c.attempt = forward;
-    c.sent_at = monotonic_now();
-    in_flight_.emplace(attempt_key(inv, forward), &c);
-    c.deadline = c.sent_at + limit;
-    c.attempt_timer = timers_.schedule(c.deadline, [this, &c] {
-        c.attempt_timer = {};
-        on_broken(c, AttemptOutcome::timed_out);
+    connection->is_read = false;
+    connection->request_id.clear();
+    const Server& server = server_at(server_id);
+    begin_attempt(*connection, kHealthCheck, check_number, timeout, 0,
+                  server.origin ? format_http_request("GET", "/alive", server.address, {}, {}) : "mn\r\n");
+}
+
+void UpstreamPool::begin_attempt(Connection& connection, int request, int attempt, double timeout,
+                                 double send_timeout, std::string bytes) {
+    connection.busy = true;
+    connection.request = request;
+    connection.attempt = attempt;
+    connection.sent_at = monotonic_now();
+    in_flight_.emplace(attempt_key(request, attempt), &connection);
+    connection.deadline = connection.sent_at + timeout;
+    connection.attempt_timer = timers_.schedule(connection.deadline, [this, &connection] {
+        connection.attempt_timer = {};
+        on_broken(connection, AttemptOutcome::timed_out);
     });
-    if (begin_within > 0) {
-        c.send_timer = timers_.schedule(c.sent_at + begin_within, [this, &c] {
-            c.send_timer = {};
-            if (!is_fully_sent(c) || c.socket->has_unacknowledged_output())
-                on_broken(c, AttemptOutcome::timed_out);
+    if (send_timeout > 0) {
+        connection.send_timer = timers_.schedule(connection.sent_at + send_timeout, [this, &connection] {
+            connection.send_timer = {};
+            if (!is_fully_sent(connection) || connection.socket->has_unacknowledged_output())
+                on_broken(connection, AttemptOutcome::timed_out);
         });
     }
-    c.unsent = std::move(bytes);
-    if (!c.socket->is_connected()) return;
-    // A second copy of the last answer may come some milliseconds late. Another connection in the meantime
-    // would be one more of the few that a server holds.
-    const double rested = server(c.server).origin && c.last_used > 0 ? c.last_used + kHttpRest : 0;
-    if (rested <= c.sent_at) return write_request(c);
-    c.idle_timer = timers_.schedule(rested, [this, &c] {
-        c.idle_timer = {};
-        c.request == kHealthCheck ? write_request(c) : on_connected_(c.request, c.attempt);
+    connection.unsent = std::move(bytes);
+    if (!connection.socket->is_connected()) return;
+    // A duplicate of the last response may arrive some milliseconds late. Waiting is better than opening a
+    // new connection, of which a server holds only a few.
+    const double reusable_at = server_at(connection.server).origin && connection.last_used > 0
+                                   ? connection.last_used + kHttpReuseDelaySeconds
+                                   : 0;
+    if (reusable_at <= connection.sent_at) return write_request(connection);
+    connection.idle_timer = timers_.schedule(reusable_at, [this, &connection] {
+        connection.idle_timer = {};
+        connection.request == kHealthCheck ? write_request(connection)
+                                           : on_connected_(connection.request, connection.attempt);
     });
 }
 
-// Its connection turned out, while it rested, to be good for nobody: the forward has not begun, and takes
-// another.
-void UpstreamPool::continue_attempt(Connection& c) {
-    log_.line(topic(c.server), "second_answer",
-              server(c.server).name + ": closed or answered again while it rested, not used any more");
+// The connection closed or received a duplicate response during the reuse delay. Nothing of the attempt has
+// been sent, so it moves to another connection with its remaining time.
+void UpstreamPool::continue_attempt(Connection& connection) {
+    log_.line(
+        topic(connection.server), "second_answer",
+        server_at(connection.server).name + ": closed or answered again while it rested, not used any more");
     const double now = monotonic_now();
-    const int inv = c.request, number = c.attempt, cache = c.server;
-    const bool read = c.is_read;
-    const double limit = c.deadline - now,
-                 begin_within = c.send_timer.second != 0 ? std::max(c.send_timer.first - now, 1e-6) : 0;
-    std::string id = std::move(c.request_id), bytes = std::exchange(c.unsent, {});
-    in_flight_.erase(attempt_key(inv, number));
-    c.busy = false;
-    close(c);
-    Connection* next = connection_to(cache);
+    const int request = connection.request, attempt = connection.attempt, server_id = connection.server;
+    const bool is_read = connection.is_read;
+    const double timeout = connection.deadline - now,
+                 send_timeout = connection.send_timer.second != 0
+                                    ? std::max(connection.send_timer.first - now, kMinSendTimeoutSeconds)
+                                    : 0;
+    std::string request_id = std::move(connection.request_id), bytes = std::exchange(connection.unsent, {});
+    in_flight_.erase(attempt_key(request, attempt));
+    connection.busy = false;
+    close(connection);
+    Connection* next = connection_to(server_id);
     if (next == nullptr)
-        return on_finished_({inv, number, cache, AttemptOutcome::refused, now - c.sent_at, {}, 0, 0});
-    next->is_read = read;
-    next->request_id = std::move(id);
-    begin_attempt(*next, inv, number, limit, begin_within, std::move(bytes));
+        return on_finished_(
+            {request, attempt, server_id, AttemptOutcome::refused, now - connection.sent_at, {}, 0, 0});
+    next->is_read = is_read;
+    next->request_id = std::move(request_id);
+    begin_attempt(*next, request, attempt, timeout, send_timeout, std::move(bytes));
 }
 
-// Given to the stream before it is up, the bytes would go the moment it comes up: also past their time, to a
-// server that drains by then, or for a client that has left, if the loop hears of the connection before it
-// hears of those.
-void UpstreamPool::write_request(Connection& c) { c.socket->write(std::exchange(c.unsent, {})); }
+// Only called on an established connection. A connecting TcpConnection would send buffered bytes as soon as
+// it is established, even if by then the deadline has passed, the server is draining or the client has
+// closed.
+void UpstreamPool::write_request(Connection& connection) {
+    connection.socket->write(std::exchange(connection.unsent, {}));
+}
 
-void UpstreamPool::send(int inv, int forward) {
-    const auto at = in_flight_.find(attempt_key(inv, forward));
-    if (at == in_flight_.end()) return;  // its end is already on the way
-    Connection& c = *at->second;
-    const bool too_late = c.send_timer.second != 0 && monotonic_now() >= c.send_timer.first;
-    if (too_late || monotonic_now() >= c.deadline) return on_broken(c, AttemptOutcome::timed_out);
-    if (c.socket->is_connected()) write_request(c);
+void UpstreamPool::send(int request, int attempt) {
+    const auto entry = in_flight_.find(attempt_key(request, attempt));
+    if (entry == in_flight_.end()) return;  // its result is already reported
+    Connection& connection = *entry->second;
+    const bool too_late = connection.send_timer.second != 0 && monotonic_now() >= connection.send_timer.first;
+    if (too_late || monotonic_now() >= connection.deadline)
+        return on_broken(connection, AttemptOutcome::timed_out);
+    if (connection.socket->is_connected()) write_request(connection);
 }
 
-void UpstreamPool::abandon(int inv, int forward) {
-    const auto at = in_flight_.find(attempt_key(inv, forward));
-    if (at == in_flight_.end()) return;
-    Connection& c = *at->second;
-    finish_attempt(c, AttemptOutcome::not_sent);
-    keep_or_close(c, true);
+void UpstreamPool::abandon(int request, int attempt) {
+    const auto entry = in_flight_.find(attempt_key(request, attempt));
+    if (entry == in_flight_.end()) return;
+    Connection& connection = *entry->second;
+    finish_attempt(connection, AttemptOutcome::not_sent);
+    keep_or_close(connection, true);
 }
 
-// What is at work and what is idle together stay within it, so that a new one is opened in the place of none.
-bool UpstreamPool::has_capacity(int cache) {
-    Server& s = server(cache);
-    if (!server_connection_limit_ || s.origin) return true;
-    const int at_work = s.open - static_cast<int>(s.idle.size());
-    const int most = server_connection_limit_(cache, at_work + 1);
-    return at_work < most && (!s.idle.empty() || s.open < most);
+// Busy and idle connections together stay within the server's limit: a new connection is only opened if it
+// fits beside the idle ones.
+bool UpstreamPool::has_capacity(int server_id) {
+    Server& server = server_at(server_id);
+    if (!server_connection_limit_ || server.origin) return true;
+    const int busy = server.open - static_cast<int>(server.idle.size());
+    const int max_open = server_connection_limit_(server_id, busy + 1);
+    return busy < max_open && (!server.idle.empty() || server.open < max_open);
 }
 
 void UpstreamPool::enforce_connection_limit() {
     for (std::size_t i = 0; server_connection_limit_ && i < servers_.size(); ++i) {
-        Server& s = servers_[i];
-        if (s.origin || s.idle.empty()) continue;
-        const int most = server_connection_limit_(static_cast<int>(i), 0);
-        while (!s.idle.empty() && s.open > most) close(*s.idle.front());
+        Server& server = servers_[i];
+        if (server.origin || server.idle.empty()) continue;
+        const int max_open = server_connection_limit_(static_cast<int>(i), 0);
+        while (!server.idle.empty() && server.open > max_open) close(*server.idle.front());
     }
 }
 
-// The idle one used last, or a new one; none when the budget is spent. What has come on an idle one belongs
-// to no forward: HTTP names none, so a second copy of the last answer would pass for the next one's.
-UpstreamPool::Connection* UpstreamPool::connection_to(int cache) {
-    auto& idle = server(cache).idle;
+// Returns the most recently used idle connection or a new one, or nullptr if all connections are in use. An
+// idle connection with unread input is closed: HTTP responses carry no request id, so a duplicate of the last
+// response would be taken for the response to the next request.
+UpstreamPool::Connection* UpstreamPool::connection_to(int server_id) {
+    auto& idle = server_at(server_id).idle;
     while (!idle.empty() && !idle.back()->socket->is_idle()) close(*idle.back());
-    if (idle.empty() || monotonic_now() - idle.back()->last_used >= idle_timeout_) return open(cache);
-    Connection* c = idle.back();
+    if (idle.empty() || monotonic_now() - idle.back()->last_used >= idle_timeout_) return open(server_id);
+    Connection* connection = idle.back();
     idle.pop_back();
-    return c;
+    return connection;
 }
 
-UpstreamPool::Connection* UpstreamPool::open(int cache) {
+UpstreamPool::Connection* UpstreamPool::open(int server_id) {
     if (open_count_ >= connection_limit_ && !evict_idle()) return nullptr;
-    Connection& c = connections_.emplace_back();
+    Connection& connection = connections_.emplace_back();
     ++open_count_;
-    ++server(cache).open;
-    c.server = cache;
-    c.socket = std::make_unique<TcpConnection>(server(cache).address, kInMost, budget_,
-                                               [this, &c](TcpConnection::Event what) { on_event(c, what); });
-    c.connect_timer = timers_.schedule(monotonic_now() + connect_timeout_, [this, &c] {
-        c.connect_timer = {};
-        on_broken(c, AttemptOutcome::timed_out);
+    ++server_at(server_id).open;
+    connection.server = server_id;
+    connection.socket = std::make_unique<TcpConnection>(
+        server_at(server_id).address, kReadLimitBytes, budget_,
+        [this, &connection](TcpConnection::Event event) { on_event(connection, event); });
+    connection.connect_timer = timers_.schedule(monotonic_now() + connect_timeout_, [this, &connection] {
+        connection.connect_timer = {};
+        on_broken(connection, AttemptOutcome::timed_out);
     });
-    return &c;
+    return &connection;
 }
 
-// At the budget the connection that has been idle for longest goes.
+// Closes the connection that has been idle for longest, of all servers; returns false if none is idle.
 bool UpstreamPool::evict_idle() {
     Connection* oldest = nullptr;
-    for (const Server& s : servers_) {
-        if (!s.idle.empty() && (oldest == nullptr || s.idle.front()->last_used < oldest->last_used))
-            oldest = s.idle.front();
+    for (const Server& server : servers_) {
+        if (!server.idle.empty() && (oldest == nullptr || server.idle.front()->last_used < oldest->last_used))
+            oldest = server.idle.front();
     }
     if (oldest != nullptr) close(*oldest);
     return oldest != nullptr;
 }
 
-void UpstreamPool::cancel(int inv, int forward) {
-    const auto at = in_flight_.find(attempt_key(inv, forward));
-    if (at == in_flight_.end()) return;  // its end is already on the way
-    Connection& c = *at->second;
-    finish_attempt(c, AttemptOutcome::cancelled);
-    close(c);
+void UpstreamPool::cancel(int request, int attempt) {
+    const auto entry = in_flight_.find(attempt_key(request, attempt));
+    if (entry == in_flight_.end()) return;  // its result is already reported
+    Connection& connection = *entry->second;
+    finish_attempt(connection, AttemptOutcome::cancelled);
+    close(connection);
 }
 
-void UpstreamPool::close_idle(int cache) {
-    auto& idle = server(cache).idle;
+void UpstreamPool::close_idle(int server_id) {
+    auto& idle = server_at(server_id).idle;
     while (!idle.empty()) close(*idle.back());
 }
 
-void UpstreamPool::on_event(Connection& c, TcpConnection::Event what) {
-    if (c.idle_timer.second != 0 && what != TcpConnection::Event::drained) return continue_attempt(c);
-    switch (what) {
+void UpstreamPool::on_event(Connection& connection, TcpConnection::Event event) {
+    if (connection.idle_timer.second != 0 && event != TcpConnection::Event::drained)
+        return continue_attempt(connection);
+    switch (event) {
         case TcpConnection::Event::connected:
-            // After a standstill the loop may hear of this before its timer, which is due all the same.
-            if (c.connect_timer.first <= monotonic_now()) return on_broken(c, AttemptOutcome::timed_out);
-            timers_.cancel(c.connect_timer);
-            if (!c.busy) break;
-            c.request == kHealthCheck ? write_request(c) : on_connected_(c.request, c.attempt);
+            // If the loop was delayed, this event may be dispatched before the timer that is already due.
+            if (connection.connect_timer.first <= monotonic_now())
+                return on_broken(connection, AttemptOutcome::timed_out);
+            timers_.cancel(connection.connect_timer);
+            if (!connection.busy) break;
+            connection.request == kHealthCheck ? write_request(connection)
+                                               : on_connected_(connection.request, connection.attempt);
             break;
         case TcpConnection::Event::readable:
-            read_response(c);
+            read_response(connection);
             break;
         case TcpConnection::Event::drained:
             break;
         case TcpConnection::Event::closed:
-            if (c.stream != 0) {
-                forward_chunks(c);  // what had come before the end may be all of it
-            } else if (c.busy && c.socket->ended_cleanly() && !c.socket->input().empty()) {
-                read_response(c, true);
-            } else if (c.busy) {
-                on_broken(c, AttemptOutcome::reset);
+            if (connection.stream != 0) {
+                forward_chunks(connection);  // the input before the close may complete the body
+            } else if (connection.busy && connection.socket->ended_cleanly() &&
+                       !connection.socket->input().empty()) {
+                read_response(connection, true);
+            } else if (connection.busy) {
+                on_broken(connection, AttemptOutcome::reset);
             } else {
-                close(c);
+                close(connection);
             }
             break;
     }
 }
 
-std::size_t UpstreamPool::parse(const Connection& c, AttemptResponse& answer, bool ended) {
-    const std::string_view in = c.socket->input();
-    if (servers_[static_cast<std::size_t>(c.server)].origin) return parse_origin_response(in, answer, ended);
+std::size_t UpstreamPool::parse(const Connection& connection, AttemptResponse& response, bool ended) {
+    const std::string_view input = connection.socket->input();
+    if (servers_[static_cast<std::size_t>(connection.server)].origin)
+        return parse_origin_response(input, response, ended);
     Reply reply;
-    const std::size_t taken = parse_reply(in, reply);
+    const std::size_t parsed_bytes = parse_reply(input, reply);
     switch (reply.kind) {
         case Reply::Kind::value:
         case Reply::Kind::receipt:
-            answer.valid = reply.id == c.request_id && (reply.kind == Reply::Kind::value) == c.is_read;
-            answer.outcome = AttemptOutcome::succeeded;
+            response.valid =
+                reply.id == connection.request_id && (reply.kind == Reply::Kind::value) == connection.is_read;
+            response.outcome = AttemptOutcome::succeeded;
             break;
         case Reply::Kind::miss:
-            answer.valid = reply.id == c.request_id;
-            answer.outcome = AttemptOutcome::miss;
+            response.valid = reply.id == connection.request_id;
+            response.outcome = AttemptOutcome::miss;
             break;
         case Reply::Kind::hello:
-            answer.valid = c.request == kHealthCheck;
-            answer.outcome = AttemptOutcome::succeeded;
+            response.valid = connection.request == kHealthCheck;
+            response.outcome = AttemptOutcome::succeeded;
             break;
         case Reply::Kind::busy:
-            answer.valid = true;
-            answer.outcome = AttemptOutcome::busy;
+            response.valid = true;
+            response.outcome = AttemptOutcome::busy;
             break;
         case Reply::Kind::failed:
-            answer.valid = true;
-            answer.outcome = AttemptOutcome::failed;
+            response.valid = true;
+            response.outcome = AttemptOutcome::failed;
             break;
         case Reply::Kind::malformed:
             break;
     }
-    answer.body = std::move(reply.body);
-    return taken;
-}
-
-// Only a head in which nothing is wrong is passed on: after it no other answer can take this one's place.
-bool UpstreamPool::begin_stream(Connection& c) {
-    if (!c.busy || !c.is_read || !is_fully_sent(c)) return false;
-    const bool origin = server(c.server).origin;
-    StreamedValue value =
-        origin ? parse_streamed_origin_response(c.socket->input()) : parse_streamed_reply(c.socket->input());
-    if (value.header_bytes == 0 || (!origin && value.id != c.request_id)) return false;
-    c.socket->consume(value.header_bytes);
-    timers_.cancel(c.attempt_timer);
-    in_flight_.erase(attempt_key(c.request, c.attempt));
-    c.stream = ++last_stream_;
-    c.remaining = std::move(value);
-    streams_.emplace(c.stream, &c);
-    c.last_used = monotonic_now();
-    restart_stall_timer(c);
-    on_finished_({c.request,
-                  c.attempt,
-                  c.server,
+    response.body = std::move(reply.body);
+    return parsed_bytes;
+}
+
+// Begins to stream a long value if its header is complete and valid. Once its header is forwarded, no other
+// response can replace this one.
+bool UpstreamPool::begin_stream(Connection& connection) {
+    if (!connection.busy || !connection.is_read || !is_fully_sent(connection)) return false;
+    const bool origin = server_at(connection.server).origin;
+    StreamedValue value = origin ? parse_streamed_origin_response(connection.socket->input())
+                                 : parse_streamed_reply(connection.socket->input());
+    if (value.header_bytes == 0 || (!origin && value.id != connection.request_id)) return false;
+    connection.socket->consume(value.header_bytes);
+    timers_.cancel(connection.attempt_timer);
+    in_flight_.erase(attempt_key(connection.request, connection.attempt));
+    connection.stream = ++last_stream_;
+    connection.remaining = std::move(value);
+    streams_.emplace(connection.stream, &connection);
+    connection.last_used = monotonic_now();
+    restart_stall_timer(connection);
+    on_finished_({connection.request,
+                  connection.attempt,
+                  connection.server,
                   AttemptOutcome::succeeded,
-                  c.last_used - c.sent_at,
+                  connection.last_used - connection.sent_at,
                   {},
-                  c.stream,
-                  c.remaining.length});
+                  connection.stream,
+                  connection.remaining.length});
     return true;
 }
 
-void UpstreamPool::forward_chunks(Connection& c) {
-    if (c.writing_chunk) return;  // the loop below goes on with what there is room for by then
-    while (c.remaining.length > 0) {
-        const std::string_view in = c.socket->input();
-        std::size_t bytes = std::min(in.size(), c.remaining.length);
-        if (bytes == c.remaining.length && c.remaining.trailer_bytes > 0) {
-            // A value that does not end where its head said must not look whole to the client.
-            const std::string_view behind = in.substr(bytes);
-            if (behind.size() < c.remaining.trailer_bytes) {
+void UpstreamPool::forward_chunks(Connection& connection) {
+    if (connection.writing_chunk) return;  // reentered by resume(); the loop below continues
+    while (connection.remaining.length > 0) {
+        const std::string_view input = connection.socket->input();
+        std::size_t bytes = std::min(input.size(), connection.remaining.length);
+        if (bytes == connection.remaining.length && connection.remaining.trailer_bytes > 0) {
+            // A value without its trailer after the announced length must not look complete to the client,
+            // so its last byte is held back until the trailer has arrived.
+            const std::string_view trailer = input.substr(bytes);
+            if (trailer.size() < connection.remaining.trailer_bytes) {
                 --bytes;
-            } else if (!behind.starts_with("\r\n")) {
-                log_.line(topic(c.server), "nonsense",
-                          server(c.server).name + ": a long value does not end where it should");
-                return end_stream(c, false);
+            } else if (!trailer.starts_with("\r\n")) {
+                log_.line(topic(connection.server), "nonsense",
+                          server_at(connection.server).name + ": a long value does not end where it should");
+                return end_stream(connection, false);
             }
         }
-        const std::size_t room = body_sink_.capacity(c.stream);
-        bytes = std::min(bytes, room);
+        const std::size_t capacity = body_sink_.capacity(connection.stream);
+        bytes = std::min(bytes, capacity);
         if (bytes == 0) {
-            if (!c.socket->is_connected() && room > 0) end_stream(c, false);
+            if (!connection.socket->is_connected() && capacity > 0) end_stream(connection, false);
             return;
         }
-        c.writing_chunk = true;
-        body_sink_.write(c.stream, in.substr(0, bytes));
-        c.writing_chunk = false;
-        if (c.stream == 0) return;
-        c.remaining.length -= bytes;
-        c.socket->consume(bytes);
+        connection.writing_chunk = true;
+        body_sink_.write(connection.stream, input.substr(0, bytes));
+        connection.writing_chunk = false;
+        if (connection.stream == 0) return;
+        connection.remaining.length -= bytes;
+        connection.socket->consume(bytes);
     }
-    c.socket->consume(c.remaining.trailer_bytes);
-    end_stream(c, true);
-}
-
-// Time does not run while what has come waits for its client.
-void UpstreamPool::restart_stall_timer(Connection& c) {
-    c.attempt_timer = timers_.schedule(c.last_used + kStandstill, [this, &c] {
-        c.attempt_timer = {};
-        if (!c.socket->input().empty()) c.last_used = monotonic_now();
-        if (monotonic_now() - c.last_used < kStandstill) return restart_stall_timer(c);
-        log_.line(topic(c.server), "value_broken_off",
-                  server(c.server).name + ": nothing more of a value that it had begun");
-        end_stream(c, false);
-    });
+    connection.socket->consume(connection.remaining.trailer_bytes);
+    end_stream(connection, true);
+}
+
+// Time spent waiting for the client to read what is already received does not count as a stall.
+void UpstreamPool::restart_stall_timer(Connection& connection) {
+    connection.attempt_timer =
+        timers_.schedule(connection.last_used + kStallTimeoutSeconds, [this, &connection] {
+            connection.attempt_timer = {};
+            if (!connection.socket->input().empty()) connection.last_used = monotonic_now();
+            if (monotonic_now() - connection.last_used < kStallTimeoutSeconds)
+                return restart_stall_timer(connection);
+            log_.line(topic(connection.server), "value_broken_off",
+                      server_at(connection.server).name + ": nothing more of a value that it had begun");
+            end_stream(connection, false);
+        });
 }
 
-void UpstreamPool::end_stream(Connection& c, bool whole) {
-    timers_.cancel(c.attempt_timer);
-    const std::uint64_t relay = std::exchange(c.stream, 0);
-    streams_.erase(relay);
-    c.busy = false;
-    keep_or_close(c, whole && c.remaining.reusable);
-    body_sink_.end(relay, whole);
+void UpstreamPool::end_stream(Connection& connection, bool complete) {
+    timers_.cancel(connection.attempt_timer);
+    const std::uint64_t stream = std::exchange(connection.stream, 0);
+    streams_.erase(stream);
+    connection.busy = false;
+    keep_or_close(connection, complete && connection.remaining.reusable);
+    body_sink_.end(stream, complete);
 }
 
-void UpstreamPool::resume(std::uint64_t relay) {
-    const auto at = streams_.find(relay);
-    if (at != streams_.end()) forward_chunks(*at->second);
+void UpstreamPool::resume(std::uint64_t stream) {
+    const auto entry = streams_.find(stream);
+    if (entry != streams_.end()) forward_chunks(*entry->second);
 }
 
-void UpstreamPool::abandon_stream(std::uint64_t relay) {
-    const auto at = streams_.find(relay);
-    if (at == streams_.end()) return;
-    Connection& c = *at->second;
-    streams_.erase(at);
-    c.stream = 0;
-    c.busy = false;
-    close(c);
+void UpstreamPool::abandon_stream(std::uint64_t stream) {
+    const auto entry = streams_.find(stream);
+    if (entry == streams_.end()) return;
+    Connection& connection = *entry->second;
+    streams_.erase(entry);
+    connection.stream = 0;
+    connection.busy = false;
+    close(connection);
 }
 
-void UpstreamPool::keep_or_close(Connection& c, bool reusable) {
-    if (!reusable || !c.socket->is_connected() || !c.socket->all_written() || !c.socket->input().empty())
-        return close(c);
-    Server& s = server(c.server);
-    if (server_connection_limit_ && !s.origin && s.open > server_connection_limit_(c.server, 0))
-        return close(c);  // its part has become less meanwhile
-    c.last_used = monotonic_now();
-    c.socket->set_read_limit(kInMost);
-    s.idle.push_back(&c);
+void UpstreamPool::keep_or_close(Connection& connection, bool reusable) {
+    if (!reusable || !connection.socket->is_connected() || !connection.socket->all_written() ||
+        !connection.socket->input().empty())
+        return close(connection);
+    Server& server = server_at(connection.server);
+    if (server_connection_limit_ && !server.origin &&
+        server.open > server_connection_limit_(connection.server, 0))
+        return close(connection);  // the limit was lowered meanwhile
+    connection.last_used = monotonic_now();
+    connection.socket->set_read_limit(kReadLimitBytes);
+    server.idle.push_back(&connection);
 }
 
-void UpstreamPool::read_response(Connection& c, bool ended) {
-    if (c.stream != 0) {
-        c.last_used = monotonic_now();
-        return forward_chunks(c);
+void UpstreamPool::read_response(Connection& connection, bool ended) {
+    if (connection.stream != 0) {
+        connection.last_used = monotonic_now();
+        return forward_chunks(connection);
     }
-    if (begin_stream(c)) return;
-    AttemptResponse answer;
-    std::size_t taken = 0;
-    if (c.busy) taken = parse(c, answer, ended);
-    if (c.busy && taken == 0 && ended) return on_broken(c, AttemptOutcome::reset);  // it ended before its end
-    if (taken == 0 && c.socket->is_read_buffer_full() && answer.unknown_length)
-        c.socket->set_read_limit(kUnsizedMost);
-    if (c.busy && taken == 0 && !c.socket->is_read_buffer_full()) {
-        if (!budget_.exceeded() || c.socket->input().size() <= kMaxLineBytes) return;
-        log_.line(topic(c.server), "no_memory",
-                  server(c.server).name + ": no memory for its answer, forward given up");
-        return on_broken(c, AttemptOutcome::failed);
+    if (begin_stream(connection)) return;
+    AttemptResponse response;
+    std::size_t parsed_bytes = 0;
+    if (connection.busy) parsed_bytes = parse(connection, response, ended);
+    if (connection.busy && parsed_bytes == 0 && ended)
+        return on_broken(connection, AttemptOutcome::reset);  // closed inside the response
+    if (parsed_bytes == 0 && connection.socket->is_read_buffer_full() && response.unknown_length)
+        connection.socket->set_read_limit(kUnknownLengthReadLimitBytes);
+    if (connection.busy && parsed_bytes == 0 && !connection.socket->is_read_buffer_full()) {
+        if (!budget_.exceeded() || connection.socket->input().size() <= kMaxLineBytes) return;
+        log_.line(topic(connection.server), "no_memory",
+                  server_at(connection.server).name + ": no memory for its answer, forward given up");
+        return on_broken(connection, AttemptOutcome::failed);
     }
-    // An answer that comes before the forward is written whole was made for another, if for any.
-    if (c.busy && (answer.outcome == AttemptOutcome::succeeded || answer.outcome == AttemptOutcome::miss))
-        answer.valid = answer.valid && is_fully_sent(c);
-    // A receipt becomes part of a line to the client, which it must not be able to end.
-    if (c.busy && answer.outcome == AttemptOutcome::succeeded && !c.is_read && c.request != kHealthCheck)
-        answer.valid = answer.valid && is_printable_word(answer.body);
-    if (!c.busy || !answer.valid) {
-        // Whose answer the next bytes would be is not known any more.
-        const std::string_view in = c.socket->input();
-        log_.line(topic(c.server), "nonsense",
-                  server(c.server).name + ": nonsense, connection closed: " + std::string(in.substr(0, 80)));
-        // It has answered, so it is neither silent nor full: only this forward fails, which may have run.
-        if (c.busy) return on_broken(c, AttemptOutcome::failed);
-        return close(c);
+    // A response received before the request is fully sent cannot belong to it.
+    if (connection.busy &&
+        (response.outcome == AttemptOutcome::succeeded || response.outcome == AttemptOutcome::miss))
+        response.valid = response.valid && is_fully_sent(connection);
+    // A write receipt becomes part of a line to the client, which it must not be able to break.
+    if (connection.busy && response.outcome == AttemptOutcome::succeeded && !connection.is_read &&
+        connection.request != kHealthCheck)
+        response.valid = response.valid && is_printable_word(response.body);
+    if (!connection.busy || !response.valid) return on_unexpected_input(connection);
+    connection.socket->consume(parsed_bytes);
+    finish_attempt(connection, response.outcome, std::move(response.body));
+    keep_or_close(connection, response.reusable);
+}
+
+// The framing is lost: it is unknown to which request the next bytes belong.
+void UpstreamPool::on_unexpected_input(Connection& connection) {
+    const std::string_view input = connection.socket->input();
+    log_.line(topic(connection.server), "nonsense",
+              server_at(connection.server).name +
+                  ": nonsense, connection closed: " + std::string(input.substr(0, kLoggedInputBytes)));
+    // The server did respond, so it is neither down nor overloaded: only this attempt fails, and its request
+    // may have been executed.
+    if (connection.busy) return on_broken(connection, AttemptOutcome::failed);
+    close(connection);
+}
+
+// Called when a server starts draining: attempts not sent by then must not be sent to it any more.
+void UpstreamPool::close_unstarted(int server_id) {
+    close_idle(server_id);
+    for (Connection& connection : connections_) {
+        if (connection.server == server_id && connection.busy && !connection.unsent.empty())
+            on_broken(connection, AttemptOutcome::refused);
     }
-    c.socket->consume(taken);
-    finish_attempt(c, answer.outcome, std::move(answer.body));
-    keep_or_close(c, answer.reusable);
 }
 
-// What is not connected by the time that a drain is told would begin after it: it is taken back unsent.
-void UpstreamPool::close_unstarted(int cache) {
-    close_idle(cache);
-    for (Connection& c : connections_) {
-        if (c.server == cache && c.busy && !c.unsent.empty()) on_broken(c, AttemptOutcome::refused);
-    }
-}
-
-// What a lost connection proves hangs on one thing: whether the forward's last byte had been written.
-void UpstreamPool::on_broken(Connection& c, AttemptOutcome if_written) {
-    finish_attempt(c, is_fully_sent(c) ? if_written : AttemptOutcome::refused);
-    close(c);
-}
-
-void UpstreamPool::finish_attempt(Connection& c, AttemptOutcome ending, std::string body) {
-    c.busy = false;
-    c.unsent.clear();
-    timers_.cancel(c.attempt_timer);
-    timers_.cancel(c.send_timer);
-    timers_.cancel(c.idle_timer);
-    in_flight_.erase(attempt_key(c.request, c.attempt));
-    const double took = monotonic_now() - c.sent_at;
-    const char* failure = ending == AttemptOutcome::refused     ? "refused"
-                          : ending == AttemptOutcome::reset     ? "reset"
-                          : ending == AttemptOutcome::timed_out ? "timed out"
-                                                                : nullptr;
+// Only a request whose last byte was written may have been executed; any other one was refused.
+void UpstreamPool::on_broken(Connection& connection, AttemptOutcome outcome_if_sent) {
+    finish_attempt(connection, is_fully_sent(connection) ? outcome_if_sent : AttemptOutcome::refused);
+    close(connection);
+}
+
+void UpstreamPool::finish_attempt(Connection& connection, AttemptOutcome outcome, std::string body) {
+    connection.busy = false;
+    connection.unsent.clear();
+    timers_.cancel(connection.attempt_timer);
+    timers_.cancel(connection.send_timer);
+    timers_.cancel(connection.idle_timer);
+    in_flight_.erase(attempt_key(connection.request, connection.attempt));
+    const double latency = monotonic_now() - connection.sent_at;
+    const char* failure = outcome == AttemptOutcome::refused     ? "refused"
+                          : outcome == AttemptOutcome::reset     ? "reset"
+                          : outcome == AttemptOutcome::timed_out ? "timed out"
+                                                                 : nullptr;
     if (failure != nullptr) {
         char text[64];
-        std::snprintf(text, sizeof text, ": forward %s after %.3f s", failure, took);
-        log_.line(topic(c.server), "forward_failed", server(c.server).name + text);
+        std::snprintf(text, sizeof text, ": forward %s after %.3f s", failure, latency);
+        log_.line(topic(connection.server), "forward_failed", server_at(connection.server).name + text);
     }
-    on_finished_({c.request, c.attempt, c.server, ending, took, std::move(body), 0, 0});
-}
-
-void UpstreamPool::close(Connection& c) {
-    if (c.socket->is_closed()) return;
-    std::erase(server(c.server).idle, &c);
-    timers_.cancel(c.attempt_timer);
-    timers_.cancel(c.connect_timer);
-    timers_.cancel(c.send_timer);
-    timers_.cancel(c.idle_timer);
-    c.socket->has_unacknowledged_output() ? c.socket->abort() : c.socket->close();
+    on_finished_(
+        {connection.request, connection.attempt, connection.server, outcome, latency, std::move(body), 0, 0});
+}
+
+void UpstreamPool::close(Connection& connection) {
+    if (connection.socket->is_closed()) return;
+    std::erase(server_at(connection.server).idle, &connection);
+    timers_.cancel(connection.attempt_timer);
+    timers_.cancel(connection.connect_timer);
+    timers_.cancel(connection.send_timer);
+    timers_.cancel(connection.idle_timer);
+    connection.socket->has_unacknowledged_output() ? connection.socket->abort() : connection.socket->close();
     --open_count_;
-    --server(c.server).open;
+    --server_at(connection.server).open;
     has_closed_ = true;
 }
 
 void UpstreamPool::destroy_closed() {
     if (!has_closed_) return;
     has_closed_ = false;
-    connections_.remove_if([](const Connection& c) { return c.socket->is_closed(); });
+    connections_.remove_if([](const Connection& connection) { return connection.socket->is_closed(); });
 }
 
 void UpstreamPool::close_expired() {
     const double now = monotonic_now();
-    for (Server& s : servers_) {
-        while (!s.idle.empty() && now - s.idle.front()->last_used >= idle_timeout_) close(*s.idle.front());
+    for (Server& server : servers_) {
+        while (!server.idle.empty() && now - server.idle.front()->last_used >= idle_timeout_)
+            close(*server.idle.front());
     }
-    timers_.schedule(now + kAgeEvery, [this] { close_expired(); });
+    timers_.schedule(now + kExpiryCheckIntervalSeconds, [this] { close_expired(); });
 }
 
 }  // namespace brookrelay
--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -1,7 +1,13 @@
-// The connections to the caches and to the origin, and the forwards that are out on them. It owns each
-// connection and its time limits and gives both back in drop(). A connection carries one forward at a time:
-// giving one up closes it, and behind a slow answer a quick one would wait. It chooses no server, sends
-// nothing twice, and tells of an end only from the loop or through the node's inbox.
+// The pool of connections to the memcache servers and to the HTTP origin, and the attempts in flight on them.
+//
+// UpstreamPool owns every connection, its buffers and its timers; a connection is closed in close() and its
+// memory freed in destroy_closed(), which the owner calls once per iteration of the main loop. A connection
+// carries one attempt at a time: cancelling an attempt closes its connection, and pipelining would make a
+// quick response wait behind a slow one. The pool neither chooses servers nor retries.
+//
+// Times are seconds on the clock of monotonic_now(), sizes are bytes. Failures are reported as the
+// AttemptOutcome of an AttemptResult, never as exceptions. Everything runs on the thread of the GLib main
+// loop; callbacks may call back into the pool.
 #pragma once
 
 #include <cstddef>
@@ -22,114 +28,135 @@
 
 namespace brookrelay {
 
+/// Keeps reusable connections to each server and runs one attempt at a time on each of them.
 class UpstreamPool {
   public:
+    /// How one attempt (or health check, with request == kHealthCheck) ended.
     struct AttemptResult {
         int request;
         int attempt;
         int server;
         AttemptOutcome outcome;
-        double latency;
+        double latency;  // seconds since the attempt was started
         std::string body;
-        // A long value follows in pieces, `length` bytes of it, to whom this number stands for; 0: all is
-        // told.
+        // If not 0, the body follows in chunks through the BodySink under this stream id, `stream_length`
+        // bytes in all, and `body` is empty.
         std::uint64_t stream = 0;
         std::size_t stream_length = 0;
     };
-    // Who takes the pieces of long values: how many bytes it has room for, some of them, and their end. Where
-    // there is no room it pulls once there is.
+    /// Receives the bodies of streamed responses. `capacity` says how many bytes may be written now; after it
+    /// has returned 0, the sink calls resume() once there is room. `end` is called once per stream, with
+    /// `complete` false if the body was cut short, but not after abandon_stream().
     struct BodySink {
-        std::function<std::size_t(std::uint64_t relay)> capacity;
-        std::function<void(std::uint64_t relay, std::string_view piece)> write;
-        std::function<void(std::uint64_t relay, bool whole)> end;
+        std::function<std::size_t(std::uint64_t stream)> capacity;
+        std::function<void(std::uint64_t stream, std::string_view chunk)> write;
+        std::function<void(std::uint64_t stream, bool complete)> end;
     };
     using OnFinished = std::function<void(AttemptResult&&)>;
-    // A forward's connection has come up, and nothing of it is sent: it waits for begin() or decline().
-    using OnConnected = std::function<void(int inv, int forward)>;
-    // How many connections to a server may be open, of which so many would be at work.
-    using ConnectionLimit = std::function<int(int cache, int wanted)>;
-    static constexpr int kHealthCheck = -1;  // in the place of an invocation
+    /// The attempt's connection is established and nothing is sent yet: the owner calls send() or abandon().
+    using OnConnected = std::function<void(int request, int attempt)>;
+    /// The number of connections that may be open to a server, given how many of them would be busy.
+    using ConnectionLimit = std::function<int(int server_id, int busy)>;
+    static constexpr int kHealthCheck = -1;  ///< stands in place of a request id
 
-    UpstreamPool(TimerQueue& timers, Log& log, const Deployment& deployment, std::size_t most,
-                 std::size_t bytes, OnFinished tell, OnConnected up, BodySink taker);
+    /// `timers` and `log` must outlive the pool. `max_connections` and `max_bytes` bound the connections and
+    /// the buffered bytes of all servers together.
+    UpstreamPool(TimerQueue& timers, Log& log, const Deployment& deployment, std::size_t max_connections,
+                 std::size_t max_bytes, OnFinished on_finished, OnConnected on_connected, BodySink body_sink);
 
-    void apply_configuration(const Deployment& deployment);  // for connections from now on
-    // Without: only the budget says. What is open beyond it is closed by keep_places(), or as it falls idle.
-    void set_connection_limit(ConnectionLimit places) { server_connection_limit_ = std::move(places); }
+    /// Takes the connect and idle timeouts; connects already in progress keep their timeout.
+    void apply_configuration(const Deployment& deployment);
+    /// Without a limit per server only `max_connections` counts. Connections above it are closed by
+    /// enforce_connection_limit(), or when they become idle.
+    void set_connection_limit(ConnectionLimit limit) { server_connection_limit_ = std::move(limit); }
     void enforce_connection_limit();
-    void add_server(int cache, const std::string& name, const std::string& address, bool origin);
-    bool in_use(int cache) const;   // something of it is still open
-    void remove_server(int cache);  // only what is not in use: its number may then stand for another server
-    // `begin_within`: s in which its last byte has to be handed on, or it is not sent; 0: its limit alone
-    // counts.
-    void start_attempt(int inv, int forward, int cache, const Command& command, double limit,
-                       double begin_within);
-    void check_health(int cache, double limit);
-    void send(int inv, int forward);
-    void abandon(int inv, int forward);  // nobody wants it any more: it is not sent, and its connection rests
-    void cancel(int inv, int forward);
-    void resume(std::uint64_t relay);
-    void abandon_stream(std::uint64_t relay);  // nobody wants the rest
-    void close_idle(int cache);                // closes the idle ones
-    void close_unstarted(int cache);  // and those that have not begun to carry what they were opened for
+    void add_server(int server_id, const std::string& name, const std::string& address, bool origin);
+    /// Whether any connection to the server is still open.
+    bool in_use(int server_id) const;
+    /// Forgets a server that is not in use; its id may then be given to another server.
+    void remove_server(int server_id);
+    /// Starts an attempt that times out after `timeout` seconds. Unless `send_timeout` is 0, the request must
+    /// also be sent and acknowledged within that many seconds, or the attempt ends as timed out. The result
+    /// is reported through OnFinished, at once if there is no connection to be had.
+    void start_attempt(int request, int attempt, int server_id, const Command& command, double timeout,
+                       double send_timeout);
+    /// Like start_attempt(), for the server's health check; the request id of its result is kHealthCheck.
+    void check_health(int server_id, double timeout);
+    /// Sends the request of an attempt announced by OnConnected, unless its deadline has passed.
+    void send(int request, int attempt);
+    /// Ends an attempt announced by OnConnected without sending it; its connection becomes idle.
+    void abandon(int request, int attempt);
+    /// Ends an attempt and closes its connection. No effect if the attempt has already ended.
+    void cancel(int request, int attempt);
+    /// Continues a stream whose sink had no capacity.
+    void resume(std::uint64_t stream);
+    /// Closes the connection of a stream whose remaining body is not wanted; BodySink::end is not called.
+    void abandon_stream(std::uint64_t stream);
+    void close_idle(int server_id);
+    /// Closes the server's idle connections and refuses its attempts that are not sent yet.
+    void close_unstarted(int server_id);
     int open_count() const { return static_cast<int>(open_count_); }
     double connect_timeout() const { return connect_timeout_; }
-    void set_budget_share(double part);  // of its connections and bytes: the rest is another process's
-    void destroy_closed();               // takes away what was closed in this turn
+    /// Limits the pool to this share (0 to 1) of its connections and bytes; a sibling process uses the rest.
+    void set_budget_share(double share);
+    /// Frees the connections closed since the last call; never called from inside a callback of the pool.
+    void destroy_closed();
 
   private:
     struct Connection {
         int server = 0;
         std::unique_ptr<TcpConnection> socket;
         bool busy = false;
-        bool is_read = false;  // what is out is a read: only a value answers it
+        bool is_read = false;  // the request in flight is a read, which only a value answers
         int request = 0;
         int attempt = 0;
         std::string request_id;
-        std::string unsent;  // the forward's bytes, until its connection is up and it is still wanted then
+        std::string unsent;  // the request's bytes, until send() or a health check writes them
         double sent_at = 0;
-        double deadline = 0;  // when it is given up
+        double deadline = 0;  // of the attempt
         double last_used = 0;
         TimerQueue::Handle attempt_timer;
         TimerQueue::Handle connect_timer;
         TimerQueue::Handle send_timer;
         TimerQueue::Handle idle_timer;
-        std::uint64_t stream = 0;    // its long value is being passed on
-        StreamedValue remaining;     // what of it has not been
-        bool writing_chunk = false;  // a piece, whose taker may pull from inside
+        std::uint64_t stream = 0;    // id of the response being streamed, or 0
+        StreamedValue remaining;     // the part of the streamed response not forwarded yet
+        bool writing_chunk = false;  // inside BodySink::write, which may call resume()
     };
     struct Server {
         std::string name, address;
         bool origin = false;
-        std::vector<Connection*> idle;  // the last used at the end
-        int open = 0;                   // idle ones among them
+        std::vector<Connection*> idle;  // the most recently used last
+        int open = 0;                   // connections, including idle ones
     };
 
-    Server& server(int cache) { return servers_[static_cast<std::size_t>(cache)]; }
-    Topic topic(int cache) const;
-    static std::uint64_t attempt_key(int inv, int forward);
-    Connection* connection_to(int cache);
-    Connection* open(int cache);
-    bool has_capacity(int cache);
+    Server& server_at(int server_id) { return servers_[static_cast<std::size_t>(server_id)]; }
+    Topic topic(int server_id) const;
+    static std::uint64_t attempt_key(int request, int attempt);
+    Connection* connection_to(int server_id);
+    Connection* open(int server_id);
+    bool has_capacity(int server_id);
     bool evict_idle();
-    void begin_attempt(Connection& c, int inv, int forward, double limit, double begin_within,
+    void begin_attempt(Connection& connection, int request, int attempt, double timeout, double send_timeout,
                        std::string bytes);
-    void continue_attempt(Connection& c);
-    void write_request(Connection& c);
-    void on_event(Connection& c, TcpConnection::Event news);
-    void read_response(Connection& c, bool ended = false);  // `ended`: by an orderly end behind what has come
-    bool begin_stream(Connection& c);
-    void forward_chunks(Connection& c);
-    void restart_stall_timer(Connection& c);
-    void end_stream(Connection& c, bool whole);
-    void keep_or_close(Connection& c, bool reusable);
-    static bool is_fully_sent(const Connection& c) {
-        return c.unsent.empty() && c.socket->unwritten_bytes() == 0;
+    void continue_attempt(Connection& connection);
+    void write_request(Connection& connection);
+    void on_event(Connection& connection, TcpConnection::Event event);
+    // `ended`: the peer has closed cleanly, so the input is all there is.
+    void read_response(Connection& connection, bool ended = false);
+    void on_unexpected_input(Connection& connection);
+    bool begin_stream(Connection& connection);
+    void forward_chunks(Connection& connection);
+    void restart_stall_timer(Connection& connection);
+    void end_stream(Connection& connection, bool complete);
+    void keep_or_close(Connection& connection, bool reusable);
+    static bool is_fully_sent(const Connection& connection) {
+        return connection.unsent.empty() && connection.socket->unwritten_bytes() == 0;
     }
-    std::size_t parse(const Connection& c, AttemptResponse& answer, bool ended);
-    void on_broken(Connection& c, AttemptOutcome if_written);
-    void finish_attempt(Connection& c, AttemptOutcome ending, std::string body = {});
-    void close(Connection& c);
+    std::size_t parse(const Connection& connection, AttemptResponse& response, bool ended);
+    void on_broken(Connection& connection, AttemptOutcome outcome_if_sent);
+    void finish_attempt(Connection& connection, AttemptOutcome outcome, std::string body = {});
+    void close(Connection& connection);
     void close_expired();
 
     TimerQueue& timers_;
@@ -150,7 +177,7 @@
     std::list<Connection> connections_;
     std::size_t open_count_ = 0;
     bool has_closed_ = false;
-    int health_checks_ = 0;
+    int next_health_check_ = 0;
     std::unordered_map<std::uint64_t, Connection*> in_flight_;
 };
 
