--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -6,47 +6,47 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kInMost = kMaxBufferedValueBytes + 2 * kMaxLineBytes;
-constexpr std::size_t kWindow = 64 * 1024;  // of a long value, written and not taken yet
-constexpr std::size_t kReservedPart = 2;    // of the clients' bytes: for long values that they write
-constexpr std::size_t kPipelined = 32;
-constexpr double kAheadPart = 0.25;  // of the connections: commands held at once before each has just one
-constexpr int kAcceptsATurn = 64;
-constexpr double kAcceptPause = 0.05;
-constexpr double kFirstBytes = 0.5;  // s in which a new client has not yet had the time to write
-// Descriptors are few, and a client that says nothing or stops halfway keeps one for nothing. Time runs from
-// the last byte: whoever is slow but goes on is served.
-constexpr double kSilent = 2.5;  // s that a new client may say nothing, and any may stop within a command
-constexpr double kSilentLong = 10.0;  // and within a long value
-constexpr double kIdle = 30.0;        // s between two commands
-// Clients may hold only so many connections. Those who ask once and stay would hold them all, and nobody
-// could ask any more: the longest idle go beyond a part of the places, unless the next command may already be
-// on its way.
-constexpr double kIdlePart = 0.1;
-constexpr double kIdleLeast = 0.05;
-constexpr double kUntaken = 10.0;  // s in which a client takes no byte of its answers
-constexpr double kAgeEvery = 0.05;
-constexpr const char* kNoMemory = "SERVER_ERROR out of memory";
-// A close over bytes that are not read resets the connection, and what is still on its way out goes with it.
-// So the end of sending comes first, and what the client sends behind it is read and thrown away for so long,
-// s.
-constexpr double kLinger = 1.0;
+constexpr std::size_t kReadLimitBytes = kMaxBufferedValueBytes + 2 * kMaxLineBytes;
+constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;  // written but not yet sent to the client
+constexpr std::size_t kReservedShareDivisor = 2;  // half of the bytes may be reserved for long written values
+constexpr std::size_t kMaxPipelinedCommands = 32;
+// Pipelining is allowed while the unanswered commands are fewer than this fraction of the connections.
+constexpr double kPipelinedCommandsFraction = 0.25;
+constexpr int kMaxAcceptsPerIteration = 64;
+constexpr double kAcceptRetrySeconds = 0.05;
+constexpr double kFirstCommandGraceSeconds = 0.5;  // a new client is not evicted before it had time to write
+// Descriptors are scarce, so clients that are silent or stop inside a command are closed. The timeouts run
+// from the last byte received: a slow client that makes progress is served.
+constexpr double kSilenceTimeoutSeconds = 2.5;     // before the first command, and inside any command
+constexpr double kLongValueTimeoutSeconds = 10.0;  // inside a long value
+constexpr double kIdleTimeoutSeconds = 30.0;       // between two commands
+// Clients that send one command and stay connected could hold all connections. So beyond this fraction of the
+// connections the longest idle ones are closed, unless their next command may already be on its way.
+constexpr double kMaxIdleFraction = 0.1;
+constexpr double kMinIdleSeconds = 0.05;
+constexpr double kUnreadResponseTimeoutSeconds = 10.0;  // without a client reading any of its responses
+constexpr double kTimeoutCheckIntervalSeconds = 0.05;
+constexpr const char* kOutOfMemoryLine = "SERVER_ERROR out of memory";
+// Closing a socket with unread input resets the connection, and responses not delivered yet are lost. So the
+// write side is shut down first, and for this time further input is read and discarded.
+constexpr double kLingerSeconds = 1.0;
 
 }  // namespace
 
-ClientConnections::ClientConnections(TimerQueue& timers, Log& log, std::size_t most, std::size_t bytes,
-                                     OnCommand asked, OnClientClosed left, StreamCallbacks relayed)
+ClientConnections::ClientConnections(TimerQueue& timers, Log& log, std::size_t max_connections,
+                                     std::size_t max_bytes, OnCommand on_command,
+                                     OnClientClosed on_client_closed, StreamCallbacks stream_callbacks)
     : timers_(timers),
       log_(log),
-      max_connections_(most),
-      connection_limit_(most),
-      max_bytes_(bytes),
-      budget_{bytes},
-      on_command_(std::move(asked)),
-      on_client_closed_(std::move(left)),
-      stream_callbacks_(std::move(relayed)),
-      reserved_limit_(bytes / kReservedPart) {
-    age();
+      max_connections_(max_connections),
+      connection_limit_(max_connections),
+      max_bytes_(max_bytes),
+      budget_{max_bytes},
+      on_command_(std::move(on_command)),
+      on_client_closed_(std::move(on_client_closed)),
+      stream_callbacks_(std::move(stream_callbacks)),
+      reserved_limit_(max_bytes / kReservedShareDivisor) {
+    check_clients();
 }
 
 ClientConnections::~ClientConnections() { watch_listener(false); }
@@ -56,10 +56,10 @@
     watch_listener(true);
 }
 
-void ClientConnections::set_budget_share(double part) {
-    connection_limit_ = static_cast<std::size_t>(part * static_cast<double>(max_connections_));
-    budget_.limit = static_cast<std::size_t>(part * static_cast<double>(max_bytes_));
-    reserved_limit_ = budget_.limit / kReservedPart;
+void ClientConnections::set_budget_share(double share) {
+    connection_limit_ = static_cast<std::size_t>(share * static_cast<double>(max_connections_));
+    budget_.limit = static_cast<std::size_t>(share * static_cast<double>(max_bytes_));
+    reserved_limit_ = budget_.limit / kReservedShareDivisor;
 }
 
 void ClientConnections::stop_accepting() {
@@ -86,304 +86,319 @@
 }
 
 void ClientConnections::accept_connections() {
-    for (int n = 0; n < kAcceptsATurn; ++n) {
+    for (int accepted = 0; accepted < kMaxAcceptsPerIteration; ++accepted) {
         GError* error = nullptr;
-        const bool room = open_count_ < connection_limit_ || evict_idle();
-        SocketRef socket(room ? g_socket_accept(listener_.get(), nullptr, &error) : nullptr);
-        const ErrorRef why(error);
+        const bool has_capacity = open_count_ < connection_limit_ || evict_idle();
+        SocketRef socket(has_capacity ? g_socket_accept(listener_.get(), nullptr, &error) : nullptr);
+        const ErrorRef error_owner(error);
         if (socket == nullptr) {
-            if (room && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) return;
+            if (has_capacity && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) return;
             log_.line(Topic::client, "accepting_waits",
                       std::string("accepting waits: ") +
-                          (room ? why->message : "all client connections are in use"));
+                          (has_capacity ? error->message : "all client connections are in use"));
             watch_listener(false);
             timers_.cancel(accept_retry_timer_);
-            accept_retry_timer_ = timers_.schedule(monotonic_now() + kAcceptPause, [this] {
+            accept_retry_timer_ = timers_.schedule(monotonic_now() + kAcceptRetrySeconds, [this] {
                 accept_retry_timer_ = {};
                 watch_listener(true);
             });
             return;
         }
         const std::uint64_t id = ++last_id_;
-        Client& c = clients_[id];
+        Client& client = clients_[id];
         ++open_count_;
-        c.last_used = monotonic_now();
-        c.connection = std::make_unique<TcpConnection>(
-            std::move(socket), kInMost, budget_,
-            [this, id, &c](TcpConnection::Event what) { on_event(id, c, what); });
+        client.last_used = monotonic_now();
+        client.connection = std::make_unique<TcpConnection>(
+            std::move(socket), kReadLimitBytes, budget_,
+            [this, id, &client](TcpConnection::Event event) { on_event(id, client, event); });
     }
 }
 
-// A client may only be parted with between commands: what it has written to an accepted connection counts as
-// taken even while it is unread, and one that has just connected did so to write.
-bool ClientConnections::between_commands(const Client& c) {
-    const bool new_here = c.first_command == 0 && monotonic_now() - c.last_used < kFirstBytes;
-    return !c.connection->is_closed() && c.pending.empty() && !new_here && !c.connection->has_unread_input();
+// A client may only be closed between commands: a command written to an accepted connection counts as
+// accepted even while it is unread, and a client that has just connected is about to write.
+bool ClientConnections::between_commands(const Client& client) {
+    const bool just_connected =
+        client.first_command == 0 && monotonic_now() - client.last_used < kFirstCommandGraceSeconds;
+    return !client.connection->is_closed() && client.pending.empty() && !just_connected &&
+           !client.connection->has_unread_input();
 }
 
-// At the budget the one idle for longest goes.
+// Closes the connection that has been idle for longest; returns false if none may be closed.
 bool ClientConnections::evict_idle() {
     Client* oldest = nullptr;
     std::uint64_t oldest_id = 0;
-    for (auto& [id, c] : clients_) {
-        const bool is_closing = c.closing && !c.connection->is_closed();
-        if ((oldest != nullptr && c.last_used >= oldest->last_used) || c.connection->unwritten_bytes() > 0)
+    for (auto& [id, client] : clients_) {
+        const bool is_closing = client.closing && !client.connection->is_closed();
+        if ((oldest != nullptr && client.last_used >= oldest->last_used) ||
+            client.connection->unwritten_bytes() > 0)
             continue;
-        if (!is_closing && !between_commands(c)) continue;
-        oldest = &c;
+        if (!is_closing && !between_commands(client)) continue;
+        oldest = &client;
         oldest_id = id;
     }
     if (oldest != nullptr) close(oldest_id, *oldest);
     return oldest != nullptr;
 }
 
-void ClientConnections::on_event(std::uint64_t id, Client& c, TcpConnection::Event what) {
-    if (what == TcpConnection::Event::closed) return close(id, c);
-    if (what == TcpConnection::Event::readable && !c.closing) c.last_used = monotonic_now();
-    if (what == TcpConnection::Event::drained && c.closing) start_lingering_close(id, c);
-    read_commands(id, c);
-    if (what == TcpConnection::Event::drained && !c.pending.empty() && c.pending.front().stream != 0)
-        stream_callbacks_.on_writable(c.pending.front().stream);
-    if (budget_.exceeded() && c.reserved == 0 && c.connection->input().size() > kMaxLineBytes)
-        return reject_connection(id, c, kNoMemory);
-    close_if_done(id, c);
+void ClientConnections::on_event(std::uint64_t id, Client& client, TcpConnection::Event event) {
+    if (event == TcpConnection::Event::closed) return close(id, client);
+    if (event == TcpConnection::Event::readable && !client.closing) client.last_used = monotonic_now();
+    if (event == TcpConnection::Event::drained && client.closing) start_lingering_close(id, client);
+    read_commands(id, client);
+    if (event == TcpConnection::Event::drained && !client.pending.empty() &&
+        client.pending.front().stream != 0)
+        stream_callbacks_.on_writable(client.pending.front().stream);
+    if (budget_.exceeded() && client.reserved == 0 && client.connection->input().size() > kMaxLineBytes)
+        return reject_connection(id, client, kOutOfMemoryLine);
+    close_if_done(id, client);
 }
 
-void ClientConnections::read_commands(std::uint64_t id, Client& c) {
-    if (c.reading_stopped) {
-        c.connection->consume(c.connection->input().size());
+void ClientConnections::read_commands(std::uint64_t id, Client& client) {
+    if (client.reading_stopped) {
+        client.connection->consume(client.connection->input().size());
         return;
     }
-    while (!c.reading_stopped && may_accept_command(c)) {
+    while (!client.reading_stopped && may_accept_command(client)) {
         Command command;
-        const std::size_t taken = parse_command(c.connection->input(), command);
-        if (taken == 0 && !may_continue_reading(c)) c.last_used = monotonic_now();
-        if (taken == 0) break;
-        c.connection->consume(taken);
+        const std::size_t parsed_bytes = parse_command(client.connection->input(), command);
+        if (parsed_bytes == 0 && !may_continue_reading(client)) client.last_used = monotonic_now();
+        if (parsed_bytes == 0) break;
+        client.connection->consume(parsed_bytes);
         last_command_at_ = monotonic_now();
-        PendingResponse& p = c.pending.emplace_back();
-        if (c.reserved > 0) c.connection->set_read_limit(kInMost);
-        p.reserved = std::exchange(c.reserved, 0);
+        PendingResponse& response = client.pending.emplace_back();
+        if (client.reserved > 0) client.connection->set_read_limit(kReadLimitBytes);
+        response.reserved = std::exchange(client.reserved, 0);
         ++unanswered_commands_;
         if (command.kind == Command::Kind::hello) {
-            complete(p, "MN\r\n");
+            finish_response(response, "MN\r\n");
         } else if (command.kind == Command::Kind::malformed) {
-            const std::string complaint = command.error;
-            log_.line(Topic::client, complaint.empty() ? "unknown_command" : "malformed",
-                      complaint.empty() ? "unknown command" : "malformed: " + complaint);
-            complete(p, complaint.empty() ? "ERROR\r\n" : "CLIENT_ERROR " + complaint + "\r\n");
-            c.reading_stopped = command.framing_lost;
+            const std::string error = command.error;
+            log_.line(Topic::client, error.empty() ? "unknown_command" : "malformed",
+                      error.empty() ? "unknown command" : "malformed: " + error);
+            finish_response(response, error.empty() ? "ERROR\r\n" : "CLIENT_ERROR " + error + "\r\n");
+            client.reading_stopped = command.framing_lost;
         } else {
-            p.request = on_command_({id, c.first_command + c.pending.size() - 1}, std::move(command));
+            response.request =
+                on_command_({id, client.first_command + client.pending.size() - 1}, std::move(command));
             continue;
         }
-        write_responses(c);
+        write_responses(client);
     }
 }
 
-// Long values are read by a few at a time, each with room for all of its own: the others are not read from,
-// and nobody is cut off half-way for those.
-bool ClientConnections::may_continue_reading(Client& c) {
-    if (c.reserved > 0) return true;
-    const std::size_t length = streamed_write_length(c.connection->input());
-    c.waiting_for_memory = length > 0 && reserved_ > 0 && reserved_ + length > reserved_limit_;
-    if (length == 0 || c.waiting_for_memory) return !c.waiting_for_memory;
-    c.reserved = length;
+// A long value is only read once memory for all of it is reserved. Other clients with long values wait, so
+// that none has to be closed inside its value.
+bool ClientConnections::may_continue_reading(Client& client) {
+    if (client.reserved > 0) return true;
+    const std::size_t length = streamed_write_length(client.connection->input());
+    client.waiting_for_memory = length > 0 && reserved_ > 0 && reserved_ + length > reserved_limit_;
+    if (length == 0 || client.waiting_for_memory) return !client.waiting_for_memory;
+    client.reserved = length;
     reserved_ += length;
-    c.connection->set_read_limit(length + 2 * kMaxLineBytes);
+    client.connection->set_read_limit(length + 2 * kMaxLineBytes);
     return true;
 }
 
-// A command may hold a value of the greatest size, and its answer another: all clients together may not
-// pipeline more than fits. Each may always have one.
-bool ClientConnections::may_accept_command(const Client& c) const {
-    // A client that does not take its answers is not read from either.
-    if (c.connection->unwritten_bytes() > 0 || c.pending.size() >= kPipelined) return false;
-    return c.pending.empty() ||
-           static_cast<double>(unanswered_commands_) < kAheadPart * static_cast<double>(connection_limit_);
+// A command and its response may each hold a value of the greatest size, so the commands pipelined by all
+// clients together are bounded. Each client may always have one.
+bool ClientConnections::may_accept_command(const Client& client) const {
+    // No commands are read from a client that does not read its responses.
+    if (client.connection->unwritten_bytes() > 0 || client.pending.size() >= kMaxPipelinedCommands)
+        return false;
+    return client.pending.empty() || static_cast<double>(unanswered_commands_) <
+                                         kPipelinedCommandsFraction * static_cast<double>(connection_limit_);
 }
 
-void ClientConnections::complete(PendingResponse& p, std::string text) {
+void ClientConnections::finish_response(PendingResponse& response, std::string text) {
     budget_.used += text.size();
-    p.ready = true;
-    p.text = std::move(text);
+    response.ready = true;
+    response.text = std::move(text);
 }
 
-// One error line behind what is still owed, and no more is read.
-void ClientConnections::reject_connection(std::uint64_t id, Client& c, const char* line) {
+// Sends an error line after the pending responses and discards all further input.
+void ClientConnections::reject_connection(std::uint64_t id, Client& client, const char* line) {
     log_.line(Topic::client, "turned_away", std::string("turned away: ") + line);
-    complete(c.pending.emplace_back(), std::string(line) + "\r\n");
+    finish_response(client.pending.emplace_back(), std::string(line) + "\r\n");
     ++unanswered_commands_;
-    c.reading_stopped = true;
-    c.connection->consume(c.connection->input().size());
-    write_responses(c);
-    close_if_done(id, c);
+    client.reading_stopped = true;
+    client.connection->consume(client.connection->input().size());
+    write_responses(client);
+    close_if_done(id, client);
 }
 
-void ClientConnections::age() {
+void ClientConnections::check_clients() {
     const double now = monotonic_now();
-    for (auto& [id, c] : clients_) {
-        if (!c.connection->is_closed() && c.waiting_for_memory) read_commands(id, c);
-        if (!c.connection->is_closed()) age(id, c, now);
-        if (shutting_down_ && !c.connection->is_closed()) close_if_done(id, c);
+    for (auto& [id, client] : clients_) {
+        if (!client.connection->is_closed() && client.waiting_for_memory) read_commands(id, client);
+        if (!client.connection->is_closed()) check_timeouts(id, client, now);
+        if (shutting_down_ && !client.connection->is_closed()) close_if_done(id, client);
     }
     close_longest_idle(now);
-    timers_.schedule(now + kAgeEvery, [this] { age(); });
+    timers_.schedule(now + kTimeoutCheckIntervalSeconds, [this] { check_clients(); });
 }
 
 void ClientConnections::close_longest_idle(double now) {
-    const auto kept = static_cast<std::size_t>(kIdlePart * static_cast<double>(connection_limit_));
-    if (open_count_ <= kept) return;  // each look below asks the kernel once a client
+    const auto max_idle = static_cast<std::size_t>(kMaxIdleFraction * static_cast<double>(connection_limit_));
+    if (open_count_ <= max_idle) return;  // the loop below makes a system call for each client
     std::vector<std::pair<double, std::uint64_t>> idle;
-    for (const auto& [id, c] : clients_) {
+    for (const auto& [id, client] : clients_) {
         const bool answered =
-            c.first_command > 0 && c.connection->unwritten_bytes() == 0 && !c.reading_stopped;
-        if (answered && between_commands(c)) idle.emplace_back(c.last_used, id);
+            client.first_command > 0 && client.connection->unwritten_bytes() == 0 && !client.reading_stopped;
+        if (answered && between_commands(client)) idle.emplace_back(client.last_used, id);
     }
     std::sort(idle.begin(), idle.end());
-    for (std::size_t i = 0; i + kept < idle.size() && now - idle[i].first >= kIdleLeast; ++i)
+    for (std::size_t i = 0; i + max_idle < idle.size() && now - idle[i].first >= kMinIdleSeconds; ++i)
         close_gracefully(idle[i].second, clients_.at(idle[i].second));
 }
 
-void ClientConnections::age(std::uint64_t id, Client& c, double now) {
-    if (c.connection->unwritten_bytes() != c.unread_response_bytes) {
-        c.unread_response_bytes = c.connection->unwritten_bytes();
-        c.unread_since = now;
+void ClientConnections::check_timeouts(std::uint64_t id, Client& client, double now) {
+    if (client.connection->unwritten_bytes() != client.unread_response_bytes) {
+        client.unread_response_bytes = client.connection->unwritten_bytes();
+        client.unread_since = now;
     }
-    if (c.unread_response_bytes > 0) {
-        if (now - c.unread_since >= kUntaken) close(id, c);
-    } else if (c.reading_stopped || now - c.last_used < (c.reserved > 0 ? kSilentLong : kSilent) ||
-               !may_accept_command(c)) {
-        return;  // it is being closed, has just been heard, or is not read from
-    } else if (!c.connection->input().empty()) {
-        reject_connection(id, c, "CLIENT_ERROR incomplete command");
-    } else if (c.pending.empty() && !c.connection->has_unread_input() &&
-               (c.first_command == 0 || now - c.last_used >= kIdle)) {
-        close(id, c);
+    if (client.unread_response_bytes > 0) {
+        if (now - client.unread_since >= kUnreadResponseTimeoutSeconds) close(id, client);
+    } else if (client.reading_stopped ||
+               now - client.last_used <
+                   (client.reserved > 0 ? kLongValueTimeoutSeconds : kSilenceTimeoutSeconds) ||
+               !may_accept_command(client)) {
+        return;  // being closed, recently active, or not read from
+    } else if (!client.connection->input().empty()) {
+        reject_connection(id, client, "CLIENT_ERROR incomplete command");
+    } else if (client.pending.empty() && !client.connection->has_unread_input() &&
+               (client.first_command == 0 || now - client.last_used >= kIdleTimeoutSeconds)) {
+        close(id, client);
     }
 }
 
-void ClientConnections::respond(const RequestHandle& asker, std::string text) {
-    const auto at = clients_.find(asker.connection);
-    if (at == clients_.end() || at->second.connection->is_closed()) return;
-    Client& c = at->second;
-    const std::uint64_t place = asker.command - c.first_command;
-    if (place >= c.pending.size() || c.pending[place].ready || c.pending[place].stream != 0) return;
-    // Clients that take their answers slowly may not hold more of them than there is memory.
-    const bool too_much = budget_.exceeded() && text.size() > kMaxLineBytes;
-    if (too_much) log_.line(Topic::client, "answer_dropped", "an answer is not passed on: no memory");
-    complete(c.pending[place], too_much ? std::string(kNoMemory) + "\r\n" : std::move(text));
-    write_responses(c);
-    read_commands(asker.connection, c);  // there may be commands that waited for room
-    close_if_done(asker.connection, c);
-}
-
-ClientConnections::Client* ClientConnections::find(const RequestHandle& asker) {
-    const auto at = clients_.find(asker.connection);
-    if (at == clients_.end() || at->second.connection->is_closed()) return nullptr;
-    return asker.command - at->second.first_command < at->second.pending.size() ? &at->second : nullptr;
-}
-
-void ClientConnections::begin_stream(const RequestHandle& asker, std::string head, std::uint64_t relay) {
-    Client* c = find(asker);
-    if (c == nullptr) return stream_callbacks_.on_abandoned(relay);
-    PendingResponse& p = c->pending[asker.command - c->first_command];
-    budget_.used += head.size();
-    p.text = std::move(head);
-    p.stream = relay;
-    write_responses(*c);
-}
-
-// Answers go in the order of the commands: what stands behind another waits at its server.
-std::size_t ClientConnections::stream_capacity(const RequestHandle& asker) const {
-    const auto at = clients_.find(asker.connection);
-    if (at == clients_.end() || at->second.connection->is_closed() ||
-        asker.command != at->second.first_command)
+void ClientConnections::respond(const RequestHandle& handle, std::string text) {
+    const auto entry = clients_.find(handle.connection);
+    if (entry == clients_.end() || entry->second.connection->is_closed()) return;
+    Client& client = entry->second;
+    const std::uint64_t index = handle.command - client.first_command;
+    if (index >= client.pending.size() || client.pending[index].ready || client.pending[index].stream != 0)
+        return;
+    // Clients that read slowly must not hold more response bytes than the budget.
+    const bool out_of_memory = budget_.exceeded() && text.size() > kMaxLineBytes;
+    if (out_of_memory) log_.line(Topic::client, "answer_dropped", "an answer is not passed on: no memory");
+    finish_response(client.pending[index],
+                    out_of_memory ? std::string(kOutOfMemoryLine) + "\r\n" : std::move(text));
+    write_responses(client);
+    read_commands(handle.connection, client);  // commands may have waited for this response
+    close_if_done(handle.connection, client);
+}
+
+ClientConnections::Client* ClientConnections::find(const RequestHandle& handle) {
+    const auto entry = clients_.find(handle.connection);
+    if (entry == clients_.end() || entry->second.connection->is_closed()) return nullptr;
+    return handle.command - entry->second.first_command < entry->second.pending.size() ? &entry->second
+                                                                                       : nullptr;
+}
+
+void ClientConnections::begin_stream(const RequestHandle& handle, std::string header, std::uint64_t stream) {
+    Client* client = find(handle);
+    if (client == nullptr) return stream_callbacks_.on_abandoned(stream);
+    PendingResponse& response = client->pending[handle.command - client->first_command];
+    budget_.used += header.size();
+    response.text = std::move(header);
+    response.stream = stream;
+    write_responses(*client);
+}
+
+// Responses are written in the order of the commands: a stream that is not in front gets no capacity, and its
+// data waits at the server.
+std::size_t ClientConnections::stream_capacity(const RequestHandle& handle) const {
+    const auto entry = clients_.find(handle.connection);
+    if (entry == clients_.end() || entry->second.connection->is_closed() ||
+        handle.command != entry->second.first_command)
         return 0;
-    const std::size_t unwritten = at->second.connection->unwritten_bytes();
-    return unwritten < kWindow ? kWindow - unwritten : 0;
+    const std::size_t unwritten = entry->second.connection->unwritten_bytes();
+    return unwritten < kStreamWindowBytes ? kStreamWindowBytes - unwritten : 0;
 }
 
-void ClientConnections::write_chunk(const RequestHandle& asker, std::string_view bytes) {
-    Client* c = find(asker);
-    if (c == nullptr) return;
-    c->last_used = monotonic_now();
-    c->connection->write(bytes);
+void ClientConnections::write_chunk(const RequestHandle& handle, std::string_view bytes) {
+    Client* client = find(handle);
+    if (client == nullptr) return;
+    client->last_used = monotonic_now();
+    client->connection->write(bytes);
 }
 
-void ClientConnections::end_stream(const RequestHandle& asker, bool whole, std::string_view line) {
-    Client* c = find(asker);
-    if (c == nullptr) return;
-    PendingResponse& p = c->pending[asker.command - c->first_command];
-    p.stream = 0;
-    budget_.used -= p.text.size();
-    p.text.clear();
-    if (!whole && p.started) {
+void ClientConnections::end_stream(const RequestHandle& handle, bool complete, std::string_view line) {
+    Client* client = find(handle);
+    if (client == nullptr) return;
+    PendingResponse& response = client->pending[handle.command - client->first_command];
+    response.stream = 0;
+    budget_.used -= response.text.size();
+    response.text.clear();
+    if (!complete && response.started) {
         log_.line(Topic::client, "value_broken_off",
                   "closed: the rest of a value that was begun is not to be had");
-        // What was answered before it still goes out; then the end comes too early, by which the client can
-        // tell.
-        p.ready = true;
-        c->reading_stopped = true;
-        abandon_pending(asker.connection, *c);
-        return close_if_done(asker.connection, *c);
+        // Earlier responses are still sent. The client recognizes the truncated value by the early end of the
+        // connection.
+        response.ready = true;
+        client->reading_stopped = true;
+        abandon_pending(handle.connection, *client);
+        return close_if_done(handle.connection, *client);
     }
-    complete(p, whole ? "\r\n" : std::string(line));
-    write_responses(*c);
-    read_commands(asker.connection, *c);
-    close_if_done(asker.connection, *c);
+    finish_response(response, complete ? "\r\n" : std::string(line));
+    write_responses(*client);
+    read_commands(handle.connection, *client);
+    close_if_done(handle.connection, *client);
 }
 
-void ClientConnections::write_responses(Client& c) {
+void ClientConnections::write_responses(Client& client) {
     std::string text;
-    while (!c.pending.empty() && (c.pending.front().ready || !c.pending.front().text.empty())) {
-        std::string& said = c.pending.front().text;
-        budget_.used -= said.size();
+    while (!client.pending.empty() &&
+           (client.pending.front().ready || !client.pending.front().text.empty())) {
+        std::string& response_text = client.pending.front().text;
+        budget_.used -= response_text.size();
         if (text.empty()) {
-            text = std::move(said);
+            text = std::move(response_text);
         } else {
-            text += said;
+            text += response_text;
         }
-        if (!c.pending.front().ready) {  // a long one: the rest comes in pieces
-            said.clear();
-            c.pending.front().started = true;
+        if (!client.pending.front().ready) {  // a streamed response: the chunks follow
+            response_text.clear();
+            client.pending.front().started = true;
             break;
         }
-        reserved_ -= c.pending.front().reserved;
-        c.pending.pop_front();
-        ++c.first_command;
+        reserved_ -= client.pending.front().reserved;
+        client.pending.pop_front();
+        ++client.first_command;
         --unanswered_commands_;
     }
     if (text.empty()) return;
-    c.last_used = monotonic_now();
-    c.connection->write(text);
-    if (!c.pending.empty() && c.pending.front().stream != 0)
-        stream_callbacks_.on_writable(c.pending.front().stream);
-}
-
-void ClientConnections::close_if_done(std::uint64_t id, Client& c) {
-    const bool done = c.reading_stopped ? c.pending.empty() : shutting_down_ && between_commands(c);
-    if (!done || c.closing) return;
-    const bool rested = c.connection->unwritten_bytes() == 0 && monotonic_now() - c.last_used >= kIdleLeast;
-    if (close_idle_at_once_ && !c.reading_stopped && rested) return close(id, c);
-    close_gracefully(id, c);
-}
-
-void ClientConnections::close_gracefully(std::uint64_t id, Client& c) {
-    c.reading_stopped = c.closing = true;
-    c.connection->shutdown_write();
-    start_lingering_close(id, c);
-}
-
-// Time runs from when all is written: a slow client still takes the whole of its last answer.
-void ClientConnections::start_lingering_close(std::uint64_t id, Client& c) {
-    timers_.cancel(c.linger_timer);
-    c.linger_timer = timers_.schedule(monotonic_now() + kLinger, [this, id, &c] {
-        c.linger_timer = {};
-        if (c.connection->unwritten_bytes() > 0) {
-            start_lingering_close(id, c);
+    client.last_used = monotonic_now();
+    client.connection->write(text);
+    if (!client.pending.empty() && client.pending.front().stream != 0)
+        stream_callbacks_.on_writable(client.pending.front().stream);
+}
+
+void ClientConnections::close_if_done(std::uint64_t id, Client& client) {
+    const bool done =
+        client.reading_stopped ? client.pending.empty() : shutting_down_ && between_commands(client);
+    if (!done || client.closing) return;
+    const bool idle =
+        client.connection->unwritten_bytes() == 0 && monotonic_now() - client.last_used >= kMinIdleSeconds;
+    if (close_idle_at_once_ && !client.reading_stopped && idle) return close(id, client);
+    close_gracefully(id, client);
+}
+
+void ClientConnections::close_gracefully(std::uint64_t id, Client& client) {
+    client.reading_stopped = client.closing = true;
+    client.connection->shutdown_write();
+    start_lingering_close(id, client);
+}
+
+// The linger time starts once all is written, so that a slow client still reads its last response completely.
+void ClientConnections::start_lingering_close(std::uint64_t id, Client& client) {
+    timers_.cancel(client.linger_timer);
+    client.linger_timer = timers_.schedule(monotonic_now() + kLingerSeconds, [this, id, &client] {
+        client.linger_timer = {};
+        if (client.connection->unwritten_bytes() > 0) {
+            start_lingering_close(id, client);
         } else {
-            close(id, c);
+            close(id, client);
         }
     });
 }
@@ -391,52 +406,52 @@
 void ClientConnections::begin_shutdown(bool at_once) {
     shutting_down_ = true;
     close_idle_at_once_ = at_once;
-    for (auto& [id, c] : clients_) {
-        if (!c.connection->is_closed()) close_if_done(id, c);
+    for (auto& [id, client] : clients_) {
+        if (!client.connection->is_closed()) close_if_done(id, client);
     }
 }
 
-// Commands count, not connections: some come and say nothing for as long as there is a node.
+// Counts commands, not connections, because some clients connect and never send a command.
 bool ClientConnections::idle_since(double time) const {
     return last_command_at_ < time && std::all_of(clients_.begin(), clients_.end(), [](const auto& entry) {
-               const Client& c = entry.second;
-               return c.connection->is_closed() ||
-                      (c.pending.empty() && c.connection->unwritten_bytes() == 0 &&
-                       !c.connection->has_unread_input());
+               const Client& client = entry.second;
+               return client.connection->is_closed() ||
+                      (client.pending.empty() && client.connection->unwritten_bytes() == 0 &&
+                       !client.connection->has_unread_input());
            });
 }
 
-void ClientConnections::close(std::uint64_t id, Client& c) {
-    if (c.connection->is_closed()) return;
-    timers_.cancel(c.linger_timer);
-    c.connection->close();
+void ClientConnections::close(std::uint64_t id, Client& client) {
+    if (client.connection->is_closed()) return;
+    timers_.cancel(client.linger_timer);
+    client.connection->close();
     --open_count_;
     closed_.push_back(id);
-    abandon_pending(id, c);
+    abandon_pending(id, client);
 }
 
-bool ClientConnections::has_closed(const RequestHandle& asker) {
-    const auto at = clients_.find(asker.connection);
-    if (at == clients_.end() || at->second.connection->is_closed()) return true;
-    if (!at->second.connection->peer_has_closed()) return false;
-    close(asker.connection, at->second);
+bool ClientConnections::has_closed(const RequestHandle& handle) {
+    const auto entry = clients_.find(handle.connection);
+    if (entry == clients_.end() || entry->second.connection->is_closed()) return true;
+    if (!entry->second.connection->peer_has_closed()) return false;
+    close(handle.connection, entry->second);
     return true;
 }
 
-void ClientConnections::abandon_pending(std::uint64_t id, Client& c) {
-    unanswered_commands_ -= c.pending.size();
-    reserved_ -= std::exchange(c.reserved, 0);
-    for (std::size_t i = 0; i < c.pending.size(); ++i) {
-        budget_.used -= c.pending[i].text.size();
-        reserved_ -= c.pending[i].reserved;
-        if (c.pending[i].stream != 0) {
-            stream_callbacks_.on_abandoned(c.pending[i].stream);
-        } else if (!c.pending[i].ready && c.pending[i].request != kNoRequest) {
-            on_client_closed_({id, c.first_command + i}, c.pending[i].request);
+void ClientConnections::abandon_pending(std::uint64_t id, Client& client) {
+    unanswered_commands_ -= client.pending.size();
+    reserved_ -= std::exchange(client.reserved, 0);
+    for (std::size_t i = 0; i < client.pending.size(); ++i) {
+        budget_.used -= client.pending[i].text.size();
+        reserved_ -= client.pending[i].reserved;
+        if (client.pending[i].stream != 0) {
+            stream_callbacks_.on_abandoned(client.pending[i].stream);
+        } else if (!client.pending[i].ready && client.pending[i].request != kNoRequest) {
+            on_client_closed_({id, client.first_command + i}, client.pending[i].request);
         }
     }
-    c.first_command += c.pending.size();
-    c.pending.clear();
+    client.first_command += client.pending.size();
+    client.pending.clear();
 }
 
 void ClientConnections::destroy_closed() {
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -1,7 +1,14 @@
-// The clients' side: the listener, each client's connection, and its answers in the order of its commands. It
-// owns the connections and gives them back in drop(), also those of clients that keep one for nothing. It
-// never decides an answer: each command that the node is asked is answered by the node, once; only what is no
-// command at all, or no whole one in time, gets its error line here.
+// The clients' side of the proxy: accepts connections, parses commands and writes responses in their order.
+//
+// ClientConnections owns the listening socket, every client connection and its buffers; a connection is
+// closed in close() and its memory freed in destroy_closed(), which the owner calls once per iteration of the
+// main loop. It closes the connections of clients that are silent, idle or do not read their responses. Each
+// request is passed on through OnCommand and answered once through respond() or a stream; only malformed and
+// incomplete commands are answered here, with an error line.
+//
+// Times are seconds on the clock of monotonic_now(), sizes are bytes. Errors of a connection close it and are
+// reported through OnClientClosed for each request without its response. Everything runs on the thread of the
+// GLib main loop.
 #pragma once
 
 #include <cstddef>
@@ -21,49 +28,62 @@
 
 namespace brookrelay {
 
+/// Accepts client connections and serves pipelined commands on each of them.
 class ClientConnections {
   public:
+    /// Identifies a command by its connection and its number on that connection. A handle stays safe to use
+    /// after the connection has closed.
     struct RequestHandle {
         std::uint64_t connection = 0;
         std::uint64_t command = 0;
         bool operator==(const RequestHandle&) const = default;
     };
     static constexpr int kNoRequest = -1;
-    using OnCommand =
-        std::function<int(RequestHandle, Command&&)>;  // which invocation the command is, if it is one
-    using OnClientClosed =
-        std::function<void(RequestHandle, int inv)>;  // one call for each invocation without its answer
-    // For long values: there is room for more of it, or nobody wants the rest any more.
+    /// Returns the id of the request started for the command, or kNoRequest if it is answered at once.
+    using OnCommand = std::function<int(RequestHandle, Command&&)>;
+    /// Called when a client has closed, once for each of its requests without a response.
+    using OnClientClosed = std::function<void(RequestHandle, int request)>;
+    /// For streamed responses: there is capacity for more, or the rest of it is not wanted.
     struct StreamCallbacks {
-        std::function<void(std::uint64_t relay)> on_writable;
-        std::function<void(std::uint64_t relay)> on_abandoned;
+        std::function<void(std::uint64_t stream)> on_writable;
+        std::function<void(std::uint64_t stream)> on_abandoned;
     };
 
-    ClientConnections(TimerQueue& timers, Log& log, std::size_t most, std::size_t bytes, OnCommand asked,
-                      OnClientClosed left, StreamCallbacks relayed);
+    /// `timers` and `log` must outlive this object. `max_connections` and `max_bytes` bound the connections
+    /// and the buffered bytes of all clients together.
+    ClientConnections(TimerQueue& timers, Log& log, std::size_t max_connections, std::size_t max_bytes,
+                      OnCommand on_command, OnClientClosed on_client_closed,
+                      StreamCallbacks stream_callbacks);
     ~ClientConnections();
     ClientConnections(const ClientConnections&) = delete;
     ClientConnections& operator=(const ClientConnections&) = delete;
 
     void listen(SocketRef listener);
-    void stop_accepting();  // the listener may be another process's too, which goes on
-    void respond(const RequestHandle& asker, std::string text);
-    // An answer in pieces, which follow while there is room. Not whole at its end, the client is let go,
-    // unless nothing of it has been written: then it gets the line instead.
-    void begin_stream(const RequestHandle& asker, std::string head, std::uint64_t relay);
-    std::size_t stream_capacity(const RequestHandle& asker) const;
-    void write_chunk(const RequestHandle& asker, std::string_view bytes);
-    void end_stream(const RequestHandle& asker, bool whole, std::string_view line);
-    // From now on each connection is closed once it has nothing to be answered. `at_once`: those that rest
-    // give back their descriptor in the same moment, which another process of this node needs.
+    /// Closes this process's descriptor of the listener, which a sibling process may continue to accept on.
+    void stop_accepting();
+    /// Answers a command with `text`, complete with its line end. No effect if it is already answered or the
+    /// client has closed. Out of memory, an error line is sent instead of a long response.
+    void respond(const RequestHandle& handle, std::string text);
+    /// Begins a streamed response with its header; the chunks follow within stream_capacity().
+    void begin_stream(const RequestHandle& handle, std::string header, std::uint64_t stream);
+    std::size_t stream_capacity(const RequestHandle& handle) const;
+    void write_chunk(const RequestHandle& handle, std::string_view bytes);
+    /// Ends a streamed response. If it is not complete, `line` is sent in its place; once a part of it has
+    /// been written, the connection is closed instead.
+    void end_stream(const RequestHandle& handle, bool complete, std::string_view line);
+    /// From now on each connection is closed once it has no unanswered command. With `at_once`, idle
+    /// connections are closed without lingering, because another process of this node needs their
+    /// descriptors.
     void begin_shutdown(bool at_once);
-    // Whether whoever asked has closed its connection; if so it is dropped, though its end may not be read
-    // yet.
-    bool has_closed(const RequestHandle& asker);
+    /// Whether the client has closed its connection, even if the end is not read yet; closes it if so.
+    bool has_closed(const RequestHandle& handle);
     bool empty() const { return open_count_ == 0; }
     int open_count() const { return static_cast<int>(open_count_); }
-    void set_budget_share(double part);  // of its connections and bytes: the rest is another process's
-    bool idle_since(double time) const;  // nothing is owed to anyone, and nobody has asked
+    /// Limits this object to a share (0 to 1) of its connections and bytes; a sibling process uses the rest.
+    void set_budget_share(double share);
+    /// Whether no command has arrived since `time`, and none is unanswered or unread.
+    bool idle_since(double time) const;
+    /// Frees the connections closed since the last call; never called from inside a callback of this object.
     void destroy_closed();
 
   private:
@@ -71,45 +91,45 @@
         bool ready = false;
         int request = kNoRequest;
         std::string text;
-        std::uint64_t stream = 0;  // the rest of it comes in pieces
-        bool started = false;      // and some of it is written
-        std::size_t reserved = 0;  // for the value that the command brought
+        std::uint64_t stream = 0;  // id of the streamed response, or 0
+        bool started = false;      // a part of the streamed response is written
+        std::size_t reserved = 0;  // bytes reserved for the command's value
     };
     struct Client {
         std::unique_ptr<TcpConnection> connection;
         std::deque<PendingResponse> pending;
-        std::uint64_t first_command = 0;  // the number of the command in front
+        std::uint64_t first_command = 0;  // the number of pending.front()
         double last_used = 0;
-        std::size_t unread_response_bytes =
-            0;  // bytes of answers that it had not taken at the last look that saw a change
+        // Response bytes not written yet, as last seen by check_timeouts(), and when that number changed.
+        std::size_t unread_response_bytes = 0;
         double unread_since = 0;
-        bool reading_stopped = false;  // nothing more is read from it
-        bool closing = false;          // all is answered, and the client has been told that it was the last
+        bool reading_stopped = false;  // further input is discarded
+        bool closing = false;          // all commands are answered and the write side is shut down
         TimerQueue::Handle linger_timer;
-        std::size_t reserved = 0;         // for the long value that is being read
-        bool waiting_for_memory = false;  // for such a place
+        std::size_t reserved = 0;         // bytes reserved for the long value being read
+        bool waiting_for_memory = false;  // for such a reservation
     };
 
-    bool may_accept_command(const Client& c) const;
-    static bool between_commands(const Client& c);
+    bool may_accept_command(const Client& client) const;
+    static bool between_commands(const Client& client);
     void watch_listener(bool on);
     void accept_connections();
     bool evict_idle();
-    void on_event(std::uint64_t id, Client& c, TcpConnection::Event what);
-    void read_commands(std::uint64_t id, Client& c);
-    bool may_continue_reading(Client& c);
-    Client* find(const RequestHandle& asker);
-    void complete(PendingResponse& p, std::string text);
-    void write_responses(Client& c);
-    void reject_connection(std::uint64_t id, Client& c, const char* line);
-    void age();
+    void on_event(std::uint64_t id, Client& client, TcpConnection::Event event);
+    void read_commands(std::uint64_t id, Client& client);
+    bool may_continue_reading(Client& client);
+    Client* find(const RequestHandle& handle);
+    void finish_response(PendingResponse& response, std::string text);
+    void write_responses(Client& client);
+    void reject_connection(std::uint64_t id, Client& client, const char* line);
+    void check_clients();
     void close_longest_idle(double now);
-    void age(std::uint64_t id, Client& c, double now);
-    void close_if_done(std::uint64_t id, Client& c);
-    void close_gracefully(std::uint64_t id, Client& c);
-    void start_lingering_close(std::uint64_t id, Client& c);
-    void abandon_pending(std::uint64_t id, Client& c);
-    void close(std::uint64_t id, Client& c);
+    void check_timeouts(std::uint64_t id, Client& client, double now);
+    void close_if_done(std::uint64_t id, Client& client);
+    void close_gracefully(std::uint64_t id, Client& client);
+    void start_lingering_close(std::uint64_t id, Client& client);
+    void abandon_pending(std::uint64_t id, Client& client);
+    void close(std::uint64_t id, Client& client);
 
     TimerQueue& timers_;
     Log& log_;
@@ -121,14 +141,14 @@
     OnClientClosed on_client_closed_;
     StreamCallbacks stream_callbacks_;
     std::size_t reserved_limit_;
-    std::size_t reserved_ = 0;  // bytes of long values that clients write
+    std::size_t reserved_ = 0;  // bytes reserved for long values being written by clients
     SocketRef listener_;
     GSource* accept_source_ = nullptr;
     TimerQueue::Handle accept_retry_timer_;
     std::map<std::uint64_t, Client> clients_;
     std::vector<std::uint64_t> closed_;
     std::size_t open_count_ = 0;
-    std::size_t unanswered_commands_ = 0;  // commands without their answer written
+    std::size_t unanswered_commands_ = 0;  // commands whose response is not written
     std::uint64_t last_id_ = 0;
     double last_command_at_ = 0;
     bool shutting_down_ = false;
