--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -36,39 +36,22 @@
 }  // namespace
 
 AdminServer::AdminServer(TimerQueue& timers, Log& log, OnRequest asked)
-    : timers_(timers), log_(log), on_request_(std::move(asked)) {}
-
-AdminServer::~AdminServer() { watch_listener(false); }
+    : timers_(timers),
+      log_(log),
+      on_request_(std::move(asked)),
+      listener_(timers, G_PRIORITY_HIGH, [this] { accept_connections(); }) {}
 
 bool AdminServer::listen(const std::string& address, std::string& complaint) {
-    listener_ = listen_on(address, complaint);
-    if (listener_ == nullptr) return false;
-    watch_listener(true);
+    SocketRef socket = listen_on(address, complaint);
+    if (socket == nullptr) return false;
+    listener_.open(std::move(socket));
     return true;
 }
 
-void AdminServer::watch_listener(bool on) {
-    if (on == (accept_source_ != nullptr)) return;
-    if (!on) {
-        g_source_destroy(accept_source_);
-        g_source_unref(accept_source_);
-        accept_source_ = nullptr;
-        return;
-    }
-    accept_source_ = g_socket_create_source(listener_.get(), G_IO_IN, nullptr);
-    g_source_set_priority(accept_source_, G_PRIORITY_HIGH);
-    const GSocketSourceFunc ready = [](GSocket*, GIOCondition, gpointer self) -> gboolean {
-        static_cast<AdminServer*>(self)->accept_connections();
-        return G_SOURCE_CONTINUE;
-    };
-    g_source_set_callback(accept_source_, G_SOURCE_FUNC(ready), this, nullptr);
-    g_source_attach(accept_source_, nullptr);
-}
-
 void AdminServer::accept_connections() {
     for (int n = 0; n < kAcceptsATurn; ++n) {
         if (open_count_ >= kMaxCallers) evict_oldest();
-        SocketRef socket(g_socket_accept(listener_.get(), nullptr, nullptr));
+        SocketRef socket = listener_.accept().socket;
         if (socket == nullptr) break;
         const std::uint64_t id = ++last_id_;
         Caller& c = callers_[id];
@@ -83,11 +66,7 @@
             std::move(socket), kInMost, budget_,
             [this, id, &c](TcpConnection::Event what) { on_event(id, c, what); }, G_PRIORITY_HIGH);
     }
-    watch_listener(false);
-    accept_retry_timer_ = timers_.schedule(monotonic_now() + kAcceptPause, [this] {
-        accept_retry_timer_ = {};
-        watch_listener(true);
-    });
+    listener_.pause(kAcceptPause);
 }
 
 // Whoever is here longest without a whole call gives way; those who wait for their answer have it within a
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -12,6 +12,7 @@
 #include <string_view>
 #include <vector>
 
+#include "io/listener.h"
 #include "io/log.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
@@ -25,7 +26,6 @@
     using OnRequest = std::function<void(std::uint64_t caller, const HttpRequest& call)>;
 
     AdminServer(TimerQueue& timers, Log& log, OnRequest asked);
-    ~AdminServer();
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
@@ -41,7 +41,6 @@
         TimerQueue::Handle timeout;
     };
 
-    void watch_listener(bool on);
     void accept_connections();
     void evict_oldest();
     void on_event(std::uint64_t id, Caller& c, TcpConnection::Event what);
@@ -51,9 +50,7 @@
     Log& log_;
     OnRequest on_request_;
     ByteBudget budget_;  // never looked at: few places, each bounded by itself
-    SocketRef listener_;
-    GSource* accept_source_ = nullptr;
-    TimerQueue::Handle accept_retry_timer_;
+    Listener listener_;
     std::map<std::uint64_t, Caller> callers_;  // the longest here in front
     std::vector<std::uint64_t> closed_;
     std::size_t open_count_ = 0;
--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -45,16 +45,12 @@
       on_command_(std::move(on_command)),
       on_client_closed_(std::move(on_client_closed)),
       stream_callbacks_(std::move(stream_callbacks)),
-      reserved_limit_(max_bytes / kReservedShareDivisor) {
+      reserved_limit_(max_bytes / kReservedShareDivisor),
+      listener_(timers, G_PRIORITY_DEFAULT, [this] { accept_connections(); }) {
     check_clients();
 }
 
-ClientConnections::~ClientConnections() { watch_listener(false); }
-
-void ClientConnections::listen(SocketRef listener) {
-    listener_ = std::move(listener);
-    watch_listener(true);
-}
+void ClientConnections::listen(SocketRef listener) { listener_.open(std::move(listener)); }
 
 void ClientConnections::set_budget_share(double share) {
     connection_limit_ = static_cast<std::size_t>(share * static_cast<double>(max_connections_));
@@ -62,54 +58,25 @@
     reserved_limit_ = budget_.limit / kReservedShareDivisor;
 }
 
-void ClientConnections::stop_accepting() {
-    timers_.cancel(accept_retry_timer_);
-    watch_listener(false);
-    listener_.reset();
-}
-
-void ClientConnections::watch_listener(bool on) {
-    if (on == (accept_source_ != nullptr)) return;
-    if (!on) {
-        g_source_destroy(accept_source_);
-        g_source_unref(accept_source_);
-        accept_source_ = nullptr;
-        return;
-    }
-    accept_source_ = g_socket_create_source(listener_.get(), G_IO_IN, nullptr);
-    const GSocketSourceFunc ready = [](GSocket*, GIOCondition, gpointer self) -> gboolean {
-        static_cast<ClientConnections*>(self)->accept_connections();
-        return G_SOURCE_CONTINUE;
-    };
-    g_source_set_callback(accept_source_, G_SOURCE_FUNC(ready), this, nullptr);
-    g_source_attach(accept_source_, nullptr);
-}
+void ClientConnections::stop_accepting() { listener_.close(); }
 
 void ClientConnections::accept_connections() {
     for (int accepted = 0; accepted < kMaxAcceptsPerIteration; ++accepted) {
-        GError* error = nullptr;
         const bool has_capacity = open_count_ < connection_limit_ || evict_idle();
-        SocketRef socket(has_capacity ? g_socket_accept(listener_.get(), nullptr, &error) : nullptr);
-        const ErrorRef error_owner(error);
-        if (socket == nullptr) {
-            if (has_capacity && g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) return;
+        Listener::AcceptResult result = has_capacity ? listener_.accept() : Listener::AcceptResult{};
+        if (result.socket == nullptr) {
+            if (has_capacity && result.would_block()) return;
             log_.line(Topic::client, "accepting_waits",
                       std::string("accepting waits: ") +
-                          (has_capacity ? error->message : "all client connections are in use"));
-            watch_listener(false);
-            timers_.cancel(accept_retry_timer_);
-            accept_retry_timer_ = timers_.schedule(monotonic_now() + kAcceptRetrySeconds, [this] {
-                accept_retry_timer_ = {};
-                watch_listener(true);
-            });
-            return;
+                          (has_capacity ? result.error->message : "all client connections are in use"));
+            return listener_.pause(kAcceptRetrySeconds);
         }
         const std::uint64_t id = ++last_id_;
         Client& client = clients_[id];
         ++open_count_;
         client.last_used = monotonic_now();
         client.connection = std::make_unique<TcpConnection>(
-            std::move(socket), kReadLimitBytes, budget_,
+            std::move(result.socket), kReadLimitBytes, budget_,
             [this, id, &client](TcpConnection::Event event) { on_event(id, client, event); });
     }
 }
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -21,6 +21,7 @@
 #include <string_view>
 #include <vector>
 
+#include "io/listener.h"
 #include "io/log.h"
 #include "io/tcp_connection.h"
 #include "io/timer_queue.h"
@@ -54,7 +55,6 @@
     ClientConnections(TimerQueue& timers, Log& log, std::size_t max_connections, std::size_t max_bytes,
                       OnCommand on_command, OnClientClosed on_client_closed,
                       StreamCallbacks stream_callbacks);
-    ~ClientConnections();
     ClientConnections(const ClientConnections&) = delete;
     ClientConnections& operator=(const ClientConnections&) = delete;
 
@@ -112,7 +112,6 @@
 
     bool may_accept_command(const Client& client) const;
     static bool between_commands(const Client& client);
-    void watch_listener(bool on);
     void accept_connections();
     bool evict_idle();
     void on_event(std::uint64_t id, Client& client, TcpConnection::Event event);
@@ -142,9 +141,7 @@
     StreamCallbacks stream_callbacks_;
     std::size_t reserved_limit_;
     std::size_t reserved_ = 0;  // bytes reserved for long values being written by clients
-    SocketRef listener_;
-    GSource* accept_source_ = nullptr;
-    TimerQueue::Handle accept_retry_timer_;
+    Listener listener_;
     std::map<std::uint64_t, Client> clients_;
     std::vector<std::uint64_t> closed_;
     std::size_t open_count_ = 0;
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -10,13 +10,14 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kTextMost = 300;
+constexpr std::size_t kMaxTextBytes = 300;
 constexpr std::array<const char*, static_cast<std::size_t>(Topic::count)> kTopics{
     "node", "client", "cache", "origin", "discovery", "policy"};
 
-// A client's or a server's bytes may stand in the text; none of them may forge a line or spoil an object.
-std::string clean(std::string_view text, bool ascii) {
-    std::string out(text.substr(0, kTextMost));
+// The text may contain bytes from clients and servers, which must not be able to forge a line or break the
+// JSON.
+std::string sanitize(std::string_view text, bool ascii) {
+    std::string out(text.substr(0, kMaxTextBytes));
     for (char& c : out) {
         const auto byte = static_cast<unsigned char>(c);
         if (byte < 0x20 || (ascii && byte > 0x7e)) c = '?';
@@ -26,23 +27,23 @@
 
 }  // namespace
 
-Log::Log(std::string name, bool json, int lines_a_second)
+Log::Log(std::string name, bool json, int lines_per_second)
     : name_(std::move(name)),
       json_(json),
-      lines_per_second_(lines_a_second),
+      lines_per_second_(lines_per_second),
       out_(std::make_shared<spdlog::logger>("log", std::make_shared<spdlog::sinks::stderr_sink_st>())) {
     out_->set_pattern("%v");
     out_->flush_on(spdlog::level::trace);
 }
 
 void Log::line(Topic topic, std::string_view event, std::string_view text) {
-    const auto since = std::chrono::steady_clock::now().time_since_epoch();
-    const auto second = std::chrono::duration_cast<std::chrono::seconds>(since).count();
+    const auto uptime = std::chrono::steady_clock::now().time_since_epoch();
+    const auto second = std::chrono::duration_cast<std::chrono::seconds>(uptime).count();
     Rate& rate = rates_[static_cast<std::size_t>(topic)];
     if (second != rate.second) {
-        const std::uint64_t held_back = rate.suppressed;
+        const std::uint64_t suppressed = rate.suppressed;
         rate = {second, 0, 0};
-        if (held_back > 0) write(topic, "held_back", std::to_string(held_back) + " more lines held back");
+        if (suppressed > 0) write(topic, "held_back", std::to_string(suppressed) + " more lines held back");
     }
     if (++rate.written > lines_per_second_) {
         ++rate.suppressed;
@@ -52,12 +53,12 @@
 }
 
 void Log::write(Topic topic, std::string_view event, std::string_view text) {
-    const char* word = kTopics[static_cast<std::size_t>(topic)];
+    const char* topic_name = kTopics[static_cast<std::size_t>(topic)];
     if (!json_) {
-        out_->info("{} {}: {}", name_, word, clean(text, false));
+        out_->info("{} {}: {}", name_, topic_name, sanitize(text, false));
         return;
     }
-    const auto wall = std::chrono::system_clock::now().time_since_epoch();
+    const auto wall_time = std::chrono::system_clock::now().time_since_epoch();
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> json(buffer);
     const auto put = [&](const char* key, std::string_view value) {
@@ -66,11 +67,11 @@
     };
     json.StartObject();
     json.Key("time_ms");
-    json.Int64(std::chrono::duration_cast<std::chrono::milliseconds>(wall).count());
+    json.Int64(std::chrono::duration_cast<std::chrono::milliseconds>(wall_time).count());
     put("node", name_);
-    put("topic", word);
+    put("topic", topic_name);
     put("event", event);
-    put("text", clean(text, true));
+    put("text", sanitize(text, true));
     json.EndObject();
     out_->info("{}", std::string_view(buffer.GetString(), buffer.GetSize()));
 }
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,6 +1,8 @@
-// The node's log: one line an event on standard error, by topic, so many a second each, as text for people or
-// as one JSON object a line. It owns the counts of what it held back, and must never stop or slow the node: a
-// trouble that strikes each invocation would otherwise write faster than anyone reads.
+// The node's log: one line per event on standard error, as plain text or as one JSON object per line.
+//
+// The lines of each topic are limited per second, because a fault that affects every request would otherwise
+// slow the node down; the number of suppressed lines is logged in the next second with an event. Log owns its
+// counters and its spdlog logger. It reports no errors and is used from one thread.
 #pragma once
 
 #include <array>
@@ -15,13 +17,16 @@
 
 namespace brookrelay {
 
+/// What a line is about; `count` is the number of topics.
 enum class Topic { node, client, cache, origin, discovery, policy, count };
 
+/// Writes rate-limited log lines.
 class Log {
   public:
     static constexpr int kDefaultLinesPerSecond = 10;
-    explicit Log(std::string name, bool json = false, int lines_a_second = kDefaultLinesPerSecond);
-    // `event` is one word, listed in docs/oncall.md, and the same in every line of its kind.
+    explicit Log(std::string name, bool json = false, int lines_per_second = kDefaultLinesPerSecond);
+    /// `event` is one word, listed in docs/oncall.md, the same for all lines of its kind. `text` is truncated
+    /// and its control characters are replaced.
     void line(Topic topic, std::string_view event, std::string_view text);
 
   private:
--- a/src/io/tcp_connection.h
+++ b/src/io/tcp_connection.h
@@ -1,72 +1,77 @@
-// One TCP connection on GLib's main loop: a GSocket, its sources and its two buffers, all given back in
-// close() and nowhere else. It never blocks, never reads past its bound, and never says that it ended from
-// inside a call of its owner, only from the loop.
+// A non-blocking TCP connection on GLib's main loop, with an input and an output buffer.
+//
+// TcpConnection owns its socket, its event sources and its buffers; all are released in close(). It stops
+// reading at its read limit, while the output buffer is bounded only by what the owner writes. Sizes are
+// bytes. Errors are reported as Event::closed, from the main loop and never from inside a call of the owner.
+// Everything runs on the thread of the main loop.
 #pragma once
 
-#include <gio/gio.h>
-
 #include <cstddef>
 #include <functional>
 #include <memory>
 #include <string>
 #include <string_view>
 
-namespace brookrelay {
-
-struct GObjectUnref {
-    void operator()(void* object) const { g_object_unref(object); }
-};
-using SocketRef = std::unique_ptr<GSocket, GObjectUnref>;
+#include "io/glib_handles.h"
 
-struct GErrorFree {
-    void operator()(GError* error) const { g_error_free(error); }
-};
-using ErrorRef = std::unique_ptr<GError, GErrorFree>;
-
-SocketRef listen_on(const std::string& address, std::string& complaint);
-// A listening socket that this process was given and may share: it is never bound, and never shut down.
-SocketRef adopt_listener(int descriptor, std::string& complaint);
+namespace brookrelay {
 
-// What the buffers of one side's connections hold together, and may: each is bounded by itself, but many that
-// are full at once would be more than the node's memory. Its owner looks, and parts with what is too much.
+/// Counts the bytes buffered by a group of connections. Each connection has its own limit, but many full
+/// buffers together could exceed the node's memory. The owner checks exceeded() and closes connections;
+/// nothing is enforced here.
 struct ByteBudget {
     std::size_t limit = 0;
     std::size_t used = 0;
     bool exceeded() const { return used > limit; }
 };
 
+/// One connection, accepted or connecting. It may be closed, but not destroyed, inside its event handler.
 class TcpConnection {
   public:
+    /// connected: an outgoing connection is established. readable: input() has grown. drained: output that
+    /// could not be written at once is written. closed: the peer closed or the connection failed; input() is
+    /// still there.
     enum class Event { connected, readable, drained, closed };
     using EventHandler = std::function<void(Event)>;
 
-    TcpConnection(SocketRef accepted, std::size_t in_most, ByteBudget& budget, EventHandler told,
+    /// Takes an accepted connection. `budget` must outlive it. `priority` is the GLib priority of its
+    /// sources.
+    TcpConnection(SocketRef accepted, std::size_t read_limit, ByteBudget& budget, EventHandler on_event,
                   int priority = G_PRIORITY_DEFAULT);
-    TcpConnection(const std::string& address, std::size_t in_most, ByteBudget& budget,
-                  EventHandler told);  // connects
+    /// Begins to connect to a numeric `HOST:PORT`. A failure, also of parsing it, is reported as
+    /// Event::closed.
+    TcpConnection(const std::string& address, std::size_t read_limit, ByteBudget& budget,
+                  EventHandler on_event);
     ~TcpConnection() { close(); }
     TcpConnection(const TcpConnection&) = delete;
     TcpConnection& operator=(const TcpConnection&) = delete;
 
+    /// Writes as much as the kernel takes and buffers the rest, or all of it while connecting.
     void write(std::string_view bytes);
     bool all_written() const { return output_.empty() && state_ == State::connected; }
     std::size_t unwritten_bytes() const { return output_.size(); }
+    /// What was received and not consumed; valid until the next call that changes the connection.
     std::string_view input() const { return std::string_view(input_).substr(consumed_); }
+    /// Removes bytes from the front of input().
     void consume(std::size_t bytes);
-    void set_read_limit(std::size_t bytes);  // from now on, of what has come
+    /// Bounds input() from now on; what is already received is kept.
+    void set_read_limit(std::size_t bytes);
+    /// Releases the socket and the buffers. No event follows.
     void close();
-    void abort();  // what the system still holds back is not sent after it
-    void
-    shutdown_write();  // sends no more once all is written; what still comes is the owner's to throw away
-    bool has_unread_input() const;  // here, or still with the kernel
-    bool is_idle() const;           // nothing has come, not even its end
-    bool ended_cleanly() const {
-        return ended_cleanly_;
-    }  // all that the peer sent has come; after a reset, not
-    bool has_unacknowledged_output()
-        const;  // some of what was written has not reached the peer's machine, for all that is known
-    bool peer_has_closed()
-        const;  // it has closed or reset, also where its end lies behind bytes that are not read yet
+    /// Closes with a reset, so that output not yet delivered is not sent any more.
+    void abort();
+    /// Shuts down the write side once all output is written. The owner must consume and ignore further input.
+    void shutdown_write();
+    /// Whether input is buffered here or in the kernel.
+    bool has_unread_input() const;
+    /// Whether it is connected and neither input nor the peer's close has arrived.
+    bool is_idle() const;
+    /// Whether the peer closed after all its data was received; false after a reset.
+    bool ended_cleanly() const { return ended_cleanly_; }
+    /// Whether the peer's host has not acknowledged all that was written to the kernel.
+    bool has_unacknowledged_output() const;
+    /// Whether the peer has closed or reset, even if its data is not read yet.
+    bool peer_has_closed() const;
     bool is_read_buffer_full() const { return input_.size() - consumed_ >= read_limit_; }
     bool is_connected() const { return state_ == State::connected; }
     bool is_closed() const { return state_ == State::closed; }
@@ -75,8 +80,7 @@
     enum class State { connecting, connected, broken, closed };
     using OnSocket = gboolean (*)(GSocket*, GIOCondition, gpointer);
 
-    void watch(GSource*& source, GIOCondition condition, OnSocket on_ready);
-    static void unwatch(GSource*& source);
+    void watch(GSourceRef& source, GIOCondition condition, OnSocket on_ready);
     void watch_input();
     void flush();
     std::size_t send_some(std::string_view bytes);
@@ -86,19 +90,19 @@
     void receive();
     void on_end();
 
-    template <void (TcpConnection::*method)()>
+    template <void (TcpConnection::*Method)()>
     static gboolean on_socket(GSocket*, GIOCondition, gpointer self) {
-        (static_cast<TcpConnection*>(self)->*method)();
-        return G_SOURCE_CONTINUE;  // a source that is not wanted any more has been destroyed by then
+        (static_cast<TcpConnection*>(self)->*Method)();
+        return G_SOURCE_CONTINUE;  // a source no longer needed is already destroyed
     }
 
     SocketRef socket_;
-    GSource* input_source_ = nullptr;
-    GSource* output_source_ = nullptr;
+    GSourceRef input_source_;
+    GSourceRef output_source_;
     State state_ = State::connecting;
     std::size_t read_limit_;
     ByteBudget& budget_;
-    std::size_t budgeted_bytes_ = 0;  // in the budget
+    std::size_t budgeted_bytes_ = 0;  // what of both buffers is counted in budget_
     std::string input_;
     std::size_t consumed_ = 0;
     std::string output_;
--- a/src/io/timer_queue.cpp
+++ b/src/io/timer_queue.cpp
@@ -3,22 +3,18 @@
 #include <cmath>
 
 namespace brookrelay {
+
 TimerQueue::TimerQueue() : source_(g_source_new(&functions_, sizeof(GSource))) {
-    const auto due = [](gpointer self) -> gboolean {
+    const auto on_ready = [](gpointer self) -> gboolean {
         static_cast<TimerQueue*>(self)->run_due();
         return G_SOURCE_CONTINUE;
     };
-    g_source_set_callback(source_, due, this, nullptr);
-    g_source_attach(source_, nullptr);
-}
-
-TimerQueue::~TimerQueue() {
-    g_source_destroy(source_);
-    g_source_unref(source_);
+    g_source_set_callback(source_.get(), on_ready, this, nullptr);
+    g_source_attach(source_.get(), nullptr);
 }
 
 TimerQueue::Handle TimerQueue::schedule(double due, Action action) {
-    const Handle handle{due, ++last_};
+    const Handle handle{due, ++last_id_};
     queue_.emplace(handle, std::move(action));
     arm();
     return handle;
@@ -32,9 +28,10 @@
 }
 
 void TimerQueue::arm() {
-    const gint64 ready =
+    const gint64 ready_time =
         queue_.empty() ? -1 : static_cast<gint64>(std::ceil(queue_.begin()->first.first * 1e6));
-    if (ready != g_source_get_ready_time(source_)) g_source_set_ready_time(source_, ready);
+    if (ready_time != g_source_get_ready_time(source_.get()))
+        g_source_set_ready_time(source_.get(), ready_time);
 }
 
 void TimerQueue::run_due() {
