--- a/src/protocol/attempt_response.h
+++ b/src/protocol/attempt_response.h
@@ -1,4 +1,4 @@
-// How one forward's answer reads, whichever protocol the server speaks. No I/O and no judgement here.
+// The parsed response to one attempt, the same for the memcache and the HTTP codec. No I/O.
 #pragma once
 
 #include <string>
@@ -7,12 +7,13 @@
 
 namespace brookrelay {
 
+/// What a server answered to an attempt.
 struct AttemptResponse {
-    bool valid = false;  // false: nonsense, which fails this exchange and its connection
+    bool valid = false;  // false: malformed, which fails the attempt and its connection
     AttemptOutcome outcome = AttemptOutcome::reset;
-    bool reusable = true;         // the connection may carry another forward
-    bool unknown_length = false;  // nothing in front tells how long it is
-    std::string body;             // the value of a read, the receipt of a write
+    bool reusable = true;         // the connection may carry another attempt
+    bool unknown_length = false;  // the header does not give the length of the body
+    std::string body;             // the value of a read or the receipt of a write
 };
 
 }  // namespace brookrelay
--- a/src/protocol/http1.cpp
+++ b/src/protocol/http1.cpp
@@ -7,8 +7,11 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kHeadMost = 8192;
-constexpr std::string_view kEnd = "\r\n";
+constexpr std::size_t kMaxHeadBytes = 8192;
+constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr int kSwitchingProtocols = 101;
+constexpr int kFirstFinalStatus = 200;
+constexpr std::string_view kLineEnd = "\r\n";
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
@@ -19,86 +22,108 @@
 }
 
 std::string_view trimmed(std::string_view text) {
-    constexpr std::string_view blank = " \t";
-    const std::size_t first = text.find_first_not_of(blank);
+    constexpr std::string_view kBlanks = " \t";
+    const std::size_t first = text.find_first_not_of(kBlanks);
     if (first == std::string_view::npos) return {};
-    return text.substr(first, text.find_last_not_of(blank) - first + 1);
+    return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
 }
 
-enum class Found { whole, more, nonsense };
+enum class ParseStatus { complete, incomplete, malformed };
 
-// Chunks from `at` on; trailers are read past.
-Found read_chunks(std::string_view in, std::size_t& at, std::size_t body_most, std::string& body) {
+// The end of the line that starts at `position`; without one, the status says whether it may still come.
+std::size_t find_line_end(std::string_view input, std::size_t position, ParseStatus& status) {
+    const std::size_t line_end = input.find(kLineEnd, position);
+    if (line_end == std::string_view::npos)
+        status = input.size() - position > kMaxHeadBytes ? ParseStatus::malformed : ParseStatus::incomplete;
+    return line_end;
+}
+
+// Skips the trailer lines after the last chunk, up to the empty line.
+ParseStatus skip_trailers(std::string_view input, std::size_t& position) {
+    ParseStatus status = ParseStatus::complete;
     while (true) {
-        const std::size_t end = in.find(kEnd, at);
-        if (end == std::string_view::npos) return in.size() - at > kHeadMost ? Found::nonsense : Found::more;
-        const std::string_view line = in.substr(at, end - at);
-        std::size_t size = 0;
-        if (!parse_number(trimmed(line.substr(0, line.find(';'))), size, 16)) return Found::nonsense;
-        if (size > body_most - body.size()) return Found::nonsense;
-        at = end + kEnd.size();
-        if (size == 0) break;
-        if (in.size() < at + size + kEnd.size()) return Found::more;
-        if (in.substr(at + size, kEnd.size()) != kEnd) return Found::nonsense;
-        body.append(in.substr(at, size));
-        at += size + kEnd.size();
+        const std::size_t line_end = find_line_end(input, position, status);
+        if (line_end == std::string_view::npos) return status;
+        const bool is_last = line_end == position;
+        position = line_end + kLineEnd.size();
+        if (is_last) return ParseStatus::complete;
     }
+}
+
+// Appends the chunks that start at `position` to `body` and moves `position` behind the trailers.
+ParseStatus read_chunks(std::string_view input, std::size_t& position, std::size_t max_body_bytes,
+                        std::string& body) {
+    ParseStatus status = ParseStatus::complete;
     while (true) {
-        const std::size_t end = in.find(kEnd, at);
-        if (end == std::string_view::npos) return in.size() - at > kHeadMost ? Found::nonsense : Found::more;
-        const bool last = end == at;
-        at = end + kEnd.size();
-        if (last) return Found::whole;
+        const std::size_t line_end = find_line_end(input, position, status);
+        if (line_end == std::string_view::npos) return status;
+        const std::string_view line = input.substr(position, line_end - position);
+        std::size_t size = 0;
+        if (!parse_number(trimmed(line.substr(0, line.find(';'))), size, 16)) return ParseStatus::malformed;
+        if (size > max_body_bytes - body.size()) return ParseStatus::malformed;
+        position = line_end + kLineEnd.size();
+        if (size == 0) return skip_trailers(input, position);
+        if (input.size() < position + size + kLineEnd.size()) return ParseStatus::incomplete;
+        if (input.substr(position + size, kLineEnd.size()) != kLineEnd) return ParseStatus::malformed;
+        body.append(input.substr(position, size));
+        position += size + kLineEnd.size();
     }
 }
 
-// A name with a blank before its colon is read in one way here and in another there.
+// 204 No Content and 304 Not Modified have no body, whatever their headers say.
+bool has_no_body(int status) { return status == 204 || status == 304; }
+
+// Rejects blanks as well: a header name with a blank before its colon is interpreted differently by different
+// parsers.
 bool is_token(std::string_view name) {
     return !name.empty() &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
-bool has(const HttpResponse& r, std::string_view name) {
-    return std::any_of(r.headers.begin(), r.headers.end(), [name](const auto& h) { return h.first == name; });
+bool has_header(const HttpResponse& response, std::string_view name) {
+    return std::any_of(response.headers.begin(), response.headers.end(),
+                       [name](const auto& header) { return header.first == name; });
 }
 
-// The lines of a head behind its first one, which ends at `end`.
-bool read_fields(std::string_view head, std::size_t end, HttpResponse& r) {
-    for (std::size_t at = end + kEnd.size(); at < head.size(); at = end + kEnd.size()) {
-        end = std::min(head.find(kEnd, at), head.size());
-        const std::string_view line = head.substr(at, end - at);
+// Parses the header lines after the first line of a head, which ends at `line_end`.
+bool read_headers(std::string_view head, std::size_t line_end, HttpResponse& response) {
+    for (std::size_t position = line_end + kLineEnd.size(); position < head.size();
+         position = line_end + kLineEnd.size()) {
+        line_end = std::min(head.find(kLineEnd, position), head.size());
+        const std::string_view line = head.substr(position, line_end - position);
         const std::size_t colon = line.find(':');
         const std::string name = lowered(line.substr(0, colon));
         if (colon == std::string_view::npos || !is_token(name)) return false;
         const std::string_view value = trimmed(line.substr(colon + 1));
-        // Two lengths that differ: whichever were taken, another body than the one meant would pass for it.
-        const bool framing = name == "content-length" || name == "transfer-encoding";
-        if (framing && has(r, name) && r.header(name) != value) return false;
-        r.headers.emplace_back(name, value);
+        // Conflicting framing headers make the end of the body ambiguous.
+        const bool is_framing = name == "content-length" || name == "transfer-encoding";
+        if (is_framing && has_header(response, name) && response.header(name) != value) return false;
+        response.headers.emplace_back(name, value);
     }
     return true;
 }
 
-bool read_head(std::string_view head, HttpResponse& r) {
-    const std::size_t end = std::min(head.find(kEnd), head.size());
-    const std::string_view first = head.substr(0, end);
+// Parses a status line (`HTTP/1.x NNN reason`) and the headers after it.
+bool read_head(std::string_view head, HttpResponse& response) {
+    const std::size_t line_end = std::min(head.find(kLineEnd), head.size());
+    const std::string_view status_line = head.substr(0, line_end);
     std::size_t status = 0;
-    if (!first.starts_with("HTTP/1.") || first.size() < 12 || first[8] != ' ') return false;
-    if (!parse_number(first.substr(9, 3), status) || status < 100) return false;
-    r.status = static_cast<int>(status);
-    r.keep_alive = first[7] != '0';
-    if (!read_fields(head, end, r)) return false;
-    const std::string connection = lowered(r.header("connection"));
-    if (connection.find("close") != std::string::npos) r.keep_alive = false;
-    if (connection.find("keep-alive") != std::string::npos) r.keep_alive = true;
+    if (!status_line.starts_with("HTTP/1.") || status_line.size() < 12 || status_line[8] != ' ') return false;
+    if (!parse_number(status_line.substr(9, 3), status) || status < 100) return false;
+    response.status = static_cast<int>(status);
+    response.keep_alive = status_line[7] != '0';
+    if (!read_headers(head, line_end, response)) return false;
+    const std::string connection = lowered(response.header("connection"));
+    if (connection.find("close") != std::string::npos) response.keep_alive = false;
+    if (connection.find("keep-alive") != std::string::npos) response.keep_alive = true;
     return true;
 }
 
 }  // namespace
 
 std::string_view HttpResponse::header(std::string_view name) const {
-    for (const auto& [known, value] : headers) {
-        if (known == name) return value;
+    for (const auto& [header_name, value] : headers) {
+        if (header_name == name) return value;
     }
     return {};
 }
@@ -106,103 +131,111 @@
 std::string format_http_request(std::string_view method, std::string_view target, std::string_view host,
                                 const HttpHeaders& headers, std::string_view body) {
     std::string text;
-    text.append(method).append(" ").append(target).append(" HTTP/1.1\r\nHost: ").append(host).append(kEnd);
-    for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append(kEnd);
-    if (method == "PUT") text.append("Content-Length: ").append(std::to_string(body.size())).append(kEnd);
-    return text.append(kEnd).append(body);
+    text.append(method)
+        .append(" ")
+        .append(target)
+        .append(" HTTP/1.1\r\nHost: ")
+        .append(host)
+        .append(kLineEnd);
+    for (const auto& [name, value] : headers) text.append(name).append(": ").append(value).append(kLineEnd);
+    if (method == "PUT") text.append("Content-Length: ").append(std::to_string(body.size())).append(kLineEnd);
+    return text.append(kLineEnd).append(body);
 }
 
 std::string percent_encode_segment(std::string_view segment) {
-    constexpr std::string_view plain =
+    constexpr std::string_view kUnescaped =
         "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~!$&'()*+,;=:@";
-    constexpr std::string_view digits = "0123456789ABCDEF";
+    constexpr std::string_view kHexDigits = "0123456789ABCDEF";
     std::string out = "/";
     for (char c : segment) {
-        const auto u = static_cast<unsigned char>(c);
-        if (plain.find(c) != std::string_view::npos) {
+        const auto byte = static_cast<unsigned char>(c);
+        if (kUnescaped.find(c) != std::string_view::npos) {
             out += c;
         } else {
-            out.append({'%', digits[u >> 4U], digits[u & 15U]});
+            out.append({'%', kHexDigits[byte >> 4U], kHexDigits[byte & 15U]});
         }
     }
     return out;
 }
 
-std::size_t parse_http_request(std::string_view in, HttpRequest& r) {
-    r = {};
-    const std::size_t line_end = in.find(kEnd);
-    if (line_end == std::string_view::npos) return in.size() > kHeadMost ? in.size() : 0;
-    const std::string_view line = in.substr(0, line_end);
+std::size_t parse_http_request(std::string_view input, HttpRequest& request) {
+    request = {};
+    const std::size_t line_end = input.find(kLineEnd);
+    if (line_end == std::string_view::npos) return input.size() > kMaxHeadBytes ? input.size() : 0;
+    const std::string_view line = input.substr(0, line_end);
     const std::size_t after_method = line.find(' ');
     const std::size_t before_version = line.rfind(' ');
-    if (after_method == std::string_view::npos || before_version <= after_method) return in.size();
+    if (after_method == std::string_view::npos || before_version <= after_method) return input.size();
     const std::string_view method = line.substr(0, after_method);
     const std::string_view target = line.substr(after_method + 1, before_version - after_method - 1);
     const std::string_view version = line.substr(before_version + 1);
-    const bool plain = is_token(method) && is_token(target) && target.starts_with('/');
-    if (!plain || (version != "HTTP/1.1" && version != "HTTP/1.0")) return in.size();
-    const std::size_t end = in.find("\r\n\r\n", line_end);
-    if (end == std::string_view::npos) return in.size() > kHeadMost ? in.size() : 0;
-    HttpResponse fields;
-    if (!read_fields(in.substr(0, end), line_end, fields)) return in.size();
-    r.valid = true;
-    r.method = method;
-    r.target = target;
-    return end + 4;
+    const bool is_well_formed = is_token(method) && is_token(target) && target.starts_with('/');
+    if (!is_well_formed || (version != "HTTP/1.1" && version != "HTTP/1.0")) return input.size();
+    const std::size_t end = input.find(kHeadEnd, line_end);
+    if (end == std::string_view::npos) return input.size() > kMaxHeadBytes ? input.size() : 0;
+    HttpResponse headers;
+    if (!read_headers(input.substr(0, end), line_end, headers)) return input.size();
+    request.valid = true;
+    request.method = method;
+    request.target = target;
+    return end + kHeadEnd.size();
 }
 
-std::size_t parse_http_response_head(std::string_view in, std::size_t body_most, HttpResponse& r,
-                                     std::size_t& length) {
+std::size_t parse_http_response_head(std::string_view input, std::size_t max_body_bytes,
+                                     HttpResponse& response, std::size_t& length) {
     std::size_t start = 0;
     length = 0;
     while (true) {
-        r = {};
-        const std::size_t end = in.find("\r\n\r\n", start);
+        response = {};
+        const std::size_t end = input.find(kHeadEnd, start);
         if (end == std::string_view::npos) {
-            // What does not even begin as HTTP never will.
-            constexpr std::string_view opening = "HTTP/1.";
-            const std::string_view begun = in.substr(start, opening.size());
-            const bool hopeless = in.size() - start > kHeadMost || !opening.starts_with(begun);
-            return hopeless ? in.size() : 0;
+            // Input that does not begin with an HTTP version cannot become a response.
+            constexpr std::string_view kExpectedStart = "HTTP/1.";
+            const std::string_view received_start = input.substr(start, kExpectedStart.size());
+            const bool is_malformed =
+                input.size() - start > kMaxHeadBytes || !kExpectedStart.starts_with(received_start);
+            return is_malformed ? input.size() : 0;
         }
-        if (!read_head(in.substr(start, end - start), r)) return in.size();
-        start = end + 4;
-        if (r.status >= 200) break;
-        // Interim ones may come before it, but not without end, nor a protocol that nobody asked for.
-        if (r.status == 101 || start > kHeadMost) return in.size();
+        if (!read_head(input.substr(start, end - start), response)) return input.size();
+        start = end + kHeadEnd.size();
+        if (response.status >= kFirstFinalStatus) break;
+        // Interim responses are skipped up to the size limit; a protocol switch was not requested.
+        if (response.status == kSwitchingProtocols || start > kMaxHeadBytes) return input.size();
     }
-    if (r.status == 204 || r.status == 304) {
-        r.valid = true;
-    } else if (has(r, "transfer-encoding")) {
-        // With a length beside it, or in a coding not known here, nobody can tell where the body ends.
-        r.valid = !has(r, "content-length") && lowered(r.header("transfer-encoding")) == "chunked";
-    } else if (has(r, "content-length")) {
-        r.valid = parse_number(r.header("content-length"), length) && length <= body_most;
+    if (has_no_body(response.status)) {
+        response.valid = true;
+    } else if (has_header(response, "transfer-encoding")) {
+        // Together with a length or with another coding the end of the body is ambiguous.
+        response.valid = !has_header(response, "content-length") &&
+                         lowered(response.header("transfer-encoding")) == "chunked";
+    } else if (has_header(response, "content-length")) {
+        response.valid = parse_number(response.header("content-length"), length) && length <= max_body_bytes;
     } else {
-        r.valid = r.body_until_close = true;
-        r.keep_alive = false;
+        response.valid = response.body_until_close = true;
+        response.keep_alive = false;
     }
-    return r.valid ? start : in.size();
+    return response.valid ? start : input.size();
 }
 
-std::size_t parse_http_response(std::string_view in, BodyLimits most, HttpResponse& r, bool ended) {
+std::size_t parse_http_response(std::string_view input, BodyLimits limits, HttpResponse& response,
+                                bool ended) {
     std::size_t length = 0;
-    std::size_t start = parse_http_response_head(in, most.with_length, r, length);
-    if (start == 0 || !r.valid) return start;
-    if (has(r, "transfer-encoding") && r.status != 204 && r.status != 304) {
-        const Found found = read_chunks(in, start, most.without_length, r.body);
-        if (found == Found::more) return 0;
-        r.valid = found == Found::whole;
-        return r.valid ? start : in.size();
+    std::size_t start = parse_http_response_head(input, limits.with_length, response, length);
+    if (start == 0 || !response.valid) return start;
+    if (has_header(response, "transfer-encoding") && !has_no_body(response.status)) {
+        const ParseStatus parsed = read_chunks(input, start, limits.without_length, response.body);
+        if (parsed == ParseStatus::incomplete) return 0;
+        response.valid = parsed == ParseStatus::complete;
+        return response.valid ? start : input.size();
     }
-    if (r.body_until_close) {
-        length = in.size() - start;
-        r.valid = length <= most.without_length;
-        if (!r.valid) return in.size();
+    if (response.body_until_close) {
+        length = input.size() - start;
+        response.valid = length <= limits.without_length;
+        if (!response.valid) return input.size();
         if (!ended) return 0;
     }
-    if (in.size() - start < length) return 0;
-    r.body = in.substr(start, length);
+    if (input.size() - start < length) return 0;
+    response.body = input.substr(start, length);
     return start + length;
 }
 
--- a/src/protocol/origin_http.cpp
+++ b/src/protocol/origin_http.cpp
@@ -6,41 +6,44 @@
 
 namespace brookrelay {
 
-std::string format_origin_request(const Command& c, double time_left, std::string_view host) {
-    const std::string target = percent_encode_segment(c.key);
-    const std::string properties = format_attributes(c.attributes, time_left);
-    const HttpHeaders headers{{"X-Trace-Id", c.id}, {"X-Props", properties}};
-    const bool write = c.kind == Command::Kind::write;
-    return format_http_request(write ? "PUT" : "GET", target, host, headers, c.value);
+std::string format_origin_request(const Command& command, double time_left, std::string_view host) {
+    const std::string target = percent_encode_segment(command.key);
+    const std::string attributes = format_attributes(command.attributes, time_left);
+    const HttpHeaders headers{{"X-Trace-Id", command.id}, {"X-Props", attributes}};
+    const bool is_write = command.kind == Command::Kind::write;
+    return format_http_request(is_write ? "PUT" : "GET", target, host, headers, command.value);
 }
 
-StreamedValue parse_streamed_origin_response(std::string_view in) {
+StreamedValue parse_streamed_origin_response(std::string_view input) {
     HttpResponse response;
     std::size_t length = 0;
-    const std::size_t head = parse_http_response_head(in, kMaxValueBytes, response, length);
-    if (head == 0 || !response.valid || response.status != 200 || length <= kMaxBufferedValueBytes) return {};
-    return {head, length, 0, {}, response.keep_alive};
+    const std::size_t head_bytes = parse_http_response_head(input, kMaxValueBytes, response, length);
+    if (head_bytes == 0 || !response.valid || response.status != 200 || length <= kMaxBufferedValueBytes)
+        return {};
+    return {head_bytes, length, 0, {}, response.keep_alive};
 }
 
-std::size_t parse_origin_response(std::string_view in, AttemptResponse& a, bool ended) {
-    a = {};
+std::size_t parse_origin_response(std::string_view input, AttemptResponse& result, bool ended) {
+    result = {};
     HttpResponse response;
-    std::size_t taken = parse_http_response(in, {kMaxBufferedValueBytes, kMaxValueBytes}, response, ended);
-    // Where only the head counts, a body up to the connection's end is not waited for.
-    if (taken == 0 && response.body_until_close && response.status != 200) taken = in.size();
-    a.unknown_length = response.has_unknown_length();
-    if (taken == 0) return 0;
-    a.valid = response.valid;
-    a.reusable = response.keep_alive;
+    std::size_t parsed_bytes =
+        parse_http_response(input, {kMaxBufferedValueBytes, kMaxValueBytes}, response, ended);
+    // The body of an error is ignored, so its end is not waited for.
+    if (parsed_bytes == 0 && response.body_until_close && response.status != 200) parsed_bytes = input.size();
+    result.unknown_length = response.has_unknown_length();
+    if (parsed_bytes == 0) return 0;
+    result.valid = response.valid;
+    result.reusable = response.keep_alive;
     if (response.status == 200) {
-        a.outcome = AttemptOutcome::succeeded;
-        a.body = std::move(response.body);
+        result.outcome = AttemptOutcome::succeeded;
+        result.body = std::move(response.body);
     } else {
         const bool never_ran = response.header("x-never-ran") == "1";
-        a.outcome = never_ran && (response.status == 503 || response.status == 504) ? AttemptOutcome::busy
-                                                                                    : AttemptOutcome::failed;
+        result.outcome = never_ran && (response.status == 503 || response.status == 504)
+                             ? AttemptOutcome::busy
+                             : AttemptOutcome::failed;
     }
-    return taken;
+    return parsed_bytes;
 }
 
 }  // namespace brookrelay
--- a/src/protocol/origin_http.h
+++ b/src/protocol/origin_http.h
@@ -1,5 +1,7 @@
-// The origin's side of a forward: an invocation as an HTTP/1.1 request, and what the response proves. It owns
-// nothing, and must never take a response for "never ran" that does not say so.
+// Translates commands to HTTP/1.1 requests for the origin, and its responses to attempt outcomes. No I/O and
+// no state. A response only counts as "not executed" (busy) if it says so, because other requests must not be
+// retried as if they had not run. Malformed input is reported by `valid` == false. Sizes are bytes, times
+// seconds.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +13,12 @@
 
 namespace brookrelay {
 
+/// The command as a GET or PUT request, with `time_left` as its remaining time.
 std::string format_origin_request(const Command& command, double time_left, std::string_view host);
-StreamedValue parse_streamed_origin_response(std::string_view in);
-// 0: not whole yet, and `out` says whether its length is told. `ended`: nothing will come behind `in`, by an
-// orderly end.
-std::size_t parse_origin_response(std::string_view in, AttemptResponse& out, bool ended = false);
+/// Parses the head of a successful response with a long value.
+StreamedValue parse_streamed_origin_response(std::string_view input);
+/// Parses a response; returns its size, or 0 if it is incomplete, in which case `unknown_length` of the
+/// response is already set. `ended`: the peer has closed cleanly, so no input follows.
+std::size_t parse_origin_response(std::string_view input, AttemptResponse& result, bool ended = false);
 
 }  // namespace brookrelay
