--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -2,576 +2,315 @@
 
 #include <algorithm>
 #include <cmath>
-#include <cstdio>
+
+#include "audit/accounting.h"
+#include "audit/trace.h"
 
 namespace brookrelay::audit {
 namespace {
 
-constexpr std::size_t kSuspicionsKept = 20000;  // the rest is only counted
-constexpr std::size_t kTraced = 200;            // findings whose invocations are shown in full
-constexpr double kToldOfStart = 2.0 / 3.0;      // of the push, by nodes that knew of the start: rule 4
-constexpr double kColdMisses = 1.0 / 3.0;       // of what stopped the origin: rule 4
-constexpr double kLateShareMost = 0.02;         // of the day; beyond it nothing of it can be relied upon
-constexpr double kTen = 10;                     // s of the worst window
-
-std::string seconds_text(double t) {
-    char room[32];
-    std::snprintf(room, sizeof room, "%.4f s", t);
-    return room;
-}
-
-std::size_t index(int i) { return static_cast<std::size_t>(i); }
-
-const char* word(Reply r) {
-    switch (r) {
-        case Reply::succeeded:
-            return "succeeded";
-        case Reply::throttled:
-            return "throttled";
-        case Reply::errored:
-            return "errored";
-        case Reply::cut:
-            return "cut off";
-    }
-    return "?";
-}
-
-const char* word(Outcome o) {
-    switch (o) {
-        case Outcome::done:
-            return "done";
-        case Outcome::miss:
-            return "miss";
-        case Outcome::busy:
-            return "busy, never ran";
-        case Outcome::errored:
-            return "errored";
-        case Outcome::none:
-            return "no answer";
-    }
-    return "?";
-}
+constexpr std::size_t kMaxPendingViolations = 20000;  // further ones are only counted
+constexpr std::size_t kMaxTracedViolations = 200;     // further ones are counted but not listed
+constexpr double kMaxWatcherDelayRatio = 0.02;        // of the run; beyond it nothing can be relied upon
 
 }  // namespace
 
 Auditor::Auditor(Terms terms)
-    : terms_(std::move(terms)),
-      servers_(terms_.server_names.size()),
-      told_(index(terms_.nodes), std::vector<Drain>(terms_.server_names.size())),
-      stopped_until_(index(terms_.nodes), -1),
-      node_killed_at_(index(terms_.nodes), -1),
-      tenant_asks_(terms_.tenants.size()) {
-    for (Server& s : servers_) s.told_start.assign(index(terms_.nodes), false);
+    : history_{std::move(terms), 0, {}, {}, {}, {}},
+      endpoint_states_(index(history_.terms.nodes),
+                       std::vector<KnownState>(history_.terms.server_names.size())),
+      node_paused_until_(index(history_.terms.nodes), -1),
+      node_killed_at_(index(history_.terms.nodes), -1),
+      tenant_requests_(history_.terms.tenants.size()) {
+    history_.servers.resize(history_.terms.server_names.size());
+    for (ServerRecord& server : history_.servers)
+        server.start_is_known.assign(index(history_.terms.nodes), false);
 }
 
 // ---- clients --------------------------------------------------------------------------------------------
 
-void Auditor::asked(double now, int inv, const Ask& ask) {
-    if (invocations_.size() <= index(inv)) invocations_.resize(index(inv) + 1);
-    Invocation& v = invocations_[index(inv)];
-    v.ask = ask;
-    v.asked_at = now;
-    if (ask.counts) ++verdict_.invocations;
-    if (users_.size() <= index(ask.user)) users_.resize(index(ask.user) + 1);
-    User& u = users_[index(ask.user)];
-    if (ask.attempt > 0) return;
-    u.operation = ask.operation;
-    u.tenant = ask.tenant;
-    u.first_asked = now;
-    if (!ask.counts) return;
+void Auditor::on_request(double now, int request, const RequestInfo& info) {
+    if (history_.requests.size() <= index(request)) history_.requests.resize(index(request) + 1);
+    RequestRecord& record = history_.requests[index(request)];
+    record.info = info;
+    record.received_at = now;
+    if (info.is_counted) ++verdict_.requests;
+    if (history_.users.size() <= index(info.user)) history_.users.resize(index(info.user) + 1);
+    if (info.retry_number > 0) return;
+    UserRecord& user = history_.users[index(info.user)];
+    user.operation = info.operation;
+    user.tenant = info.tenant;
+    user.first_request_at = now;
+    if (!info.is_counted) return;
     ++verdict_.users;
-    u.worth = terms_.operations[index(ask.operation)].priority_weight;
-    if (ask.tenant < 0) return;
-    // What goes beyond a tenant's share in its second is worth less.
-    std::vector<double>& asks = tenant_asks_[index(ask.tenant)];
-    const std::size_t second = static_cast<std::size_t>(std::max(0.0, now));
-    if (asks.size() <= second) asks.resize(second + 1);
-    const double quota = terms_.tenants[index(ask.tenant)].quota;
-    if (++asks[second] > quota && quota > 0) u.worth *= terms_.beyond_share_part;
-}
-
-void Auditor::close(int inv, double now, Close how) {
-    Invocation& v = invocations_[index(inv)];
-    v.close = how;
-    v.closed_at = now;
-}
-
-void Auditor::replied(double now, int inv, Reply reply, int forward) {
-    Invocation& v = invocations_[index(inv)];
-    if (v.close == Close::replied) {
-        find(1, inv, now, v.asked_at,
-             "a second final answer (" + std::string(word(reply)) + ") after one at " + stamp(v.closed_at),
-             false);
+    user.offered = offered_value(now, info);
+}
+
+// A request beyond its tenant's quota of the second is worth less.
+double Auditor::offered_value(double now, const RequestInfo& info) {
+    const double value = history_.terms.operations[index(info.operation)].priority_weight;
+    if (info.tenant < 0) return value;
+    std::vector<double>& requests = tenant_requests_[index(info.tenant)];
+    const auto second = static_cast<std::size_t>(std::max(0.0, now));
+    if (requests.size() <= second) requests.resize(second + 1);
+    ++requests[second];
+    const double quota = history_.terms.tenants[index(info.tenant)].quota;
+    const bool is_over_quota = quota > 0 && requests[second] > quota;
+    return is_over_quota ? value * history_.terms.over_quota_value_ratio : value;
+}
+
+void Auditor::on_response(double now, int request, Reply reply, int attempt) {
+    RequestRecord& record = history_.requests[index(request)];
+    if (record.end == RequestEnd::responded) {
+        report(1, request, now, record.received_at,
+               "a second final answer (" + std::string(reply_text(reply)) + ") after one at " +
+                   time_text(history_, record.ended_at),
+               false);
         return;
     }
-    if (v.close != Close::open) return;  // a client that has gone may still be written to
-    v.reply = reply;
-    close(inv, now, Close::replied);
+    if (record.end != RequestEnd::open) return;  // the node may still write to a client that has closed
+    record.reply = reply;
+    end_request(request, now, RequestEnd::responded);
+    count_reply(reply);
+    if (now > deadline(record) + history_.terms.slack && !is_lost_with_node(record)) {
+        report(1, request, now, deadline(record),
+               "its final answer (" + std::string(reply_text(reply)) + ") came " +
+                   duration_text(now - deadline(record)) + " after the client timeout");
+    }
+    if (reply == Reply::succeeded) check_response(now, request, attempt);
+    if (reply == Reply::rejected) check_rejection(now, request);
+}
+
+void Auditor::count_reply(Reply reply) {
     switch (reply) {
         case Reply::succeeded:
             ++verdict_.succeeded;
             break;
-        case Reply::throttled:
-            ++verdict_.throttled;
+        case Reply::rejected:
+            ++verdict_.rejected;
             break;
-        case Reply::errored:
-            ++verdict_.errored;
+        case Reply::failed:
+            ++verdict_.failed;
             break;
-        case Reply::cut:
-            ++verdict_.cut;
+        case Reply::truncated:
+            ++verdict_.truncated;
             break;
     }
-    if (now > due(v) + terms_.slack && !lost_with(v)) {
-        find(1, inv, now, due(v),
-             "its final answer (" + std::string(word(reply)) + ") came " + seconds_text(now - due(v)) +
-                 " after the client timeout");
-    }
-    const Operation& op = terms_.operations[index(v.ask.operation)];
-    if (reply == Reply::succeeded) {
-        const bool made =
-            forward >= 0 && index(forward) < forwards_.size() && forwards_[index(forward)].inv == inv &&
-            (forwards_[index(forward)].outcome == Outcome::done || forwards_[index(forward)].dropped);
-        if (!made) {
-            find(1, inv, now, now, "succeeded with an answer that no server made for this invocation", false);
-            return;
-        }
-        User& u = users_[index(v.ask.user)];
-        const double took = now - u.first_asked;
-        const double part = took <= op.latency_objective ? 1 : op.late_value_ratio;
-        u.earned = std::max(u.earned, u.worth * part);
-    }
-    if (reply == Reply::throttled && op.idempotency == Idempotency::none) {
-        for (const int f : v.forwards) {
-            if (!may_have_run(f, now)) continue;
-            find(2, inv, now, forwards_[index(f)].last_byte,
-                 "non-idempotent and throttled, which invites a repeat, though forward " + std::to_string(f) +
-                     " to " + server_name(forwards_[index(f)].server) + " may have run",
-                 false);
-            break;
-        }
-    }
-}
-
-bool Auditor::lost_with(const Invocation& v) const {
-    return std::max(node_killed_at_[index(v.ask.node)], stopped_until_[index(v.ask.node)]) >= v.asked_at;
 }
 
-void Auditor::client_left(double now, int inv) {
-    if (invocations_[index(inv)].close != Close::open) return;
-    close(inv, now, Close::left);
-    if (invocations_[index(inv)].ask.counts) ++verdict_.left;
+void Auditor::on_client_closed(double now, int request) {
+    const RequestRecord& record = history_.requests[index(request)];
+    if (record.end != RequestEnd::open) return;
+    end_request(request, now, RequestEnd::client_closed);
+    if (record.info.is_counted) ++verdict_.left;
 }
 
-void Auditor::unreachable(double now, int inv) {
-    if (invocations_[index(inv)].close == Close::open) close(inv, now, Close::unreachable);
+void Auditor::on_unreachable(double now, int request) {
+    if (history_.requests[index(request)].end == RequestEnd::open)
+        end_request(request, now, RequestEnd::unreachable);
 }
 
-void Auditor::connection_ended(double now, int inv) {
-    Invocation& v = invocations_[index(inv)];
-    if (v.close != Close::open) return;
-    if (lost_with(v)) {
-        close(inv, now, Close::lost_with_node);
+void Auditor::on_connection_closed(double now, int request) {
+    const RequestRecord& record = history_.requests[index(request)];
+    if (record.end != RequestEnd::open) return;
+    if (is_lost_with_node(record)) {
+        end_request(request, now, RequestEnd::lost_with_node);
         ++verdict_.lost_with_node;
         return;
     }
-    close(inv, now, Close::lost);
+    end_request(request, now, RequestEnd::connection_lost);
     ++verdict_.unanswered;
-    // A watcher that is late may have left a new connection without a word until the node let it go.
-    find(1, inv, now, v.asked_at, "the node ended the connection with no whole answer");
+    // Dated from the request: a delayed watcher may have left a new connection silent until the node's own
+    // timeout closed it.
+    report(1, request, now, record.received_at, "the node ended the connection with no whole answer");
 }
 
-void Auditor::gave_up(double now, int inv) {
-    Invocation& v = invocations_[index(inv)];
-    if (v.close != Close::open) return;
-    if (lost_with(v)) {
-        close(inv, now, Close::lost_with_node);
+void Auditor::on_client_timeout(double now, int request) {
+    const RequestRecord& record = history_.requests[index(request)];
+    if (record.end != RequestEnd::open) return;
+    if (is_lost_with_node(record)) {
+        end_request(request, now, RequestEnd::lost_with_node);
         ++verdict_.lost_with_node;
         return;
     }
-    if (now < due(v) + terms_.slack) return client_left(now, inv);  // nothing was owed yet
-    close(inv, now, Close::gave_up);
+    // Before the deadline no response is owed.
+    if (now < deadline(record) + history_.terms.slack) return on_client_closed(now, request);
+    end_request(request, now, RequestEnd::timed_out);
     ++verdict_.unanswered;
-    find(1, inv, now, due(v),
-         "no final answer until " + seconds_text(now - due(v)) + " after the client timeout");
+    report(1, request, now, deadline(record),
+           "no final answer until " + duration_text(now - deadline(record)) + " after the client timeout");
 }
 
-// ---- servers --------------------------------------------------------------------------------------------
-
-// Whether a forward that reached its server may have had its effect by `at`, or may still have it.
-bool Auditor::may_have_run(int forward, double at) const {
-    const Forward& f = forwards_[index(forward)];
-    return !(f.outcome == Outcome::busy && f.over_at >= 0 && f.over_at <= at);
+double Auditor::deadline(const RequestRecord& request) const {
+    return request.received_at + request.info.timeout + history_.terms.answer_grace;
 }
 
-bool Auditor::drops_repeats(DeduplicationScope scope, int first_server, int server) const {
-    if (server == first_server) return true;
-    if (server == terms_.origin || first_server == terms_.origin) return false;
-    switch (scope) {
-        case DeduplicationScope::all:
-            return true;
-        case DeduplicationScope::zone:
-            return terms_.server_zones[index(server)] == terms_.server_zones[index(first_server)];
-        case DeduplicationScope::cell:
-            return terms_.server_cells[index(server)] == terms_.server_cells[index(first_server)];
-    }
-    return false;
+bool Auditor::is_lost_with_node(const RequestRecord& request) const {
+    const std::size_t node = index(request.info.node);
+    return std::max(node_killed_at_[node], node_paused_until_[node]) >= request.received_at;
 }
 
-void Auditor::forwarded(double first_byte, double last_byte, int forward, int inv, int server, double work) {
-    if (forwards_.size() <= index(forward)) forwards_.resize(index(forward) + 1);
-    forwards_[index(forward)] = {inv, server,        work, first_byte, last_byte,
-                                 -1,  Outcome::none, -1,   false,      false};
-    ++verdict_.forwards;
-    Server& s = servers_[index(server)];
-    s.lately.push_back(forward);
-    while (!s.lately.empty() &&
-           forwards_[index(s.lately.front())].last_byte < last_byte - std::max(terms_.fall_time, 1.0)) {
-        s.lately.pop_front();
-    }
-    if (inv < 0 || index(inv) >= invocations_.size()) {
-        find(1, -1, last_byte, last_byte,
-             "a forward to " + server_name(server) + " names no invocation that was asked", false);
-        return;
-    }
-    judge_forward(forward);
-    invocations_[index(inv)].forwards.push_back(forward);
-    if (server == terms_.origin ? terms_.origin_limit > 0 : terms_.cold_limit > 0 && s.cold)
-        judge_limit(last_byte, server);
+void Auditor::end_request(int request, double now, RequestEnd end) {
+    RequestRecord& record = history_.requests[index(request)];
+    record.end = end;
+    record.ended_at = now;
 }
 
-// What all nodes together sent in the last second. Beyond the limit there may be what was saved up: a quarter
-// of a second's, and one forward at each node. To a cold server only those that knew of its start are held.
-void Auditor::judge_limit(double now, int server) {
-    Server& s = servers_[index(server)];
-    const double limit = server == terms_.origin ? terms_.origin_limit : terms_.cold_limit;
-    double sent = 0, from = now;
-    int last = -1;
-    for (auto f = s.lately.rbegin(); f != s.lately.rend() && forwards_[index(*f)].last_byte > now - 1; ++f) {
-        last = forwards_[index(*f)].inv;
-        if (last < 0 || (server != terms_.origin && !s.told_start[index(invocations_[index(last)].ask.node)]))
-            continue;
-        ++sent;
-        from = forwards_[index(*f)].last_byte;
-    }
-    if (sent <= limit * 1.25 + terms_.nodes || now - s.over_limit_at < 1) return;
-    s.over_limit_at = now;
-    char text[160];
-    std::snprintf(text, sizeof text,
-                  "%s got %.0f forwards within a second, of %.4g a second that all nodes together may send",
-                  server_name(server).c_str(), sent, limit);
-    find(5, last, now, from, text);
-}
+// ---- servers --------------------------------------------------------------------------------------------
 
-void Auditor::judge_forward(int forward) {
-    const Forward& f = forwards_[index(forward)];
-    const Invocation& v = invocations_[index(f.inv)];
-    const Operation& op = terms_.operations[index(v.ask.operation)];
-    // Every forward comes by here, and hardly any has anything to be said of it.
-    const auto to = [&] { return "forward " + std::to_string(forward) + " to " + server_name(f.server); };
-    if (v.close == Close::replied && f.first_byte > v.closed_at + terms_.slack) {
-        find(1, f.inv, f.first_byte, v.closed_at,
-             to() + " was sent " + seconds_text(f.first_byte - v.closed_at) + " after the final answer");
-    }
-    const Drain& drain = told_[index(v.ask.node)][index(f.server)];
-    if (drain.standing != EndpointState::ready &&
-        f.first_byte > drain.since + terms_.drain_grace + terms_.slack) {
-        find(3, f.inv, f.first_byte, drain.since,
-             to() + " began " + seconds_text(f.first_byte - drain.since) + " after node " +
-                 std::to_string(v.ask.node) + " was told that it " +
-                 (drain.standing == EndpointState::removed ? "is gone" : "drains") + " (grace " +
-                 seconds_text(terms_.drain_grace) + ")");
+void Auditor::on_attempt(double first_byte, double last_byte, int attempt, int request, int server,
+                         double work) {
+    const Terms& terms = history_.terms;
+    if (history_.attempts.size() <= index(attempt)) history_.attempts.resize(index(attempt) + 1);
+    AttemptRecord record;
+    record.request = request;
+    record.server = server;
+    record.work = work;
+    record.first_byte = first_byte;
+    record.last_byte = last_byte;
+    history_.attempts[index(attempt)] = record;
+    ++verdict_.attempts;
+    ServerRecord& receiver = history_.servers[index(server)];
+    receiver.recent_attempts.push_back(attempt);
+    const double oldest_kept = last_byte - std::max(terms.overload_window, kMinOverloadWindow);
+    while (!receiver.recent_attempts.empty() &&
+           history_.attempts[index(receiver.recent_attempts.front())].last_byte < oldest_kept) {
+        receiver.recent_attempts.pop_front();
     }
-    if (op.idempotency == Idempotency::idempotent || v.forwards.empty()) return;
-    for (const int earlier : v.forwards) {
-        if (!may_have_run(earlier, f.first_byte)) continue;
-        const Forward& e = forwards_[index(earlier)];
-        const auto after = [&] {
-            return " though forward " + std::to_string(earlier) + " to " + server_name(e.server) +
-                   " may have run";
-        };
-        if (op.idempotency == Idempotency::none) {
-            find(2, f.inv, f.first_byte, e.last_byte, "non-idempotent: " + to() + " was sent" + after(),
-                 false);
-            return;
-        }
-        if (!drops_repeats(op.deduplication_scope, e.server, f.server)) {
-            find(2, f.inv, f.first_byte, e.last_byte,
-                 "deduplicated: " + to() + " is outside the group that drops its repeats," + after(), false);
-            return;
-        }
-        if (f.last_byte > e.last_byte + op.deduplication_window + terms_.slack) {
-            find(2, f.inv, f.first_byte, e.last_byte,
-                 "deduplicated: " + to() + " came " + seconds_text(f.last_byte - e.last_byte) +
-                     " later, when its mark is forgotten (" + seconds_text(op.deduplication_window) + ")," +
-                     after());
-            return;
-        }
+    if (request < 0 || index(request) >= history_.requests.size()) {
+        report(1, -1, last_byte, last_byte,
+               "a forward to " + server_name(terms, server) + " names no invocation that was asked", false);
+        return;
     }
+    check_attempt(attempt);
+    history_.requests[index(request)].attempts.push_back(attempt);
+    const bool is_limited =
+        server == terms.origin ? terms.origin_limit > 0 : terms.cold_limit > 0 && receiver.is_cold;
+    if (is_limited) check_fleet_limit(last_byte, server);
 }
 
-void Auditor::ran(double now, int forward) {
-    Forward& f = forwards_[index(forward)];
-    f.ran_at = now;
+void Auditor::on_effect(double now, int attempt) {
+    AttemptRecord& record = history_.attempts[index(attempt)];
+    record.effect_at = now;
     ++verdict_.effects;
-    if (f.inv < 0) return;
-    judge_effects(invocations_[index(f.inv)].ask.user, forward);
+    if (record.request < 0) return;
+    check_effects(history_.requests[index(record.request)].info.user, attempt);
 }
 
-// Two effects for one thing that a user wanted. Where a client tried again by what the rules let it believe,
-// the node that told it so is at fault; the earlier checks name that too, but only this one sees the harm.
-void Auditor::judge_effects(int user, int forward) {
-    User& u = users_[index(user)];
-    const Operation& op = terms_.operations[index(u.operation)];
-    if (op.idempotency == Idempotency::idempotent) return;
-    if (u.first_effect < 0) {
-        u.first_effect = forward;
-        return;
-    }
-    const Forward& first = forwards_[index(u.first_effect)];
-    const Forward& second = forwards_[index(forward)];
-    // A server that forgot its marks with a restart did this, not the node.
-    const double restarted = servers_[index(second.server)].started;
-    if (op.idempotency == Idempotency::idempotency_key && restarted > first.last_byte) return;
-    find(2, second.inv, second.ran_at, second.ran_at,
-         "its effect happened twice: forward " + std::to_string(u.first_effect) + " (invocation " +
-             std::to_string(first.inv) + ") at " + stamp(first.ran_at) + " and forward " +
-             std::to_string(forward) + " at " + stamp(second.ran_at),
-         false);
+void Auditor::on_duplicate_dropped(double, int attempt) {
+    history_.attempts[index(attempt)].is_dropped_duplicate = true;
+    ++verdict_.dropped_duplicates;
 }
 
-void Auditor::dropped_repeat(double, int forward) {
-    forwards_[index(forward)].dropped = true;
-    ++verdict_.dropped_repeats;
+void Auditor::on_attempt_finished(double now, int attempt, Outcome outcome) {
+    AttemptRecord& record = history_.attempts[index(attempt)];
+    if (record.finished_at >= 0) return;
+    record.finished_at = now;
+    record.outcome = outcome;
+    record.missed_cold = outcome == Outcome::miss && history_.servers[index(record.server)].is_cold;
 }
 
-void Auditor::ended(double now, int forward, Outcome outcome) {
-    Forward& f = forwards_[index(forward)];
-    if (f.over_at >= 0) return;
-    f.over_at = now;
-    f.outcome = outcome;
-    f.missed_cold = outcome == Outcome::miss && servers_[index(f.server)].cold;
+void Auditor::on_server_started(double now, int server, bool is_cold) {
+    ServerRecord& record = history_.servers[index(server)];
+    record.is_cold = is_cold;
+    record.started_at = now;
+    record.start_is_known.assign(index(history_.terms.nodes), false);
 }
 
-void Auditor::started(double now, int server, bool cold) {
-    Server& s = servers_[index(server)];
-    s.cold = cold;
-    s.started = now;
-    s.told_start.assign(index(terms_.nodes), false);
-}
+void Auditor::on_server_warm(double, int server) { history_.servers[index(server)].is_cold = false; }
 
-void Auditor::warm(double, int server) { servers_[index(server)].cold = false; }
-
-void Auditor::pushed_over(double now, int server) { judge_push(now, server); }
-
-void Auditor::judge_push(double now, int server) {
-    const Server& s = servers_[index(server)];
-    double all = 0, told = 0, cold_misses = 0;
-    std::vector<double> by_node(index(terms_.nodes), 0);
-    int last = -1;
-    for (const int i : s.lately) {
-        const Forward& f = forwards_[index(i)];
-        if (f.last_byte < now - std::max(terms_.fall_time, 1.0) || f.inv < 0) continue;
-        const Invocation& v = invocations_[index(f.inv)];
-        all += f.work;
-        last = f.inv;
-        by_node[index(v.ask.node)] += f.work;
-        if (s.told_start[index(v.ask.node)]) told += f.work;
-        for (const int earlier : v.forwards) {
-            if (!forwards_[index(earlier)].missed_cold) continue;
-            cold_misses += f.work;
-            break;
-        }
-    }
-    if (all == 0) return;
-    const auto percent = [all](double part) { return std::to_string(std::lround(100 * part / all)) + "%"; };
-    std::string shares;
-    for (std::size_t n = 0; n < by_node.size(); ++n) {
-        shares +=
-            (n == 0 ? "" : ", ") + std::string("node ") + std::to_string(n) + ": " + percent(by_node[n]);
-    }
-    if (server == terms_.origin) {
-        if (cold_misses < kColdMisses * all) return;
-        find(4, last, now, now,
-             "the origin was stopped by " + std::to_string(s.lately.size()) + " forwards in " +
-                 seconds_text(terms_.fall_time) + ", " + percent(cold_misses) +
-                 " of them for misses at cold servers (" + shares + ")");
-        return;
-    }
-    if (!s.cold || told < kToldOfStart * all) return;
-    find(4, last, now, now,
-         "the cold server " + server_name(server) + " was pushed over by " + std::to_string(s.lately.size()) +
-             " forwards in " + seconds_text(terms_.fall_time) + ", " + percent(told) +
-             " of them from nodes that knew of its start (" + shares + ")");
-}
+void Auditor::on_server_overloaded(double now, int server) { check_server_overload(now, server); }
 
 // ---- discovery, nodes, and the watcher itself ------------------------------------------------------------
 
-void Auditor::told(double now, int node, int server, EndpointState standing, bool fresh_start) {
-    Drain& d = told_[index(node)][index(server)];
-    // Said again, it is no news: the grace runs from the first word.
-    const bool news = d.standing == EndpointState::ready || standing == EndpointState::ready;
-    if (news) d = {standing, now};
-    d.standing = standing;
-    if (fresh_start) servers_[index(server)].told_start[index(node)] = true;
+void Auditor::on_endpoint_state(double now, int node, int server, EndpointState state, bool is_fresh_start) {
+    KnownState& known = endpoint_states_[index(node)][index(server)];
+    // The grace runs from the first notification: a repeated one, or one from draining to removed, does not
+    // start it again.
+    if (known.state == EndpointState::ready || state == EndpointState::ready) known.since = now;
+    known.state = state;
+    if (is_fresh_start) history_.servers[index(server)].start_is_known[index(node)] = true;
 }
 
-// It starts from nothing but its list, so what its former self was told does not bind it.
-void Auditor::node_up(double, int node) { told_[index(node)].assign(terms_.server_names.size(), {}); }
+// A new process starts from its own endpoint list; what the previous one was notified of does not bind it.
+void Auditor::on_node_started(double, int node) {
+    endpoint_states_[index(node)].assign(history_.terms.server_names.size(), {});
+}
 
-void Auditor::node_killed(double now, int node) { node_killed_at_[index(node)] = now; }
+void Auditor::on_node_killed(double now, int node) { node_killed_at_[index(node)] = now; }
 
-void Auditor::late(double now, double by) {
-    late_worst_ = std::max(late_worst_, by);
-    if (by < terms_.late_most) return;
-    const double from = late_.empty() ? now - by : std::max(now - by, late_.back().second);
-    if (now > from) late_sum_ += now - from;
-    late_.emplace_back(now - by, now);
+void Auditor::on_watcher_delay(double now, double delay) {
+    max_watcher_delay_ = std::max(max_watcher_delay_, delay);
+    if (delay < history_.terms.min_counted_watcher_delay) return;
+    const double from =
+        watcher_delays_.empty() ? now - delay : std::max(now - delay, watcher_delays_.back().second);
+    if (now > from) total_watcher_delay_ += now - from;
+    watcher_delays_.emplace_back(now - delay, now);
 }
 
-bool Auditor::watched_well(double from, double until) const {
-    // What was seen late is dated late: a limit that was passed shortly after such a time cannot be told from
-    // one that was kept.
-    for (auto at = late_.rbegin(); at != late_.rend(); ++at) {
-        if (at->second < from - terms_.slack) return true;
-        if (at->first <= until + terms_.slack) return false;
+// An observation made after a delay is dated late: a limit exceeded shortly after one cannot be told from a
+// limit that was kept.
+bool Auditor::is_reliable(double from, double until) const {
+    const double slack = history_.terms.slack;
+    for (auto delay = watcher_delays_.rbegin(); delay != watcher_delays_.rend(); ++delay) {
+        if (delay->second < from - slack) return true;
+        if (delay->first <= until + slack) return false;
     }
     return true;
 }
 
-// Whether the machine ran well is known only at the end, as lateness is told after the fact; so all are kept
-// until finish().
-void Auditor::find(int rule, int inv, double at, double from, std::string what, bool by_clock) {
-    if (suspicions_.size() >= kSuspicionsKept) {
-        ++beyond_kept_[index(rule)];
-        return;
-    }
-    suspicions_.push_back({{rule, inv, at - begin_, std::move(what), {}}, std::min(from, at), by_clock});
-}
-
-std::string Auditor::stamp(double time) const { return seconds_text(time - begin_); }
-
-std::string Auditor::server_name(int server) const {
-    return index(server) < terms_.server_names.size() ? terms_.server_names[index(server)] : "?";
-}
-
-std::string Auditor::operation_name(int operation) const {
-    return index(operation) < terms_.operation_names.size() ? terms_.operation_names[index(operation)]
-                                                            : std::to_string(operation);
-}
+// ---- the verdict ----------------------------------------------------------------------------------------
 
-std::vector<std::string> Auditor::trace(int inv) const {
-    if (inv < 0 || index(inv) >= invocations_.size()) return {};
-    std::vector<std::pair<double, std::string>> lines;
-    const int user = invocations_[index(inv)].ask.user;
-    const auto add = [&](int which) {
-        const Invocation& v = invocations_[index(which)];
-        lines.emplace_back(
-            v.asked_at, "invocation " + std::to_string(which) + " (try " + std::to_string(v.ask.attempt + 1) +
-                            ", " + operation_name(v.ask.operation) + ", node " + std::to_string(v.ask.node) +
-                            ") asked, waits " + seconds_text(v.ask.time_left));
-        for (const int i : v.forwards) {
-            const Forward& f = forwards_[index(i)];
-            lines.emplace_back(f.last_byte,
-                               "  forward " + std::to_string(i) + " reached " + server_name(f.server));
-            if (f.ran_at >= 0)
-                lines.emplace_back(f.ran_at, "  forward " + std::to_string(i) + " took effect");
-            if (f.over_at >= 0) {
-                lines.emplace_back(f.over_at, "  forward " + std::to_string(i) +
-                                                  " ended: " + word(f.outcome) +
-                                                  (f.dropped ? " (a repeat, dropped)" : ""));
-            }
-        }
-        if (v.closed_at < 0) return;
-        const char* how = v.close == Close::replied          ? word(v.reply)
-                          : v.close == Close::left           ? "its client left"
-                          : v.close == Close::lost           ? "connection ended by the node"
-                          : v.close == Close::gave_up        ? "its client gave up"
-                          : v.close == Close::lost_with_node ? "lost with its node"
-                                                             : "node out of reach";
-        lines.emplace_back(v.closed_at, "invocation " + std::to_string(which) + ": " + how);
-    };
-    // A user's tries are close together, so they are looked for nearby; a whole day would be long to search.
-    constexpr int kNearby = 20000;
-    const int from = std::max(0, inv - kNearby);
-    const int until = std::min(static_cast<int>(invocations_.size()), inv + kNearby);
-    for (int i = from; i < until; ++i) {
-        if (invocations_[index(i)].ask.user == user) add(i);
+// Delays of the watcher are reported after the fact, so violations stay pending until finish().
+void Auditor::report(int rule, int request, double at, double from, std::string what, bool depends_on_clock) {
+    if (pending_violations_.size() >= kMaxPendingViolations) {
+        ++unrecorded_violations_[index(rule)];
+        return;
     }
-    std::stable_sort(lines.begin(), lines.end(),
-                     [](const auto& a, const auto& b) { return a.first < b.first; });
-    std::vector<std::string> out;
-    for (const auto& [at, text] : lines) out.push_back(stamp(at) + "  " + text);
-    return out;
-}
-
-// ---- the end --------------------------------------------------------------------------------------------
-
-void Auditor::account(Verdict& v) {
-    v.operations.resize(terms_.operations.size());
-    v.tenants.resize(terms_.tenants.size());
-    const double day = terms_.day;
-    v.seconds.resize(static_cast<std::size_t>(std::ceil(std::max(0.0, day))));
-    for (const User& u : users_) {
-        const double asked_at = u.first_asked - begin_;
-        if (u.worth <= 0 || asked_at >= day) continue;
-        const auto add = [&](Account& a) {
-            a.asked += u.worth;
-            a.earned += u.earned;
-        };
-        const auto second = static_cast<std::size_t>(std::max(0.0, asked_at));
-        if (second < v.seconds.size()) add(v.seconds[second]);
-        if (asked_at < terms_.count_from) continue;
-        add(v.whole);
-        add(v.operations[index(u.operation)]);
-        if (u.tenant >= 0) add(v.tenants[index(u.tenant)]);
+    pending_violations_.push_back({{rule, request, at - history_.run_started_at, std::move(what), {}},
+                                   std::min(from, at),
+                                   depends_on_clock});
+}
+
+void Auditor::weigh_pending_violations(Verdict& verdict) {
+    for (PendingViolation& pending : pending_violations_) {
+        Violation& violation = pending.violation;
+        const bool is_set_aside =
+            pending.depends_on_clock && !is_reliable(pending.from, violation.at + history_.run_started_at);
+        std::vector<Violation>& destination = is_set_aside ? verdict.set_aside : verdict.violations;
+        if (!is_set_aside) ++verdict.violations_by_rule[index(violation.rule)];
+        if (destination.size() >= kMaxTracedViolations) continue;
+        violation.trace = trace_request(history_, violation.request);
+        destination.push_back(std::move(violation));
     }
-    const auto first = static_cast<std::size_t>(terms_.count_from);
-    const auto length = static_cast<std::size_t>(kTen);
-    v.worst_ten = v.whole.part();
-    v.worst_ten_from = terms_.count_from;
-    for (std::size_t s = first; s + length <= v.seconds.size(); ++s) {
-        Account window;
-        for (std::size_t i = s; i < s + length; ++i) {
-            window.asked += v.seconds[i].asked;
-            window.earned += v.seconds[i].earned;
-        }
-        if (window.asked > 0 && window.part() < v.worst_ten) {
-            v.worst_ten = window.part();
-            v.worst_ten_from = static_cast<double>(s);
-        }
+    // Unrecorded ones were not weighed; they count only if others of their rule stood.
+    for (std::size_t rule = 0; rule < verdict.violations_by_rule.size(); ++rule) {
+        if (verdict.violations_by_rule[rule] > 0)
+            verdict.violations_by_rule[rule] += unrecorded_violations_[rule];
     }
+    std::stable_sort(verdict.violations.begin(), verdict.violations.end(),
+                     [](const Violation& left, const Violation& right) { return left.at < right.at; });
 }
 
 Verdict Auditor::finish(double now) {
-    for (std::size_t i = 0; i < invocations_.size(); ++i) gave_up(now, static_cast<int>(i));
-    Verdict v = verdict_;
-    for (Suspicion& s : suspicions_) {
-        const bool aside = s.by_clock && !watched_well(s.from, s.finding.at + begin_);
-        std::vector<Finding>& where = aside ? v.set_aside : v.findings;
-        if (!aside) ++v.broken[index(s.finding.rule)];
-        if (where.size() >= kTraced) continue;
-        s.finding.trace = trace(s.finding.inv);
-        where.push_back(std::move(s.finding));
-    }
-    // Those beyond were not weighed; they count only where others of their rule stood.
-    for (std::size_t rule = 0; rule < v.broken.size(); ++rule) {
-        if (v.broken[rule] > 0) v.broken[rule] += beyond_kept_[rule];
-    }
-    std::stable_sort(v.findings.begin(), v.findings.end(),
-                     [](const Finding& a, const Finding& b) { return a.at < b.at; });
-    v.late_worst = late_worst_;
-    v.late_share = now > begin_ ? late_sum_ / (now - begin_) : 0;
-    if (v.findings.empty() && !v.set_aside.empty()) {
-        v.void_run = true;
-        v.void_why = "the watcher was late just when " + std::to_string(v.set_aside.size()) +
-                     " limits seemed to be passed";
-    } else if (v.late_share > kLateShareMost) {
-        v.void_run = true;
-        v.void_why =
-            "the watcher was late for " + std::to_string(std::lround(100 * v.late_share)) + "% of the day";
+    for (std::size_t request = 0; request < history_.requests.size(); ++request)
+        on_client_timeout(now, static_cast<int>(request));
+    Verdict verdict = verdict_;
+    weigh_pending_violations(verdict);
+    verdict.max_watcher_delay = max_watcher_delay_;
+    const double run_time = now - history_.run_started_at;
+    verdict.watcher_delay_ratio = run_time > 0 ? total_watcher_delay_ / run_time : 0;
+    if (verdict.violations.empty() && !verdict.set_aside.empty()) {
+        verdict.is_void = true;
+        verdict.void_reason = "the watcher was late just when " + std::to_string(verdict.set_aside.size()) +
+                              " limits seemed to be passed";
+    } else if (verdict.watcher_delay_ratio > kMaxWatcherDelayRatio) {
+        verdict.is_void = true;
+        verdict.void_reason = "the watcher was late for " +
+                              std::to_string(std::lround(100 * verdict.watcher_delay_ratio)) + "% of the day";
     }
-    account(v);
-    return v;
+    add_service_totals(history_, verdict);
+    return verdict;
 }
 
 }  // namespace brookrelay::audit
--- a/src/testkit/fake_cache_server.cpp
+++ b/src/testkit/fake_cache_server.cpp
@@ -112,9 +112,9 @@
     work += p.handshake;
     p.handshake = 0;
     meter_.offered(now, work);
-    world_.auditor.forwarded(first_byte, now, forward, sound ? inv : -1, number_, work);
+    world_.auditor.on_attempt(first_byte, now, forward, sound ? inv : -1, number_, work);
     if (!sound) {
-        world_.auditor.ended(now, forward, audit::Outcome::errored);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         p.conn->write("CLIENT_ERROR what no client sent\r\n");
         return;
     }
@@ -124,7 +124,7 @@
     if (!bench_.enter(now, forward, work)) {
         ++counts_.busy;
         jobs_.erase(forward);
-        world_.auditor.ended(now, forward, audit::Outcome::busy);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
         // Turning one away is work too, if little: it counts for the push.
         meter_.offered(now, work * kBusyPart);
         return answer(peer, forward, "SERVER_ERROR busy\r\n");
@@ -143,20 +143,20 @@
         // Only where caches take writes for the origin; elsewhere none comes here.
         if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
             marks_.seen(now, job.mark, op.promised.deduplication_window)) {
-            world_.auditor.dropped_repeat(now, forward);
+            world_.auditor.on_duplicate_dropped(now, forward);
         } else {
             ++world_.versions[job.key];
-            world_.auditor.ran(now, forward);
+            world_.auditor.on_effect(now, forward);
             world_.drop_copies(job.key);
         }
-        world_.auditor.ended(now, forward, audit::Outcome::done);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
         return answer(job.peer, forward, "HD O" + job.id + " cf" + std::to_string(forward) + "\r\n");
     }
     const auto version = store_.get(job.key);
     if (!version) {
         ++counts_.misses;
         world_.missed[job.inv].push_back(number_);
-        world_.auditor.ended(now, forward, audit::Outcome::miss);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::miss);
         return answer(job.peer, forward, "EN O" + job.id + " h0\r\n");
     }
     ++counts_.hits;
@@ -164,10 +164,10 @@
         value_text(forward, job.key, *version, static_cast<std::size_t>(op.value_bytes));
     spoil_draw_ = key_of_rank(spoil_draw_ + static_cast<std::uint64_t>(forward));
     if (spoilt_ > 0 && static_cast<double>(spoil_draw_ >> 11) < spoilt_ * 9007199254740992.0) {
-        world_.auditor.ended(now, forward, audit::Outcome::errored);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         return answer(job.peer, forward, "VA x9 O" + job.id + "\r\n" + value + "\r\n");
     }
-    world_.auditor.ended(now, forward, audit::Outcome::done);
+    world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
     answer(job.peer, forward,
            "VA " + std::to_string(value.size()) + " O" + job.id + " h1\r\n" + value + "\r\n");
 }
@@ -205,12 +205,12 @@
     const double now = world_.now();
     if (now - started_ >= kind_.warm_after) {
         cold_ = false;
-        world_.auditor.warm(now, number_);
+        world_.auditor.on_server_warm(now, number_);
         return;
     }
     const Scenario& s = world_.scenario;
     if (!silent_ && meter_.over(now, capacity(), s.fall_multiple, s.fall_time)) {
-        world_.auditor.pushed_over(now, number_);
+        world_.auditor.on_server_overloaded(now, number_);
         fallen_ = true;
         stop();
         return;
@@ -264,7 +264,7 @@
     running_ = true;
     cold_ = true;
     started_ = world_.now();
-    world_.auditor.started(started_, number_, true);
+    world_.auditor.on_server_started(started_, number_, true);
     listener_.open();
     look();
 }
--- a/src/testkit/fake_discovery_server.cpp
+++ b/src/testkit/fake_discovery_server.cpp
@@ -166,13 +166,13 @@
                             e.address.empty();
         if (whole) {
             // Who is not in a whole list has left.
-            world_.auditor.told(now, node, server, absent ? EndpointState::removed : e.standing,
-                                !absent && e.started >= 0);
+            world_.auditor.on_endpoint_state(now, node, server, absent ? EndpointState::removed : e.standing,
+                                             !absent && e.started >= 0);
             continue;
         }
         if (e.changed <= index || left_out_.contains(server)) continue;
         body += (body.empty() ? "" : ",") + entry_text(node, i);
-        world_.auditor.told(now, node, server, e.standing, e.started >= 0);
+        world_.auditor.on_endpoint_state(now, node, server, e.standing, e.started >= 0);
     }
     body = whole ? whole_list(node)
                  : R"({"seq":)" + std::to_string(version_) + R"(,"whole":false,"hosts":[)" + body + "]}";
--- a/src/testkit/fake_origin_server.cpp
+++ b/src/testkit/fake_origin_server.cpp
@@ -75,10 +75,10 @@
         sound ? world_.scenario.operations[static_cast<std::size_t>(operation)].origin_work : 0;
     ++(job.write ? counts_.writes : counts_.reads);
     meter_.offered(now, work);
-    world_.auditor.forwarded(first_byte, now, forward, sound ? job.inv : -1, number_, work);
+    world_.auditor.on_attempt(first_byte, now, forward, sound ? job.inv : -1, number_, work);
     p.answers.emplace_back(forward, "");
     if (!sound) {
-        world_.auditor.ended(now, forward, audit::Outcome::errored);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         return answer(peer, forward, http_response(400, "no such request"));
     }
     if (halted()) return;  // it hears, and says nothing
@@ -86,7 +86,7 @@
     if (!bench_.enter(now, forward, work)) {
         ++counts_.busy;
         jobs_.erase(forward);
-        world_.auditor.ended(now, forward, audit::Outcome::busy);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
         return answer(peer, forward, http_response(503, "full", "X-Never-Ran: 1"));
     }
     arm();
@@ -102,17 +102,17 @@
     if (job.write) {
         if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
             marks_.seen(now, job.mark, op.promised.deduplication_window)) {
-            world_.auditor.dropped_repeat(now, forward);
+            world_.auditor.on_duplicate_dropped(now, forward);
         } else {
             ++world_.versions[job.key];
-            world_.auditor.ran(now, forward);
+            world_.auditor.on_effect(now, forward);
             world_.drop_copies(job.key);
         }
-        world_.auditor.ended(now, forward, audit::Outcome::done);
+        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
         return answer(job.peer, forward, http_response(200, "f" + std::to_string(forward)));
     }
     const std::uint32_t version = world_.version(job.key);
-    world_.auditor.ended(now, forward, audit::Outcome::done);
+    world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
     const auto missed = world_.missed.find(job.inv);
     if (missed != world_.missed.end()) {
         for (const int server : missed->second) world_.fill(server, job.key, version);
@@ -153,7 +153,7 @@
     const double now = world_.now();
     const OriginKind& kind = world_.scenario.origin;
     if (!halted() && meter_.over(now, capacity(), kind.fall_multiple, kind.fall_time)) {
-        world_.auditor.pushed_over(now, number_);
+        world_.auditor.on_server_overloaded(now, number_);
         halt(kind.halt);
     }
     world_.at(now + kLook, [this] { look(); });
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -127,15 +127,15 @@
     line->wait = wait;
     line->resent = false;
     ++open_;
-    audit::Ask ask;
+    audit::RequestInfo ask;
     ask.operation = user.plan->operation;
     ask.tenant = user.plan->tenant;
     ask.node = node;
     ask.user = user.number;
-    ask.attempt = user.tries;
+    ask.retry_number = user.tries;
     ask.key = user.plan->key;
-    ask.time_left = wait;
-    world_.auditor.asked(now, line->inv, ask);
+    ask.timeout = wait;
+    world_.auditor.on_request(now, line->inv, ask);
     if (line->conn == nullptr) {
         dial(node, line);
     } else {
@@ -147,7 +147,7 @@
     if (user.plan->leaves >= 0 && user.tries == 0) {
         world_.at(now + wait * static_cast<double>(user.plan->leaves), [this, line, inv] {
             if (!line->busy || line->inv != inv) return;
-            world_.auditor.client_left(world_.now(), inv);
+            world_.auditor.on_client_closed(world_.now(), inv);
             line->conn->close();
             over(line);
         });
@@ -192,7 +192,7 @@
         const double now = world_.now();
         int inv = -1;
         const bool ours = heard.id.empty() || (read_id(heard.id, world_.day, inv) && inv == line->inv);
-        audit::Reply reply = audit::Reply::errored;
+        audit::Reply reply = audit::Reply::failed;
         int forward = -1;
         double advice = 0;
         if (heard.kind == Heard::Kind::value) {
@@ -208,11 +208,11 @@
             const std::string as_value = std::string(heard.body) + ";v0;k0;";
             if (ours && !heard.id.empty() && read_value(as_value, value)) forward = value.forward;
         } else if (heard.kind == Heard::Kind::busy) {
-            reply = audit::Reply::throttled;
+            reply = audit::Reply::rejected;
             advice = heard.advice;
         }
         conn.take(taken);
-        world_.auditor.replied(now, line->inv, reply, forward);
+        world_.auditor.on_response(now, line->inv, reply, forward);
         if (!line->busy) continue;  // an answer nobody waits for: the judge has it
         const User user = line->user;
         line->fresh = false;
@@ -221,7 +221,7 @@
             ++succeeded_;
             latencies_[static_cast<std::size_t>(user.plan->operation)].add(now - user.first_asked);
         } else {
-            try_again(user, reply == audit::Reply::throttled ? After::busy : After::errored, advice);
+            try_again(user, reply == audit::Reply::rejected ? After::busy : After::errored, advice);
         }
     }
 }
@@ -253,7 +253,7 @@
     const bool was_up = line->conn->is_up();
     if (!was_busy) return over(line);
     if (!line->fresh && !line->resent && line->conn->input().empty() &&
-        !world_.auditor.has_forwards(line->inv)) {
+        !world_.auditor.has_attempts(line->inv)) {
         // The node closed this idle connection just when the command was on its way: asked once more, as it
         // is.
         std::erase(nodes_[static_cast<std::size_t>(line->node)].idle, line);
@@ -264,13 +264,13 @@
     const int inv = line->inv;
     over(line);
     if (!was_up) {
-        world_.auditor.unreachable(now, inv);
+        world_.auditor.on_unreachable(now, inv);
         return try_again(user, After::unreachable, 0);
     }
     if (cut) {
-        world_.auditor.replied(now, inv, audit::Reply::cut, -1);
+        world_.auditor.on_response(now, inv, audit::Reply::truncated, -1);
     } else {
-        world_.auditor.connection_ended(now, inv);
+        world_.auditor.on_connection_closed(now, inv);
     }
     try_again(user, After::lost, 0);
 }
@@ -279,9 +279,9 @@
     if (!line->busy || line->inv != inv) return;
     const User user = line->user;
     if (line->conn->is_up()) {
-        world_.auditor.gave_up(world_.now(), inv);
+        world_.auditor.on_client_timeout(world_.now(), inv);
     } else {
-        world_.auditor.unreachable(world_.now(), inv);
+        world_.auditor.on_unreachable(world_.now(), inv);
     }
     line->conn->close();
     over(line);
@@ -348,17 +348,17 @@
         }
         const OperationPlan& op = world.scenario.operations[static_cast<std::size_t>(operation)];
         const int inv = crowd.last_inv_++;
-        audit::Ask asked;
+        audit::RequestInfo asked;
         asked.operation = operation;
         asked.node = node;
         asked.user = crowd.last_user_++;
         asked.key = key_of_rank(0);
-        asked.time_left = op.promised.client_timeout;
-        asked.counts = false;
-        world.auditor.asked(now, inv, asked);
-        world.auditor.client_left(now, inv);
+        asked.timeout = op.promised.client_timeout;
+        asked.is_counted = false;
+        world.auditor.on_request(now, inv, asked);
+        world.auditor.on_client_closed(now, inv);
         conn->write("mg " + key_text(asked.key) + " v O" + id_text(world.day, inv) + " Pc=" + op.name +
-                    ",d=" + std::to_string(std::llround(asked.time_left * 1e3)) + "\r\n");
+                    ",d=" + std::to_string(std::llround(asked.timeout * 1e3)) + "\r\n");
         world.at(now + kUnreadEvery, [self = shared_from_this()] { self->step(); });
     }
     Crowd& crowd;
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -68,14 +68,14 @@
     t.nodes = s.nodes;
     t.answer_grace = s.answer_grace;
     t.drain_grace = s.drain_grace;
-    t.fall_time = std::max(s.fall_time, s.origin.fall_time);
-    t.beyond_share_part = s.beyond_share_part;
+    t.overload_window = std::max(s.fall_time, s.origin.fall_time);
+    t.over_quota_value_ratio = s.beyond_share_part;
     t.origin_limit = s.talk ? s.talk_origin : 0;
     t.cold_limit = s.talk ? s.talk_cold : 0;
     for (const Trouble& one : s.troubles) {  // while a change goes round the larger one holds
         if (one.kind == TroubleKind::limits) t.origin_limit = std::max(t.origin_limit, one.origin);
     }
-    t.day = s.length;
+    t.duration = s.length;
     t.count_from = s.count_from;
     return t;
 }
@@ -237,7 +237,7 @@
     const std::uint64_t seed =
         key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.starts);
     n.daemon->configure(configuration(node, seed));
-    auditor_.node_up(world_.now(), node);
+    auditor_.on_node_started(world_.now(), node);
     n.daemon->expected_to_end = false;
     n.daemon->start();
     ask_whether_ready(node, world_.now() + kStartMost);
@@ -293,7 +293,7 @@
     has_begun_ = true;
     // Only now is it known when the day begins, and the day's times are the clock's from here on.
     begun_ = world_.now() + kScheduleFrom;
-    auditor_.day_begins(begun_);
+    auditor_.start_run(begun_);
     for (Planned& p : schedule_) p.at += begun_;
     begin();
 }
@@ -404,7 +404,7 @@
     Node& n = nodes_[index(node)];
     n.daemon->expected_to_end = true;
     // The judge hears of it first: what breaks from here on is the kill's doing.
-    auditor_.node_killed(world_.now(), node);
+    auditor_.on_node_killed(world_.now(), node);
     n.daemon->kill();
     n.bury();
     world_.at(world_.now() + scenario_.clients.front_notices, [this, node] {
@@ -419,7 +419,7 @@
 // Stopped as a machine that pages or is moved: its sockets stand, and nothing is read from them.
 void Day::freeze(int node, double lasts) {
     const double until = world_.now() + lasts;
-    auditor_.node_stands_still(until + kAfterStop, node);
+    auditor_.on_node_paused(until + kAfterStop, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
     world_.at(world_.now() + scenario_.clients.front_notices, [this, node, until] {
         if (world_.now() < until) crowd_->front_uses(node, false);
@@ -433,7 +433,7 @@
 // Stopped and let on by turns, as on a crowded core.
 void Day::starve(int node, double part, double until) {
     if (ended_ || world_.now() >= until) return;
-    auditor_.node_stands_still(until + kAfterStop, node);
+    auditor_.on_node_paused(until + kAfterStop, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
     world_.at(world_.now() + part * kStarvedTurn,
               [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
@@ -624,7 +624,7 @@
 // The loop's own lateness: whatever a stand-in or a client saw in such a time is dated late.
 void Day::look_at_self(double expected) {
     const double now = world_.now();
-    auditor_.late(now, now - expected);
+    auditor_.on_watcher_delay(now, now - expected);
     if (ended_) return;
     world_.at(now + kLookAtSelf, [this, next = now + kLookAtSelf] { look_at_self(next); });
 }
@@ -649,7 +649,7 @@
             continue;
         }
         const ProcessFigures f = n.daemon->figures();
-        if (f.waited > n.waited_before) auditor_.late(now, f.waited - n.waited_before);
+        if (f.waited > n.waited_before) auditor_.on_watcher_delay(now, f.waited - n.waited_before);
         n.waited_before = std::max(n.waited_before, f.waited);
         n.cpu_before = std::max(n.cpu_before, f.cpu);
         result_.daemon_rss_mb = std::max(result_.daemon_rss_mb, f.rss_most_mb);
--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -18,7 +18,7 @@
 
 using Json = rapidjson::PrettyWriter<rapidjson::StringBuffer>;
 
-constexpr std::size_t kFindingsShown = 20;
+constexpr std::size_t kMaxViolationsShown = 20;
 constexpr const char* kRules[] = {"",
                                   "one final answer in time",
                                   "no effect twice",
@@ -52,22 +52,22 @@
     json.EndArray();
 }
 
-void put_account(Json& json, const std::string& name, const audit::Account& a) {
+void put_totals(Json& json, const std::string& name, const audit::ServiceTotals& a) {
     json.StartObject();
     put(json, "name", name);
-    put(json, "asked", a.asked);
+    put(json, "asked", a.offered);
     put(json, "earned", a.earned);
-    put(json, "part", a.part());
+    put(json, "part", a.ratio());
     json.EndObject();
 }
 
-void put_findings(Json& json, const char* key, const std::vector<audit::Finding>& findings) {
+void put_violations(Json& json, const char* key, const std::vector<audit::Violation>& findings) {
     json.Key(key);
     json.StartArray();
-    for (const audit::Finding& f : findings) {
+    for (const audit::Violation& f : findings) {
         json.StartObject();
         json.Key("rule"), json.Int(f.rule);
-        json.Key("invocation"), json.Int(f.inv);
+        json.Key("invocation"), json.Int(f.request);
         put(json, "at", f.at);
         put(json, "what", f.what);
         json.Key("trace");
@@ -84,11 +84,11 @@
     double part = 1;
 };
 
-Worst worst(const std::vector<audit::Account>& accounts, const std::vector<std::string>& names) {
+Worst worst(const std::vector<audit::ServiceTotals>& accounts, const std::vector<std::string>& names) {
     Worst w;
     for (std::size_t i = 0; i < accounts.size(); ++i) {
-        if (accounts[i].asked <= 0) continue;
-        if (w.name == "-" || accounts[i].part() < w.part) w = {names[i], accounts[i].part()};
+        if (accounts[i].offered <= 0) continue;
+        if (w.name == "-" || accounts[i].ratio() < w.part) w = {names[i], accounts[i].ratio()};
     }
     return w;
 }
@@ -126,13 +126,13 @@
     Chart c = over_time(plan, r, "Billed service", "part of the billed value");
     Curve2d part{"service", "", {}};
     double most = 0;
-    for (const audit::Account& a : r.verdict.seconds) most = std::max(most, a.asked);
+    for (const audit::ServiceTotals& a : r.verdict.seconds) most = std::max(most, a.offered);
     Curve2d asked{"asked (against its highest second)", "#bbbbbb", {}};
     for (std::size_t i = 0; i < r.verdict.seconds.size(); ++i) {
-        const audit::Account& a = r.verdict.seconds[i];
+        const audit::ServiceTotals& a = r.verdict.seconds[i];
         const double t = static_cast<double>(i) + 0.5;
-        if (a.asked > 0) part.points.emplace_back(t, a.part());
-        asked.points.emplace_back(t, most > 0 ? a.asked / most : 0);
+        if (a.offered > 0) part.points.emplace_back(t, a.ratio());
+        asked.points.emplace_back(t, most > 0 ? a.offered / most : 0);
     }
     c.curves = {asked, part};
     c.y_top = 1.05;
@@ -221,10 +221,11 @@
     return svg_text(c);
 }
 
-std::string finding_html(const audit::Finding& f) {
+std::string violation_html(const audit::Violation& f) {
     std::string out = "<details><summary><b>rule " + std::to_string(f.rule) + "</b> at " +
-                      format("%.3f s", f.at) + (f.inv >= 0 ? ", invocation " + std::to_string(f.inv) : "") +
-                      ": " + html_escaped(f.what) + "</summary><pre>";
+                      format("%.3f s", f.at) +
+                      (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " +
+                      html_escaped(f.what) + "</summary><pre>";
     for (const std::string& line : f.trace) out += html_escaped(line) + "\n";
     return out + "</pre></details>";
 }
@@ -261,8 +262,8 @@
 
 std::string verdict_word(const DayResult& r) {
     if (!r.failed.empty()) return "not played";
-    if (!r.verdict.findings.empty() || r.crashes > 0) return "broken";
-    if (r.verdict.void_run || r.was_interrupted) return "void";
+    if (!r.verdict.violations.empty() || r.crashes > 0) return "broken";
+    if (r.verdict.is_void || r.was_interrupted) return "void";
     return "kept";
 }
 
@@ -272,28 +273,28 @@
     std::string out;
     const auto say = [&out](const std::string& text) { out += text + "\n"; };
     if (!r.failed.empty()) return "not played: " + r.failed + "\n";
-    say("rules            " + verdict_word(r) + (v.void_run ? ": " + v.void_why : "") +
+    say("rules            " + verdict_word(r) + (v.is_void ? ": " + v.void_reason : "") +
         (r.was_interrupted ? " (interrupted)" : ""));
-    for (std::size_t rule = 1; rule < v.broken.size(); ++rule) {
-        if (v.broken[rule] > 0) {
+    for (std::size_t rule = 1; rule < v.violations_by_rule.size(); ++rule) {
+        if (v.violations_by_rule[rule] > 0) {
             say("  rule " + std::to_string(rule) + " (" + kRules[rule] + "): broken " +
-                std::to_string(v.broken[rule]) + " times");
+                std::to_string(v.violations_by_rule[rule]) + " times");
         }
     }
     if (r.crashes > 0) say("  daemons ended by themselves " + std::to_string(r.crashes) + " times");
     const Worst op = worst(v.operations, operation_names(s)), tenant = worst(v.tenants, tenant_names(s));
-    say("billed service   " + format("%.4f", v.whole.part()) + " whole,  " + format("%.4f", v.worst_ten) +
-        " worst 10 s (from " + format("%.0f s", v.worst_ten_from) + "),  " + format("%.4f ", op.part) +
+    say("billed service   " + format("%.4f", v.total.ratio()) + " whole,  " + format("%.4f", v.worst_window) +
+        " worst 10 s (from " + format("%.0f s", v.worst_window_from) + "),  " + format("%.4f ", op.part) +
         op.name + ",  " + format("%.4f ", tenant.part) + tenant.name);
-    say("invocations      " + std::to_string(v.invocations) + " of " + std::to_string(v.users) +
-        " users: " + std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.throttled) +
-        " throttled, " + std::to_string(v.errored) + " errored, " + std::to_string(v.cut) + " cut, " +
+    say("invocations      " + std::to_string(v.requests) + " of " + std::to_string(v.users) +
+        " users: " + std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.rejected) +
+        " throttled, " + std::to_string(v.failed) + " errored, " + std::to_string(v.truncated) + " cut, " +
         std::to_string(v.unanswered) + " unanswered, " + std::to_string(v.left) + " left, " +
         std::to_string(v.lost_with_node) + " lost with their node");
-    say("servers          " + std::to_string(v.forwards) + " forwards, " + std::to_string(r.hits) +
+    say("servers          " + std::to_string(v.attempts) + " forwards, " + std::to_string(r.hits) +
         " hits, " + std::to_string(r.misses) + " misses, " + std::to_string(r.server_busy) +
         " busy; origin " + std::to_string(r.origin_reads) + " reads, " + std::to_string(r.origin_writes) +
-        " writes, " + std::to_string(r.origin_halts) + " stops; " + std::to_string(v.dropped_repeats) +
+        " writes, " + std::to_string(r.origin_halts) + " stops; " + std::to_string(v.dropped_duplicates) +
         " repeats dropped");
     std::string times = "latency (ms)     ";
     for (std::size_t i = 0; i < r.latencies.size(); ++i) {
@@ -303,18 +304,18 @@
     }
     say(times);
     say("daemons          " +
-        format("%.1f us", v.invocations > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.invocations) : 0) +
+        format("%.1f us", v.requests > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.requests) : 0) +
         " of processor an invocation, " + format("%.1f MB", r.daemon_rss_mb) +
-        " at the most; the kit was late " + format("%.1f ms", 1e3 * v.late_worst) + " at the worst, " +
-        percent(v.late_share) + " of the day");
+        " at the most; the kit was late " + format("%.1f ms", 1e3 * v.max_watcher_delay) + " at the worst, " +
+        percent(v.watcher_delay_ratio) + " of the day");
     out += zones_text(s, r);
-    for (std::size_t i = 0; i < std::min(v.findings.size(), std::size_t{3}); ++i) {
-        const audit::Finding& f = v.findings[i];
+    for (std::size_t i = 0; i < std::min(v.violations.size(), std::size_t{3}); ++i) {
+        const audit::Violation& f = v.violations[i];
         say("broken: rule " + std::to_string(f.rule) + " at " + format("%.3f s", f.at) +
-            (f.inv >= 0 ? ", invocation " + std::to_string(f.inv) : "") + ": " + f.what);
+            (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " + f.what);
         for (const std::string& line : f.trace) say("    " + line);
     }
-    if (v.findings.size() > 3) say("... and more: see the report");
+    if (v.violations.size() > 3) say("... and more: see the report");
     return out;
 }
 
@@ -337,29 +338,29 @@
     put(json, "verdict", verdict_word(r));
     put(json, "failed", r.failed);
     put_flag(json, "interrupted", r.was_interrupted);
-    put_flag(json, "void", v.void_run);
-    put(json, "void_why", v.void_why);
+    put_flag(json, "void", v.is_void);
+    put(json, "void_why", v.void_reason);
     put(json, "length", r.length);
     json.Key("broken");
     json.StartObject();
-    for (std::size_t rule = 1; rule < v.broken.size(); ++rule) {
+    for (std::size_t rule = 1; rule < v.violations_by_rule.size(); ++rule) {
         json.Key(("rule_" + std::to_string(rule)).c_str());
-        json.Int(v.broken[rule]);
+        json.Int(v.violations_by_rule[rule]);
     }
     json.Key("crashes"), json.Int(r.crashes);
     json.EndObject();
     json.Key("service");
     json.StartObject();
-    put(json, "whole", v.whole.part());
-    put(json, "worst_ten", v.worst_ten);
-    put(json, "worst_ten_from", v.worst_ten_from);
+    put(json, "whole", v.total.ratio());
+    put(json, "worst_ten", v.worst_window);
+    put(json, "worst_ten_from", v.worst_window_from);
     put(json, "worst_operation", worst(v.operations, operation_names(s)).part);
     put(json, "worst_tenant", worst(v.tenants, tenant_names(s)).part);
-    const auto accounts = [&json](const char* key, const std::vector<audit::Account>& all,
+    const auto accounts = [&json](const char* key, const std::vector<audit::ServiceTotals>& all,
                                   const std::vector<std::string>& names) {
         json.Key(key);
         json.StartArray();
-        for (std::size_t i = 0; i < all.size(); ++i) put_account(json, names[i], all[i]);
+        for (std::size_t i = 0; i < all.size(); ++i) put_totals(json, names[i], all[i]);
         json.EndArray();
     };
     accounts("operations", v.operations, operation_names(s));
@@ -369,17 +370,17 @@
     json.StartObject();
     const std::pair<const char*, std::uint64_t> counts[] = {{"planned", r.planned},
                                                             {"users", v.users},
-                                                            {"invocations", v.invocations},
+                                                            {"invocations", v.requests},
                                                             {"succeeded", v.succeeded},
-                                                            {"throttled", v.throttled},
-                                                            {"errored", v.errored},
-                                                            {"cut", v.cut},
+                                                            {"throttled", v.rejected},
+                                                            {"errored", v.failed},
+                                                            {"cut", v.truncated},
                                                             {"unanswered", v.unanswered},
                                                             {"left", v.left},
                                                             {"lost_with_node", v.lost_with_node},
-                                                            {"forwards", v.forwards},
+                                                            {"forwards", v.attempts},
                                                             {"effects", v.effects},
-                                                            {"dropped_repeats", v.dropped_repeats},
+                                                            {"dropped_repeats", v.dropped_duplicates},
                                                             {"hits", r.hits},
                                                             {"misses", r.misses},
                                                             {"server_busy", r.server_busy},
@@ -410,14 +411,14 @@
     json.StartObject();
     put(json, "cpu", r.daemon_cpu);
     put(json, "cpu_us_an_invocation",
-        v.invocations > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.invocations) : 0.0);
+        v.requests > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.requests) : 0.0);
     put(json, "rss_mb_most", r.daemon_rss_mb);
     put(json, "descriptors_most", static_cast<std::uint64_t>(r.daemon_descriptors));
     json.EndObject();
     json.Key("kit_late");
     json.StartObject();
-    put(json, "worst", v.late_worst);
-    put(json, "part_of_day", v.late_share);
+    put(json, "worst", v.max_watcher_delay);
+    put(json, "part_of_day", v.watcher_delay_ratio);
     json.EndObject();
     json.Key("series");
     json.StartObject();
@@ -434,7 +435,7 @@
     }
     json.EndArray();
     std::vector<double> asked, earned;
-    for (const audit::Account& a : v.seconds) asked.push_back(a.asked), earned.push_back(a.earned);
+    for (const audit::ServiceTotals& a : v.seconds) asked.push_back(a.offered), earned.push_back(a.earned);
     put_list(json, "asked", asked);
     put_list(json, "earned", earned);
     put_list(json, "origin_asked", r.series.origin_asked);
@@ -451,8 +452,8 @@
         json.EndObject();
     }
     json.EndArray();
-    put_findings(json, "findings", v.findings);
-    put_findings(json, "set_aside", v.set_aside);
+    put_violations(json, "findings", v.violations);
+    put_violations(json, "set_aside", v.set_aside);
     json.EndObject();
     return std::string(buffer.GetString(), buffer.GetSize()) + "\n";
 }
@@ -469,27 +470,28 @@
     if (!r.failed.empty()) out += "<p>The day was not played: " + html_escaped(r.failed) + "</p>";
     if (r.was_interrupted)
         out += "<p>Interrupted after " + format("%.1f s", r.length) + ": what follows is of that part.</p>";
-    if (v.void_run) out += "<p>Void: " + html_escaped(v.void_why) + ".</p>";
+    if (v.is_void) out += "<p>Void: " + html_escaped(v.void_reason) + ".</p>";
     const Worst op = worst(v.operations, operation_names(s)), tenant = worst(v.tenants, tenant_names(s));
-    out += "<div class='tiles'>" + tile(format("%.4f", v.whole.part()), "billed service, whole") +
-           tile(format("%.4f", v.worst_ten), "worst 10 s, from " + format("%.0f s", v.worst_ten_from)) +
+    out += "<div class='tiles'>" + tile(format("%.4f", v.total.ratio()), "billed service, whole") +
+           tile(format("%.4f", v.worst_window), "worst 10 s, from " + format("%.0f s", v.worst_window_from)) +
            tile(format("%.4f", op.part), "worst operation: " + op.name) +
            tile(format("%.4f", tenant.part), "worst tenant: " + tenant.name) +
-           tile(std::to_string(v.findings.size()), "broken rules") +
-           tile(std::to_string(v.invocations), "invocations") + "</div>";
+           tile(std::to_string(v.violations.size()), "broken rules") +
+           tile(std::to_string(v.requests), "invocations") + "</div>";
     out += service_chart(plan, r) + load_chart(plan, r) + origin_chart(plan, r) + latency_chart(plan, r) +
            cost_chart(plan, r);
     out += "<h2>Broken rules</h2>";
-    if (v.findings.empty()) out += "<p>None.</p>";
-    for (std::size_t i = 0; i < std::min(kFindingsShown, v.findings.size()); ++i)
-        out += finding_html(v.findings[i]);
-    if (v.findings.size() > kFindingsShown) {
-        out += "<p>" + std::to_string(v.findings.size() - kFindingsShown) + " more are in report.json.</p>";
+    if (v.violations.empty()) out += "<p>None.</p>";
+    for (std::size_t i = 0; i < std::min(kMaxViolationsShown, v.violations.size()); ++i)
+        out += violation_html(v.violations[i]);
+    if (v.violations.size() > kMaxViolationsShown) {
+        out += "<p>" + std::to_string(v.violations.size() - kMaxViolationsShown) +
+               " more are in report.json.</p>";
     }
     if (!v.set_aside.empty()) {
         out += "<h2>Set aside, as the kit itself was late then</h2>";
-        for (std::size_t i = 0; i < std::min(kFindingsShown, v.set_aside.size()); ++i)
-            out += finding_html(v.set_aside[i]);
+        for (std::size_t i = 0; i < std::min(kMaxViolationsShown, v.set_aside.size()); ++i)
+            out += violation_html(v.set_aside[i]);
     }
     out += "<h2>Troubles</h2><table>" + row({"", "at", "what"}, "th");
     int number = 0;
@@ -498,16 +500,17 @@
            row({"operation", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "objective ms"},
                "th");
     for (std::size_t i = 0; i < s.operations.size(); ++i) {
-        const audit::Account account = i < v.operations.size() ? v.operations[i] : audit::Account{};
+        const audit::ServiceTotals account =
+            i < v.operations.size() ? v.operations[i] : audit::ServiceTotals{};
         const LatencyHistogram h = i < r.latencies.size() ? r.latencies[i] : LatencyHistogram{};
-        out += row({s.operations[i].name, format("%.0f", account.asked), format("%.4f", account.part()),
+        out += row({s.operations[i].name, format("%.0f", account.offered), format("%.4f", account.ratio()),
                     ms(h.quantile(0.5)), ms(h.quantile(0.9)), ms(h.quantile(0.99)), ms(h.quantile(0.999)),
                     ms(s.operations[i].promised.latency_objective)});
     }
     out += "</table><h2>Tenants</h2><table>" + row({"tenant", "asked", "service"}, "th");
     for (std::size_t i = 0; i < v.tenants.size(); ++i) {
-        out +=
-            row({s.tenants[i].name, format("%.0f", v.tenants[i].asked), format("%.4f", v.tenants[i].part())});
+        out += row(
+            {s.tenants[i].name, format("%.0f", v.tenants[i].offered), format("%.4f", v.tenants[i].ratio())});
     }
     out += "</table><h2>All counts</h2><pre>" + html_escaped(summary_text(plan, r)) + "</pre>";
     out += "<p class='soft'>" + html_escaped(head.version) + "; daemon " + html_escaped(head.program) +
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -36,9 +36,9 @@
     t.nodes = 2;
     t.answer_grace = 0.02;
     t.drain_grace = 0.3;
-    t.fall_time = 2;
-    t.beyond_share_part = 0.1;
-    t.day = 20;
+    t.overload_window = 2;
+    t.over_quota_value_ratio = 0.1;
+    t.duration = 20;
     return t;
 }
 
@@ -50,35 +50,35 @@
 
     // Whoever still waits has left by then, so that a case is judged by what it is about.
     Verdict end() {
-        for (int i = 0; i < asked; ++i) judge.client_left(1.9, i);
+        for (int i = 0; i < asked; ++i) judge.on_client_closed(1.9, i);
         return judge.finish(10);
     }
     void ask(double at, int inv, Op op, int node = 0, int user = -1, int attempt = 0) {
-        Ask a;
+        RequestInfo a;
         a.operation = op;
         a.node = node;
         a.user = user < 0 ? inv : user;
-        a.attempt = attempt;
-        a.time_left = 1;
-        judge.asked(at, inv, a);
+        a.retry_number = attempt;
+        a.timeout = 1;
+        judge.on_request(at, inv, a);
         asked = std::max(asked, inv + 1);
     }
     int send(double at, int inv, int server, double work = 0.01) {
-        judge.forwarded(at, at, forwards, inv, server, work);
+        judge.on_attempt(at, at, forwards, inv, server, work);
         return forwards++;
     }
-    void done(double at, int forward) { judge.ended(at, forward, Outcome::done); }
+    void done(double at, int forward) { judge.on_attempt_finished(at, forward, Outcome::done); }
     void ran(double at, int forward) {
-        judge.ran(at, forward);
+        judge.on_effect(at, forward);
         done(at, forward);
     }
-    void busy(double at, int forward) { judge.ended(at, forward, Outcome::busy); }
+    void busy(double at, int forward) { judge.on_attempt_finished(at, forward, Outcome::busy); }
     // One read that goes well.
     void fine(double at, int inv, int server = kBoxA, int node = 0) {
         ask(at, inv, kRead, node);
         const int f = send(at + 0.001, inv, server);
         done(at + 0.002, f);
-        judge.replied(at + 0.003, inv, Reply::succeeded, f);
+        judge.on_response(at + 0.003, inv, Reply::succeeded, f);
     }
 };
 
@@ -93,7 +93,7 @@
     for (int i = 0; i < count; ++i) {
         d.ask(from + 0.01 * i, first + i, kRead, node);
         d.send(from + 0.01 * i, first + i, server);
-        d.judge.client_left(from + 0.01 * i + 0.005, first + i);
+        d.judge.on_client_closed(from + 0.01 * i + 0.005, first + i);
     }
 }
 
@@ -102,9 +102,9 @@
     for (int i = 0; i < 100; ++i) {
         const double at = 1 + 0.0099 * i;
         d.ask(at, i, kRead);
-        d.judge.ended(at + 0.001, d.send(at, i, kBoxA), Outcome::miss);
+        d.judge.on_attempt_finished(at + 0.001, d.send(at, i, kBoxA), Outcome::miss);
         d.send(at + 0.002, i, kOrigin);
-        d.judge.client_left(at + 0.005, i);
+        d.judge.on_client_closed(at + 0.005, i);
     }
 }
 
@@ -114,61 +114,61 @@
     {"no answer", 1, "no final answer",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.gave_up(2.2, 0);
+         d.judge.on_client_timeout(2.2, 0);
      }},
     {"no answer yet, the time is not over", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.gave_up(2.05, 0);
+         d.judge.on_client_timeout(2.05, 0);
      }},
     {"an answer after the time", 1, "after the client timeout",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.replied(2.08, 0, Reply::throttled, -1);
+         d.judge.on_response(2.08, 0, Reply::rejected, -1);
      }},
     {"an answer within the grace", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.replied(2.06, 0, Reply::throttled, -1);
+         d.judge.on_response(2.06, 0, Reply::rejected, -1);
      }},
     {"two answers", 1, "second final answer",
      [](Day& d) {
          d.fine(1, 0);
-         d.judge.replied(1.5, 0, Reply::errored, -1);
+         d.judge.on_response(1.5, 0, Reply::failed, -1);
      }},
     {"an answer to a client that has left", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.client_left(1.1, 0);
-         d.judge.replied(1.2, 0, Reply::errored, -1);
+         d.judge.on_client_closed(1.1, 0);
+         d.judge.on_response(1.2, 0, Reply::failed, -1);
      }},
     {"the connection ends without an answer", 1, "ended the connection",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.connection_ended(1.2, 0);
+         d.judge.on_connection_closed(1.2, 0);
      }},
     {"it ends because the node was killed", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.node_killed(1.1, 0);
-         d.judge.connection_ended(1.2, 0);
+         d.judge.on_node_killed(1.1, 0);
+         d.judge.on_connection_closed(1.2, 0);
      }},
     {"it ends at one node while another was killed", 1, "ended the connection",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.node_killed(1.1, 1);
-         d.judge.connection_ended(1.2, 0);
+         d.judge.on_node_killed(1.1, 1);
+         d.judge.on_connection_closed(1.2, 0);
      }},
     {"the node was killed before it was asked", 1, "ended the connection",
      [](Day& d) {
-         d.judge.node_killed(0.5, 0);
+         d.judge.on_node_killed(0.5, 0);
          d.ask(1, 0, kRead);
-         d.judge.connection_ended(1.2, 0);
+         d.judge.on_connection_closed(1.2, 0);
      }},
     {"the node could not be reached", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.unreachable(1.1, 0);
+         d.judge.on_unreachable(1.1, 0);
      }},
     {"a forward after the answer", 1, "after the final answer",
      [](Day& d) {
@@ -183,27 +183,27 @@
     {"a success that no server made", 1, "no server made",
      [](Day& d) {
          d.ask(1, 0, kRead);
-         d.judge.replied(1.1, 0, Reply::succeeded, -1);
+         d.judge.on_response(1.1, 0, Reply::succeeded, -1);
      }},
     {"a success that was made for another", 1, "no server made",
      [](Day& d) {
          d.fine(1, 0);
          d.ask(2, 1, kRead);
-         d.judge.replied(2.1, 1, Reply::succeeded, 0);
+         d.judge.on_response(2.1, 1, Reply::succeeded, 0);
      }},
     {"a success by a forward that had no answer", 1, "no server made",
      [](Day& d) {
          d.ask(1, 0, kRead);
          const int f = d.send(1.01, 0, kBoxA);
-         d.judge.replied(1.1, 0, Reply::succeeded, f);
+         d.judge.on_response(1.1, 0, Reply::succeeded, f);
      }},
     {"a success by a repeat that was dropped", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          const int f = d.send(1.01, 0, kOrigin);
-         d.judge.dropped_repeat(1.02, f);
+         d.judge.on_duplicate_dropped(1.02, f);
          d.done(1.02, f);
-         d.judge.replied(1.1, 0, Reply::succeeded, f);
+         d.judge.on_response(1.1, 0, Reply::succeeded, f);
      }},
     {"a forward that names nobody", 1, "names no invocation", [](Day& d) { d.send(1, -1, kBoxA); }},
     // ---- rule 2, non-idempotent
@@ -216,7 +216,7 @@
     {"non-idempotent, sent again after an error", 2, "non-idempotent",
      [](Day& d) {
          d.ask(1, 0, kOnce);
-         d.judge.ended(1.02, d.send(1.01, 0, kOrigin), Outcome::errored);
+         d.judge.on_attempt_finished(1.02, d.send(1.01, 0, kOrigin), Outcome::failed);
          d.send(1.3, 0, kOrigin);
      }},
     {"non-idempotent, sent again after busy", 0, "",
@@ -236,24 +236,24 @@
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.send(1.01, 0, kOrigin);
-         d.judge.replied(1.5, 0, Reply::throttled, -1);
+         d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"non-idempotent, errored with a forward out", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.send(1.01, 0, kOrigin);
-         d.judge.replied(1.5, 0, Reply::errored, -1);
+         d.judge.on_response(1.5, 0, Reply::failed, -1);
      }},
     {"non-idempotent, throttled before any forward", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
-         d.judge.replied(1.5, 0, Reply::throttled, -1);
+         d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"non-idempotent, throttled after busy", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.busy(1.02, d.send(1.01, 0, kOrigin));
-         d.judge.replied(1.5, 0, Reply::throttled, -1);
+         d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"an effect that happens twice over two tries", 2, "happened twice",
      [](Day& d) {
@@ -261,7 +261,7 @@
          const int first = d.send(1.01, 0, kOrigin);
          d.busy(1.02, first);  // said never to have run, and then it did
          d.ran(1.03, first);
-         d.judge.replied(1.04, 0, Reply::throttled, -1);
+         d.judge.on_response(1.04, 0, Reply::rejected, -1);
          d.ask(1.2, 1, kOnce, 1, 0, 1);
          d.ran(1.25, d.send(1.21, 1, kOrigin));
      }},
@@ -319,7 +319,7 @@
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kOrigin);
-         d.judge.replied(1.5, 0, Reply::throttled, -1);
+         d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"deduplicated, and yet the effect twice", 2, "happened twice",
      [](Day& d) {
@@ -331,110 +331,110 @@
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.ran(1.02, d.send(1.01, 0, kBoxA));
-         d.judge.started(1.2, kBoxB, false);
+         d.judge.on_server_started(1.2, kBoxB, false);
          d.ran(1.4, d.send(1.3, 0, kBoxB));
      }},
     // ---- rule 3
     {"a forward to a draining server after the grace", 3, "drains",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
+         d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.fine(1.36, 0);
      }},
     {"a forward to a draining server within the grace", 0, "",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
+         d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.fine(1.34, 0);
      }},
     {"another node was told", 0, "",
      [](Day& d) {
-         d.judge.told(1, 1, kBoxA, EndpointState::draining, false);
+         d.judge.on_endpoint_state(1, 1, kBoxA, EndpointState::draining, false);
          d.fine(1.5, 0);
      }},
     {"told again, the grace runs from the first word", 3, "is gone",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
-         d.judge.told(1.3, 0, kBoxA, EndpointState::removed, false);
+         d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
+         d.judge.on_endpoint_state(1.3, 0, kBoxA, EndpointState::removed, false);
          d.fine(1.4, 0);
      }},
     {"it serves again", 0, "",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, EndpointState::draining, false);
-         d.judge.told(1.3, 0, kBoxA, EndpointState::ready, false);
+         d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
+         d.judge.on_endpoint_state(1.3, 0, kBoxA, EndpointState::ready, false);
          d.fine(2, 0);
      }},
     {"the node has restarted and knows nothing of it", 0, "",
      [](Day& d) {
-         d.judge.told(1, 0, kBoxA, EndpointState::removed, false);
-         d.judge.node_up(1.3, 0);
+         d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::removed, false);
+         d.judge.on_node_started(1.3, 0);
          d.fine(2, 0);
      }},
     // ---- rule 4
     {"a cold server pushed over by who knew", 4, "pushed over",
      [](Day& d) {
-         d.judge.started(0.5, kBoxA, true);
-         d.judge.told(0.8, 0, kBoxA, EndpointState::ready, true);
+         d.judge.on_server_started(0.5, kBoxA, true);
+         d.judge.on_endpoint_state(0.8, 0, kBoxA, EndpointState::ready, true);
          push(d, kBoxA, 0, 0, 100);
-         d.judge.pushed_over(2, kBoxA);
+         d.judge.on_server_overloaded(2, kBoxA);
      }},
     {"pushed over by who did not know of its start", 0, "",
      [](Day& d) {
-         d.judge.started(0.5, kBoxA, true);
+         d.judge.on_server_started(0.5, kBoxA, true);
          push(d, kBoxA, 0, 0, 100);
-         d.judge.pushed_over(2, kBoxA);
+         d.judge.on_server_overloaded(2, kBoxA);
      }},
     {"by two, of whom the lesser part knew", 0, "",
      [](Day& d) {
-         d.judge.started(0.5, kBoxA, true);
-         d.judge.told(0.8, 0, kBoxA, EndpointState::ready, true);
+         d.judge.on_server_started(0.5, kBoxA, true);
+         d.judge.on_endpoint_state(0.8, 0, kBoxA, EndpointState::ready, true);
          push(d, kBoxA, 0, 0, 60);
          push(d, kBoxA, 1, 60, 40);
-         d.judge.pushed_over(2, kBoxA);
+         d.judge.on_server_overloaded(2, kBoxA);
      }},
     {"it had become warm", 0, "",
      [](Day& d) {
-         d.judge.started(0.5, kBoxA, true);
-         d.judge.told(0.8, 0, kBoxA, EndpointState::ready, true);
-         d.judge.warm(0.9, kBoxA);
+         d.judge.on_server_started(0.5, kBoxA, true);
+         d.judge.on_endpoint_state(0.8, 0, kBoxA, EndpointState::ready, true);
+         d.judge.on_server_warm(0.9, kBoxA);
          push(d, kBoxA, 0, 0, 100);
-         d.judge.pushed_over(2, kBoxA);
+         d.judge.on_server_overloaded(2, kBoxA);
      }},
     {"it started anew, and nobody has been told of that", 0, "",
      [](Day& d) {
-         d.judge.started(0.3, kBoxA, true);
-         d.judge.told(0.4, 0, kBoxA, EndpointState::ready, true);
-         d.judge.started(0.5, kBoxA, true);
+         d.judge.on_server_started(0.3, kBoxA, true);
+         d.judge.on_endpoint_state(0.4, 0, kBoxA, EndpointState::ready, true);
+         d.judge.on_server_started(0.5, kBoxA, true);
          push(d, kBoxA, 0, 0, 100);
-         d.judge.pushed_over(2, kBoxA);
+         d.judge.on_server_overloaded(2, kBoxA);
      }},
     {"the origin stopped by cold misses", 4, "origin was stopped",
      [](Day& d) {
-         d.judge.started(0.5, kBoxA, true);
+         d.judge.on_server_started(0.5, kBoxA, true);
          for (int i = 0; i < 100; ++i) {
              const double at = 1 + 0.01 * i;
              d.ask(at, i, kRead);
-             if (i % 2 == 0) d.judge.ended(at + 0.001, d.send(at, i, kBoxA), Outcome::miss);
+             if (i % 2 == 0) d.judge.on_attempt_finished(at + 0.001, d.send(at, i, kBoxA), Outcome::miss);
              d.send(at + 0.002, i, kOrigin);
-             d.judge.client_left(at + 0.005, i);
+             d.judge.on_client_closed(at + 0.005, i);
          }
-         d.judge.pushed_over(2, kOrigin);
+         d.judge.on_server_overloaded(2, kOrigin);
      }},
     {"the origin stopped by misses at a server that has become warm since", 4, "origin was stopped",
      [](Day& d) {
-         d.judge.started(0.5, kBoxA, true);
+         d.judge.on_server_started(0.5, kBoxA, true);
          push_misses(d);
-         d.judge.warm(1.99, kBoxA);
-         d.judge.pushed_over(2, kOrigin);
+         d.judge.on_server_warm(1.99, kBoxA);
+         d.judge.on_server_overloaded(2, kOrigin);
      }},
     {"the origin stopped by misses at a server that became cold only after them", 0, "",
      [](Day& d) {
          push_misses(d);
-         d.judge.started(1.995, kBoxA, true);
-         d.judge.pushed_over(2, kOrigin);
+         d.judge.on_server_started(1.995, kBoxA, true);
+         d.judge.on_server_overloaded(2, kOrigin);
      }},
     {"the origin stopped by misses at warm caches", 0, "",
      [](Day& d) {
          push_misses(d);
-         d.judge.pushed_over(2, kOrigin);
+         d.judge.on_server_overloaded(2, kOrigin);
      }},
 };
 
@@ -444,19 +444,19 @@
         Day day;
         c.play(day);
         const Verdict v = day.end();
-        EXPECT_FALSE(v.void_run);
+        EXPECT_FALSE(v.is_void);
         int broken = 0;
-        for (const int n : v.broken) broken += n;
+        for (const int n : v.violations_by_rule) broken += n;
         if (c.rule == 0) {
-            EXPECT_EQ(broken, 0) << (v.findings.empty() ? "" : v.findings.front().what);
+            EXPECT_EQ(broken, 0) << (v.violations.empty() ? "" : v.violations.front().what);
             continue;
         }
         EXPECT_EQ(broken, 1);
-        EXPECT_EQ(v.broken[static_cast<std::size_t>(c.rule)], 1);
-        ASSERT_EQ(v.findings.size(), 1U);
-        EXPECT_NE(v.findings.front().what.find(c.said), std::string::npos) << v.findings.front().what;
+        EXPECT_EQ(v.violations_by_rule[static_cast<std::size_t>(c.rule)], 1);
+        ASSERT_EQ(v.violations.size(), 1U);
+        EXPECT_NE(v.violations.front().what.find(c.said), std::string::npos) << v.violations.front().what;
         // What names an invocation must show its way.
-        EXPECT_EQ(v.findings.front().trace.empty(), v.findings.front().inv < 0);
+        EXPECT_EQ(v.violations.front().trace.empty(), v.violations.front().request < 0);
     }
 }
 
@@ -481,15 +481,15 @@
         Terms t = terms();
         t.origin_limit = t.cold_limit = 10;
         Day d{Auditor(t)};
-        if (row.cold) d.judge.started(0.5, row.server, true);
-        if (row.told) d.judge.told(0.6, row.node, row.server, EndpointState::ready, true);
+        if (row.cold) d.judge.on_server_started(0.5, row.server, true);
+        if (row.told) d.judge.on_endpoint_state(0.6, row.node, row.server, EndpointState::ready, true);
         for (int i = 0; i < row.sends; ++i) {
             const double at = 1 + row.over * i / row.sends;
             d.ask(at, i, kRead, row.node);
             d.done(at + 0.001, d.send(at, i, row.server));
-            d.judge.client_left(at + 0.002, i);
+            d.judge.on_client_closed(at + 0.002, i);
         }
-        EXPECT_EQ(d.judge.finish(10).broken[5], row.broken) << row.name;
+        EXPECT_EQ(d.judge.finish(10).violations_by_rule[5], row.broken) << row.name;
     }
 }
 
@@ -507,74 +507,74 @@
         SCOPED_TRACE(c.name);
         Day day;
         day.ask(1, 0, kRead);
-        day.judge.late(c.late_until, c.late_by);
-        day.judge.replied(2.1, 0, Reply::errored, -1);
+        day.judge.on_watcher_delay(c.late_until, c.late_by);
+        day.judge.on_response(2.1, 0, Reply::failed, -1);
         const Verdict v = day.judge.finish(10);
-        EXPECT_EQ(v.void_run, c.is_void);
-        EXPECT_EQ(v.findings.size(), c.is_void ? 0U : 1U);
+        EXPECT_EQ(v.is_void, c.is_void);
+        EXPECT_EQ(v.violations.size(), c.is_void ? 0U : 1U);
         EXPECT_EQ(v.set_aside.size(), c.is_void ? 1U : 0U);
     }
     // A connection that was left without a word for long is let go by any node.
     Day unsaid;
     unsaid.ask(1, 0, kRead);
-    unsaid.judge.late(3.5, 2.4);
-    unsaid.judge.connection_ended(3.5, 0);
-    EXPECT_TRUE(unsaid.judge.finish(1000).void_run);
+    unsaid.judge.on_watcher_delay(3.5, 2.4);
+    unsaid.judge.on_connection_closed(3.5, 0);
+    EXPECT_TRUE(unsaid.judge.finish(1000).is_void);
     // Far more than are kept, all of a late day: none of them may be called broken.
     Day many;
     for (int i = 0; i < 30000; ++i) many.ask(1, i, kRead);
-    many.judge.late(3, 2.5);
-    for (int i = 0; i < 30000; ++i) many.judge.replied(3, i, Reply::errored, -1);
+    many.judge.on_watcher_delay(3, 2.5);
+    for (int i = 0; i < 30000; ++i) many.judge.on_response(3, i, Reply::failed, -1);
     const Verdict all_late = many.judge.finish(1000);
-    EXPECT_TRUE(all_late.void_run);
-    EXPECT_EQ(all_late.broken[1], 0);
+    EXPECT_TRUE(all_late.is_void);
+    EXPECT_EQ(all_late.violations_by_rule[1], 0);
     // What no clock decides stays broken.
     Day twice;
     twice.fine(1, 0);
-    twice.judge.late(1.6, 0.3);
-    twice.judge.replied(1.6, 0, Reply::errored, -1);
-    EXPECT_EQ(twice.judge.finish(100).findings.size(), 1U);
+    twice.judge.on_watcher_delay(1.6, 0.3);
+    twice.judge.on_response(1.6, 0, Reply::failed, -1);
+    EXPECT_EQ(twice.judge.finish(100).violations.size(), 1U);
     // And a day on which it was late for long cannot be relied upon at all.
     Day slow;
     slow.fine(1, 0);
-    slow.judge.late(5, 1);
-    EXPECT_TRUE(slow.judge.finish(10).void_run);
+    slow.judge.on_watcher_delay(5, 1);
+    EXPECT_TRUE(slow.judge.finish(10).is_void);
 }
 
 TEST(Auditor, AccountsBilledService) {
     Day day;
-    day.judge.day_begins(100);
+    day.judge.start_run(100);
     const auto ask = [&](double at, int inv, int tenant, int user, int attempt) {
-        Ask a;
+        RequestInfo a;
         a.tenant = tenant;
         a.user = user;
-        a.attempt = attempt;
-        a.time_left = 1;
-        day.judge.asked(at, inv, a);
+        a.retry_number = attempt;
+        a.timeout = 1;
+        day.judge.on_request(at, inv, a);
     };
     const auto serve = [&](double at, int inv) {
         const int f = day.send(at - 0.01, inv, kBoxA);
         day.done(at - 0.005, f);
-        day.judge.replied(at, inv, Reply::succeeded, f);
+        day.judge.on_response(at, inv, Reply::succeeded, f);
     };
     ask(100, 0, 0, 0, 0);
     serve(100.4, 0);  // in time: 1 of 1
     ask(100, 1, 0, 1, 0);
     serve(100.6, 1);  // late: 0 of 1
     ask(101, 2, 0, 2, 0);
-    day.judge.replied(101.1, 2, Reply::throttled, -1);
+    day.judge.on_response(101.1, 2, Reply::rejected, -1);
     ask(101.2, 3, 0, 2, 1);
     serve(101.4, 3);  // the second try, in time from the first: 1 of 1
     for (int i = 0; i < 4; ++i) ask(102.1, 4 + i, 1, 3 + i, 0);  // two are beyond the share: 2 + 2 x 0.1
     serve(102.2, 4);
     serve(102.2, 7);  // within, and beyond
     const Verdict v = day.judge.finish(110);
-    EXPECT_NEAR(v.whole.asked, 3 + 2.2, 1e-9);
-    EXPECT_NEAR(v.whole.earned, 2 + 1.1, 1e-9);
-    EXPECT_NEAR(v.tenants[1].part(), 1.1 / 2.2, 1e-9);
-    EXPECT_NEAR(v.seconds[0].part(), 0.5, 1e-9);
+    EXPECT_NEAR(v.total.offered, 3 + 2.2, 1e-9);
+    EXPECT_NEAR(v.total.earned, 2 + 1.1, 1e-9);
+    EXPECT_NEAR(v.tenants[1].ratio(), 1.1 / 2.2, 1e-9);
+    EXPECT_NEAR(v.seconds[0].ratio(), 0.5, 1e-9);
     EXPECT_EQ(v.users, 7U);
-    EXPECT_EQ(v.invocations, 8U);
+    EXPECT_EQ(v.requests, 8U);
 }
 
 }  // namespace
--- a/tests/days.h
+++ b/tests/days.h
@@ -97,7 +97,7 @@
     p.result = play_day(p.plan);
     p.told = summary_text(p.plan, p.result);
     EXPECT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.findings.empty()) << p.told;
+    EXPECT_TRUE(p.result.verdict.violations.empty()) << p.told;
     EXPECT_EQ(p.result.crashes, 0) << p.told;
     return p;
 }
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -268,8 +268,8 @@
 TEST(Rehearsal, ACalmDayBreaksNothingAndServesAll) {
     const Played p = play(small_day());
     ASSERT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.findings.empty()) << summary_text(p.plan, p.result);
-    EXPECT_GT(p.result.verdict.invocations, 500U);
+    EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
+    EXPECT_GT(p.result.verdict.requests, 500U);
     EXPECT_GT(p.result.hits, 300U);
     EXPECT_GT(p.result.origin_writes, 50U);
     EXPECT_GT(p.result.verdict.effects, 50U);
@@ -295,7 +295,7 @@
     s.troubles = {GetParam().trouble};
     const Played p = play(s);
     ASSERT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.findings.empty()) << summary_text(p.plan, p.result);
+    EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     EXPECT_EQ(p.result.crashes, 0);
     EXPECT_TRUE(GetParam().seen(p)) << summary_text(p.plan, p.result) << p.log;
 }
@@ -364,13 +364,13 @@
                [](const Played& p) { return says(p, "box-1: nonsense"); }},
         Effect{"tricklers", with(trouble(TroubleKind::tricklers, 0.3, 3), [](Trouble& x) { x.count = 150; }),
                [](const Played& p) { return p.result.daemon_descriptors > 150; }},
-        Effect{
-            "non_readers", with(trouble(TroubleKind::non_readers, 0.3, 3), [](Trouble& x) { x.count = 10; }),
-            [](const Played& p) { return p.result.verdict.forwards > p.result.verdict.invocations + 300; }},
+        Effect{"non_readers",
+               with(trouble(TroubleKind::non_readers, 0.3, 3), [](Trouble& x) { x.count = 10; }),
+               [](const Played& p) { return p.result.verdict.attempts > p.result.verdict.requests + 300; }},
         Effect{"over_share",
                with(trouble(TroubleKind::over_share, 1, 1, {"partners"}), [](Trouble& x) { x.factor = 5; }),
                [](const Played& p) {
-                   return p.result.verdict.seconds[1].asked > 1.5 * p.result.verdict.seconds[0].asked;
+                   return p.result.verdict.seconds[1].offered > 1.5 * p.result.verdict.seconds[0].offered;
                }}),
     [](const auto& one) { return one.param.name; });
 
@@ -381,7 +381,7 @@
     s.troubles = {trouble(GetParam(), 0.2, 2.5), trouble(TroubleKind::drain, 0.4, 0, {"box-3"})};
     const Played p = play(s);
     ASSERT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.findings.empty()) << summary_text(p.plan, p.result);
+    EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     EXPECT_GT(forwards(p, 2, 1), 0);  // it drains, and nobody has been told
     EXPECT_EQ(forwards(p, 2, 3), 0);
 }
@@ -404,11 +404,11 @@
                   with(trouble(TroubleKind::tricklers, 1, 4), [](Trouble& x) { x.node = 1; })};
     const Played p = play(s);
     ASSERT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.findings.empty()) << summary_text(p.plan, p.result);
+    EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     EXPECT_EQ(p.result.crashes, 0);
     EXPECT_TRUE(marked(p, "node 0 serves again"));
     // By its last second the day has come back by itself.
-    EXPECT_GT(p.result.verdict.seconds.back().part(), 0.9) << summary_text(p.plan, p.result);
+    EXPECT_GT(p.result.verdict.seconds.back().ratio(), 0.9) << summary_text(p.plan, p.result);
 }
 
 // ---- bad daemons ----------------------------------------------------------------------------------------
@@ -441,7 +441,7 @@
     ASSERT_EQ(p.result.failed, "");
     const auto& v = p.result.verdict;
     if (GetParam().rule == 0) {
-        EXPECT_TRUE(v.findings.empty()) << summary_text(p.plan, p.result);
+        EXPECT_TRUE(v.violations.empty()) << summary_text(p.plan, p.result);
         return;
     }
     if (GetParam().rule < 0) {
@@ -449,12 +449,13 @@
         EXPECT_EQ(verdict_word(p.result), "broken");
         return;
     }
-    ASSERT_GT(v.broken[static_cast<std::size_t>(GetParam().rule)], 0) << summary_text(p.plan, p.result);
-    const auto found = std::find_if(v.findings.begin(), v.findings.end(), [](const auto& f) {
+    ASSERT_GT(v.violations_by_rule[static_cast<std::size_t>(GetParam().rule)], 0)
+        << summary_text(p.plan, p.result);
+    const auto found = std::find_if(v.violations.begin(), v.violations.end(), [](const auto& f) {
         return f.rule == GetParam().rule && f.what.find(GetParam().said) != std::string::npos;
     });
-    ASSERT_NE(found, v.findings.end()) << summary_text(p.plan, p.result);
-    EXPECT_GE(found->inv, 0);
+    ASSERT_NE(found, v.violations.end()) << summary_text(p.plan, p.result);
+    EXPECT_GE(found->request, 0);
     EXPECT_GE(found->trace.size(), 2U);
 }
 
@@ -477,7 +478,7 @@
     });
     EXPECT_TRUE(p.result.was_interrupted);
     EXPECT_LT(p.result.length, 30);
-    EXPECT_GT(p.result.verdict.invocations, 50U);
+    EXPECT_GT(p.result.verdict.requests, 50U);
     EXPECT_EQ(verdict_word(p.result), "void");
     EXPECT_NE(report_html({}, p.plan, p.result).find("Interrupted after"), std::string::npos);
     EXPECT_EQ(waitpid(-1, nullptr, WNOHANG), -1);  // no child is left
@@ -507,11 +508,11 @@
     const pid_t child = fork();
     if (child == 0) {
         const Played p = play(small_day(2));
-        _exit(p.result.failed.empty() && p.result.verdict.findings.empty() ? 0 : 1);
+        _exit(p.result.failed.empty() && p.result.verdict.violations.empty() ? 0 : 1);
     }
     const Played p = play(small_day(2));
     EXPECT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.findings.empty()) << summary_text(p.plan, p.result);
+    EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     int status = 1;
     waitpid(child, &status, 0);
     EXPECT_EQ(WEXITSTATUS(status), 0);
--- a/tests/limit_days_test.cpp
+++ b/tests/limit_days_test.cpp
@@ -270,7 +270,7 @@
             "[ measured ] %s: %d connections open to one server at the most, %.0f refused there, %.4f of the "
             "billed value lost\n",
             limited ? "24 places shared" : "as each node learns", most, refused[limited],
-            1 - p.result.verdict.whole.part());
+            1 - p.result.verdict.total.ratio());
         EXPECT_LE(most, 24);
     }
     EXPECT_LE(refused[1], refused[0] / 10);
@@ -320,12 +320,12 @@
                      {"crane", 2, 120, {}, {}, 0},
                      {"dune", 2, 120, {}, {}, 0}};
         const Played p = play(s);
-        throttled[follow] = 1 - p.result.verdict.tenants[0].part();
+        throttled[follow] = 1 - p.result.verdict.tenants[0].ratio();
         std::printf(
             "[ measured ] parts %s: of what the tenant that comes to one node is billed %.4f was lost, of "
             "all %.4f\n",
             follow ? "follow the demand" : "as each node guesses", throttled[follow],
-            1 - p.result.verdict.whole.part());
+            1 - p.result.verdict.total.ratio());
     }
     EXPECT_LT(throttled[1], throttled[0] / 2);
 }
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -96,7 +96,7 @@
         s.troubles.push_back(killed);
     }
     const Played p = play(s);
-    EXPECT_GT(p.result.verdict.forwards, 300) << p.told;
+    EXPECT_GT(p.result.verdict.attempts, 300) << p.told;
 }
 
 INSTANTIATE_TEST_SUITE_P(Days, ColdCaches,
