--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -12,16 +12,15 @@
 namespace brookrelay {
 namespace {
 
-bool ends_with(const std::string& text, const char* end) { return std::string_view(text).ends_with(end); }
-
-int check_station(const std::string& path) {
+int check_node_config(const std::string& path) {
     try {
-        const NodeConfig s = read_node_config(path);
+        const NodeConfig config = read_node_config(path);
         std::printf("%s: a station's file: node %s, %zu operations, %zu servers known; sound\n", path.c_str(),
-                    s.name.c_str(), s.deployment.operations.size(), s.cached_endpoints.servers.size());
+                    config.name.c_str(), config.deployment.operations.size(),
+                    config.cached_endpoints.servers.size());
         return kDone;
-    } catch (const ConfigurationError& bad) {
-        std::fprintf(stderr, "%s: %s\n", path.c_str(), bad.what());
+    } catch (const ConfigurationError& error) {
+        std::fprintf(stderr, "%s: %s\n", path.c_str(), error.what());
         return kWrongUse;
     }
 }
@@ -29,8 +28,8 @@
 }  // namespace
 
 int check_file(const std::string& path) {
-    if (ends_with(path, ".json")) return check_station(path);
-    if (!ends_with(path, ".toml")) {
+    if (path.ends_with(".json")) return check_node_config(path);
+    if (!path.ends_with(".toml")) {
         std::fprintf(stderr,
                      "%s: expected a .json file (a station's) or a .toml file (operators' or a scenario)\n",
                      path.c_str());
--- a/src/cli/check_model.cpp
+++ b/src/cli/check_model.cpp
@@ -11,31 +11,36 @@
 namespace brookrelay {
 namespace {
 
-bool kept(const std::string& what, const model::Explored& e) {
+// Prints the result of one model; returns whether all its invariants held.
+bool print_result(const std::string& name, const model::Explored& result) {
     std::printf("%-44s %9llu states, %9llu ends, %7.0f states/s; at rest after %.2f s at the most: %s\n",
-                what.c_str(), static_cast<unsigned long long>(e.states),
-                static_cast<unsigned long long>(e.ends), static_cast<double>(e.states) / e.took, e.rest_most,
-                e.broken.empty() ? "all promises kept" : ("BROKEN: " + e.broken).c_str());
+                name.c_str(), static_cast<unsigned long long>(result.states),
+                static_cast<unsigned long long>(result.ends),
+                static_cast<double>(result.states) / result.took, result.rest_most,
+                result.broken.empty() ? "all promises kept" : ("BROKEN: " + result.broken).c_str());
     std::fflush(stdout);
-    return e.broken.empty();
+    return result.broken.empty();
 }
 
 }  // namespace
 
-int explore(const ExploreWish& wish) {
-    const bool both = !wish.zones && !wish.limits;
-    bool all = true;
+int check_model(const CheckModelOptions& options) {
+    const bool both = !options.zones && !options.limits;
+    bool all_kept = true;
     for (const bool liar : {false, true}) {
         for (const bool lost : {false, true}) {
-            if (!wish.zones && !both) continue;
-            const std::string what = std::string("zones, ") + (lost ? "from a lost one" : "from one in use") +
+            if (!options.zones && !both) continue;
+            const std::string name = std::string("zones, ") + (lost ? "from a lost one" : "from one in use") +
                                      (liar ? ", one node lies" : ", all honest");
-            all = kept(what, model::explore(model::SmallZones(liar, lost), wish.depth)) && all;
+            all_kept =
+                print_result(name, model::explore(model::SmallZones(liar, lost), options.depth)) && all_kept;
         }
     }
-    if (wish.limits || both)
-        all = kept("limits, one node needs all", model::explore(model::SmallLimits(), wish.depth)) && all;
-    return all ? kDone : kBroken;
+    if (options.limits || both)
+        all_kept =
+            print_result("limits, one node needs all", model::explore(model::SmallLimits(), options.depth)) &&
+            all_kept;
+    return all_kept ? kDone : kBroken;
 }
 
 }  // namespace brookrelay
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -14,41 +14,41 @@
 namespace brookrelay {
 namespace {
 
-constexpr guint kPatience = 2;  // s for the whole call: a node answers within one, however busy it is
+constexpr guint kCallTimeout = 2;  // seconds; a node answers within one, however busy it is
 
 template <typename T>
 using Ref = std::unique_ptr<T, GObjectUnref>;
 
-// The body of a call's answer, or what went wrong as `why`.
-std::string ask(const std::string& address, const std::string& method, const std::string& target, int& status,
-                std::string& why) {
+// Calls the admin server; returns the body of the response, or sets `why` to what went wrong.
+std::string call_admin_server(const std::string& address, const std::string& method,
+                              const std::string& target, int& status, std::string& why) {
     const Ref<GSocketClient> client(g_socket_client_new());
-    g_socket_client_set_timeout(client.get(), kPatience);
-    GError* failed = nullptr;
+    g_socket_client_set_timeout(client.get(), kCallTimeout);
+    GError* error_out = nullptr;
     const Ref<GSocketConnection> up(
-        g_socket_client_connect_to_host(client.get(), address.c_str(), 0, nullptr, &failed));
-    std::string said;
+        g_socket_client_connect_to_host(client.get(), address.c_str(), 0, nullptr, &error_out));
+    std::string response;
     if (up != nullptr) {
         const std::string call = method + " " + target + " HTTP/1.1\r\nHost: node\r\n\r\n";
         GOutputStream* out = g_io_stream_get_output_stream(G_IO_STREAM(up.get()));
         GInputStream* in = g_io_stream_get_input_stream(G_IO_STREAM(up.get()));
-        if (g_output_stream_write_all(out, call.data(), call.size(), nullptr, nullptr, &failed)) {
-            char room[4096];
-            for (gssize n = 0; (n = g_input_stream_read(in, room, sizeof room, nullptr, &failed)) > 0;)
-                said.append(room, static_cast<std::size_t>(n));
+        if (g_output_stream_write_all(out, call.data(), call.size(), nullptr, nullptr, &error_out)) {
+            char buffer[4096];
+            for (gssize n = 0; (n = g_input_stream_read(in, buffer, sizeof buffer, nullptr, &error_out)) > 0;)
+                response.append(buffer, static_cast<std::size_t>(n));
         }
     }
-    const ErrorRef error(failed);
-    const std::size_t end = said.find("\r\n\r\n");
+    const ErrorRef error(error_out);
+    const std::size_t end = response.find("\r\n\r\n");
     if (end == std::string::npos) {
         why = error != nullptr ? error->message : "no whole answer";
         return {};
     }
-    status = said.starts_with("HTTP/1.1 ") ? std::atoi(said.c_str() + 9) : 0;
-    return said.substr(end + 4);
+    status = response.starts_with("HTTP/1.1 ") ? std::atoi(response.c_str() + 9) : 0;
+    return response.substr(end + 4);
 }
 
-void print(const rapidjson::Value& s) {
+void print_status(const rapidjson::Value& s) {
     const auto real = [](const rapidjson::Value& o, const char* key) { return number(o, key, 0); };
     std::printf("hears others: %s   doubts itself: %s   may send %.0f bytes/s   stood still %.0f times\n",
                 flag(s, "hears") ? "yes" : "NO", flag(s, "doubts_itself") ? "YES" : "no",
@@ -121,54 +121,59 @@
     }
 }
 
-int show(const FleetWish& wish, void (*printed)(const rapidjson::Value&)) {
+int show(const FleetOptions& options, void (*printed)(const rapidjson::Value&)) {
     int status = 0;
     std::string why;
-    const std::string body = ask(wish.address, "GET", "/control/fleet", status, why);
+    const std::string body = call_admin_server(options.address, "GET", "/control/fleet", status, why);
     if (status != 200) {
-        std::fprintf(stderr, "brookrelay: %s: %s\n", wish.address.c_str(),
+        std::fprintf(stderr, "brookrelay: %s: %s\n", options.address.c_str(),
                      status == 0 ? why.c_str() : body.c_str());
         return kBroken;
     }
-    if (wish.json) return std::printf("%s", body.c_str()), kDone;
+    if (options.json) return std::printf("%s", body.c_str()), kDone;
     rapidjson::Document state;
     state.Parse(body.c_str());
     try {
         if (state.HasParseError() || !state.IsObject()) throw ConfigurationError("not JSON");
         printed(state);
-    } catch (const ConfigurationError& bad) {
-        std::fprintf(stderr, "brookrelay: %s: no state of a fleet: %s\n", wish.address.c_str(), bad.what());
+    } catch (const ConfigurationError& error) {
+        std::fprintf(stderr, "brookrelay: %s: no state of a fleet: %s\n", options.address.c_str(),
+                     error.what());
         return kBroken;
     }
     return kDone;
 }
 
-bool sound(const FleetWish& wish) {
-    if (parse_address(wish.address)) return true;
+bool is_valid(const FleetOptions& options) {
+    if (parse_address(options.address)) return true;
     std::fprintf(stderr, "brookrelay: --address: expected HOST:PORT with a numeric host, found '%s'\n",
-                 wish.address.c_str());
+                 options.address.c_str());
     return false;
 }
 
 }  // namespace
 
-int fleet_status(const FleetWish& wish) { return sound(wish) ? show(wish, print) : kWrongUse; }
+int fleet_status(const FleetOptions& options) {
+    return is_valid(options) ? show(options, print_status) : kWrongUse;
+}
 
-int fleet_limits(const FleetWish& wish) { return sound(wish) ? show(wish, print_limits) : kWrongUse; }
+int fleet_limits(const FleetOptions& options) {
+    return is_valid(options) ? show(options, print_limits) : kWrongUse;
+}
 
-int fleet_zones(const FleetWish& wish) {
-    if (!sound(wish)) return kWrongUse;
-    const bool leave = !wish.leave.empty();
-    if (!leave && wish.take_back.empty()) return show(wish, print_zones);
+int fleet_zones(const FleetOptions& options) {
+    if (!is_valid(options)) return kWrongUse;
+    const bool leave = !options.leave.empty();
+    if (!leave && options.take_back.empty()) return show(options, print_zones);
     const std::unique_ptr<char, decltype(&g_free)> name(
-        g_uri_escape_string((leave ? wish.leave : wish.take_back).c_str(), nullptr, FALSE), &g_free);
+        g_uri_escape_string((leave ? options.leave : options.take_back).c_str(), nullptr, FALSE), &g_free);
     int status = 0;
     std::string why;
-    const std::string body =
-        ask(wish.address, "POST",
-            "/control/zones/" + std::string(name.get()) + (leave ? "/offline" : "/online"), status, why);
+    const std::string body = call_admin_server(
+        options.address, "POST",
+        "/control/zones/" + std::string(name.get()) + (leave ? "/offline" : "/online"), status, why);
     if (status == 200) return std::printf("%s", body.c_str()), kDone;
-    std::fprintf(stderr, "brookrelay: %s: %s\n", wish.address.c_str(),
+    std::fprintf(stderr, "brookrelay: %s: %s\n", options.address.c_str(),
                  status == 0 ? why.c_str() : body.c_str());
     return kBroken;
 }
--- a/src/cli/fleet_commands.h
+++ b/src/cli/fleet_commands.h
@@ -1,19 +1,20 @@
-// `brookrelay fleet status` and `fleet zones`: what a running node thinks of the fleet, asked at its
-// operators' address, and a zone left or taken back there by hand.
+// `brookrelay fleet status`, `fleet limits` and `fleet zones`: a running node's view of the fleet, read from
+// its admin address, and the draining or recovery of a zone by an operator.
 #pragma once
 
 #include <string>
 
 namespace brookrelay {
 
-struct FleetWish {
-    std::string address;  // HOST:PORT of the node's `management`
+struct FleetOptions {
+    std::string address;  // HOST:PORT of the node's admin server
     bool json = false;
-    std::string leave, take_back;  // zones
+    std::string leave, take_back;  // zones to drain or to take back into use; empty: none
 };
 
-int fleet_status(const FleetWish& wish);
-int fleet_zones(const FleetWish& wish);
-int fleet_limits(const FleetWish& wish);
+// Each prints the answer of the node and returns the exit code.
+int fleet_status(const FleetOptions& options);
+int fleet_zones(const FleetOptions& options);
+int fleet_limits(const FleetOptions& options);
 
 }  // namespace brookrelay
--- a/src/cli/registry_watch.cpp
+++ b/src/cli/registry_watch.cpp
@@ -13,16 +13,16 @@
 
 namespace brookrelay {
 
-int watch_registry(const RegistryWish& wish) {
-    for (const std::string& address : wish.addresses) {
+int watch_registry(const RegistryWatchOptions& options) {
+    for (const std::string& address : options.addresses) {
         if (parse_address(address)) continue;
         std::fprintf(stderr, "brookrelay: --address: expected HOST:PORT with a numeric host, found '%s'\n",
                      address.c_str());
         return kWrongUse;
     }
-    if (wish.path.size() < 2 || wish.path.front() != '/' || wish.path.back() == '/') {
+    if (options.path.size() < 2 || options.path.front() != '/' || options.path.back() == '/') {
         std::fprintf(stderr, "brookrelay: --path: expected a path such as /fleet, found '%s'\n",
-                     wish.path.c_str());
+                     options.path.c_str());
         return kWrongUse;
     }
     Log log("registry");
@@ -31,20 +31,20 @@
                          std::string& why) -> std::optional<Registration> {
         try {
             return read_registration(data, {});
-        } catch (const ConfigurationError& bad) {
-            why = bad.what();
+        } catch (const ConfigurationError& error) {
+            why = error.what();
             return std::nullopt;
         }
     };
-    std::random_device any;
-    CoordinationClient registry(timers, log, wish.addresses, wish.path, wish.session_timeout, any(), read,
-                                [](std::vector<RegistrationChange>&& changes) {
-                                    for (const RegistrationChange& c : changes) {
+    std::random_device random_device;
+    CoordinationClient registry(timers, log, options.addresses, options.path, options.session_timeout,
+                                random_device(), read, [](std::vector<RegistrationChange>&& changes) {
+                                    for (const RegistrationChange& change : changes) {
                                         std::printf("%s %s %s\n",
-                                                    c.standing == EndpointState::removed ? "gone"
-                                                    : c.fresh                            ? "cold"
-                                                                                         : "ready",
-                                                    c.who.name.c_str(), c.who.address.c_str());
+                                                    change.standing == EndpointState::removed ? "gone"
+                                                    : change.fresh                            ? "cold"
+                                                                                              : "ready",
+                                                    change.who.name.c_str(), change.who.address.c_str());
                                     }
                                     std::fflush(stdout);
                                 });
--- a/src/cli/registry_watch.h
+++ b/src/cli/registry_watch.h
@@ -1,5 +1,5 @@
-// `brookrelay registry watch`: follows a path of a coordination service and prints what a daemon would be
-// told, a line a change, until it is ended.
+// `brookrelay registry watch`: follows a path of a coordination service and prints the endpoint changes of
+// which a daemon would be notified, a line each, until a signal ends it.
 #pragma once
 
 #include <string>
@@ -7,11 +7,13 @@
 
 namespace brookrelay {
 
-struct RegistryWish {
+struct RegistryWatchOptions {
     std::vector<std::string> addresses;
     std::string path;
-    double session_timeout = 4;
+    double session_timeout = 4;  // seconds
 };
-int watch_registry(const RegistryWish& wish);
+
+// Returns the exit code.
+int watch_registry(const RegistryWatchOptions& options);
 
 }  // namespace brookrelay
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -21,16 +21,15 @@
 
 namespace fs = std::filesystem;
 
-// What a signal's handler may touch; nothing else is shared by the whole program.
+// Counted by the signal handler, hence global and atomic.
 std::atomic<int> interruptions{0};
 
 extern "C" void on_interrupt(int) {
-    // The first asks for an end with a report; one who insists gets it at once, and the kernel ends the
-    // daemons.
+    // The first signal ends the run with a report, the second at once; the kernel then ends the daemons.
     if (++interruptions > 1) _exit(130);
 }
 
-void hear_interruptions() {
+void install_interrupt_handlers() {
     struct sigaction action {};
     action.sa_handler = on_interrupt;
     sigaction(SIGINT, &action, nullptr);
@@ -38,10 +37,10 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-std::string new_folder(const std::string& wished, const std::string& scenario) {
-    if (!wished.empty()) {
-        fs::create_directories(wished);
-        return wished;
+std::string new_folder(const std::string& requested, const std::string& scenario) {
+    if (!requested.empty()) {
+        fs::create_directories(requested);
+        return requested;
     }
     char stamp[32];
     const std::time_t now = std::time(nullptr);
@@ -59,9 +58,9 @@
 std::string find_scenario(const std::string& named) {
     if (fs::is_regular_file(named)) return named;
     const std::string file = named + ".toml";
-    const fs::path beside = fs::path(own_program()).parent_path().parent_path();
+    const fs::path prefix = fs::path(own_program()).parent_path().parent_path();
     for (const fs::path& folder :
-         {fs::path("scenarios"), beside / "scenarios", beside / "share/brookrelay/scenarios"}) {
+         {fs::path("scenarios"), prefix / "scenarios", prefix / "share/brookrelay/scenarios"}) {
         if (fs::is_regular_file(folder / file)) return (folder / file).string();
     }
     return {};
@@ -69,13 +68,13 @@
 
 namespace {
 
-testkit::ReportHead head_of(const RehearseWish& wish, const testkit::DayPlan& plan,
+testkit::ReportHead head_of(const RehearseOptions& options, const testkit::DayPlan& plan,
                             const std::vector<std::string>& sets) {
     testkit::ReportHead head;
     head.version = std::string("brookrelay ") + BROOKRELAY_VERSION;
     head.program = plan.program;
-    head.command = "brookrelay rehearse " + wish.scenario + " --seeds " + std::to_string(plan.seed);
-    if (!wish.daemons.empty()) head.command += " --daemon " + plan.program;
+    head.command = "brookrelay rehearse " + options.scenario + " --seeds " + std::to_string(plan.seed);
+    if (!options.daemons.empty()) head.command += " --daemon " + plan.program;
     for (const std::string& set : sets) head.command += " --set '" + set + "'";
     return head;
 }
@@ -87,14 +86,14 @@
     return plan;
 }
 
-int play_one(const RehearseWish& wish, const std::string& path, std::uint64_t seed,
+int run_once(const RehearseOptions& options, const std::string& path, std::uint64_t seed,
              const std::string& program) {
-    testkit::DayPlan plan = plan_of(path, wish.sets);
+    testkit::DayPlan plan = plan_of(path, options.sets);
     plan.seed = seed;
     plan.program = program;
-    plan.folder = new_folder(wish.out, path);
+    plan.folder = new_folder(options.out, path);
     const bool terminal = isatty(2) != 0;
-    if (!wish.quiet) {
+    if (!options.quiet) {
         plan.progress = [terminal](double now, const std::string& line) {
             if (terminal) {
                 std::fprintf(stderr, "\r%-110s", line.c_str());
@@ -104,38 +103,39 @@
         };
     }
     const testkit::DayResult result = testkit::play_day(plan);
-    if (terminal && !wish.quiet) std::fprintf(stderr, "\r%-110s\r", "");
-    testkit::write_reports(head_of(wish, plan, wish.sets), plan, result);
+    if (terminal && !options.quiet) std::fprintf(stderr, "\r%-110s\r", "");
+    testkit::write_reports(head_of(options, plan, options.sets), plan, result);
     std::printf("%s", testkit::summary_text(plan, result).c_str());
     std::printf("report           %s/report.html\n", plan.folder.c_str());
     return testkit::verdict_word(result) == "kept" ? kDone : kBroken;
 }
 
-int play_many(const RehearseWish& wish, const std::string& path, const std::vector<std::uint64_t>& seeds,
-              std::vector<testkit::Sweep> sweeps, const std::vector<std::string>& daemons) {
+int run_experiment(const RehearseOptions& options, const std::string& path,
+                   const std::vector<std::uint64_t>& seeds, std::vector<testkit::Sweep> sweeps,
+                   const std::vector<std::string>& daemons) {
     testkit::ExperimentPlan plan;
     plan.scenario = path;
     plan.daemons = daemons;
     plan.seeds = seeds;
     plan.sweeps = std::move(sweeps);
-    plan.folder = new_folder(wish.out, path);
-    plan.jobs = wish.jobs;
+    plan.folder = new_folder(options.out, path);
+    plan.jobs = options.jobs;
     plan.interrupted = [] { return interruptions.load() > 0; };
-    if (!wish.quiet) {
+    if (!options.quiet) {
         plan.progress = [](std::size_t done, std::size_t all, const testkit::Cell& c) {
             std::fprintf(stderr, "%zu of %zu: seed %llu, daemon %zu%s%s: %s, service %.4f\n", done, all,
                          static_cast<unsigned long long>(c.seed), c.daemon + 1, c.setting.empty() ? "" : ", ",
                          c.setting.c_str(), c.measures.verdict.c_str(), c.measures.whole);
         };
     }
-    // Each setting is read once before the first day, so that a wrong one costs none.
+    // Each setting is read once before the first run, so that an error in one costs no run.
     for (const testkit::Cell& c : testkit::cells_of(plan)) (void)read_scenario(path, c.sets);
     const testkit::ExperimentResult result = testkit::play_experiment(plan, [&](const testkit::Cell& cell) {
         testkit::DayPlan day = plan_of(path, cell.sets);
         day.seed = cell.seed;
         day.program = daemons[cell.daemon];
         day.folder = cell.folder;
-        testkit::write_reports(head_of(wish, day, cell.sets), day, testkit::play_day(day));
+        testkit::write_reports(head_of(options, day, cell.sets), day, testkit::play_day(day));
         return kDone;
     });
     testkit::write_experiment(plan, result);
@@ -148,55 +148,58 @@
 
 }  // namespace
 
-int rehearse(const RehearseWish& wish) {
-    const std::string path = find_scenario(wish.scenario);
+int rehearse(const RehearseOptions& options) {
+    const std::string path = find_scenario(options.scenario);
     if (path.empty()) {
         std::fprintf(stderr, "brookrelay: there is no scenario '%s' (a file, or a name below scenarios/)\n",
-                     wish.scenario.c_str());
+                     options.scenario.c_str());
         return kWrongUse;
     }
-    const std::vector<std::string> daemons = wish.daemons.empty() ? std::vector{own_program()} : wish.daemons;
+    const std::vector<std::string> daemons =
+        options.daemons.empty() ? std::vector{own_program()} : options.daemons;
     std::vector<std::uint64_t> seeds;
     std::vector<testkit::Sweep> sweeps;
-    bool swept = false;
+    bool has_sweep = false;
     try {
-        seeds = wish.seeds.empty() ? std::vector{read_scenario(path).seed} : testkit::read_seeds(wish.seeds);
-        for (const std::string& set : wish.sets) {
+        seeds = options.seeds.empty() ? std::vector{read_scenario(path).seed}
+                                      : testkit::read_seeds(options.seeds);
+        for (const std::string& set : options.sets) {
             sweeps.push_back(testkit::read_sweep(set));
-            swept = swept || sweeps.back().values.size() > 1;
+            has_sweep = has_sweep || sweeps.back().values.size() > 1;
         }
-    } catch (const std::invalid_argument& bad) {
-        std::fprintf(stderr, "brookrelay: %s\n", bad.what());
+    } catch (const std::invalid_argument& error) {
+        std::fprintf(stderr, "brookrelay: %s\n", error.what());
         return kWrongUse;
     }
-    hear_interruptions();
+    install_interrupt_handlers();
     try {
-        if (swept || seeds.size() > 1 || daemons.size() > 1) {
-            return play_many(wish, path, seeds, std::move(sweeps), daemons);
+        if (has_sweep || seeds.size() > 1 || daemons.size() > 1) {
+            return run_experiment(options, path, seeds, std::move(sweeps), daemons);
         }
-        return play_one(wish, path, seeds.front(), daemons.front());
+        return run_once(options, path, seeds.front(), daemons.front());
     } catch (const ConfigurationFileError&) {
         throw;
-    } catch (const std::exception& bad) {
-        std::fprintf(stderr, "brookrelay: %s\n", bad.what());
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "brookrelay: %s\n", error.what());
         return kBroken;
     }
 }
 
-int measure_load(const LoadWish& wish) {
-    const std::vector<std::string> daemons = wish.daemons.empty() ? std::vector{own_program()} : wish.daemons;
+int measure_load(const LoadOptions& options) {
+    const std::vector<std::string> daemons =
+        options.daemons.empty() ? std::vector{own_program()} : options.daemons;
     const std::string folder = new_folder("", "load");
     int code = kDone;
-    for (int round = 0; round < wish.rounds; ++round) {
-        for (const int clients : wish.clients) {
+    for (int round = 0; round < options.rounds; ++round) {
+        for (const int clients : options.clients) {
             for (const std::string& daemon : daemons) {
                 testkit::LoadPlan plan;
                 plan.program = daemon;
                 plan.folder = folder;
                 plan.clients = clients;
-                plan.rate = wish.rate;
-                plan.seconds = wish.seconds;
-                plan.value_bytes = wish.value_bytes;
+                plan.rate = options.rate;
+                plan.seconds = options.seconds;
+                plan.value_bytes = options.value_bytes;
                 const testkit::LoadResult result = testkit::play_load(plan);
                 std::printf("%s%s%s\n", daemons.size() > 1 ? daemon.c_str() : "",
                             daemons.size() > 1 ? "  " : "", testkit::load_line(plan, result).c_str());
--- a/src/cli/rehearse.h
+++ b/src/cli/rehearse.h
@@ -1,5 +1,5 @@
-// `brookrelay rehearse`: finds the scenario, plays one day or an experiment of many, shows how it goes and
-// writes the reports. It owns the interruption by Ctrl-C and the folders; the kit does the rest.
+// `brookrelay rehearse`: finds the scenario, runs it once or as an experiment of many runs, shows the
+// progress and writes the reports. It handles Ctrl-C and the report folders; src/testkit/ does the rest.
 #pragma once
 
 #include <cstdint>
@@ -8,32 +8,35 @@
 
 namespace brookrelay {
 
-struct RehearseWish {
+struct RehearseOptions {
     std::string scenario = "festival";  // a file, or the name of one that is shipped
     std::vector<std::string> daemons;   // programs; none: this one
     std::string seeds;                  // "3", "1..5" or "1,4,9"; empty: the scenario's own
     std::vector<std::string> sets;      // PATH=VALUE or PATH=V1,V2
-    int jobs = 1;                       // days of an experiment at the same time
+    int jobs = 1;                       // runs of an experiment at the same time
     std::string out;                    // the folder for reports; empty: a new one below rehearsals/
     bool quiet = false;
 };
 
-// An exit code. Throws BadFile for a wrong scenario. One day, or an experiment where there are several
-// daemons, seeds or values.
-int rehearse(const RehearseWish& wish);
+// Runs the scenario once, or an experiment if there are several daemons, seeds or values. Returns the exit
+// code; throws ConfigurationFileError for a wrong scenario.
+int rehearse(const RehearseOptions& options);
 
-struct LoadWish {
+struct LoadOptions {
     std::vector<std::string> daemons;  // programs; none: this one
     std::vector<int> clients{16, 64};
-    double rate = 0;  // 0: closed loop
+    double rate = 0;  // requests/s; 0: closed loop
     double seconds = 5;
-    int rounds = 1;  // the daemons in turn, so many times
+    int rounds = 1;  // measurements of each daemon, in turn
     int value_bytes = 200;
 };
-int measure_load(const LoadWish& wish);
 
-// The file of a scenario that was named; empty if there is none.
+// `brookrelay rehearse load`: prints a line for each measurement; returns the exit code.
+int measure_load(const LoadOptions& options);
+
+// The file of a scenario given by path or by name; empty if there is none.
 std::string find_scenario(const std::string& named);
+// The path of this executable.
 std::string own_program();
 
 }  // namespace brookrelay
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -76,6 +76,8 @@
         {"fleet limits --address here:1", 2, "numeric host"},
         {"explore --depth 2", 0, "all promises kept"},
         {"explore --depth 20", 2, "--depth"},
+        {"check-model --depth 2", 0, "all promises kept"},
+        {"check-model --depth 20", 2, "--depth"},
         {"fleet zones --address 127.0.0.1:1 --leave a --take-back a", 2, "excludes"},
         {"fleet zones --address 127.0.0.1:1 --leave a", 1, "127.0.0.1:1: "},
         {"check " + root + "/scenarios/zone-lost.toml", 0, "12 nodes"},
