--- a/src/testkit/connection.cpp
+++ b/src/testkit/connection.cpp
@@ -15,8 +15,8 @@
 constexpr int kFillers = 4;  // dials that fill a queue of none
 }  // namespace
 
-Conn::Ptr Conn::accepted(Tcp::socket socket, const Clock& clock, Handlers handlers) {
-    Ptr conn(new Conn(std::move(socket), clock, std::move(handlers)));
+Connection::Ptr Connection::accepted(Tcp::socket socket, const Clock& clock, Handlers handlers) {
+    Ptr conn(new Connection(std::move(socket), clock, std::move(handlers)));
     Code ignored;
     conn->socket_.set_option(Tcp::no_delay(true), ignored);
     conn->up_ = true;
@@ -24,8 +24,8 @@
     return conn;
 }
 
-Conn::Ptr Conn::to(Io& io, const Tcp::endpoint& where, const Clock& clock, Handlers handlers) {
-    Ptr conn(new Conn(Tcp::socket(io), clock, std::move(handlers)));
+Connection::Ptr Connection::to(Io& io, const Tcp::endpoint& where, const Clock& clock, Handlers handlers) {
+    Ptr conn(new Connection(Tcp::socket(io), clock, std::move(handlers)));
     conn->socket_.async_connect(where, [conn](const Code& bad) {
         if (conn->closed_) return;
         if (bad) return conn->broke();
@@ -39,7 +39,7 @@
     return conn;
 }
 
-void Conn::read() {
+void Connection::read() {
     if (closed_ || paused_ || reading_) return;
     reading_ = true;
     socket_.async_read_some(boost::asio::buffer(room_),
@@ -57,12 +57,12 @@
                             });
 }
 
-void Conn::resume() {
+void Connection::resume() {
     paused_ = false;
     read();
 }
 
-void Conn::take(std::size_t bytes) {
+void Connection::take(std::size_t bytes) {
     taken_ += bytes;
     first_byte_at_ = clock_.now();
     if (taken_ == in_.size()) {
@@ -74,13 +74,13 @@
     }
 }
 
-void Conn::write(std::string_view bytes) {
+void Connection::write(std::string_view bytes) {
     if (closed_) return;
     out_.append(bytes);
     flush();
 }
 
-void Conn::flush() {
+void Connection::flush() {
     if (!up_ || closed_ || !going_.empty() || out_.empty()) return;
     // What fits goes at once; a handler is only needed for what does not.
     Code bad;
@@ -100,7 +100,7 @@
                              });
 }
 
-void Conn::broke() {
+void Connection::broke() {
     if (closed_) return;
     const auto ended = std::exchange(handlers_.ended, nullptr);
     const Ptr self = shared_from_this();
@@ -108,7 +108,7 @@
     if (ended) ended(*this);
 }
 
-void Conn::close() {
+void Connection::close() {
     if (closed_) return;
     closed_ = true;
     Code ignored;
@@ -116,14 +116,14 @@
     if (calling_ == 0) handlers_ = {};
 }
 
-void Conn::call(std::function<void(Conn&)>& handler) {
+void Connection::call(std::function<void(Connection&)>& handler) {
     if (!handler) return;
     ++calling_;
     handler(*this);
     if (--calling_ == 0 && closed_) handlers_ = {};
 }
 
-void Conn::reset() {
+void Connection::reset() {
     if (closed_) return;
     Code ignored;
     socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
--- a/src/testkit/connection.h
+++ b/src/testkit/connection.h
@@ -1,6 +1,6 @@
-// One TCP connection of a stand-in, and a listener that can be hushed or shut, on Boost.Asio. A connection
-// owns its socket and its two buffers, and ends by close(), by reset(), or when its peer goes; whoever holds
-// it is told once. Nothing here knows a protocol.
+// A TCP connection of a fake server or client, and a listener that can be closed or made unresponsive, on
+// Boost.Asio. A connection owns its socket and buffers; its owner is notified of the end once, whether by
+// close(), reset() or the peer. No protocol.
 #pragma once
 
 #include <array>
@@ -20,7 +20,7 @@
 using Tcp = boost::asio::ip::tcp;
 using Code = boost::system::error_code;
 
-// Seconds since the day's start, by the one clock that all stand-ins share.
+// Seconds since the construction of the one clock that all parts of a run share.
 class Clock {
   public:
     Clock() : start_(std::chrono::steady_clock::now()) {}
@@ -37,13 +37,13 @@
     std::chrono::steady_clock::time_point start_;
 };
 
-class Conn : public std::enable_shared_from_this<Conn> {
+class Connection : public std::enable_shared_from_this<Connection> {
   public:
-    using Ptr = std::shared_ptr<Conn>;
+    using Ptr = std::shared_ptr<Connection>;
     struct Handlers {
-        std::function<void(Conn&)> up;     // a connection that was opened from here stands
-        std::function<void(Conn&)> input;  // more has come
-        std::function<void(Conn&)> ended;  // the peer ended it, it broke, or it never came up; once
+        std::function<void(Connection&)> up;     // an outgoing connection is established
+        std::function<void(Connection&)> input;  // more bytes were received
+        std::function<void(Connection&)> ended;  // closed by the peer, failed, or never established; once
     };
     static Ptr accepted(Tcp::socket socket, const Clock& clock, Handlers handlers);
     static Ptr to(Io& io, const Tcp::endpoint& where, const Clock& clock, Handlers handlers);
@@ -51,22 +51,22 @@
     void write(std::string_view bytes);
     std::string_view input() const { return std::string_view(in_).substr(taken_); }
     void take(std::size_t bytes);
-    double first_byte_at() const { return first_byte_at_; }  // of what has not been taken yet
+    double first_byte_at() const { return first_byte_at_; }  // of the input that has not been consumed
     bool is_up() const { return up_; }
     bool is_closed() const { return closed_; }
     std::size_t unwritten() const { return out_.size() + going_.size(); }
-    void pause() { paused_ = true; }  // reads no more; what has come stays
+    void pause() { paused_ = true; }  // reads no more; the input received stays
     void resume();
     void close();
-    void reset();  // the peer sees its connection reset
+    void reset();  // closes with a TCP reset
 
   private:
-    Conn(Tcp::socket socket, const Clock& clock, Handlers handlers)
+    Connection(Tcp::socket socket, const Clock& clock, Handlers handlers)
         : socket_(std::move(socket)), clock_(clock), handlers_(std::move(handlers)) {}
     void read();
     void flush();
     void broke();
-    void call(std::function<void(Conn&)>& handler);
+    void call(std::function<void(Connection&)>& handler);
 
     Tcp::socket socket_;
     const Clock& clock_;
@@ -74,22 +74,23 @@
     std::string in_, out_, going_;
     std::size_t taken_ = 0;
     double first_byte_at_ = 0;
-    int calling_ =
-        0;  // its handlers hold whoever holds it: they go with its end, but not from under one that runs
+    // Handlers that are running. The handlers may own the owner of this connection, so they are released at
+    // its end, but not while one of them runs.
+    int calling_ = 0;
     bool up_ = false, closed_ = false, paused_ = false, reading_ = false;
     std::array<char, 16384> room_{};
 };
 
-// Listens on an address of its own choice of port, and keeps that port for later.
+// Listens on a port of the host that it keeps for its lifetime, also while it is shut.
 class Listener {
   public:
     using Accepted = std::function<void(Tcp::socket)>;
     Listener(Io& io, const std::string& host, Accepted accepted, unsigned short port = 0);
     const Tcp::endpoint& endpoint() const { return where_; }
     std::string address() const;
-    void open();  // as at its start: after shut() on the same port, after hush() with a queue again
+    void open();  // accepts again after shut() or hush(), on the same port
     void shut();  // connections are refused
-    // New connections neither come up nor are refused, as of a machine that is cut off.
+    // New connections are neither established nor refused, as with an unreachable machine.
     void hush();
 
   private:
@@ -103,9 +104,9 @@
     bool hushed_ = false;
 };
 
-// A loopback address that no other process's rehearsal uses.
+// A loopback address that no other process's scenario run uses.
 std::string own_loopback();
-// A port of it that is free now, for a process that wants to be told one.
+// A currently free port of the host, for a process that takes its port from the configuration.
 unsigned short free_port(Io& io, const std::string& host);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/daemon_process.cpp
+++ b/src/testkit/daemon_process.cpp
@@ -52,14 +52,14 @@
 
 }  // namespace
 
-Daemon::~Daemon() { kill(); }
+DaemonProcess::~DaemonProcess() { kill(); }
 
-void Daemon::configure(const std::string& json) const {
+void DaemonProcess::configure(const std::string& json) const {
     std::ofstream file(config_path());
     if (!(file << json << std::flush)) throw std::runtime_error("cannot write " + config_path());
 }
 
-void Daemon::start() {
+void DaemonProcess::start() {
     const std::string config = "GW_CONFIG=" + config_path();
     const std::string log = log_path();
     // Made before the fork: in a child of many threads nothing may be allocated.
@@ -115,11 +115,11 @@
     _exit(127);
 }
 
-void Daemon::signal(int number) const {
+void DaemonProcess::signal(int number) const {
     if (pid_ > 0) ::kill(pid_, number);
 }
 
-bool Daemon::running() {
+bool DaemonProcess::running() {
     if (pid_ <= 0) return false;
     int status = 0;
     if (waitpid(pid_, &status, WNOHANG) == 0) return true;
@@ -128,7 +128,7 @@
     return false;
 }
 
-void Daemon::kill() {
+void DaemonProcess::kill() {
     if (pid_ <= 0) return;
     ::kill(pid_, SIGKILL);
     int status = 0;
@@ -137,8 +137,8 @@
     pid_ = 0;
 }
 
-ProcessFigures Daemon::figures() const {
-    ProcessFigures f;
+ProcessUsage DaemonProcess::figures() const {
+    ProcessUsage f;
     if (pid_ <= 0) return f;
     const std::string proc = "/proc/" + std::to_string(pid_);
     // The first two of its numbers: nanoseconds on a core, and waiting for one.
@@ -159,7 +159,7 @@
 }
 
 std::string station_json(const Scenario& s, int node, const std::string& listen, const std::string& discovery,
-                         const std::string& known, std::uint64_t seed, const TalkPlace& talk) {
+                         const std::string& known, std::uint64_t seed, const GossipAddresses& talk) {
     rapidjson::StringBuffer buffer;
     Json json(buffer);
     std::ostringstream hex;
--- a/src/testkit/experiment.h
+++ b/src/testkit/experiment.h
@@ -1,6 +1,5 @@
-// Many days of one scenario: seeds, values swept, and daemons against one another, played in turn so that
-// what drifts on the machine strikes all alike, each day in a process of its own. It owns those processes and
-// the arithmetic of paired differences; a day is judged by nobody but the judge.
+// Experiments: many runs of one scenario over seeds, swept values and daemons, interleaved so that drift of
+// the machine affects all alike, each in a child process; and the statistics of paired differences.
 #pragma once
 
 #include <cstdint>
--- a/src/testkit/fake_cache_server.cpp
+++ b/src/testkit/fake_cache_server.cpp
@@ -13,37 +13,37 @@
 
 }  // namespace
 
-CacheServer::CacheServer(World& world, int number, const ServerKind& kind)
-    : world_(world),
+FakeCacheServer::FakeCacheServer(TestEnvironment& environment, int number, const ServerKind& kind)
+    : environment_(environment),
       number_(number),
       kind_(kind),
       bench_(kind.slots, kind.queue, [this](double now) { return pace(now); }),
       store_(static_cast<std::size_t>(kind.keys)),
-      timer_(world.io),
-      listener_(world.io, world.host, [this](Tcp::socket s) { accept(std::move(s)); }) {}
+      timer_(environment.io),
+      listener_(environment.io, environment.host, [this](Tcp::socket s) { accept(std::move(s)); }) {}
 
-double CacheServer::part(double now) const {
+double FakeCacheServer::part(double now) const {
     if (!cold_) return 1;
-    return ColdCurve{world_.scenario.cold_from, kind_.warm_after}.part(now - started_);
+    return ColdCurve{environment_.scenario.cold_from, kind_.warm_after}.part(now - started_);
 }
 
-double CacheServer::pace(double now) const {
+double FakeCacheServer::pace(double now) const {
     double pace = kind_.speed * part(now) / factor_;
     const double over = (static_cast<double>(bench_.open()) - kind_.crowded_from) / kind_.crowded_from;
     if (over > 0) pace /= 1 + kind_.crowding * over;
     return pace;
 }
 
-double CacheServer::capacity() const {
+double FakeCacheServer::capacity() const {
     if (!running_) return 0;
-    return kind_.slots * kind_.speed * part(world_.now()) / factor_;
+    return kind_.slots * kind_.speed * part(environment_.now()) / factor_;
 }
 
-int CacheServer::most_connections() { return std::exchange(most_peers_, open_connections()); }
+int FakeCacheServer::most_connections() { return std::exchange(most_peers_, open_connections()); }
 
 // ---- connections ----------------------------------------------------------------------------------------
 
-void CacheServer::accept(Tcp::socket socket) {
+void FakeCacheServer::accept(Tcp::socket socket) {
     if (static_cast<int>(peers_.size()) >= kind_.connections) {
         ++counts_.refused;
         Code ignored;
@@ -55,12 +55,12 @@
     Peer& p = peers_[id];
     most_peers_ = std::max(most_peers_, open_connections());
     p.handshake = kind_.handshake;
-    p.conn =
-        Conn::accepted(std::move(socket), world_.clock,
-                       {nullptr, [this, id](Conn&) { input(id); }, [this, id](Conn&) { peer_gone(id); }});
+    p.conn = Connection::accepted(
+        std::move(socket), environment_.clock,
+        {nullptr, [this, id](Connection&) { input(id); }, [this, id](Connection&) { peer_gone(id); }});
 }
 
-void CacheServer::peer_gone(std::uint64_t peer) {
+void FakeCacheServer::peer_gone(std::uint64_t peer) {
     const auto found = peers_.find(peer);
     if (found == peers_.end()) return;
     for (const auto& [forward, text] : found->second.answers) {
@@ -73,11 +73,11 @@
     peers_.erase(found);
 }
 
-void CacheServer::input(std::uint64_t peer) {
+void FakeCacheServer::input(std::uint64_t peer) {
     while (true) {
         const auto found = peers_.find(peer);
         if (found == peers_.end()) return;
-        Conn& conn = *found->second.conn;
+        Connection& conn = *found->second.conn;
         Command command;
         const double first_byte = conn.first_byte_at();
         const std::size_t taken = read_command(conn.input(), command);
@@ -87,17 +87,17 @@
     }
 }
 
-void CacheServer::begin(std::uint64_t peer, Peer& p, const Command& command, double first_byte) {
-    const double now = world_.now();
+void FakeCacheServer::begin(std::uint64_t peer, Peer& p, const Command& command, double first_byte) {
+    const double now = environment_.now();
     if (command.kind == Command::Kind::hello) {
         if (!silent_) p.conn->write("MN\r\n");
         return;
     }
-    const int forward = world_.forwards++;
+    const int forward = environment_.forwards++;
     int inv = -1;
-    const int operation = world_.operation(command.properties.operation);
+    const int operation = environment_.operation(command.properties.operation);
     const bool sound = (command.kind == Command::Kind::read || command.kind == Command::Kind::write) &&
-                       read_id(command.id, world_.day, inv) && operation >= 0;
+                       read_id(command.id, environment_.day, inv) && operation >= 0;
     ++counts_.forwards;
     Job job;
     job.peer = peer;
@@ -107,14 +107,15 @@
     job.write = command.kind == Command::Kind::write;
     job.id = command.id;
     job.mark = command.properties.mark;
-    double work = operation < 0 ? 0 : world_.scenario.operations[static_cast<std::size_t>(operation)].work;
+    double work =
+        operation < 0 ? 0 : environment_.scenario.operations[static_cast<std::size_t>(operation)].work;
     if (sound && !job.write && !store_.get(job.key)) work *= kMissPart;
     work += p.handshake;
     p.handshake = 0;
     meter_.offered(now, work);
-    world_.auditor.on_attempt(first_byte, now, forward, sound ? inv : -1, number_, work);
+    environment_.auditor.on_attempt(first_byte, now, forward, sound ? inv : -1, number_, work);
     if (!sound) {
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         p.conn->write("CLIENT_ERROR what no client sent\r\n");
         return;
     }
@@ -124,7 +125,7 @@
     if (!bench_.enter(now, forward, work)) {
         ++counts_.busy;
         jobs_.erase(forward);
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
         // Turning one away is work too, if little: it counts for the push.
         meter_.offered(now, work * kBusyPart);
         return answer(peer, forward, "SERVER_ERROR busy\r\n");
@@ -132,31 +133,31 @@
     arm();
 }
 
-void CacheServer::finish(int forward) {
+void FakeCacheServer::finish(int forward) {
     const auto found = jobs_.find(forward);
     if (found == jobs_.end()) return;
     const Job job = std::move(found->second);
     jobs_.erase(found);
-    const double now = world_.now();
-    const OperationPlan& op = world_.scenario.operations[static_cast<std::size_t>(job.operation)];
+    const double now = environment_.now();
+    const OperationPlan& op = environment_.scenario.operations[static_cast<std::size_t>(job.operation)];
     if (job.write) {
         // Only where caches take writes for the origin; elsewhere none comes here.
         if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
             marks_.seen(now, job.mark, op.promised.deduplication_window)) {
-            world_.auditor.on_duplicate_dropped(now, forward);
+            environment_.auditor.on_duplicate_dropped(now, forward);
         } else {
-            ++world_.versions[job.key];
-            world_.auditor.on_effect(now, forward);
-            world_.drop_copies(job.key);
+            ++environment_.versions[job.key];
+            environment_.auditor.on_effect(now, forward);
+            environment_.drop_copies(job.key);
         }
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
         return answer(job.peer, forward, "HD O" + job.id + " cf" + std::to_string(forward) + "\r\n");
     }
     const auto version = store_.get(job.key);
     if (!version) {
         ++counts_.misses;
-        world_.missed[job.inv].push_back(number_);
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::miss);
+        environment_.missed[job.inv].push_back(number_);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::miss);
         return answer(job.peer, forward, "EN O" + job.id + " h0\r\n");
     }
     ++counts_.hits;
@@ -164,15 +165,15 @@
         value_text(forward, job.key, *version, static_cast<std::size_t>(op.value_bytes));
     spoil_draw_ = key_of_rank(spoil_draw_ + static_cast<std::uint64_t>(forward));
     if (spoilt_ > 0 && static_cast<double>(spoil_draw_ >> 11) < spoilt_ * 9007199254740992.0) {
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         return answer(job.peer, forward, "VA x9 O" + job.id + "\r\n" + value + "\r\n");
     }
-    world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
+    environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
     answer(job.peer, forward,
            "VA " + std::to_string(value.size()) + " O" + job.id + " h1\r\n" + value + "\r\n");
 }
 
-void CacheServer::answer(std::uint64_t peer, int forward, std::string text) {
+void FakeCacheServer::answer(std::uint64_t peer, int forward, std::string text) {
     const auto found = peers_.find(peer);
     if (found == peers_.end()) return;
     Peer& p = found->second;
@@ -187,40 +188,40 @@
 
 // ---- time -----------------------------------------------------------------------------------------------
 
-void CacheServer::arm() {
+void FakeCacheServer::arm() {
     const double next = bench_.next_end();
     if (next >= armed_for_) return;
     armed_for_ = next;
-    timer_.expires_at(world_.clock.at(next));
+    timer_.expires_at(environment_.clock.at(next));
     timer_.async_wait([this](const Code& bad) {
         if (bad) return;
         armed_for_ = kNever;
-        while (const auto done = bench_.pop_ended(world_.now())) finish(*done);
+        while (const auto done = bench_.pop_ended(environment_.now())) finish(*done);
         arm();
     });
 }
 
-void CacheServer::look() {
+void FakeCacheServer::look() {
     if (!cold_ || !running_) return;
-    const double now = world_.now();
+    const double now = environment_.now();
     if (now - started_ >= kind_.warm_after) {
         cold_ = false;
-        world_.auditor.on_server_warm(now, number_);
+        environment_.auditor.on_server_warm(now, number_);
         return;
     }
-    const Scenario& s = world_.scenario;
+    const Scenario& s = environment_.scenario;
     if (!silent_ && meter_.over(now, capacity(), s.fall_multiple, s.fall_time)) {
-        world_.auditor.on_server_overloaded(now, number_);
+        environment_.auditor.on_server_overloaded(now, number_);
         fallen_ = true;
         stop();
         return;
     }
-    world_.at(now + kLook, [this] { look(); });
+    environment_.at(now + kLook, [this] { look(); });
 }
 
 // ---- troubles -------------------------------------------------------------------------------------------
 
-void CacheServer::reset_all() {
+void FakeCacheServer::reset_all() {
     std::map<std::uint64_t, Peer> gone;
     gone.swap(peers_);
     for (auto& [id, p] : gone) p.conn->reset();
@@ -230,7 +231,7 @@
     armed_for_ = kNever;
 }
 
-void CacheServer::silence(bool on) {
+void FakeCacheServer::silence(bool on) {
     if (silent_ == on || !running_) return;
     silent_ = on;
     if (on) {
@@ -246,7 +247,7 @@
     }
 }
 
-void CacheServer::stop() {
+void FakeCacheServer::stop() {
     if (!running_) return;
     running_ = false;
     silent_ = false;
@@ -255,7 +256,7 @@
     reset_all();
 }
 
-void CacheServer::start_cold() {
+void FakeCacheServer::start_cold() {
     if (running_) stop();
     if (fallen_) return;  // what was pushed over stays down
     store_.clear();
@@ -263,13 +264,13 @@
     meter_.clear();
     running_ = true;
     cold_ = true;
-    started_ = world_.now();
-    world_.auditor.on_server_started(started_, number_, true);
+    started_ = environment_.now();
+    environment_.auditor.on_server_started(started_, number_, true);
     listener_.open();
     look();
 }
 
-void CacheServer::drop_part(double part, std::uint64_t chance) {
+void FakeCacheServer::drop_part(double part, std::uint64_t chance) {
     store_.drop_if([&](std::uint64_t key) {
         return static_cast<double>(key_of_rank(key ^ chance) >> 11) < part * 9007199254740992.0;
     });
--- a/src/testkit/fake_cache_server.h
+++ b/src/testkit/fake_cache_server.h
@@ -1,6 +1,5 @@
-// A cache server that only stores, as the protocol's page has it: on a port of its own, with slots, a queue,
-// a bounded store, a cold start, a table of connections, and marks of repeats; and with what can go wrong
-// with one. It tells the judge what it sees, and judges nothing.
+// A cache server by the protocol specification: slots, a queue, a bounded store, a cold start, limited
+// connections and deduplication, with fault injection. It reports to the auditor what it observes.
 #pragma once
 
 #include <deque>
@@ -14,13 +13,13 @@
 
 namespace brookrelay::testkit {
 
-class CacheServer {
+class FakeCacheServer {
   public:
-    CacheServer(World& world, int number, const ServerKind& kind);
+    FakeCacheServer(TestEnvironment& environment, int number, const ServerKind& kind);
 
     std::string address() const { return listener_.address(); }
     int number() const { return number_; }
-    double started() const { return started_; }  // -1: long ago
+    double started() const { return started_; }  // -1: before the run
     bool fallen() const { return fallen_; }
     bool running() const { return running_; }
 
@@ -28,10 +27,10 @@
     void drop(std::uint64_t key) { store_.drop(key); }
     void drop_part(double part, std::uint64_t chance);
 
-    // Troubles.
-    void silence(bool on);  // nothing goes out or comes up any more; at its end connections are reset
-    void stop();            // the process is gone: connections are reset, new ones refused
-    void start_cold();      // it runs again and has forgotten everything
+    // Faults.
+    void silence(bool on);  // no output and no new connections; connections are reset at its end
+    void stop();            // as if the process were dead: connections are reset, new ones refused
+    void start_cold();      // restarts with an empty store
     void slow(double factor) { factor_ = factor; }
     void spoil(double part) { spoilt_ = part; }
 
@@ -40,17 +39,17 @@
         std::uint64_t forwards = 0, hits = 0, misses = 0, busy = 0, connections = 0, refused = 0;
     };
     const Counts& counts() const { return counts_; }
-    double capacity() const;  // work a second, now
+    double capacity() const;  // current, in work per second
     int open_connections() const { return static_cast<int>(peers_.size()); }
-    int most_connections();  // at a time, since this was asked last
+    int most_connections();  // maximum since the last call
     int open_work() const { return bench_.open(); }
 
   private:
     struct Peer {
-        Conn::Ptr conn;
+        Connection::Ptr conn;
         std::deque<std::pair<int, std::string>>
-            answers;           // by forward, in the commands' order; empty: not yet
-        double handshake = 0;  // work owed by the first command
+            answers;           // by attempt, in the order of the commands; empty: pending
+        double handshake = 0;  // work of connecting, charged to the first command
     };
     struct Job {
         std::uint64_t peer = 0;
@@ -74,13 +73,13 @@
     void look();
     void reset_all();
 
-    World& world_;
+    TestEnvironment& environment_;
     const int number_;
     const ServerKind kind_;
-    Workbench bench_;
+    WorkQueue bench_;
     Store store_;
-    DedupWindow marks_;
-    PushMeter meter_;
+    DeduplicationWindow marks_;
+    OverloadDetector meter_;
     boost::asio::steady_timer timer_;
     double armed_for_ = kNever;
     std::map<std::uint64_t, Peer> peers_;
--- a/src/testkit/fake_coordinator.cpp
+++ b/src/testkit/fake_coordinator.cpp
@@ -19,20 +19,20 @@
 
 }  // namespace
 
-Coordinator::Coordinator(Out out) : out_(std::move(out)) { nodes_["/"]; }
+FakeCoordinator::FakeCoordinator(Out out) : out_(std::move(out)) { nodes_["/"]; }
 
-std::string Coordinator::parent_of(const std::string& path) {
+std::string FakeCoordinator::parent_of(const std::string& path) {
     const std::size_t slash = path.rfind('/');
     return slash == 0 ? "/" : path.substr(0, slash);
 }
 
-bool Coordinator::is_path(const std::string& path) {
+bool FakeCoordinator::is_path(const std::string& path) {
     if (path.empty() || path.front() != '/') return false;
     return path.size() == 1 || (path.back() != '/' && path.find("//") == std::string::npos &&
                                 path.find('\0') == std::string::npos);
 }
 
-std::string Coordinator::stat_of(const Node& n) const {
+std::string FakeCoordinator::stat_of(const Node& n) const {
     JuteWriter out;
     out.long_number(n.created)
         .long_number(n.modified)
@@ -46,7 +46,7 @@
 
 // ---- sessions -------------------------------------------------------------------------------------------
 
-std::int64_t Coordinator::open_session(double now, double timeout) {
+std::int64_t FakeCoordinator::open_session(double now, double timeout) {
     const std::int64_t id = ++last_session_;
     Session& s = sessions_[id];
     s.timeout = std::clamp(timeout, kTimeoutLeast, kTimeoutMost);
@@ -59,12 +59,12 @@
     return id;
 }
 
-void Coordinator::touch(double now, std::int64_t session) {
+void FakeCoordinator::touch(double now, std::int64_t session) {
     const auto found = sessions_.find(session);
     if (found != sessions_.end()) found->second.until = now + found->second.timeout;
 }
 
-void Coordinator::expire(std::int64_t session) {
+void FakeCoordinator::expire(std::int64_t session) {
     const auto found = sessions_.find(session);
     if (found == sessions_.end()) return;
     const Session gone = std::move(found->second);
@@ -77,7 +77,7 @@
     out_.hang_up(gone.connection);
 }
 
-void Coordinator::tick(double now) {
+void FakeCoordinator::tick(double now) {
     std::vector<std::int64_t> over;
     for (const auto& [id, s] : sessions_) {
         if (now >= s.until) over.push_back(id);
@@ -85,13 +85,13 @@
     for (const std::int64_t id : over) expire(id);
 }
 
-double Coordinator::next_at() const {
+double FakeCoordinator::next_at() const {
     double next = std::numeric_limits<double>::infinity();
     for (const auto& [id, s] : sessions_) next = std::min(next, s.until);
     return next;
 }
 
-void Coordinator::ended(std::uint64_t connection) {
+void FakeCoordinator::ended(std::uint64_t connection) {
     forget_watches(connection);
     const auto found = session_of_.find(connection);
     if (found == session_of_.end()) return;
@@ -101,9 +101,9 @@
 
 // ---- the tree -------------------------------------------------------------------------------------------
 
-CoordinatorError Coordinator::create(double now, std::int64_t session, const std::string& wished,
-                                     const std::string& data, bool ephemeral, bool sequential,
-                                     std::string* made) {
+CoordinatorError FakeCoordinator::create(double now, std::int64_t session, const std::string& wished,
+                                         const std::string& data, bool ephemeral, bool sequential,
+                                         std::string* made) {
     // A sequential one may end in a slash: its name is the number alone.
     if (!is_path(sequential ? wished + "0" : wished) || wished == "/") return CoordinatorError::bad_arguments;
     const std::string above = parent_of(wished);
@@ -135,7 +135,7 @@
     return CoordinatorError::none;
 }
 
-CoordinatorError Coordinator::remove(const std::string& path, std::int32_t version) {
+CoordinatorError FakeCoordinator::remove(const std::string& path, std::int32_t version) {
     const auto found = nodes_.find(path);
     if (found == nodes_.end() || path == "/") return CoordinatorError::no_node;
     if (version >= 0 && version != found->second.version) return CoordinatorError::bad_version;
@@ -156,8 +156,8 @@
     return CoordinatorError::none;
 }
 
-CoordinatorError Coordinator::set(double now, const std::string& path, const std::string& data,
-                                  std::int32_t version) {
+CoordinatorError FakeCoordinator::set(double now, const std::string& path, const std::string& data,
+                                      std::int32_t version) {
     const auto found = nodes_.find(path);
     if (found == nodes_.end()) return CoordinatorError::no_node;
     if (version >= 0 && version != found->second.version) return CoordinatorError::bad_version;
@@ -171,7 +171,7 @@
     return CoordinatorError::none;
 }
 
-std::vector<std::string> Coordinator::children(const std::string& path) const {
+std::vector<std::string> FakeCoordinator::children(const std::string& path) const {
     const auto found = nodes_.find(path);
     if (found == nodes_.end()) return {};
     return {found->second.children.begin(), found->second.children.end()};
@@ -180,7 +180,7 @@
 // ---- watches --------------------------------------------------------------------------------------------
 
 // Each fires once, and before any answer that shows what it tells of: so the protocol promises.
-void Coordinator::fire(Watches& watches, const std::string& path, CoordinatorEvent event) {
+void FakeCoordinator::fire(Watches& watches, const std::string& path, CoordinatorEvent event) {
     const auto found = watches.find(path);
     if (found == watches.end()) return;
     const std::set<std::uint64_t> who = std::move(found->second);
@@ -191,7 +191,7 @@
     for (const std::uint64_t connection : who) out_.send(connection, out.frame());
 }
 
-void Coordinator::forget_watches(std::uint64_t connection) {
+void FakeCoordinator::forget_watches(std::uint64_t connection) {
     for (Watches* watches : {&data_watches_, &exist_watches_, &child_watches_}) {
         for (auto at = watches->begin(); at != watches->end();) {
             at->second.erase(connection);
@@ -200,7 +200,7 @@
     }
 }
 
-std::size_t Coordinator::watches() const {
+std::size_t FakeCoordinator::watches() const {
     std::size_t all = 0;
     for (const Watches* watches : {&data_watches_, &exist_watches_, &child_watches_}) {
         for (const auto& [path, who] : *watches) all += who.size();
@@ -210,7 +210,7 @@
 
 // ---- the wire -------------------------------------------------------------------------------------------
 
-void Coordinator::received(double now, std::uint64_t connection, std::string_view payload) {
+void FakeCoordinator::received(double now, std::uint64_t connection, std::string_view payload) {
     tick(now);
     const auto found = session_of_.find(connection);
     if (found == session_of_.end()) return connect(now, connection, payload);
@@ -218,7 +218,7 @@
     call(now, connection, found->second, payload);
 }
 
-void Coordinator::connect(double now, std::uint64_t connection, std::string_view payload) {
+void FakeCoordinator::connect(double now, std::uint64_t connection, std::string_view payload) {
     JuteReader in(payload);
     const std::int32_t protocol = in.number();
     const std::int64_t seen = in.long_number();
@@ -256,7 +256,8 @@
     out_.send(connection, out.frame());
 }
 
-void Coordinator::call(double now, std::uint64_t connection, std::int64_t session, std::string_view payload) {
+void FakeCoordinator::call(double now, std::uint64_t connection, std::int64_t session,
+                           std::string_view payload) {
     JuteReader in(payload);
     const std::int32_t xid = in.number();
     const auto type = static_cast<CoordinatorCall>(in.number());
--- a/src/testkit/fake_coordinator.h
+++ b/src/testkit/fake_coordinator.h
@@ -1,7 +1,6 @@
-// A coordination service as its published protocol has it, without sockets or clocks: a tree of nodes,
-// sessions with time-outs, ephemeral and sequential nodes, and watches that fire once. It takes payloads of
-// frames from connections and says what goes back on which. It owns the tree and the sessions; whoever
-// carries the bytes owns the connections, and brings about what goes wrong with them.
+// A coordination service by its published protocol, without sockets or clocks: a tree of nodes, sessions with
+// timeouts, ephemeral and sequential nodes, and one-shot watches. It consumes the payloads of frames and
+// calls back with frames to send; the connections belong to FakeCoordinatorServer.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,7 @@
 
 namespace brookrelay::testkit {
 
-// The protocol's numbers.
+// Operation codes, event types and error codes of the protocol.
 enum class CoordinatorCall {
     create = 1,
     remove = 2,
@@ -42,20 +41,20 @@
     unimplemented = -6
 };
 
-class Coordinator {
+class FakeCoordinator {
   public:
     struct Out {
         std::function<void(std::uint64_t connection, const std::string& frame)> send;
         std::function<void(std::uint64_t connection)> hang_up;
     };
-    explicit Coordinator(Out out);
+    explicit FakeCoordinator(Out out);
 
     void received(double now, std::uint64_t connection, std::string_view payload);
-    void ended(std::uint64_t connection);  // its session goes on until its time-out
-    void tick(double now);                 // ends the sessions whose time is over
-    double next_at() const;                // of the next such end; infinity: none
+    void ended(std::uint64_t connection);  // the session lives on until its timeout
+    void tick(double now);                 // expires sessions
+    double next_at() const;                // time of the next expiry; infinity: none
 
-    // Without a client: for tests, and for registrations of a rehearsal's servers.
+    // Without a client: for tests and for the registrations of a run's servers.
     std::int64_t open_session(double now, double timeout);
     void touch(double now, std::int64_t session);
     void expire(std::int64_t session);
@@ -77,14 +76,14 @@
         std::int64_t created = 0, modified = 0, children_modified = 0;
         double created_at = 0, modified_at = 0;
         std::int32_t version = 0, children_version = 0;
-        std::int64_t owner = 0;  // of an ephemeral one
+        std::int64_t owner = 0;  // the session, of an ephemeral node
         std::set<std::string> children;
         std::uint32_t next_number = 0;  // for sequential children
     };
     struct Session {
         double timeout = 0, until = 0;
         std::string password;
-        std::uint64_t connection = 0;  // 0: none now
+        std::uint64_t connection = 0;  // 0: not connected
         std::set<std::string> owns;
     };
     using Watches = std::map<std::string, std::set<std::uint64_t>>;  // path: connections
--- a/src/testkit/fake_coordinator_server.cpp
+++ b/src/testkit/fake_coordinator_server.cpp
@@ -6,7 +6,7 @@
 
 namespace brookrelay::testkit {
 
-CoordinatorServer::CoordinatorServer(Io& io, const Clock& clock, const std::string& host)
+FakeCoordinatorServer::FakeCoordinatorServer(Io& io, const Clock& clock, const std::string& host)
     : io_(io),
       clock_(clock),
       service_({[this](std::uint64_t id, const std::string& frame) {
@@ -22,21 +22,21 @@
       timer_(io),
       listener_(io, host, [this](Tcp::socket s) { accept(std::move(s)); }) {}
 
-void CoordinatorServer::accept(Tcp::socket socket) {
+void FakeCoordinatorServer::accept(Tcp::socket socket) {
     const std::uint64_t id = ++last_;
-    conns_[id] = Conn::accepted(std::move(socket), clock_,
-                                {nullptr, [this, id](Conn&) { input(id); },
-                                 [this, id](Conn&) {
-                                     conns_.erase(id);
-                                     service_.ended(id);
-                                 }});
+    conns_[id] = Connection::accepted(std::move(socket), clock_,
+                                      {nullptr, [this, id](Connection&) { input(id); },
+                                       [this, id](Connection&) {
+                                           conns_.erase(id);
+                                           service_.ended(id);
+                                       }});
 }
 
-void CoordinatorServer::input(std::uint64_t id) {
+void FakeCoordinatorServer::input(std::uint64_t id) {
     while (!silent_) {
         const auto found = conns_.find(id);
         if (found == conns_.end()) return;
-        const Conn::Ptr conn = found->second;
+        const Connection::Ptr conn = found->second;
         std::string_view payload;
         bool sound = true;
         const std::size_t taken = read_frame(conn->input(), payload, sound);
@@ -54,7 +54,7 @@
     arm();
 }
 
-void CoordinatorServer::arm() {
+void FakeCoordinatorServer::arm() {
     const double next = service_.next_at();
     timer_.cancel();
     if (!std::isfinite(next)) return;
@@ -66,7 +66,7 @@
     });
 }
 
-void CoordinatorServer::silence(bool on) {
+void FakeCoordinatorServer::silence(bool on) {
     if (silent_ == on) return;
     silent_ = on;
     if (on) return listener_.hush();
@@ -75,7 +75,7 @@
     for (const auto& [id, conn] : conns) input(id);
 }
 
-void CoordinatorServer::unreachable(bool on) {
+void FakeCoordinatorServer::unreachable(bool on) {
     if (!on) return listener_.open();
     listener_.shut();
     for (const auto& [id, conn] : std::exchange(conns_, {})) {
@@ -84,7 +84,7 @@
     }
 }
 
-void CoordinatorServer::garble() {
+void FakeCoordinatorServer::garble() {
     for (const auto& [id, conn] : std::exchange(conns_, {})) {
         conn->write(id % 2 == 0 ? std::string("\x7f\xff\xff\xff", 4) : std::string("\0\0\0\x40half", 8));
         conn->close();
--- a/src/testkit/fake_coordinator_server.h
+++ b/src/testkit/fake_coordinator_server.h
@@ -1,6 +1,5 @@
-// The stand-in coordinator on a port: carries the bytes between connections and the Coordinator, and brings
-// about what can go wrong with such a service. It owns the connections and the one timer of the sessions'
-// ends.
+// The fake coordinator on a TCP port, with fault injection. It owns the connections and the timer of the
+// session timeouts.
 #pragma once
 
 #include <map>
@@ -12,18 +11,18 @@
 
 namespace brookrelay::testkit {
 
-class CoordinatorServer {
+class FakeCoordinatorServer {
   public:
-    CoordinatorServer(Io& io, const Clock& clock, const std::string& host);
+    FakeCoordinatorServer(Io& io, const Clock& clock, const std::string& host);
     std::string address() const { return listener_.address(); }
-    Coordinator& service() { return service_; }
+    FakeCoordinator& service() { return service_; }
     void changed() { arm(); }  // after a session was opened or touched from here
     std::size_t connections() const { return conns_.size(); }
 
-    // Troubles.
-    void silence(bool on);      // hears and says nothing; new connections do not come up
+    // Faults.
+    void silence(bool on);      // reads and writes nothing; new connections are not established
     void unreachable(bool on);  // connections are reset and refused
-    void garble();  // each connection gets half a frame, or a length that cannot be, and is closed
+    void garble();              // sends half a frame or an invalid length on each connection and closes it
 
   private:
     void accept(Tcp::socket socket);
@@ -32,10 +31,10 @@
 
     Io& io_;
     const Clock& clock_;
-    std::map<std::uint64_t, Conn::Ptr> conns_;
+    std::map<std::uint64_t, Connection::Ptr> conns_;
     std::uint64_t last_ = 0;
     bool silent_ = false;
-    Coordinator service_;
+    FakeCoordinator service_;
     boost::asio::steady_timer timer_;
     Listener listener_;
 };
--- a/src/testkit/fake_discovery_server.cpp
+++ b/src/testkit/fake_discovery_server.cpp
@@ -31,29 +31,32 @@
 
 }  // namespace
 
-DiscoveryServer::Agent::Agent(World& world, int node, DiscoveryServer& owner)
-    : listener(world.io, world.host, [&owner, node](Tcp::socket s) { owner.accept(node, std::move(s)); }) {}
-
-DiscoveryServer::DiscoveryServer(World& world, int nodes)
-    : world_(world),
-      entries_(world.scenario.server_names().size()),
-      names_(world.scenario.server_names()),
+FakeDiscoveryServer::Agent::Agent(TestEnvironment& environment, int node, FakeDiscoveryServer& owner)
+    : listener(environment.io, environment.host,
+               [&owner, node](Tcp::socket s) { owner.accept(node, std::move(s)); }) {}
+
+FakeDiscoveryServer::FakeDiscoveryServer(TestEnvironment& environment, int nodes)
+    : environment_(environment),
+      entries_(environment.scenario.server_names().size()),
+      names_(environment.scenario.server_names()),
       wall_at_start_(
           std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count() -
-          world.now()) {
-    for (int n = 0; n < nodes; ++n) agents_.push_back(std::make_unique<Agent>(world, n, *this));
+          environment.now()) {
+    for (int n = 0; n < nodes; ++n) agents_.push_back(std::make_unique<Agent>(environment, n, *this));
 }
 
-void DiscoveryServer::put(int server, const std::string& address, EndpointState standing, double started) {
+void FakeDiscoveryServer::put(int server, const std::string& address, EndpointState standing,
+                              double started) {
     entries_[static_cast<std::size_t>(server)] = {address, standing, started, ++version_};
     tell_all();
 }
 
-void DiscoveryServer::list(int server, const std::string& address, EndpointState standing, double started) {
+void FakeDiscoveryServer::list(int server, const std::string& address, EndpointState standing,
+                               double started) {
     const auto change = [this, server, address, standing, started] {
         put(server, address, standing, started);
     };
-    world_.at(world_.now() + world_.scenario.discovery_lag, [this, change] {
+    environment_.at(environment_.now() + environment_.scenario.discovery_lag, [this, change] {
         if (stale_) {
             kept_back_.push_back(change);
         } else {
@@ -62,12 +65,12 @@
     });
 }
 
-std::string DiscoveryServer::entry_text(int node, std::size_t server) const {
+std::string FakeDiscoveryServer::entry_text(int node, std::size_t server) const {
     const Entry& e = entries_[server];
     const std::string address = dial ? dial(node, static_cast<int>(server), e.address) : e.address;
-    const Scenario& s = world_.scenario;
+    const Scenario& s = environment_.scenario;
     const int kind = s.kind_of(static_cast<int>(server));
-    const bool origin = static_cast<int>(server) == world_.origin();
+    const bool origin = static_cast<int>(server) == environment_.origin();
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> json(buffer);
     json.StartObject();
@@ -88,7 +91,7 @@
     return buffer.GetString();
 }
 
-std::string DiscoveryServer::whole_list(int node) const {
+std::string FakeDiscoveryServer::whole_list(int node) const {
     std::string hosts;
     for (std::size_t i = 0; i < entries_.size(); ++i) {
         if (entries_[i].standing == EndpointState::removed || entries_[i].address.empty()) continue;
@@ -98,27 +101,28 @@
     return R"({"seq":)" + std::to_string(version_) + R"(,"whole":true,"hosts":[)" + hosts + "]}";
 }
 
-void DiscoveryServer::accept(int node, Tcp::socket socket) {
+void FakeDiscoveryServer::accept(int node, Tcp::socket socket) {
     Agent& agent = *agents_[static_cast<std::size_t>(node)];
-    agent.conns.insert(Conn::accepted(std::move(socket), world_.clock,
-                                      {nullptr, [this, node](Conn& c) { input(node, c); },
-                                       [&agent](Conn& c) {
-                                           if (agent.watch && agent.watch->conn.get() == &c)
-                                               agent.watch.reset();
-                                           agent.conns.erase(c.shared_from_this());
-                                       }}));
+    agent.conns.insert(Connection::accepted(std::move(socket), environment_.clock,
+                                            {nullptr, [this, node](Connection& c) { input(node, c); },
+                                             [&agent](Connection& c) {
+                                                 if (agent.watch && agent.watch->conn.get() == &c)
+                                                     agent.watch.reset();
+                                                 agent.conns.erase(c.shared_from_this());
+                                             }}));
 }
 
-bool DiscoveryServer::has_room() {
-    const double second = std::floor(world_.now());
+bool FakeDiscoveryServer::has_room() {
+    const double second = std::floor(environment_.now());
     if (second != second_) in_second_ = 0;
     second_ = second;
-    if (world_.scenario.discovery_calls > 0 && in_second_ >= world_.scenario.discovery_calls) return false;
+    if (environment_.scenario.discovery_calls > 0 && in_second_ >= environment_.scenario.discovery_calls)
+        return false;
     ++in_second_;
     return true;
 }
 
-void DiscoveryServer::input(int node, Conn& conn) {
+void FakeDiscoveryServer::input(int node, Connection& conn) {
     Request request;
     if (down_ || agents_[static_cast<std::size_t>(node)]->held)
         return;  // it is heard when the outage is over
@@ -139,14 +143,14 @@
     Agent& agent = *agents_[static_cast<std::size_t>(node)];
     agent.watch = std::make_unique<Watch>(Watch{conn.shared_from_this(), index, ++watches_});
     const double patience = std::min(static_cast<double>(wait) / 1e3, kWaitMost);
-    world_.at(world_.now() + patience, [this, &agent, node, number = watches_] {
+    environment_.at(environment_.now() + patience, [this, &agent, node, number = watches_] {
         if (!agent.watch || agent.watch->number != number || down_ || agent.held) return;
         const auto watch = std::move(agent.watch);
         answer(node, *watch->conn, watch->index);
     });
 }
 
-void DiscoveryServer::tell_all() {
+void FakeDiscoveryServer::tell_all() {
     if (down_) return;
     for (std::size_t n = 0; n < agents_.size(); ++n) {
         if (!agents_[n]->watch || agents_[n]->held) continue;
@@ -155,8 +159,8 @@
     }
 }
 
-void DiscoveryServer::answer(int node, Conn& conn, std::int64_t index) {
-    const double now = world_.now();
+void FakeDiscoveryServer::answer(int node, Connection& conn, std::int64_t index) {
+    const double now = environment_.now();
     const bool whole = index < 0 || index > version_;
     std::string body;
     for (std::size_t i = 0; i < entries_.size(); ++i) {
@@ -166,61 +170,61 @@
                             e.address.empty();
         if (whole) {
             // Who is not in a whole list has left.
-            world_.auditor.on_endpoint_state(now, node, server, absent ? EndpointState::removed : e.standing,
-                                             !absent && e.started >= 0);
+            environment_.auditor.on_endpoint_state(
+                now, node, server, absent ? EndpointState::removed : e.standing, !absent && e.started >= 0);
             continue;
         }
         if (e.changed <= index || left_out_.contains(server)) continue;
         body += (body.empty() ? "" : ",") + entry_text(node, i);
-        world_.auditor.on_endpoint_state(now, node, server, e.standing, e.started >= 0);
+        environment_.auditor.on_endpoint_state(now, node, server, e.standing, e.started >= 0);
     }
     body = whole ? whole_list(node)
                  : R"({"seq":)" + std::to_string(version_) + R"(,"whole":false,"hosts":[)" + body + "]}";
     conn.write(http_response(200, body, "Content-Type: application/json"));
 }
 
-void DiscoveryServer::down(bool on) {
+void FakeDiscoveryServer::down(bool on) {
     if (down_ == on) return;
     down_ = on;
     if (on) return;
     for (std::size_t n = 0; n < agents_.size(); ++n) {
-        const std::set<Conn::Ptr> conns = agents_[n]->conns;
-        for (const Conn::Ptr& c : conns) {
+        const std::set<Connection::Ptr> conns = agents_[n]->conns;
+        for (const Connection::Ptr& c : conns) {
             if (!c->is_closed() && !c->input().empty()) input(static_cast<int>(n), *c);
         }
     }
     tell_all();
 }
 
-void DiscoveryServer::hold(int node, bool on) {
+void FakeDiscoveryServer::hold(int node, bool on) {
     Agent& agent = *agents_[static_cast<std::size_t>(node)];
     agent.held = on;
     if (on) return;
-    const std::set<Conn::Ptr> conns = agent.conns;
-    for (const Conn::Ptr& c : conns) {
+    const std::set<Connection::Ptr> conns = agent.conns;
+    for (const Connection::Ptr& c : conns) {
         if (!c->is_closed() && !c->input().empty()) input(node, *c);
     }
     tell_all();
 }
 
-void DiscoveryServer::stale(bool on) {
+void FakeDiscoveryServer::stale(bool on) {
     stale_ = on;
     if (on) return;
     for (const auto& change : std::exchange(kept_back_, {})) change();
 }
 
-void DiscoveryServer::restart(std::set<int> left_out) {
+void FakeDiscoveryServer::restart(std::set<int> left_out) {
     left_out_ = std::move(left_out);
     version_ = kRestartedAt;
     for (Entry& e : entries_) e.changed = kRestartedAt;
     for (auto& agent : agents_) {
         agent->watch.reset();
-        const std::set<Conn::Ptr> conns = std::exchange(agent->conns, {});
-        for (const Conn::Ptr& c : conns) c->reset();
+        const std::set<Connection::Ptr> conns = std::exchange(agent->conns, {});
+        for (const Connection::Ptr& c : conns) c->reset();
     }
 }
 
-void DiscoveryServer::readmit() {
+void FakeDiscoveryServer::readmit() {
     for (const int server : std::exchange(left_out_, {}))
         entries_[static_cast<std::size_t>(server)].changed = ++version_;
     tell_all();
--- a/src/testkit/fake_origin_server.cpp
+++ b/src/testkit/fake_origin_server.cpp
@@ -7,30 +7,30 @@
 constexpr double kLook = 0.1;  // s between looks at the push
 }
 
-OriginServer::OriginServer(World& world, int number)
-    : world_(world),
+FakeOriginServer::FakeOriginServer(TestEnvironment& environment, int number)
+    : environment_(environment),
       number_(number),
-      bench_(world.scenario.origin.slots, world.scenario.origin.queue,
-             [this](double) { return world_.scenario.origin.speed / factor_; }),
-      timer_(world.io),
-      listener_(world.io, world.host, [this](Tcp::socket s) { accept(std::move(s)); }) {
+      bench_(environment.scenario.origin.slots, environment.scenario.origin.queue,
+             [this](double) { return environment_.scenario.origin.speed / factor_; }),
+      timer_(environment.io),
+      listener_(environment.io, environment.host, [this](Tcp::socket s) { accept(std::move(s)); }) {
     look();
 }
 
-double OriginServer::capacity() const {
-    return world_.scenario.origin.slots * world_.scenario.origin.speed / factor_;
+double FakeOriginServer::capacity() const {
+    return environment_.scenario.origin.slots * environment_.scenario.origin.speed / factor_;
 }
 
-double OriginServer::asked() const { return meter_.rate(world_.now()); }
+double FakeOriginServer::asked() const { return meter_.rate(environment_.now()); }
 
-void OriginServer::accept(Tcp::socket socket) {
+void FakeOriginServer::accept(Tcp::socket socket) {
     const std::uint64_t id = ++last_peer_;
-    peers_[id].conn =
-        Conn::accepted(std::move(socket), world_.clock,
-                       {nullptr, [this, id](Conn&) { input(id); }, [this, id](Conn&) { peer_gone(id); }});
+    peers_[id].conn = Connection::accepted(
+        std::move(socket), environment_.clock,
+        {nullptr, [this, id](Connection&) { input(id); }, [this, id](Connection&) { peer_gone(id); }});
 }
 
-void OriginServer::peer_gone(std::uint64_t peer) {
+void FakeOriginServer::peer_gone(std::uint64_t peer) {
     const auto found = peers_.find(peer);
     if (found == peers_.end()) return;
     for (const auto& [forward, text] : found->second.answers) {
@@ -41,11 +41,11 @@
     peers_.erase(found);
 }
 
-void OriginServer::input(std::uint64_t peer) {
+void FakeOriginServer::input(std::uint64_t peer) {
     while (true) {
         const auto found = peers_.find(peer);
         if (found == peers_.end()) return;
-        Conn& conn = *found->second.conn;
+        Connection& conn = *found->second.conn;
         Request request;
         const double first_byte = conn.first_byte_at();
         const std::size_t taken = read_request(conn.input(), request);
@@ -55,30 +55,30 @@
     }
 }
 
-void OriginServer::begin(std::uint64_t peer, Peer& p, const Request& request, double first_byte) {
-    const double now = world_.now();
-    const int forward = world_.forwards++;
+void FakeOriginServer::begin(std::uint64_t peer, Peer& p, const Request& request, double first_byte) {
+    const double now = environment_.now();
+    const int forward = environment_.forwards++;
     const Properties properties = read_properties(request.properties);
     Job job;
     job.peer = peer;
     job.write = request.method == "PUT";
     job.mark = properties.mark;
-    const int operation = world_.operation(properties.operation);
+    const int operation = environment_.operation(properties.operation);
     job.operation = std::max(0, operation);
     Command key;
     const std::string as_command = "mg " + std::string(request.target.substr(1)) + " v O1 Pc=x\r\n";
     (void)read_command(as_command, key);
     job.key = key.key;
-    const bool sound = request.sound && operation >= 0 && read_id(request.id, world_.day, job.inv) &&
+    const bool sound = request.sound && operation >= 0 && read_id(request.id, environment_.day, job.inv) &&
                        (job.write || request.method == "GET") && request.target.starts_with('/');
     const double work =
-        sound ? world_.scenario.operations[static_cast<std::size_t>(operation)].origin_work : 0;
+        sound ? environment_.scenario.operations[static_cast<std::size_t>(operation)].origin_work : 0;
     ++(job.write ? counts_.writes : counts_.reads);
     meter_.offered(now, work);
-    world_.auditor.on_attempt(first_byte, now, forward, sound ? job.inv : -1, number_, work);
+    environment_.auditor.on_attempt(first_byte, now, forward, sound ? job.inv : -1, number_, work);
     p.answers.emplace_back(forward, "");
     if (!sound) {
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         return answer(peer, forward, http_response(400, "no such request"));
     }
     if (halted()) return;  // it hears, and says nothing
@@ -86,44 +86,44 @@
     if (!bench_.enter(now, forward, work)) {
         ++counts_.busy;
         jobs_.erase(forward);
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
         return answer(peer, forward, http_response(503, "full", "X-Never-Ran: 1"));
     }
     arm();
 }
 
-void OriginServer::finish(int forward) {
+void FakeOriginServer::finish(int forward) {
     const auto found = jobs_.find(forward);
     if (found == jobs_.end()) return;
     const Job job = std::move(found->second);
     jobs_.erase(found);
-    const double now = world_.now();
-    const OperationPlan& op = world_.scenario.operations[static_cast<std::size_t>(job.operation)];
+    const double now = environment_.now();
+    const OperationPlan& op = environment_.scenario.operations[static_cast<std::size_t>(job.operation)];
     if (job.write) {
         if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
             marks_.seen(now, job.mark, op.promised.deduplication_window)) {
-            world_.auditor.on_duplicate_dropped(now, forward);
+            environment_.auditor.on_duplicate_dropped(now, forward);
         } else {
-            ++world_.versions[job.key];
-            world_.auditor.on_effect(now, forward);
-            world_.drop_copies(job.key);
+            ++environment_.versions[job.key];
+            environment_.auditor.on_effect(now, forward);
+            environment_.drop_copies(job.key);
         }
-        world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
+        environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
         return answer(job.peer, forward, http_response(200, "f" + std::to_string(forward)));
     }
-    const std::uint32_t version = world_.version(job.key);
-    world_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
-    const auto missed = world_.missed.find(job.inv);
-    if (missed != world_.missed.end()) {
-        for (const int server : missed->second) world_.fill(server, job.key, version);
-        world_.missed.erase(missed);
+    const std::uint32_t version = environment_.version(job.key);
+    environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::done);
+    const auto missed = environment_.missed.find(job.inv);
+    if (missed != environment_.missed.end()) {
+        for (const int server : missed->second) environment_.fill(server, job.key, version);
+        environment_.missed.erase(missed);
     }
     answer(
         job.peer, forward,
         http_response(200, value_text(forward, job.key, version, static_cast<std::size_t>(op.value_bytes))));
 }
 
-void OriginServer::answer(std::uint64_t peer, int forward, std::string text) {
+void FakeOriginServer::answer(std::uint64_t peer, int forward, std::string text) {
     const auto found = peers_.find(peer);
     if (found == peers_.end()) return;
     Peer& p = found->second;
@@ -136,32 +136,32 @@
     }
 }
 
-void OriginServer::arm() {
+void FakeOriginServer::arm() {
     const double next = bench_.next_end();
     if (next >= armed_for_) return;
     armed_for_ = next;
-    timer_.expires_at(world_.clock.at(next));
+    timer_.expires_at(environment_.clock.at(next));
     timer_.async_wait([this](const Code& bad) {
         if (bad) return;
         armed_for_ = kNever;
-        while (const auto done = bench_.pop_ended(world_.now())) finish(*done);
+        while (const auto done = bench_.pop_ended(environment_.now())) finish(*done);
         arm();
     });
 }
 
-void OriginServer::look() {
-    const double now = world_.now();
-    const OriginKind& kind = world_.scenario.origin;
+void FakeOriginServer::look() {
+    const double now = environment_.now();
+    const OriginKind& kind = environment_.scenario.origin;
     if (!halted() && meter_.over(now, capacity(), kind.fall_multiple, kind.fall_time)) {
-        world_.auditor.on_server_overloaded(now, number_);
+        environment_.auditor.on_server_overloaded(now, number_);
         halt(kind.halt);
     }
-    world_.at(now + kLook, [this] { look(); });
+    environment_.at(now + kLook, [this] { look(); });
 }
 
-void OriginServer::halt(double seconds) {
+void FakeOriginServer::halt(double seconds) {
     ++counts_.halts;
-    halted_until_ = world_.now() + seconds;
+    halted_until_ = environment_.now() + seconds;
     bench_.clear();
     jobs_.clear();
     timer_.cancel();
--- a/src/testkit/fake_origin_server.h
+++ b/src/testkit/fake_origin_server.h
@@ -1,6 +1,6 @@
-// The slow origin (an activation master), as the protocol's page has it: HTTP/1.1 on a port of its own, with
-// a capacity, a queue, marks of repeats, and a stop when it is asked for far more than it can do. It owns the
-// versions' growth: a write that ran drops all copies, a read that ran is stored where it had missed.
+// The slow origin (activation master) by the protocol specification: HTTP/1.1 with a capacity, a queue,
+// deduplication, and a halt when it is overloaded. It owns the versions of the values: a write that ran
+// invalidates all copies, a read that ran is stored where it had missed.
 #pragma once
 
 #include <deque>
@@ -14,27 +14,27 @@
 
 namespace brookrelay::testkit {
 
-class OriginServer {
+class FakeOriginServer {
   public:
-    OriginServer(World& world, int number);
+    FakeOriginServer(TestEnvironment& environment, int number);
 
     std::string address() const { return listener_.address(); }
 
-    // Troubles.
+    // Faults.
     void slow(double factor) { factor_ = factor; }
-    void halt(double seconds);  // answers nothing for so long; what it holds is lost
+    void halt(double seconds);  // gives no response for so long; pending requests are lost
 
     struct Counts {
         std::uint64_t reads = 0, writes = 0, busy = 0, halts = 0;
     };
     const Counts& counts() const { return counts_; }
-    double capacity() const;  // work a second, now
-    double asked() const;     // work a second it was asked for, over the last half second
-    bool halted() const { return world_.now() < halted_until_; }
+    double capacity() const;  // current, in work per second
+    double asked() const;     // demanded work per second, over the last half second
+    bool halted() const { return environment_.now() < halted_until_; }
 
   private:
     struct Peer {
-        Conn::Ptr conn;
+        Connection::Ptr conn;
         std::deque<std::pair<int, std::string>> answers;
     };
     struct Job {
@@ -55,11 +55,11 @@
     void arm();
     void look();
 
-    World& world_;
+    TestEnvironment& environment_;
     const int number_;
-    Workbench bench_;
-    DedupWindow marks_;
-    PushMeter meter_;
+    WorkQueue bench_;
+    DeduplicationWindow marks_;
+    OverloadDetector meter_;
     boost::asio::steady_timer timer_;
     double armed_for_ = kNever;
     std::map<std::uint64_t, Peer> peers_;
--- a/src/testkit/fault_schedule.cpp
+++ b/src/testkit/fault_schedule.cpp
@@ -47,17 +47,17 @@
 struct Stream {
     double from = 0, until = 0, peak = 0;
     std::function<double(double)> rate;
-    std::function<void(Planned&, Engine&)> fill;
+    std::function<void(PlannedRequest&, Engine&)> fill;
 };
 
-void draw_stream(const Stream& stream, Engine& engine, std::vector<Planned>& out) {
+void draw_stream(const Stream& stream, Engine& engine, std::vector<PlannedRequest>& out) {
     if (stream.peak <= 0) return;
     boost::random::uniform_01<double> unit;
     boost::random::exponential_distribution<double> gap(stream.peak);
     // Thinning: arrivals at the highest rate, of which each stays by the rate at its time.
     for (double t = stream.from + gap(engine); t < stream.until; t += gap(engine)) {
         const bool stays = unit(engine) * stream.peak < stream.rate(t);
-        Planned p;
+        PlannedRequest p;
         p.at = t;
         stream.fill(p, engine);
         if (stays) out.push_back(p);
@@ -68,7 +68,7 @@
 
 std::uint64_t key_of_rank(std::uint64_t rank) { return mixed(rank); }
 
-std::vector<Planned> draw_schedule(const Scenario& s, std::uint64_t seed) {
+std::vector<PlannedRequest> draw_schedule(const Scenario& s, std::uint64_t seed) {
     const Zipf zipf(s.keys.count, s.keys.skew);
     std::vector<double> operation_shares, tenant_shares, read_shares;
     for (const OperationPlan& o : s.operations) {
@@ -80,7 +80,7 @@
     boost::random::discrete_distribution<int> read(read_shares);
     boost::random::uniform_01<double> unit;
 
-    const auto common = [&](Planned& p, Engine& e) {
+    const auto common = [&](PlannedRequest& p, Engine& e) {
         p.operation = operation(e);
         if (!tenant_shares.empty()) p.tenant = boost::random::discrete_distribution<int>(tenant_shares)(e);
         const auto moved = static_cast<std::uint64_t>(s.keys.drift * p.at);
@@ -106,7 +106,7 @@
     }();
     const auto rate = [&](double t) { return s.clients.rate * at(s.clients.curve, t, 1); };
 
-    std::vector<Planned> all;
+    std::vector<PlannedRequest> all;
     // Each stream has a generator of its own, so that a trouble that adds arrivals changes no others.
     Engine base(seed * 1000003);
     draw_stream({0, s.length, s.clients.rate * highest, rate, common}, base, all);
@@ -118,7 +118,7 @@
             std::uint64_t next = kScanRank + (static_cast<std::uint64_t>(i) << 30);
             draw_stream(
                 {t.at, until, s.clients.rate * t.part, [&](double) { return s.clients.rate * t.part; },
-                 [&](Planned& p, Engine& e) {
+                 [&](PlannedRequest& p, Engine& e) {
                      common(p, e);
                      if (!read.probabilities().empty()) p.operation = read(e);
                      p.key = key_of_rank(next++);
@@ -137,7 +137,7 @@
                 }
                 const double more = s.clients.rate * (t.factor - 1) * (sum > 0 ? share / sum : 0);
                 draw_stream({t.at, until, more, [&](double) { return more; },
-                             [&](Planned& p, Engine& e) {
+                             [&](PlannedRequest& p, Engine& e) {
                                  common(p, e);
                                  p.tenant = tenant;
                              }},
@@ -145,11 +145,12 @@
             }
         }
     }
-    std::stable_sort(all.begin(), all.end(), [](const Planned& a, const Planned& b) { return a.at < b.at; });
+    std::stable_sort(all.begin(), all.end(),
+                     [](const PlannedRequest& a, const PlannedRequest& b) { return a.at < b.at; });
     return all;
 }
 
-std::uint64_t digest(const std::vector<Planned>& schedule, const std::vector<Trouble>& troubles) {
+std::uint64_t digest(const std::vector<PlannedRequest>& schedule, const std::vector<Trouble>& troubles) {
     std::uint64_t h = 0;
     const auto add = [&h](std::uint64_t x) { h = mixed(h ^ x); };
     const auto bits = [](double d) {
@@ -157,7 +158,7 @@
         std::memcpy(&x, &d, sizeof x);
         return x;
     };
-    for (const Planned& p : schedule) {
+    for (const PlannedRequest& p : schedule) {
         add(bits(p.at));
         add(p.key);
         add(static_cast<std::uint64_t>(p.operation) << 32 | static_cast<std::uint32_t>(p.tenant));
--- a/src/testkit/fault_schedule.h
+++ b/src/testkit/fault_schedule.h
@@ -1,6 +1,5 @@
-// Who asks for what and when, on one day: drawn ahead from the scenario and a seed, without I/O, so that the
-// same seed gives the same day whatever the fleet does. Further tries are not in it: they hang on the
-// answers.
+// The planned requests of one run, drawn ahead from the scenario and a seed, so that the same seed gives the
+// same requests whatever the fleet does. Retries are not part of it; they depend on the responses. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +10,7 @@
 
 namespace brookrelay::testkit {
 
-struct Planned {
+struct PlannedRequest {
     double at = 0;
     int operation = 0;
     int tenant = -1;
@@ -22,10 +21,10 @@
     std::uint32_t chance = 0;  // for what is drawn later on its behalf
 };
 
-std::vector<Planned> draw_schedule(const Scenario& scenario, std::uint64_t seed);
+std::vector<PlannedRequest> draw_schedule(const Scenario& scenario, std::uint64_t seed);
 // The key that has this rank of popularity at the day's start.
 std::uint64_t key_of_rank(std::uint64_t rank);
 // One number for a schedule and the troubles: the same day has the same.
-std::uint64_t digest(const std::vector<Planned>& schedule, const std::vector<Trouble>& troubles);
+std::uint64_t digest(const std::vector<PlannedRequest>& schedule, const std::vector<Trouble>& troubles);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/fleet_views.h
+++ b/src/testkit/fleet_views.h
@@ -1,5 +1,4 @@
-// What nodes that talk said of the fleet in the course of a day, looked at as one: when all of some were so,
-// and what that came to at the stand-ins. It only reads a day's result.
+// Queries on the fleet views that nodes reported in a run, over all nodes and over time.
 #pragma once
 
 #include <functional>
--- a/src/testkit/greedy_peer.h
+++ b/src/testkit/greedy_peer.h
@@ -1,5 +1,5 @@
-// A peer that lies about limits: in the place of a node that is gone it says that it is there, and answers
-// each question for a part with the whole. It owns its socket and its thread, and tells no other lie.
+// A misbehaving peer: in place of a node that has ended it claims to be alive, and answers each lease request
+// with the whole quota. It owns its socket and its thread.
 #pragma once
 
 #include <array>
@@ -19,18 +19,18 @@
 
 namespace brookrelay::testkit {
 
-class Claimer {
+class GreedyPeer {
   public:
-    explicit Claimer(int node) : node_(node) {}
-    ~Claimer() {
+    explicit GreedyPeer(int node) : node_(node) {}
+    ~GreedyPeer() {
         ends_ = true;
         if (thread_.joinable()) thread_.join();
     }
-    // At the address where that node listened for its peers; its own process must be gone.
+    // Binds the gossip address of that node, whose process must have ended.
     void start(const std::string& address) {
         thread_ = std::thread([this, address] { run(address); });
     }
-    int claims() const { return claims_; }  // questions answered so
+    int claims() const { return claims_; }  // lease requests answered with the whole quota
 
   private:
     using Udp = boost::asio::ip::udp;
@@ -68,7 +68,7 @@
             }
             said.lease_grants.clear();
             for (const auto& [to, life] : lives) {
-                if (turn % 10 == 0) say(to);  // so that it counts as there
+                if (turn % 10 == 0) say(to);  // so that it counts as alive
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         }
--- a/src/testkit/histogram.h
+++ b/src/testkit/histogram.h
@@ -1,5 +1,4 @@
-// Latencies in bins whose width grows with the time: the parts of a distribution to some three in a hundred,
-// in a few kilobytes. No I/O.
+// Latency histogram with logarithmic bins: quantiles to within about 3% in a few kilobytes. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -26,7 +25,7 @@
     std::uint64_t count() const { return count_; }
     double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
     double most() const { return most_; }
-    // The time within which this part of all fell; 0 if there is none.
+    // The upper bound of the given quantile, 0 to 1; 0 if the histogram is empty.
     double quantile(double part) const {
         const double wanted = part * static_cast<double>(count_);
         double seen = bins_.at(-1);  // under the first bin
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -47,14 +47,15 @@
         : clock_(clock),
           value_(value_text(0, 0, 0, static_cast<std::size_t>(bytes))),
           listener_(io, host, [this](Tcp::socket s) {
-              conns_.insert(Conn::accepted(std::move(s), clock_,
-                                           {nullptr, [this](Conn& c) { input(c); },
-                                            [this](Conn& c) { conns_.erase(c.shared_from_this()); }}));
+              conns_.insert(
+                  Connection::accepted(std::move(s), clock_,
+                                       {nullptr, [this](Connection& c) { input(c); },
+                                        [this](Connection& c) { conns_.erase(c.shared_from_this()); }}));
           }) {}
     std::string address() const { return listener_.address(); }
 
   private:
-    void input(Conn& conn) {
+    void input(Connection& conn) {
         Command command;
         std::string out;
         for (std::size_t n = read_command(conn.input(), command); n > 0;
@@ -71,7 +72,7 @@
     }
     const Clock& clock_;
     const std::string value_;
-    std::set<Conn::Ptr> conns_;
+    std::set<Connection::Ptr> conns_;
     Listener listener_;
 };
 
@@ -99,7 +100,7 @@
 
   private:
     struct Client {
-        Conn::Ptr conn;
+        Connection::Ptr conn;
         double due = -1;  // of what is out; -1: nothing is
         std::string id;
     };
@@ -107,9 +108,10 @@
     void begin(int clients) {
         for (int i = 0; i < clients; ++i) {
             Client& c = clients_.emplace_back();
-            c.conn = Conn::to(loop_.io, where_, clock_,
-                              {[this, &c](Conn&) { free(c); }, [this, &c](Conn&) { input(c); },
-                               [this](Conn&) { ++other; }});
+            c.conn =
+                Connection::to(loop_.io, where_, clock_,
+                               {[this, &c](Connection&) { free(c); }, [this, &c](Connection&) { input(c); },
+                                [this](Connection&) { ++other; }});
         }
         if (rate_ > 0) next_arrival(clock_.now());
     }
@@ -225,7 +227,7 @@
     const Tcp::endpoint where(boost::asio::ip::make_address(host), port);
     const int cpu = plan.cpu >= 0 ? plan.cpu : static_cast<int>(std::thread::hardware_concurrency()) - 1;
     const std::string listen = host + ":" + std::to_string(port);
-    Daemon daemon({plan.program, plan.folder, "load", cpu});
+    DaemonProcess daemon({plan.program, plan.folder, "load", cpu});
     daemon.configure(station_json(scenario, 0, listen, discovery_at,
                                   R"({"seq":1,"whole":true,"hosts":[)" + hosts + "]}", 7));
     daemon.start();
@@ -251,7 +253,7 @@
         pass(plan.seconds);
         for (auto& a : askers) a->count(false);
         result.seconds = clock.now() - from;
-        const ProcessFigures after = daemon.figures();
+        const ProcessUsage after = daemon.figures();
         result.cpu = after.cpu - cpu_before;
         result.rss_mb = after.rss_mb;
         for (auto& a : askers) a->stop();
--- a/src/testkit/load.h
+++ b/src/testkit/load.h
@@ -1,7 +1,6 @@
-// The load mode: one daemon on one core, before caches that answer at once, asked by so many clients as fast
-// as they are answered (closed loop) or at a given rate (open loop: an answer's time counts from when it was
-// due to be asked, so that a slow daemon cannot hide what it kept waiting). It judges no rule; it measures
-// the node.
+// Load measurement: one daemon on one core in front of cache servers that respond at once, in closed loop or
+// at a given rate. In open loop latency counts from the scheduled time of a request, so that a slow daemon
+// cannot hide the queue it causes.
 #pragma once
 
 #include <string>
@@ -15,7 +14,7 @@
     std::string program;
     std::string folder;
     int clients = 16;
-    double rate = 0;  // invocations a second; 0: closed loop
+    double rate = 0;  // requests/s; 0: closed loop
     double seconds = 5;
     double warm_up = 1;
     int caches = 4;
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-struct Crowd::Line {
+struct LoadClients::Line {
     int node = 0;
-    Conn::Ptr conn;
+    Connection::Ptr conn;
     bool busy = false;
     bool fresh = true;    // has carried no whole exchange yet
     bool resent = false;  // what is on it crossed the end of another connection
@@ -27,40 +27,41 @@
     double wait = 0;
 };
 
-Crowd::Crowd(World& world, const std::vector<Planned>& schedule, std::uint64_t seed)
-    : world_(world),
+LoadClients::LoadClients(TestEnvironment& environment, const std::vector<PlannedRequest>& schedule,
+                         std::uint64_t seed)
+    : environment_(environment),
       schedule_(schedule),
-      nodes_(static_cast<std::size_t>(world.scenario.nodes)),
+      nodes_(static_cast<std::size_t>(environment.scenario.nodes)),
       chance_(seed * 7919 + 13),
-      arrivals_(world.io),
-      latencies_(world.scenario.operations.size()) {}
+      arrivals_(environment.io),
+      latencies_(environment.scenario.operations.size()) {}
 
 // A line and its connection hold one another for as long as the connection may bring news.
-Crowd::~Crowd() {
+LoadClients::~LoadClients() {
     for (const Node& n : nodes_) {
         for (const std::shared_ptr<Line>& line : n.all) line->conn.reset();
     }
 }
 
-void Crowd::node_at(int node, const Tcp::endpoint& where) {
+void LoadClients::node_at(int node, const Tcp::endpoint& where) {
     nodes_[static_cast<std::size_t>(node)].where = where;
 }
 
-void Crowd::front_uses(int node, bool yes) { nodes_[static_cast<std::size_t>(node)].used = yes; }
+void LoadClients::front_uses(int node, bool yes) { nodes_[static_cast<std::size_t>(node)].used = yes; }
 
-void Crowd::begin(double day) {
+void LoadClients::begin(double day) {
     begun_ = day;
     next_arrival();
 }
 
-void Crowd::stop() {
+void LoadClients::stop() {
     stopped_ = true;
     next_ = schedule_.size();
     arrivals_.cancel();
 }
 
-void Crowd::next_arrival() {
-    const double now = world_.now();
+void LoadClients::next_arrival() {
+    const double now = environment_.now();
     while (next_ < schedule_.size() && schedule_[next_].at <= now) {
         User user;
         user.plan = &schedule_[next_++];
@@ -71,21 +72,21 @@
         attempt(user);
     }
     if (next_ >= schedule_.size()) return;
-    arrivals_.expires_at(world_.clock.at(schedule_[next_].at));
+    arrivals_.expires_at(environment_.clock.at(schedule_[next_].at));
     arrivals_.async_wait([this](const Code& bad) {
         if (!bad) next_arrival();
     });
 }
 
-int Crowd::pick(const User& user) {
+int LoadClients::pick(const User& user) {
     std::vector<int> usable;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
         if (nodes_[n].used) usable.push_back(static_cast<int>(n));
     }
     // Where a tenant's clients come to some nodes alone, the others are for when none of these is there.
     if (user.plan->tenant >= 0) {
-        const TenantPlan& t = world_.scenario.tenants[static_cast<std::size_t>(user.plan->tenant)];
-        const bool moved = t.moves > 0 && world_.now() >= begun_ + t.moves;
+        const TenantPlan& t = environment_.scenario.tenants[static_cast<std::size_t>(user.plan->tenant)];
+        const bool moved = t.moves > 0 && environment_.now() >= begun_ + t.moves;
         std::vector<int> theirs;
         for (const std::string& name : moved ? t.then : t.nodes) {
             const int node = std::stoi(name.substr(1));
@@ -100,9 +101,10 @@
     return usable.empty() ? static_cast<int>(chosen) : usable[chosen];
 }
 
-void Crowd::attempt(User user) {
-    const double now = world_.now();
-    const Operation& op = world_.scenario.operations[static_cast<std::size_t>(user.plan->operation)].promised;
+void LoadClients::attempt(User user) {
+    const double now = environment_.now();
+    const Operation& op =
+        environment_.scenario.operations[static_cast<std::size_t>(user.plan->operation)].promised;
     if (user.tries == 0) user.first_asked = now;
     double wait = op.client_timeout * static_cast<double>(user.plan->patience);
     wait = std::min(wait, user.first_asked + op.client_timeout - now);
@@ -135,44 +137,46 @@
     ask.retry_number = user.tries;
     ask.key = user.plan->key;
     ask.timeout = wait;
-    world_.auditor.on_request(now, line->inv, ask);
+    environment_.auditor.on_request(now, line->inv, ask);
     if (line->conn == nullptr) {
         dial(node, line);
     } else {
         send(line);
     }
     const int inv = line->inv;
-    const double patience = wait + world_.scenario.answer_grace + 0.05 + kHoldOn;
-    world_.at(now + patience, [this, line, inv] { expire(line, inv); });
+    const double patience = wait + environment_.scenario.answer_grace + 0.05 + kHoldOn;
+    environment_.at(now + patience, [this, line, inv] { expire(line, inv); });
     if (user.plan->leaves >= 0 && user.tries == 0) {
-        world_.at(now + wait * static_cast<double>(user.plan->leaves), [this, line, inv] {
+        environment_.at(now + wait * static_cast<double>(user.plan->leaves), [this, line, inv] {
             if (!line->busy || line->inv != inv) return;
-            world_.auditor.on_client_closed(world_.now(), inv);
+            environment_.auditor.on_client_closed(environment_.now(), inv);
             line->conn->close();
             over(line);
         });
     }
 }
 
-void Crowd::dial(int node, const std::shared_ptr<Line>& line) {
+void LoadClients::dial(int node, const std::shared_ptr<Line>& line) {
     Node& n = nodes_[static_cast<std::size_t>(node)];
     n.all.insert(line);
     line->fresh = true;
-    line->conn = Conn::to(world_.io, n.where, world_.clock,
-                          {[this, line](Conn&) { send(line); }, [this, line](Conn&) { input(line); },
-                           [this, line](Conn&) { ended(line); }});
+    line->conn =
+        Connection::to(environment_.io, n.where, environment_.clock,
+                       {[this, line](Connection&) { send(line); }, [this, line](Connection&) { input(line); },
+                        [this, line](Connection&) { ended(line); }});
 }
 
-void Crowd::send(const std::shared_ptr<Line>& line) {
+void LoadClients::send(const std::shared_ptr<Line>& line) {
     if (!line->busy) return;
-    const Planned& plan = *line->user.plan;
-    const OperationPlan& op = world_.scenario.operations[static_cast<std::size_t>(plan.operation)];
+    const PlannedRequest& plan = *line->user.plan;
+    const OperationPlan& op = environment_.scenario.operations[static_cast<std::size_t>(plan.operation)];
     std::string list = "Pc=" + op.name;
-    if (plan.tenant >= 0) list += ",t=" + world_.scenario.tenants[static_cast<std::size_t>(plan.tenant)].name;
+    if (plan.tenant >= 0)
+        list += ",t=" + environment_.scenario.tenants[static_cast<std::size_t>(plan.tenant)].name;
     list += ",d=" + std::to_string(std::llround(line->wait * 1e3));
     if (op.promised.idempotency == Idempotency::idempotency_key) list += ",k=" + key_text(line->user.mark);
-    if (line->user.tries > 0 && world_.scenario.clients.mark_repeats) list += ",r=1";
-    const std::string id = id_text(world_.day, line->inv);
+    if (line->user.tries > 0 && environment_.scenario.clients.mark_repeats) list += ",r=1";
+    const std::string id = id_text(environment_.day, line->inv);
     const std::string key = key_text(plan.key);
     if (op.write) {
         const std::string value = value_text(0, plan.key, 0, static_cast<std::size_t>(op.value_bytes));
@@ -183,15 +187,15 @@
     }
 }
 
-void Crowd::input(const std::shared_ptr<Line>& line) {
-    Conn& conn = *line->conn;
+void LoadClients::input(const std::shared_ptr<Line>& line) {
+    Connection& conn = *line->conn;
     while (!conn.is_closed()) {
         Heard heard;
         const std::size_t taken = read_heard(conn.input(), heard);
         if (taken == 0) return;
-        const double now = world_.now();
+        const double now = environment_.now();
         int inv = -1;
-        const bool ours = heard.id.empty() || (read_id(heard.id, world_.day, inv) && inv == line->inv);
+        const bool ours = heard.id.empty() || (read_id(heard.id, environment_.day, inv) && inv == line->inv);
         audit::Reply reply = audit::Reply::failed;
         int forward = -1;
         double advice = 0;
@@ -212,7 +216,7 @@
             advice = heard.advice;
         }
         conn.take(taken);
-        world_.auditor.on_response(now, line->inv, reply, forward);
+        environment_.auditor.on_response(now, line->inv, reply, forward);
         if (!line->busy) continue;  // an answer nobody waits for: the judge has it
         const User user = line->user;
         line->fresh = false;
@@ -226,7 +230,7 @@
     }
 }
 
-void Crowd::free_line(const std::shared_ptr<Line>& line) {
+void LoadClients::free_line(const std::shared_ptr<Line>& line) {
     --open_;
     line->busy = false;
     Node& n = nodes_[static_cast<std::size_t>(line->node)];
@@ -238,7 +242,7 @@
     n.idle.push_back(line);
 }
 
-void Crowd::over(const std::shared_ptr<Line>& line) {
+void LoadClients::over(const std::shared_ptr<Line>& line) {
     if (line->busy) --open_;
     line->busy = false;
     Node& n = nodes_[static_cast<std::size_t>(line->node)];
@@ -246,14 +250,14 @@
     std::erase(n.idle, line);
 }
 
-void Crowd::ended(const std::shared_ptr<Line>& line) {
-    const double now = world_.now();
+void LoadClients::ended(const std::shared_ptr<Line>& line) {
+    const double now = environment_.now();
     const bool was_busy = line->busy;
     const bool cut = line->conn->input().starts_with("VA ");
     const bool was_up = line->conn->is_up();
     if (!was_busy) return over(line);
     if (!line->fresh && !line->resent && line->conn->input().empty() &&
-        !world_.auditor.has_attempts(line->inv)) {
+        !environment_.auditor.has_attempts(line->inv)) {
         // The node closed this idle connection just when the command was on its way: asked once more, as it
         // is.
         std::erase(nodes_[static_cast<std::size_t>(line->node)].idle, line);
@@ -264,42 +268,43 @@
     const int inv = line->inv;
     over(line);
     if (!was_up) {
-        world_.auditor.on_unreachable(now, inv);
+        environment_.auditor.on_unreachable(now, inv);
         return try_again(user, After::unreachable, 0);
     }
     if (cut) {
-        world_.auditor.on_response(now, inv, audit::Reply::truncated, -1);
+        environment_.auditor.on_response(now, inv, audit::Reply::truncated, -1);
     } else {
-        world_.auditor.on_connection_closed(now, inv);
+        environment_.auditor.on_connection_closed(now, inv);
     }
     try_again(user, After::lost, 0);
 }
 
-void Crowd::expire(const std::shared_ptr<Line>& line, int inv) {
+void LoadClients::expire(const std::shared_ptr<Line>& line, int inv) {
     if (!line->busy || line->inv != inv) return;
     const User user = line->user;
     if (line->conn->is_up()) {
-        world_.auditor.on_client_timeout(world_.now(), inv);
+        environment_.auditor.on_client_timeout(environment_.now(), inv);
     } else {
-        world_.auditor.on_unreachable(world_.now(), inv);
+        environment_.auditor.on_unreachable(environment_.now(), inv);
     }
     line->conn->close();
     over(line);
     try_again(user, After::lost, 0);
 }
 
-void Crowd::try_again(const User& user, After after, double advice) {
-    const Operation& op = world_.scenario.operations[static_cast<std::size_t>(user.plan->operation)].promised;
-    if (stopped_ || user.tries >= world_.scenario.clients.retries) return;
+void LoadClients::try_again(const User& user, After after, double advice) {
+    const Operation& op =
+        environment_.scenario.operations[static_cast<std::size_t>(user.plan->operation)].promised;
+    if (stopped_ || user.tries >= environment_.scenario.clients.retries) return;
     const bool may_have_run = after == After::errored || after == After::lost;
     if (op.idempotency == Idempotency::none && may_have_run) return;
     User again = user;
     ++again.tries;
     boost::random::uniform_01<double> unit;
-    double wait = world_.scenario.clients.wait * std::pow(2.0, user.tries) * (0.5 + unit(chance_));
+    double wait = environment_.scenario.clients.wait * std::pow(2.0, user.tries) * (0.5 + unit(chance_));
     if (advice > 0) wait = advice * (1 + 0.25 * unit(chance_));
     ++waiting_;
-    world_.at(world_.now() + wait, [this, again] {
+    environment_.at(environment_.now() + wait, [this, again] {
         --waiting_;
         if (!stopped_) attempt(again);
     });
@@ -308,45 +313,47 @@
 // ---- who only hinders -----------------------------------------------------------------------------------
 
 // One connection that says a byte of a command a second and never ends it; let go, it comes again.
-struct Crowd::Trickler : std::enable_shared_from_this<Trickler> {
-    Trickler(World& w, const Tcp::endpoint& to, double end) : world(w), where(to), until(end) {}
+struct LoadClients::Trickler : std::enable_shared_from_this<Trickler> {
+    Trickler(TestEnvironment& w, const Tcp::endpoint& to, double end)
+        : environment(w), where(to), until(end) {}
     void step() {
         static constexpr std::string_view kEndless = "mg 00000000000000000000000000000000000000000000000000";
-        if (world.now() >= until) {
+        if (environment.now() >= until) {
             if (conn) conn->close();
             return;
         }
         if (!conn || conn->is_closed()) {
-            conn = Conn::to(world.io, where, world.clock, {});
+            conn = Connection::to(environment.io, where, environment.clock, {});
             said = 0;
         } else if (conn->is_up()) {
             conn->write(kEndless.substr(said++ % kEndless.size(), 1));
         }
-        world.at(world.now() + kTrickle, [self = shared_from_this()] { self->step(); });
+        environment.at(environment.now() + kTrickle, [self = shared_from_this()] { self->step(); });
     }
-    World& world;
+    TestEnvironment& environment;
     const Tcp::endpoint where;
     const double until;
-    Conn::Ptr conn;
+    Connection::Ptr conn;
     std::size_t said = 0;
 };
 
 // One connection that asks again and again and reads nothing of what comes.
-struct Crowd::NonReader : std::enable_shared_from_this<NonReader> {
-    NonReader(Crowd& c, int at_node, int op, double end)
+struct LoadClients::NonReader : std::enable_shared_from_this<NonReader> {
+    NonReader(LoadClients& c, int at_node, int op, double end)
         : crowd(c), node(at_node), operation(op), until(end) {}
     void step() {
-        World& world = crowd.world_;
-        const double now = world.now();
+        TestEnvironment& environment = crowd.environment_;
+        const double now = environment.now();
         if (now >= until) {
             if (conn) conn->close();
             return;
         }
         if (!conn || conn->is_closed()) {
-            conn = Conn::to(world.io, crowd.nodes_[static_cast<std::size_t>(node)].where, world.clock, {});
+            conn = Connection::to(environment.io, crowd.nodes_[static_cast<std::size_t>(node)].where,
+                                  environment.clock, {});
             conn->pause();
         }
-        const OperationPlan& op = world.scenario.operations[static_cast<std::size_t>(operation)];
+        const OperationPlan& op = environment.scenario.operations[static_cast<std::size_t>(operation)];
         const int inv = crowd.last_inv_++;
         audit::RequestInfo asked;
         asked.operation = operation;
@@ -355,27 +362,27 @@
         asked.key = key_of_rank(0);
         asked.timeout = op.promised.client_timeout;
         asked.is_counted = false;
-        world.auditor.on_request(now, inv, asked);
-        world.auditor.on_client_closed(now, inv);
-        conn->write("mg " + key_text(asked.key) + " v O" + id_text(world.day, inv) + " Pc=" + op.name +
+        environment.auditor.on_request(now, inv, asked);
+        environment.auditor.on_client_closed(now, inv);
+        conn->write("mg " + key_text(asked.key) + " v O" + id_text(environment.day, inv) + " Pc=" + op.name +
                     ",d=" + std::to_string(std::llround(asked.timeout * 1e3)) + "\r\n");
-        world.at(now + kUnreadEvery, [self = shared_from_this()] { self->step(); });
+        environment.at(now + kUnreadEvery, [self = shared_from_this()] { self->step(); });
     }
-    Crowd& crowd;
+    LoadClients& crowd;
     const int node, operation;
     const double until;
-    Conn::Ptr conn;
+    Connection::Ptr conn;
 };
 
-void Crowd::trickle(int node, int count, double until) {
+void LoadClients::trickle(int node, int count, double until) {
     for (int i = 0; i < count; ++i) {
-        std::make_shared<Trickler>(world_, nodes_[static_cast<std::size_t>(node)].where, until)->step();
+        std::make_shared<Trickler>(environment_, nodes_[static_cast<std::size_t>(node)].where, until)->step();
     }
 }
 
-void Crowd::never_read(int node, int count, double until) {
-    for (std::size_t i = 0; i < world_.scenario.operations.size(); ++i) {
-        if (world_.scenario.operations[i].write) continue;
+void LoadClients::never_read(int node, int count, double until) {
+    for (std::size_t i = 0; i < environment_.scenario.operations.size(); ++i) {
+        if (environment_.scenario.operations[i].write) continue;
         for (int n = 0; n < count; ++n) {
             std::make_shared<NonReader>(*this, node, static_cast<int>(i), until)->step();
         }
--- a/src/testkit/load_clients.h
+++ b/src/testkit/load_clients.h
@@ -1,6 +1,6 @@
-// The clients and the front before the nodes: each user's tries by the drawn schedule, over connections that
-// are kept and opened as clients do, with time-outs, advice taken, further tries as each operation allows
-// them, and clients that leave. It tells the judge what each client saw and never why.
+// The clients of a scenario run and the load balancer between them and the nodes: they send the planned
+// requests over kept connections, with timeouts, retries as each operation permits them, and early closes.
+// What a client observes is reported to the auditor.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -16,31 +16,33 @@
 
 namespace brookrelay::testkit {
 
-// Named apart from the daemon's own Clients.
-class Crowd {
+class LoadClients {
   public:
-    Crowd(World& world, const std::vector<Planned>& schedule, std::uint64_t seed);
-    ~Crowd();
+    LoadClients(TestEnvironment& environment, const std::vector<PlannedRequest>& schedule,
+                std::uint64_t seed);
+    ~LoadClients();
 
-    // The front's view of a node: dealt to or not.
+    // The load balancer's view of a node: its address, and whether it gets requests.
     void node_at(int node, const Tcp::endpoint& where);
     void front_uses(int node, bool yes);
-    void begin(double day);  // when the day began, by the world's clock
+    void begin(double day);  // time of the run's start, by the environment's clock
     bool all_over() const { return next_ >= schedule_.size() && open_ == 0 && waiting_ == 0; }
-    void stop();  // asks no more
+    void stop();  // sends no further requests
 
-    // Troubles: connections that hinder a node, asking nothing that is judged.
+    // Faults: slow writers and slow readers, whose requests are not counted.
     void trickle(int node, int count, double until);
     void never_read(int node, int count, double until);
 
-    const std::vector<LatencyHistogram>& latencies() const { return latencies_; }  // of what succeeded
+    const std::vector<LatencyHistogram>& latencies() const {
+        return latencies_;
+    }  // of successful requests, by operation
     int open() const { return open_; }
     std::uint64_t asked() const { return static_cast<std::uint64_t>(last_inv_); }
     std::uint64_t succeeded() const { return succeeded_; }
 
   private:
     struct User {
-        const Planned* plan = nullptr;
+        const PlannedRequest* plan = nullptr;
         int number = 0;
         int tries = 0;
         double first_asked = 0;
@@ -69,8 +71,8 @@
     void try_again(const User& user, After after, double advice);
     void dial(int node, const std::shared_ptr<Line>& line);
 
-    World& world_;
-    const std::vector<Planned>& schedule_;
+    TestEnvironment& environment_;
+    const std::vector<PlannedRequest>& schedule_;
     std::size_t next_ = 0;
     double begun_ = 0;
     std::vector<Node> nodes_;
--- a/src/testkit/network_fault_proxy.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -7,13 +7,14 @@
 
 std::size_t index(int i) { return static_cast<std::size_t>(i); }
 
-std::string text(const Links::Udp::endpoint& where) {
+std::string text(const NetworkFaultProxy::Udp::endpoint& where) {
     return where.address().to_string() + ":" + std::to_string(where.port());
 }
 
 // A port that is free for datagrams now.
-Links::Udp::endpoint free_place(Io& io, const std::string& host) {
-    const Links::Udp::socket probe(io, Links::Udp::endpoint(boost::asio::ip::make_address(host), 0));
+NetworkFaultProxy::Udp::endpoint free_place(Io& io, const std::string& host) {
+    const NetworkFaultProxy::Udp::socket probe(
+        io, NetworkFaultProxy::Udp::endpoint(boost::asio::ip::make_address(host), 0));
     return probe.local_endpoint();
 }
 
@@ -25,20 +26,20 @@
 
 }  // namespace
 
-Links::Links(World& world, std::uint64_t seed, bool servers_too)
-    : world_(world), host_(beside(world.host)), chance_(seed), servers_too_(servers_too) {
-    for (int n = 0; n < world.scenario.nodes; ++n) {
-        relays_.push_back(std::make_unique<Relay>(world.io, host_));
+NetworkFaultProxy::NetworkFaultProxy(TestEnvironment& environment, std::uint64_t seed, bool servers_too)
+    : environment_(environment), host_(beside(environment.host)), chance_(seed), servers_too_(servers_too) {
+    for (int n = 0; n < environment.scenario.nodes; ++n) {
+        relays_.push_back(std::make_unique<Relay>(environment.io, host_));
         Relay& r = *relays_.back();
-        r.node = free_place(world.io, world.host);
+        r.node = free_place(environment.io, environment.host);
         senders_[r.node] = n;
         receive(n);
     }
 }
 
-std::string Links::peer_listen(int node) const { return text(relays_[index(node)]->node); }
+std::string NetworkFaultProxy::peer_listen(int node) const { return text(relays_[index(node)]->node); }
 
-std::vector<std::string> Links::peers() const {
+std::vector<std::string> NetworkFaultProxy::peers() const {
     std::vector<std::string> all;
     for (const auto& r : relays_) all.push_back(text(r->socket.local_endpoint()));
     return all;
@@ -46,8 +47,8 @@
 
 // ---- who is meant ---------------------------------------------------------------------------------------
 
-Links::Side Links::side(const std::vector<std::string>& names) const {
-    const Scenario& s = world_.scenario;
+NetworkFaultProxy::Side NetworkFaultProxy::side(const std::vector<std::string>& names) const {
+    const Scenario& s = environment_.scenario;
     const int zones = static_cast<int>(s.zones.size());
     const std::vector<std::string> named = s.server_names();
     const int servers = static_cast<int>(named.size());
@@ -68,14 +69,14 @@
     return side;
 }
 
-bool Links::Fault::strikes(int a, int b, int nodes) const {
+bool NetworkFaultProxy::Fault::strikes(int a, int b, int nodes) const {
     const auto holds = [nodes](const Side& s, int who) {
         return who < nodes ? s.nodes.contains(who) : s.servers.contains(who - nodes);
     };
     return (holds(from, a) && holds(to, b)) || (!one_way && holds(from, b) && holds(to, a));
 }
 
-void Links::strike(const Trouble& t, double until) {
+void NetworkFaultProxy::strike(const Trouble& t, double until) {
     Fault f;
     f.kind = t.kind;
     f.one_way = t.one_way;
@@ -84,17 +85,17 @@
     f.from = side(t.from);
     f.to = side(t.to);
     if (t.to.empty()) {  // everybody else
-        for (int n = 0; n < world_.scenario.nodes; ++n) {
+        for (int n = 0; n < environment_.scenario.nodes; ++n) {
             if (!f.from.nodes.contains(n)) f.to.nodes.insert(n);
         }
-        for (int i = 0; i < static_cast<int>(world_.scenario.server_names().size()); ++i) {
+        for (int i = 0; i < static_cast<int>(environment_.scenario.server_names().size()); ++i) {
             if (!f.from.servers.contains(i)) f.to.servers.insert(i);
         }
     }
     faults_.push_back(std::move(f));
     const auto at = std::prev(faults_.end());
     settle_ways();
-    world_.at(until, [this, at] {
+    environment_.at(until, [this, at] {
         faults_.erase(at);
         settle_ways();
     });
@@ -102,7 +103,7 @@
 
 // ---- datagrams ------------------------------------------------------------------------------------------
 
-void Links::receive(int node) {
+void NetworkFaultProxy::receive(int node) {
     Relay& r = *relays_[index(node)];
     r.socket.async_receive_from(boost::asio::buffer(r.room), r.from,
                                 [this, node, &r](const Code& bad, std::size_t size) {
@@ -114,13 +115,13 @@
                                 });
 }
 
-void Links::pass(int from, int to, std::string bytes) {
+void NetworkFaultProxy::pass(int from, int to, std::string bytes) {
     ++counts_.datagrams;
     counts_.bytes += bytes.size();
     double after = 0;
     int copies = 1;
     for (const Fault& f : faults_) {
-        if (!f.strikes(from, to, world_.scenario.nodes)) continue;
+        if (!f.strikes(from, to, environment_.scenario.nodes)) continue;
         const bool struck = f.kind == TroubleKind::cut || chance(f.part);
         if (!struck) continue;
         switch (f.kind) {
@@ -150,19 +151,19 @@
         if (after <= 0) {
             put(from, to, bytes);
         } else {
-            world_.at(world_.now() + after, [this, from, to, bytes] { put(from, to, bytes); });
+            environment_.at(environment_.now() + after, [this, from, to, bytes] { put(from, to, bytes); });
         }
     }
 }
 
-void Links::put(int from, int to, const std::string& bytes) {
+void NetworkFaultProxy::put(int from, int to, const std::string& bytes) {
     Code ignored;
     relays_[index(from)]->socket.send_to(boost::asio::buffer(bytes), relays_[index(to)]->node, 0, ignored);
 }
 
 // ---- connections to servers -----------------------------------------------------------------------------
 
-std::string Links::dial(int node, int server, const std::string& address) {
+std::string NetworkFaultProxy::dial(int node, int server, const std::string& address) {
     if (!servers_too_ || address.empty()) return address;
     auto& way = ways_[{node, server}];
     if (way == nullptr) {
@@ -170,45 +171,45 @@
         way->node = node;
         way->server = server;
         Way& w = *way;
-        w.listener = std::make_unique<Listener>(world_.io, host_,
+        w.listener = std::make_unique<Listener>(environment_.io, host_,
                                                 [this, &w](Tcp::socket s) { accept(w, std::move(s)); });
     }
     way->real = address;
     return way->listener->address();
 }
 
-void Links::accept(Way& w, Tcp::socket socket) {
+void NetworkFaultProxy::accept(Way& w, Tcp::socket socket) {
     const std::size_t colon = w.real.find(':');
     const Tcp::endpoint where(boost::asio::ip::make_address(w.real.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(w.real.substr(colon + 1))));
     const auto pair = std::make_shared<Pair>();
     w.pairs.push_back(pair);
     const std::weak_ptr<Pair> held = pair;
-    const auto over = [&w, held](Conn&) {
+    const auto over = [&w, held](Connection&) {
         const auto p = held.lock();
         if (p == nullptr) return;
         if (p->near != nullptr) p->near->reset();
         if (p->far != nullptr) p->far->reset();
         w.pairs.remove(p);
     };
-    const auto hand_on = [held](Conn& c) {
+    const auto hand_on = [held](Connection& c) {
         const auto p = held.lock();
         if (p == nullptr) return;
-        const Conn::Ptr& other = p->near.get() == &c ? p->far : p->near;
+        const Connection::Ptr& other = p->near.get() == &c ? p->far : p->near;
         if (other == nullptr) return;
         other->write(c.input());
         c.take(c.input().size());
     };
-    pair->far = Conn::to(world_.io, where, world_.clock, {nullptr, hand_on, over});
-    pair->near = Conn::accepted(std::move(socket), world_.clock, {nullptr, hand_on, over});
+    pair->far = Connection::to(environment_.io, where, environment_.clock, {nullptr, hand_on, over});
+    pair->near = Connection::accepted(std::move(socket), environment_.clock, {nullptr, hand_on, over});
     if (w.out_cut) pair->near->pause();
     if (w.back_cut) pair->far->pause();
 }
 
 // A cut way is silent: what is written to it goes nowhere, nothing comes up, and once it is mended all is
 // reset.
-void Links::settle_ways() {
-    const int nodes = world_.scenario.nodes;
+void NetworkFaultProxy::settle_ways() {
+    const int nodes = environment_.scenario.nodes;
     for (auto& [key, way] : ways_) {
         Way& w = *way;
         const auto cut = [&](int a, int b) {
--- a/src/testkit/network_fault_proxy.h
+++ b/src/testkit/network_fault_proxy.h
@@ -1,7 +1,6 @@
-// The network between the nodes of a day, and between nodes and servers, that the kit owns: a relay address
-// stands for each node to all others, and, on days with cuts, one for each server to each node. It owns the
-// relays' sockets and the faults that are on, changes nothing else, and judges nothing. A datagram goes on
-// from the relay address of whoever sent it, so that nodes know one another by those addresses alone.
+// Relays the traffic between nodes, and on request between nodes and servers, and injects network faults into
+// it. Each node is reached by its peers at a relay address; a datagram is forwarded from the relay address of
+// its sender, so that nodes know one another by relay addresses alone.
 #pragma once
 
 #include <array>
@@ -18,18 +17,18 @@
 
 namespace brookrelay::testkit {
 
-class Links {
+class NetworkFaultProxy {
   public:
     using Udp = boost::asio::ip::udp;
 
-    Links(World& world, std::uint64_t seed, bool servers_too);
+    NetworkFaultProxy(TestEnvironment& environment, std::uint64_t seed, bool servers_too);
 
-    // Where a node has to listen for its peers, and what it is told of them.
+    // The address on which a node has to listen for its peers, and the peer addresses to configure.
     std::string peer_listen(int node) const;
     std::vector<std::string> peers() const;
-    // How a node finds a server: by a relay of its own on days with cuts, else straight.
+    // The address at which a node reaches a server: a relay if servers are proxied too, else its own.
     std::string dial(int node, int server, const std::string& address);
-    // A fault of the links, by its trouble's kind, until the time given.
+    // Injects a network fault until the given time.
     void strike(const Trouble& trouble, double until);
 
     struct Counts {
@@ -46,19 +45,19 @@
         Side from, to;
         bool one_way = false;
         double part = 1, delay = 0;
-        // Whether it strikes what goes from one to the other; servers are numbered behind the nodes.
+        // Whether it affects traffic from a to b; servers are numbered after the nodes.
         bool strikes(int a, int b, int nodes) const;
     };
-    struct Relay {  // of one node's datagrams
+    struct Relay {  // for one node's datagrams
         explicit Relay(Io& io, const std::string& host)
             : socket(io, Udp::endpoint(boost::asio::ip::make_address(host), 0)) {}
         Udp::socket socket;
-        Udp::endpoint node;  // where it really listens
+        Udp::endpoint node;  // where it listens
         Udp::endpoint from;
         std::array<char, 2048> room{};
     };
-    struct Pair {  // one connection through a way
-        Conn::Ptr near, far;
+    struct Pair {  // one proxied connection
+        Connection::Ptr near, far;
     };
     struct Way {  // from one node to one server
         int node = 0, server = 0;
@@ -76,7 +75,7 @@
     void settle_ways();
     bool chance(double part) { return static_cast<double>(chance_() >> 11) < part * 9007199254740992.0; }
 
-    World& world_;
+    TestEnvironment& environment_;
     const std::string host_;
     boost::random::mt19937_64 chance_;
     const bool servers_too_;
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -87,9 +87,9 @@
 
   private:
     struct Node {
-        std::unique_ptr<Daemon> daemon;
+        std::unique_ptr<DaemonProcess> daemon;
         std::string listen;
-        TalkPlace talk;
+        GossipAddresses talk;
         std::uint64_t starts = 0;
         bool ready = false;
         double waited_before = 0, cpu_before = 0, cpu_gone = 0;
@@ -118,7 +118,7 @@
     void ready(int node);
     void begin();
     void bring_about(const Trouble& trouble);
-    void strike(const Trouble& trouble, CacheServer& server);
+    void strike(const Trouble& trouble, FakeCacheServer& server);
     void terminate_node(int node);
     void when_ended(int node, double kill_at);
     void look_at_self(double expected);
@@ -126,7 +126,7 @@
     void each_second();
     void look_whether_over();
     void mark(const std::string& text) { result_.marks.emplace_back(clock_.now() - begun_, text); }
-    CacheServer* server(const std::string& name);
+    FakeCacheServer* server(const std::string& name);
     bool interrupted() const { return plan_.interrupted && plan_.interrupted(); }
     void fail(const std::string& why);
     // Times of the day against the clock of the stand-ins, which starts earlier.
@@ -137,13 +137,13 @@
     Io io_;
     Clock clock_;
     audit::Auditor auditor_;
-    World world_;
-    std::vector<Planned> schedule_;
-    std::vector<std::unique_ptr<CacheServer>> caches_;
-    std::unique_ptr<OriginServer> origin_;
-    std::unique_ptr<DiscoveryServer> discovery_;
-    std::unique_ptr<Links> links_;  // on days on which nodes talk, or ways are cut
-    std::unique_ptr<Crowd> crowd_;
+    TestEnvironment environment_;
+    std::vector<PlannedRequest> schedule_;
+    std::vector<std::unique_ptr<FakeCacheServer>> caches_;
+    std::unique_ptr<FakeOriginServer> origin_;
+    std::unique_ptr<FakeDiscoveryServer> discovery_;
+    std::unique_ptr<NetworkFaultProxy> links_;  // on days on which nodes talk, or ways are cut
+    std::unique_ptr<LoadClients> crowd_;
     std::vector<Node> nodes_;
     double begun_ = 0;
     bool has_begun_ = false, ended_ = false;
@@ -156,25 +156,26 @@
     : plan_(plan),
       scenario_(plan.scenario),
       auditor_(terms_of(plan.scenario)),
-      world_{io_, clock_, plan.scenario, auditor_, own_loopback(), 0, 0, {}, {}, {}, {}},
+      environment_{io_, clock_, plan.scenario, auditor_, own_loopback(), 0, 0, {}, {}, {}, {}},
       nodes_(index(plan.scenario.nodes)) {
     std::random_device any;
-    world_.day = any();  // ids of days that run side by side must not meet; nothing that counts hangs on it
+    environment_.day =
+        any();  // ids of days that run side by side must not meet; nothing that counts hangs on it
     const int servers = static_cast<int>(scenario_.server_names().size()) - 1;
     for (int i = 0; i < servers; ++i) {
         caches_.push_back(
-            std::make_unique<CacheServer>(world_, i, scenario_.kinds[index(scenario_.kind_of(i))]));
+            std::make_unique<FakeCacheServer>(environment_, i, scenario_.kinds[index(scenario_.kind_of(i))]));
     }
-    origin_ = std::make_unique<OriginServer>(world_, servers);
-    discovery_ = std::make_unique<DiscoveryServer>(world_, scenario_.nodes);
+    origin_ = std::make_unique<FakeOriginServer>(environment_, servers);
+    discovery_ = std::make_unique<FakeDiscoveryServer>(environment_, scenario_.nodes);
     for (int i = 0; i < servers; ++i)
         discovery_->put(i, caches_[index(i)]->address(), EndpointState::ready, -1);
     discovery_->put(servers, origin_->address(), EndpointState::ready, -1);
-    world_.fill = [this](int to, std::uint64_t key, std::uint32_t version) {
+    environment_.fill = [this](int to, std::uint64_t key, std::uint32_t version) {
         // A write since then has dropped the copies; an older answer must not bring one back.
-        if (version == world_.version(key)) caches_[index(to)]->store(key, version);
+        if (version == environment_.version(key)) caches_[index(to)]->store(key, version);
     };
-    world_.drop_copies = [this](std::uint64_t key) {
+    environment_.drop_copies = [this](std::uint64_t key) {
         for (const auto& c : caches_) c->drop(key);
     };
     if (!scenario_.keys.filled) return;
@@ -186,7 +187,7 @@
     }
 }
 
-CacheServer* Day::server(const std::string& name) {
+FakeCacheServer* Day::server(const std::string& name) {
     const std::vector<std::string> names = scenario_.server_names();
     const auto at = std::find(names.begin(), names.end(), name);
     return caches_[static_cast<std::size_t>(at - names.begin())].get();
@@ -204,12 +205,12 @@
     // A port that is free now may be another node's that has not started yet: that one's answer would pass
     // for this one's.
     const auto taken = [&](const Node& other) {
-        const std::string address = world_.host + ":" + std::to_string(port);
+        const std::string address = environment_.host + ":" + std::to_string(port);
         return &other != &n && (other.listen == address || other.talk.management == address);
     };
-    while (std::any_of(nodes_.begin(), nodes_.end(), taken)) port = free_port(io_, world_.host);
-    n.listen = world_.host + ":" + std::to_string(port);
-    crowd_->node_at(node, {boost::asio::ip::make_address(world_.host), port});
+    while (std::any_of(nodes_.begin(), nodes_.end(), taken)) port = free_port(io_, environment_.host);
+    n.listen = environment_.host + ":" + std::to_string(port);
+    crowd_->node_at(node, {boost::asio::ip::make_address(environment_.host), port});
 }
 
 // Apart from all that the day's nodes are told already: a port that is free now is not held until its node
@@ -219,7 +220,7 @@
     std::string address;
     const auto taken = [&](const Node& n) { return n.listen == address || n.talk.management == address; };
     do {
-        address = world_.host + ":" + std::to_string(free_port(io_, world_.host));
+        address = environment_.host + ":" + std::to_string(free_port(io_, environment_.host));
     } while (std::any_of(nodes_.begin(), nodes_.end(), taken));
     nodes_[index(node)].talk.management = address;
 }
@@ -237,10 +238,10 @@
     const std::uint64_t seed =
         key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.starts);
     n.daemon->configure(configuration(node, seed));
-    auditor_.on_node_started(world_.now(), node);
+    auditor_.on_node_started(environment_.now(), node);
     n.daemon->expected_to_end = false;
     n.daemon->start();
-    ask_whether_ready(node, world_.now() + kStartMost);
+    ask_whether_ready(node, environment_.now() + kStartMost);
 }
 
 void Day::ask_whether_ready(int node, double until) {
@@ -251,14 +252,14 @@
         if (has_begun_) return;  // look_at_daemons() says so
         // Between the look for a free port and the daemon's own start somebody else may have taken it.
         if (n.daemon->exit_code() == kCannotListen && n.starts < kStartsMost) {
-            place_node(node, free_port(io_, world_.host));
+            place_node(node, free_port(io_, environment_.host));
             place_management(node);
             return start_node(node);
         }
         return fail("the daemon ended at its start with exit code " + std::to_string(n.daemon->exit_code()) +
                     "; see " + n.daemon->log_path());
     }
-    if (world_.now() > until) return fail("the daemon does not answer; see " + n.daemon->log_path());
+    if (environment_.now() > until) return fail("the daemon does not answer; see " + n.daemon->log_path());
     const std::size_t colon = n.listen.find(':');
     const Tcp::endpoint where(boost::asio::ip::make_address(n.listen.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(n.listen.substr(colon + 1))));
@@ -266,18 +267,18 @@
     const auto asked_again = std::make_shared<bool>(false);
     const auto again = [this, node, until, asked_again] {
         if (std::exchange(*asked_again, true)) return;
-        world_.at(world_.now() + 0.02, [this, node, until] { ask_whether_ready(node, until); });
+        environment_.at(environment_.now() + 0.02, [this, node, until] { ask_whether_ready(node, until); });
     };
-    const auto conn = Conn::to(io_, where, clock_,
-                               {[](Conn& c) { c.write("mn\r\n"); },
-                                [this, node, asked_again](Conn& c) {
-                                    if (!c.input().starts_with("MN")) return;
-                                    *asked_again = true;
-                                    c.close();
-                                    ready(node);
-                                },
-                                [again](Conn&) { again(); }});
-    world_.at(world_.now() + kAnswerMost, [conn, again] {
+    const auto conn = Connection::to(io_, where, clock_,
+                                     {[](Connection& c) { c.write("mn\r\n"); },
+                                      [this, node, asked_again](Connection& c) {
+                                          if (!c.input().starts_with("MN")) return;
+                                          *asked_again = true;
+                                          c.close();
+                                          ready(node);
+                                      },
+                                      [again](Connection&) { again(); }});
+    environment_.at(environment_.now() + kAnswerMost, [conn, again] {
         conn->close();
         again();
     });
@@ -292,9 +293,9 @@
     if (!std::all_of(nodes_.begin(), nodes_.end(), [](const Node& one) { return one.ready; })) return;
     has_begun_ = true;
     // Only now is it known when the day begins, and the day's times are the clock's from here on.
-    begun_ = world_.now() + kScheduleFrom;
+    begun_ = environment_.now() + kScheduleFrom;
     auditor_.start_run(begun_);
-    for (Planned& p : schedule_) p.at += begun_;
+    for (PlannedRequest& p : schedule_) p.at += begun_;
     begin();
 }
 
@@ -308,14 +309,15 @@
         plan_.begun(all, managements);
     }
     crowd_->begin(begun_);
-    for (const Trouble& t : scenario_.troubles) world_.at(begun_ + t.at, [this, &t] { bring_about(t); });
+    for (const Trouble& t : scenario_.troubles)
+        environment_.at(begun_ + t.at, [this, &t] { bring_about(t); });
     forwards_before_.assign(caches_.size() + 1, 0);
     list_calls_before_ = discovery_->counts().calls;
-    world_.at(begun_ + 1, [this] { each_second(); });
+    environment_.at(begun_ + 1, [this] { each_second(); });
     look_at_daemons();
     if (scenario_.talk) ask_for_views();
-    look_at_self(world_.now() + kLookAtSelf);
-    world_.at(begun_ + scenario_.length, [this] { look_whether_over(); });
+    look_at_self(environment_.now() + kLookAtSelf);
+    environment_.at(begun_ + scenario_.length, [this] { look_whether_over(); });
 }
 
 void Day::terminate_node(int node) {
@@ -325,8 +327,8 @@
     double longest = 0;
     for (const OperationPlan& o : scenario_.operations)
         longest = std::max(longest, o.promised.client_timeout);
-    const double kill_at = world_.now() + std::min(longest, kKillMost) + kKillAfter;
-    world_.at(world_.now() + kFrontMovesAway, [this, node] { crowd_->front_uses(node, false); });
+    const double kill_at = environment_.now() + std::min(longest, kKillMost) + kKillAfter;
+    environment_.at(environment_.now() + kFrontMovesAway, [this, node] { crowd_->front_uses(node, false); });
     when_ended(node, kill_at);
 }
 
@@ -334,12 +336,12 @@
     Node& n = nodes_[index(node)];
     if (ended_) return;
     if (n.daemon->running()) {
-        if (world_.now() >= kill_at) {
+        if (environment_.now() >= kill_at) {
             // It was told long enough ago: what it still holds now is lost, and by its own fault.
             n.daemon->kill();
             mark("node " + std::to_string(node) + " had to be killed after SIGTERM");
         } else {
-            world_.at(world_.now() + 0.02, [this, node, kill_at] { when_ended(node, kill_at); });
+            environment_.at(environment_.now() + 0.02, [this, node, kill_at] { when_ended(node, kill_at); });
             return;
         }
     }
@@ -351,21 +353,21 @@
 
 // ---- troubles -------------------------------------------------------------------------------------------
 
-void Day::strike(const Trouble& t, CacheServer& s) {
+void Day::strike(const Trouble& t, FakeCacheServer& s) {
     const int number = s.number();
-    const double until = world_.now() + t.lasts;
+    const double until = environment_.now() + t.lasts;
     switch (t.kind) {
         case TroubleKind::silent:
             s.silence(true);
-            world_.at(until, [&s] { s.silence(false); });
+            environment_.at(until, [&s] { s.silence(false); });
             break;
         case TroubleKind::slow:
             s.slow(t.factor);
-            world_.at(until, [&s] { s.slow(1); });
+            environment_.at(until, [&s] { s.slow(1); });
             break;
         case TroubleKind::spoilt:
             s.spoil(t.part);
-            world_.at(until, [&s] { s.spoil(0); });
+            environment_.at(until, [&s] { s.spoil(0); });
             break;
         case TroubleKind::crash:
         case TroubleKind::cold_return: {
@@ -373,7 +375,7 @@
             const bool at_once = t.kind == TroubleKind::cold_return;
             if (!at_once) discovery_->list(number, s.address(), EndpointState::removed, s.started());
             const double away = at_once ? 0.05 : t.lasts > 0 ? t.lasts : kCrashUnsaid;
-            world_.at(world_.now() + away, [this, &s, number] {
+            environment_.at(environment_.now() + away, [this, &s, number] {
                 s.start_cold();
                 if (s.running()) discovery_->list(number, s.address(), EndpointState::ready, s.started());
             });
@@ -382,17 +384,17 @@
         case TroubleKind::drain:
             discovery_->list(number, s.address(), EndpointState::draining, s.started());
             if (t.lasts > 0) {
-                world_.at(until, [this, &s, number] {
+                environment_.at(until, [this, &s, number] {
                     discovery_->list(number, s.address(), EndpointState::ready, s.started());
                 });
             }
             break;
         case TroubleKind::remove:
             discovery_->list(number, s.address(), EndpointState::draining, s.started());
-            world_.at(world_.now() + (t.lasts > 0 ? t.lasts : kRemoveUnsaid), [this, &s, number] {
+            environment_.at(environment_.now() + (t.lasts > 0 ? t.lasts : kRemoveUnsaid), [this, &s, number] {
                 discovery_->list(number, s.address(), EndpointState::removed, s.started());
                 // Work that is out there is ended first; a well-kept server goes only then.
-                world_.at(world_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
+                environment_.at(environment_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
             });
             break;
         default:
@@ -404,27 +406,27 @@
     Node& n = nodes_[index(node)];
     n.daemon->expected_to_end = true;
     // The judge hears of it first: what breaks from here on is the kill's doing.
-    auditor_.on_node_killed(world_.now(), node);
+    auditor_.on_node_killed(environment_.now(), node);
     n.daemon->kill();
     n.bury();
-    world_.at(world_.now() + scenario_.clients.front_notices, [this, node] {
+    environment_.at(environment_.now() + scenario_.clients.front_notices, [this, node] {
         if (!nodes_[index(node)].ready) crowd_->front_uses(node, false);
     });
     n.ready = false;
-    world_.at(world_.now() + away, [this, node] {
+    environment_.at(environment_.now() + away, [this, node] {
         if (!ended_) start_node(node);
     });
 }
 
 // Stopped as a machine that pages or is moved: its sockets stand, and nothing is read from them.
 void Day::freeze(int node, double lasts) {
-    const double until = world_.now() + lasts;
+    const double until = environment_.now() + lasts;
     auditor_.on_node_paused(until + kAfterStop, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
-    world_.at(world_.now() + scenario_.clients.front_notices, [this, node, until] {
-        if (world_.now() < until) crowd_->front_uses(node, false);
+    environment_.at(environment_.now() + scenario_.clients.front_notices, [this, node, until] {
+        if (environment_.now() < until) crowd_->front_uses(node, false);
     });
-    world_.at(until, [this, node] {
+    environment_.at(until, [this, node] {
         nodes_[index(node)].daemon->signal(SIGCONT);
         if (!ended_) crowd_->front_uses(node, true);
     });
@@ -432,12 +434,13 @@
 
 // Stopped and let on by turns, as on a crowded core.
 void Day::starve(int node, double part, double until) {
-    if (ended_ || world_.now() >= until) return;
+    if (ended_ || environment_.now() >= until) return;
     auditor_.on_node_paused(until + kAfterStop, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
-    world_.at(world_.now() + part * kStarvedTurn,
-              [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
-    world_.at(world_.now() + kStarvedTurn, [this, node, part, until] { starve(node, part, until); });
+    environment_.at(environment_.now() + part * kStarvedTurn,
+                    [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
+    environment_.at(environment_.now() + kStarvedTurn,
+                    [this, node, part, until] { starve(node, part, until); });
 }
 
 void Day::write_operator_file(int node, double origin) const {
@@ -455,7 +458,7 @@
 void Day::ask_for_views() {
     if (ended_) return;
     for (int n = 0; n < scenario_.nodes; ++n) ask_for_view(n);
-    world_.at(world_.now() + kLookAtViews, [this] { ask_for_views(); });
+    environment_.at(environment_.now() + kLookAtViews, [this] { ask_for_views(); });
 }
 
 void Day::ask_for_view(int node) {
@@ -463,12 +466,12 @@
     const std::size_t colon = address.find(':');
     const Tcp::endpoint where(boost::asio::ip::make_address(address.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(address.substr(colon + 1))));
-    const double asked = world_.now();
+    const double asked = environment_.now();
     const auto conn =
-        Conn::to(io_, where, clock_,
-                 {[](Conn& c) { c.write("GET /control/fleet HTTP/1.1\r\nHost: node\r\n\r\n"); }, nullptr,
-                  [this, node, asked](Conn& c) { take_view(node, asked, c.input()); }});
-    world_.at(asked + kViewMost, [conn] { conn->close(); });
+        Connection::to(io_, where, clock_,
+                       {[](Connection& c) { c.write("GET /control/fleet HTTP/1.1\r\nHost: node\r\n\r\n"); },
+                        nullptr, [this, node, asked](Connection& c) { take_view(node, asked, c.input()); }});
+    environment_.at(asked + kViewMost, [conn] { conn->close(); });
 }
 
 void Day::take_view(int node, double asked, std::string_view said) {
@@ -506,7 +509,7 @@
 
 void Day::bring_about(const Trouble& t) {
     if (ended_) return;
-    const double until = world_.now() + t.lasts;
+    const double until = environment_.now() + t.lasts;
     std::string text = trouble_words()[static_cast<std::size_t>(t.kind)];
     for (const std::string& name : t.who) text += " " + name;
     switch (t.kind) {
@@ -524,24 +527,24 @@
             break;
         case TroubleKind::origin_slow:
             origin_->slow(t.factor);
-            world_.at(until, [this] { origin_->slow(1); });
+            environment_.at(until, [this] { origin_->slow(1); });
             break;
         case TroubleKind::origin_stop:
             origin_->halt(t.lasts);
             break;
         case TroubleKind::discovery_down:
             discovery_->down(true);
-            world_.at(until, [this] { discovery_->down(false); });
+            environment_.at(until, [this] { discovery_->down(false); });
             break;
         case TroubleKind::discovery_stale:
             discovery_->stale(true);
-            world_.at(until, [this] { discovery_->stale(false); });
+            environment_.at(until, [this] { discovery_->stale(false); });
             break;
         case TroubleKind::discovery_restart: {
             std::set<int> left_out;
             for (const std::string& name : t.who) left_out.insert(server(name)->number());
             discovery_->restart(left_out);
-            if (t.lasts > 0) world_.at(until, [this] { discovery_->readmit(); });
+            if (t.lasts > 0) environment_.at(until, [this] { discovery_->readmit(); });
             break;
         }
         case TroubleKind::node_kill:
@@ -574,7 +577,7 @@
                     starve(node, t.part < 1 ? t.part : kStarvedUnsaid, until);
                 } else {
                     discovery_->hold(node, true);
-                    world_.at(until, [this, node] { discovery_->hold(node, false); });
+                    environment_.at(until, [this, node] { discovery_->hold(node, false); });
                 }
             }
             break;
@@ -595,7 +598,8 @@
             n.daemon->configure(t.kind == TroubleKind::reload ? good : good.substr(0, good.size() / 2));
             n.daemon->signal(SIGHUP);
             if (t.kind == TroubleKind::reload_bad) {
-                world_.at(world_.now() + kReloadBadFor, [&n, good] { n.daemon->configure(good); });
+                environment_.at(environment_.now() + kReloadBadFor,
+                                [&n, good] { n.daemon->configure(good); });
             }
             break;
         }
@@ -613,7 +617,7 @@
     }
     mark(text);
     if (t.lasts > 0) {
-        world_.at(until, [this, text] {
+        environment_.at(until, [this, text] {
             if (!ended_) mark("end of " + text);
         });
     }
@@ -623,16 +627,16 @@
 
 // The loop's own lateness: whatever a stand-in or a client saw in such a time is dated late.
 void Day::look_at_self(double expected) {
-    const double now = world_.now();
+    const double now = environment_.now();
     auditor_.on_watcher_delay(now, now - expected);
     if (ended_) return;
-    world_.at(now + kLookAtSelf, [this, next = now + kLookAtSelf] { look_at_self(next); });
+    environment_.at(now + kLookAtSelf, [this, next = now + kLookAtSelf] { look_at_self(next); });
 }
 
 // A daemon that waits for a core is late by no fault of its own. It also learns here of one that has ended.
 void Day::look_at_daemons() {
     if (ended_) return;
-    const double now = world_.now();
+    const double now = environment_.now();
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         Node& n = nodes_[i];
         if (n.daemon->pid() == 0) continue;
@@ -643,24 +647,24 @@
             n.ready = false;
             n.daemon->expected_to_end = true;
             n.bury();
-            world_.at(now + kNodeAwayUnsaid, [this, i] {
+            environment_.at(now + kNodeAwayUnsaid, [this, i] {
                 if (!ended_) start_node(static_cast<int>(i));
             });
             continue;
         }
-        const ProcessFigures f = n.daemon->figures();
+        const ProcessUsage f = n.daemon->figures();
         if (f.waited > n.waited_before) auditor_.on_watcher_delay(now, f.waited - n.waited_before);
         n.waited_before = std::max(n.waited_before, f.waited);
         n.cpu_before = std::max(n.cpu_before, f.cpu);
         result_.daemon_rss_mb = std::max(result_.daemon_rss_mb, f.rss_most_mb);
         result_.daemon_descriptors = std::max(result_.daemon_descriptors, f.descriptors);
     }
-    world_.at(now + kLookAtDaemons, [this] { look_at_daemons(); });
+    environment_.at(now + kLookAtDaemons, [this] { look_at_daemons(); });
 }
 
 void Day::each_second() {
     Series& s = result_.series;
-    const double now = world_.now();
+    const double now = environment_.now();
     s.forwards.resize(caches_.size() + 1);
     s.connections.resize(caches_.size());
     for (std::size_t i = 0; i < caches_.size(); ++i)
@@ -693,7 +697,7 @@
                       100 * origin_->asked() / std::max(1e-9, origin_->capacity()));
         plan_.progress(of_day(now), line);
     }
-    if (!ended_) world_.at(now + 1, [this] { each_second(); });
+    if (!ended_) environment_.at(now + 1, [this] { each_second(); });
 }
 
 // The day is over once whoever asked has been answered, or has waited as long as anyone waits.
@@ -701,13 +705,13 @@
     double longest = 0;
     for (const OperationPlan& o : scenario_.operations)
         longest = std::max(longest, o.promised.client_timeout);
-    const bool long_enough = of_day(world_.now()) > scenario_.length + 2 * longest + 1;
+    const bool long_enough = of_day(environment_.now()) > scenario_.length + 2 * longest + 1;
     if (crowd_->all_over() || long_enough) {
         ended_ = true;
         io_.stop();
         return;
     }
-    world_.at(world_.now() + 0.02, [this] { look_whether_over(); });
+    environment_.at(environment_.now() + 0.02, [this] { look_whether_over(); });
 }
 
 DayResult Day::play() {
@@ -715,15 +719,16 @@
     result_.digest = digest(schedule_, scenario_.troubles);
     result_.planned = schedule_.size();
     result_.series.servers = scenario_.server_names();
-    crowd_ = std::make_unique<Crowd>(world_, schedule_, plan_.seed);
+    crowd_ = std::make_unique<LoadClients>(environment_, schedule_, plan_.seed);
     if (scenario_.talk || scenario_.has(TroubleKind::cut)) {
-        links_ = std::make_unique<Links>(world_, plan_.seed, scenario_.has(TroubleKind::cut));
+        links_ =
+            std::make_unique<NetworkFaultProxy>(environment_, plan_.seed, scenario_.has(TroubleKind::cut));
         discovery_->dial = [this](int node, int to, const std::string& address) {
             return links_->dial(node, to, address);
         };
     }
     for (int n = 0; n < scenario_.nodes; ++n) {
-        Daemon::Place place{plan_.program, plan_.folder, "n" + std::to_string(n), -1};
+        DaemonProcess::Place place{plan_.program, plan_.folder, "n" + std::to_string(n), -1};
         if (scenario_.talk) {
             write_operator_file(n, scenario_.talk_origin);
             place.arguments = {"serve", "--operator", operator_path(n)};
@@ -732,8 +737,8 @@
             place_management(n);
         }
         if (plan_.environment) place.environment = plan_.environment(n);
-        nodes_[index(n)].daemon = std::make_unique<Daemon>(std::move(place));
-        place_node(n, n == 0 && plan_.first_port != 0 ? plan_.first_port : free_port(io_, world_.host));
+        nodes_[index(n)].daemon = std::make_unique<DaemonProcess>(std::move(place));
+        place_node(n, n == 0 && plan_.first_port != 0 ? plan_.first_port : free_port(io_, environment_.host));
         start_node(n);
     }
     // The loop wakes at least this often to hear of an interruption.
@@ -744,13 +749,13 @@
             io_.stop();
             return;
         }
-        if (!ended_) world_.at(world_.now() + 0.05, listen_for_end);
+        if (!ended_) environment_.at(environment_.now() + 0.05, listen_for_end);
     };
     listen_for_end();
     io_.run();
     ended_ = true;
     crowd_->stop();
-    const double now = world_.now();
+    const double now = environment_.now();
     result_.length = has_begun_ ? std::max(0.0, of_day(now)) : 0;
     for (Node& n : nodes_) {
         n.daemon->expected_to_end = true;
--- a/src/testkit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -1,7 +1,6 @@
-// One day played on loopback sockets: starts the stand-ins and the daemons, lets the clients come, brings
-// about the troubles at their times, watches its own lateness, and hands what was seen to the judge. It owns
-// all of it and leaves nothing behind: no process, no port, whether the day ended, was interrupted or broke
-// off.
+// One scenario run on loopback sockets: starts the fake servers and the daemons, sends the client load,
+// injects the faults at their times, watches its own delays, and passes the observations to the auditor. No
+// process and no port outlives the run, however it ends.
 #pragma once
 
 #include <cstdint>
--- a/src/testkit/report.h
+++ b/src/testkit/report.h
@@ -1,5 +1,5 @@
-// What a rehearsal leaves behind: a summary for the terminal, report.json with a versioned schema, and one
-// report.html that needs nothing else. It owns their forms, and adds no judgement to the judge's.
+// The reports of a run: a summary for the terminal, report.json with a versioned schema, and a self-contained
+// report.html.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 constexpr int kReportSchema = 1;
 
 struct ReportHead {
-    std::string version;  // of the kit
+    std::string version;  // of the test kit
     std::string program;  // the daemon
-    std::string command;  // how to play it again
+    std::string command;  // to repeat the run
 };
 
 // "kept", "broken", "void" or "not played".
@@ -21,7 +21,7 @@
 std::string summary_text(const DayPlan& plan, const DayResult& result);
 std::string report_json(const ReportHead& head, const DayPlan& plan, const DayResult& result);
 std::string report_html(const ReportHead& head, const DayPlan& plan, const DayResult& result);
-// Writes both below the day's folder; throws std::runtime_error where it cannot.
+// Writes both files into the run's folder; throws std::runtime_error on failure.
 void write_reports(const ReportHead& head, const DayPlan& plan, const DayResult& result);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/scripted_peer.h
+++ b/src/testkit/scripted_peer.h
@@ -1,6 +1,5 @@
-// A peer that plays a script, for tests that need every byte of an exchange to be as they say: it listens on
-// loopback, hands each message to its script, a thread a connection, and keeps what it heard. It owns its
-// threads and sockets. Where a server's ordinary behaviour is wanted, the kit's servers have it.
+// A TCP peer that follows a script, for tests that need control over every byte of an exchange: it listens on
+// loopback, passes each message to its script in a thread for each connection, and records what it received.
 #pragma once
 
 #include <atomic>
@@ -13,9 +12,9 @@
 
 namespace brookrelay::testkit {
 
-constexpr int kPatienceMs = 20000;  // for what must come; it only ends a test that has failed already
+constexpr int kPatienceMs = 20000;  // receive timeout, reached only by a failing test
 
-// A blocking socket with what has been read from it and not yet used.
+// A blocking socket with a read buffer.
 class Line {
   public:
     explicit Line(int fd) : fd_(fd) {}
@@ -26,7 +25,7 @@
 
     bool up() const { return up_; }
     void send(const std::string& text) const;
-    std::string until(const std::string& end);  // up to and with it, or what came before the peer closed
+    std::string until(const std::string& end);  // up to and including `end`, or to the close by the peer
     std::string bytes(std::size_t n);
     bool closed_by_peer() { return in_.empty() && !more() && in_.empty(); }
     void shut() const;
@@ -40,27 +39,26 @@
     std::string in_;
 };
 
-// What a peer does with one message: sends a text, if there is one, may wait and send the rest, and may then
-// close.
+// The response to one message: sends a text, may wait and send the rest, and may then close.
 struct Act {
     std::string text;
     bool close = false;
     std::function<void()> wait = {};
     std::string rest = {};
-    bool reset = false;  // it closes by a reset, which is no end
+    bool reset = false;  // closes with a TCP reset
 };
 
 class ScriptedPeer {
   public:
     using Script = std::function<Act(const std::string& message)>;
-    explicit ScriptedPeer(bool http);  // else messages are commands of the memcache text
+    explicit ScriptedPeer(bool http);  // else messages are memcache text commands
     ~ScriptedPeer();
     ScriptedPeer(const ScriptedPeer&) = delete;
     ScriptedPeer& operator=(const ScriptedPeer&) = delete;
 
     void plays(Script script);
-    void takes_at_most(int bytes);  // its side of new connections, beyond what it has read
-    void reads_bodies_after(std::function<double()> seconds);  // how long it leaves each body unread
+    void takes_at_most(int bytes);                             // receive buffer of new connections
+    void reads_bodies_after(std::function<double()> seconds);  // delay before each body is read
     void stall();   // accepts no more, with room for one connection in the queue,
     void resume();  // until now
     std::vector<std::string> heard();
@@ -87,7 +85,7 @@
     std::atomic<bool> ending_{false};
 };
 
-// A port of own_loopback() that is bound and not yet listened on; its socket.
+// Binds a free port of own_loopback() without listening on it; returns the socket.
 int bound_socket(int& port);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/server_model.cpp
+++ b/src/testkit/server_model.cpp
@@ -5,7 +5,7 @@
 
 namespace brookrelay::testkit {
 
-bool Workbench::enter(double now, int job, double work) {
+bool WorkQueue::enter(double now, int job, double work) {
     const int waits = static_cast<int>(waiting_.size() - forgotten_.size());
     const bool free_slot = static_cast<int>(running_.size()) < slots_ && waits == 0;
     if (!free_slot && waits >= queue_) return false;
@@ -14,13 +14,13 @@
     return true;
 }
 
-void Workbench::forget(int job) {
+void WorkQueue::forget(int job) {
     for (const auto& [waiting, work] : waiting_) {
         if (waiting == job) forgotten_.insert(job);
     }
 }
 
-void Workbench::fill(double now) {
+void WorkQueue::fill(double now) {
     while (static_cast<int>(running_.size()) < slots_ && !waiting_.empty()) {
         const auto [job, work] = waiting_.front();
         waiting_.pop_front();
@@ -30,7 +30,7 @@
     }
 }
 
-std::optional<int> Workbench::pop_ended(double now) {
+std::optional<int> WorkQueue::pop_ended(double now) {
     if (running_.empty() || running_.top().first > now) return std::nullopt;
     const auto [end, job] = running_.top();
     running_.pop();
@@ -39,7 +39,7 @@
     return job;
 }
 
-std::vector<int> Workbench::clear() {
+std::vector<int> WorkQueue::clear() {
     std::vector<int> jobs;
     for (; !running_.empty(); running_.pop()) jobs.push_back(running_.top().second);
     for (const auto& [job, work] : waiting_) {
@@ -50,14 +50,14 @@
     return jobs;
 }
 
-void PushMeter::offered(double now, double work) {
+void OverloadDetector::offered(double now, double work) {
     const auto number = static_cast<std::int64_t>(std::floor(now / kBucket));
     Bucket& b = buckets_[static_cast<std::size_t>(number % kBuckets)];
     if (b.number != number) b = {number, 0};
     b.work += work;
 }
 
-double PushMeter::rate(double now) const {
+double OverloadDetector::rate(double now) const {
     const auto number = static_cast<std::int64_t>(std::floor(now / kBucket));
     double sum = 0;
     // The bucket that is not full yet is left out: at its begin it would hide a push.
@@ -67,7 +67,7 @@
     return sum / (kBucket * (kBuckets - 1));
 }
 
-bool PushMeter::over(double now, double capacity, double multiple, double time) {
+bool OverloadDetector::over(double now, double capacity, double multiple, double time) {
     if (multiple <= 0 || rate(now) <= multiple * capacity) {
         over_since_ = -1;
         return false;
@@ -76,7 +76,7 @@
     return now - over_since_ >= time;
 }
 
-void PushMeter::clear() {
+void OverloadDetector::clear() {
     buckets_ = {};
     over_since_ = -1;
 }
@@ -127,7 +127,7 @@
     order_.clear();
 }
 
-bool DedupWindow::seen(double now, std::uint64_t mark, double window) {
+bool DeduplicationWindow::seen(double now, std::uint64_t mark, double window) {
     while (!order_.empty() && order_.front().first <= now) {
         const auto found = marks_.find(order_.front().second);
         if (found != marks_.end() && found->second <= now) marks_.erase(found);
--- a/src/testkit/server_model.h
+++ b/src/testkit/server_model.h
@@ -21,10 +21,10 @@
 
 // Pieces of work on so many slots, first come, first served. A piece takes work / pace seconds by the pace at
 // its begin: a server that becomes slow is slow from the next piece on.
-class Workbench {
+class WorkQueue {
   public:
     using Pace = std::function<double(double now)>;  // work a second a slot; 0: it stands still for now
-    Workbench(int slots, int queue, Pace pace) : slots_(slots), queue_(queue), pace_(std::move(pace)) {}
+    WorkQueue(int slots, int queue, Pace pace) : slots_(slots), queue_(queue), pace_(std::move(pace)) {}
 
     bool enter(double now, int job, double work);  // false: full, turned away
     void forget(int job);                          // waits no more; one that runs goes on
@@ -54,7 +54,7 @@
 };
 
 // Whether more than a multiple of the capacity has been asked for, without a break, for some time.
-class PushMeter {
+class OverloadDetector {
   public:
     void offered(double now, double work);
     // Looks at the last half second; call it several times a second.
@@ -93,7 +93,7 @@
 };
 
 // The marks of writes, each known for some time.
-class DedupWindow {
+class DeduplicationWindow {
   public:
     // True: it is known, and was first seen within its window. Else it is known from now on.
     bool seen(double now, std::uint64_t mark, double window);
--- a/src/testkit/svg.h
+++ b/src/testkit/svg.h
@@ -1,4 +1,4 @@
-// Pictures for reports: line charts as SVG text that stands inside an HTML page by itself. No I/O.
+// Line charts as SVG text for embedding in an HTML page. No I/O.
 #pragma once
 
 #include <string>
--- a/src/testkit/test_environment.h
+++ b/src/testkit/test_environment.h
@@ -1,5 +1,5 @@
-// What the stand-ins of one day share: the loop, the clock, the judge, the scenario, and who stands for what
-// number. It owns the versions of the origin's values and the numbering of forwards, and nothing else.
+// What the parts of one scenario run share: event loop, clock, auditor, scenario, the versions of the
+// origin's values and the numbering of attempts.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -16,16 +16,17 @@
 
 namespace brookrelay::testkit {
 
-struct World {
+// References must outlive it.
+struct TestEnvironment {
     Io& io;
     const Clock& clock;
     const Scenario& scenario;
     audit::Auditor& auditor;
-    std::string host;       // the loopback address of all stand-ins
-    std::uint32_t day = 0;  // marks this day's ids
+    std::string host;       // the loopback address of all fake servers
+    std::uint32_t day = 0;  // distinguishes the request ids of concurrent runs
     int forwards = 0;
     std::unordered_map<std::uint64_t, std::uint32_t> versions;  // at the origin; absent: 0
-    // Where a forward of an invocation missed, until the origin's answer is stored there.
+    // By request, the servers at which it missed, until the origin's response is stored there.
     std::unordered_map<int, std::vector<int>> missed;
     std::function<void(int server, std::uint64_t key, std::uint32_t version)> fill;
     std::function<void(std::uint64_t key)> drop_copies;
@@ -36,14 +37,14 @@
         const auto found = versions.find(key);
         return found == versions.end() ? 0 : found->second;
     }
-    // Index of an operation by the name that a command gives it, -1 if there is none.
+    // Index of the operation of that name, -1 if there is none.
     int operation(std::string_view name) const {
         for (std::size_t i = 0; i < scenario.operations.size(); ++i) {
             if (scenario.operations[i].name == name) return static_cast<int>(i);
         }
         return -1;
     }
-    // Does something at a time of the day; a life holds what it works on.
+    // Runs an action at a time of the run; the action must own what it uses.
     void at(double time, std::function<void()> action) {
         auto timer = std::make_shared<boost::asio::steady_timer>(io, clock.at(time));
         timer->async_wait([timer, act = std::move(action)](const Code& bad) {
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -1,7 +1,6 @@
-// The protocols as servers and clients of a node see them: what a cache server and an origin read, what a
-// client reads, and what each writes. Written from the protocol's page and apart from the daemon's own
-// parsers, so that a mistake in those is not made twice. No I/O; a reader says how much of the bytes makes
-// one message.
+// Parsers and writers of the protocols for fake servers and clients. They are written from the protocol
+// specification and independent of the daemon's own parsers, so that an error there is not repeated here. A
+// reader returns the number of bytes of one complete message, 0 if it is incomplete. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +10,7 @@
 
 namespace brookrelay::testkit {
 
-// What the list behind `P` says.
+// The properties after `P`.
 struct Properties {
     std::string_view operation, tenant;
     std::uint64_t mark = 0;  // `k`; 0: there is none
@@ -26,7 +25,7 @@
     std::uint64_t key = 0;
     Properties properties;
 };
-// 0: not whole yet. The views point into `in`.
+// The views point into `in`.
 std::size_t read_command(std::string_view in, Command& out);
 
 struct Request {
@@ -35,7 +34,7 @@
 };
 std::size_t read_request(std::string_view in, Request& out);
 
-// What a client hears: the first line, and a value where one follows.
+// A response to a client: the first line, and a value if one follows.
 struct Heard {
     enum class Kind { value, receipt, busy, other };
     Kind kind = Kind::other;
@@ -44,10 +43,10 @@
 };
 std::size_t read_heard(std::string_view in, Heard& out);
 
-std::string id_text(std::uint32_t day, int inv);                   // unique over days that run side by side
-bool read_id(std::string_view text, std::uint32_t day, int& inv);  // false: it is none of this day's
+std::string id_text(std::uint32_t day, int inv);                   // unique over concurrent runs
+bool read_id(std::string_view text, std::uint32_t day, int& inv);  // false: not an id of this run
 std::string key_text(std::uint64_t key);
-// A value that says which forward made it, of what, and in which version; at least so many bytes.
+// A value that names the attempt, key and version that produced it; at least so many bytes.
 std::string value_text(int forward, std::uint64_t key, std::uint32_t version, std::size_t bytes);
 struct Value {
     int forward = -1;
--- a/tests/coordinator_test.cpp
+++ b/tests/coordinator_test.cpp
@@ -19,13 +19,13 @@
 struct Peer {
     std::map<std::uint64_t, std::vector<std::string>> sent;
     std::vector<std::uint64_t> hung_up;
-    Coordinator service{{[this](std::uint64_t c, const std::string& frame) {
-                             std::string_view payload;
-                             bool sound = false;
-                             EXPECT_EQ(read_frame(frame, payload, sound), frame.size());
-                             sent[c].emplace_back(payload);
-                         },
-                         [this](std::uint64_t c) { hung_up.push_back(c); }}};
+    FakeCoordinator service{{[this](std::uint64_t c, const std::string& frame) {
+                                 std::string_view payload;
+                                 bool sound = false;
+                                 EXPECT_EQ(read_frame(frame, payload, sound), frame.size());
+                                 sent[c].emplace_back(payload);
+                             },
+                             [this](std::uint64_t c) { hung_up.push_back(c); }}};
 
     std::string last(std::uint64_t c) { return sent[c].empty() ? "" : sent[c].back(); }
     // Session id and password.
@@ -89,7 +89,7 @@
     return {kind, in.text()};
 }
 
-TEST(Coordinator, KeepsEphemeralNodesForAsLongAsTheirSession) {
+TEST(FakeCoordinator, KeepsEphemeralNodesForAsLongAsTheirSession) {
     Peer p;
     EXPECT_NE(p.connect(0, 1, 2000).first, 0);
     EXPECT_EQ(p.create(0, 1, "/fleet", 0), 0);
@@ -118,7 +118,7 @@
     EXPECT_EQ(p.service.watches(), 0U);
 }
 
-TEST(Coordinator, ASessionMovesAndExpires) {
+TEST(FakeCoordinator, ASessionMovesAndExpires) {
     Peer p;
     const auto [id, password] = p.connect(0, 1, 1000);
     EXPECT_EQ(p.create(0, 1, "/a", 1), 0);
@@ -136,7 +136,7 @@
 }
 
 // What happened between a lost connection and the next is told when watches are set again.
-TEST(Coordinator, SetsWatchesAgainWithoutAGap) {
+TEST(FakeCoordinator, SetsWatchesAgainWithoutAGap) {
     Peer p;
     const auto [id, password] = p.connect(0, 1, 5000);
     (void)p.create(0, 1, "/fleet", 0);
@@ -159,7 +159,7 @@
     EXPECT_EQ(event_of(p.last(2)), (std::pair<int, std::string>{1, "/fleet/b"}));
 }
 
-TEST(Coordinator, BytesThatAreNoneEndTheConnectionAndNothingElse) {
+TEST(FakeCoordinator, BytesThatAreNoneEndTheConnectionAndNothingElse) {
     boost::random::mt19937 chance(7);
     Peer p;
     p.connect(0, 1, 5000);
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -78,9 +78,10 @@
 
 // A process of the node's beside the first: the same listener and TMPDIR, an operators' address of its own.
 struct Process {
-    std::unique_ptr<Daemon> daemon;
+    std::unique_ptr<DaemonProcess> daemon;
     int management = 0;
-    Process(std::unique_ptr<Daemon> started, int address) : daemon(std::move(started)), management(address) {}
+    Process(std::unique_ptr<DaemonProcess> started, int address)
+        : daemon(std::move(started)), management(address) {}
     Process(Process&&) = default;
     ~Process() {
         if (daemon == nullptr) return;
@@ -105,8 +106,8 @@
             listener_ = -1;
         }
         tmp_ = around.tmp;
-        daemon_ = std::make_unique<Daemon>(
-            Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_});
+        daemon_ = std::make_unique<DaemonProcess>(
+            DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_});
         if (around.managed) management_ = free_address();
         std::string hosts = around.aside ? entry("origin", origin, "SERVING") : "";
         for (ScriptedPeer& c : caches) hosts += (hosts.empty() ? "" : ",") + entry(name(c), c, "SERVING");
@@ -155,7 +156,7 @@
     }
     int port() const { return port_; }
     int management() const { return management_; }
-    Daemon& daemon() const { return *daemon_; }
+    DaemonProcess& daemon() const { return *daemon_; }
     static int free_address() {
         int port = 0;
         close(bound_socket(port));
@@ -166,8 +167,8 @@
     }
     // Another process of this node, with the same files and listener.
     Process second() const {
-        Process p(std::make_unique<Daemon>(
-                      Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_}),
+        Process p(std::make_unique<DaemonProcess>(
+                      DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_}),
                   free_address());
         p.daemon->configure(told_with(managed_at(management_), managed_at(p.management)));
         p.daemon->start();
@@ -222,7 +223,7 @@
     int management_ = 0;
     int listener_ = -1;
     std::string tmp_;
-    std::unique_ptr<Daemon> daemon_;
+    std::unique_ptr<DaemonProcess> daemon_;
     std::string told_;
 };
 
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using namespace brookrelay;
-using testkit::Coordinator;
+using testkit::FakeCoordinator;
 
 // One follower and one service, and the messages between them, which stay on the way until deliver().
 struct Pair {
@@ -22,10 +22,10 @@
     std::uint64_t connection = 0;
     double now = 0;
     std::vector<std::string> left_out, hung_up;
-    Coordinator service{{[this](std::uint64_t c, const std::string& frame) {
-                             if (c == connection) to_follower.push_back(frame.substr(4));
-                         },
-                         [](std::uint64_t) {}}};
+    FakeCoordinator service{{[this](std::uint64_t c, const std::string& frame) {
+                                 if (c == connection) to_follower.push_back(frame.substr(4));
+                             },
+                             [](std::uint64_t) {}}};
     ServiceRegistrations registrations;
     CoordinationSession follower{
         "/fleet",
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -31,8 +31,8 @@
 
 // ---- parts ----------------------------------------------------------------------------------------------
 
-TEST(Workbench, ServesInOrderOnItsSlots) {
-    Workbench bench(2, 2, [](double) { return 2.0; });
+TEST(WorkQueue, ServesInOrderOnItsSlots) {
+    WorkQueue bench(2, 2, [](double) { return 2.0; });
     EXPECT_TRUE(bench.enter(0, 1, 4));  // until 2
     EXPECT_TRUE(bench.enter(0, 2, 2));  // until 1
     EXPECT_TRUE(bench.enter(0, 3, 2));  // from 1 until 2
@@ -48,7 +48,7 @@
     EXPECT_EQ(bench.open(), 0);
 }
 
-TEST(PushMeter, TellsAPushFromABurst) {
+TEST(OverloadDetector, TellsAPushFromABurst) {
     const struct {
         const char* name;
         double rate, until;
@@ -58,7 +58,7 @@
                  {"just under the multiple", 3.9, 9, false}};
     for (const auto& c : cases) {
         SCOPED_TRACE(c.name);
-        PushMeter meter;
+        OverloadDetector meter;
         bool over = false;
         for (int i = 0; i < 100; ++i) {
             const double now = 0.1 * i + 0.05;
@@ -81,8 +81,8 @@
     EXPECT_EQ(store.size(), 1U);
 }
 
-TEST(DedupWindow, KnowsAMarkForItsTime) {
-    DedupWindow marks;
+TEST(DeduplicationWindow, KnowsAMarkForItsTime) {
+    DeduplicationWindow marks;
     EXPECT_FALSE(marks.seen(0, 9, 2));
     EXPECT_TRUE(marks.seen(1.9, 9, 2));
     EXPECT_FALSE(marks.seen(2.1, 9, 2));
@@ -259,7 +259,7 @@
     without.troubles.clear();
     const auto plain = draw_schedule(without, 5);
     std::size_t found = 0;
-    for (const Planned& p : a) {
+    for (const PlannedRequest& p : a) {
         if (found < plain.size() && p.at == plain[found].at && p.key == plain[found].key) ++found;
     }
     EXPECT_EQ(found, plain.size());
--- a/tests/limit_days_test.cpp
+++ b/tests/limit_days_test.cpp
@@ -175,7 +175,7 @@
     s.troubles = {with_nodes(TroubleKind::node_kill, 2, 20, {3})};
     std::string address;
     bool started = false;
-    Claimer claimer(3);
+    GreedyPeer claimer(3);
     const Played p = play(
         s, 1,
         [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -127,9 +127,10 @@
     for (int k = 0; k < 5; ++k) EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
     int fd[2];
     ASSERT_EQ(pipe(fd), 0);
-    Process made(std::make_unique<Daemon>(Daemon::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
+    Process made(std::make_unique<DaemonProcess>(
+                     DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
                  0);
-    Daemon& wrong = *made.daemon;
+    DaemonProcess& wrong = *made.daemon;
     wrong.configure(fleet.told_with("\"pushed\"", "\"pushed\""));
     wrong.start();
     wait_for([&] { return !wrong.running(); });
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -79,13 +79,13 @@
         }
         return false;
     }
-    CoordinatorServer& server() { return server_; }
+    FakeCoordinatorServer& server() { return server_; }
 
   private:
     Io io_;
     Clock clock_;
     boost::asio::executor_work_guard<Io::executor_type> guard_;
-    CoordinatorServer server_;
+    FakeCoordinatorServer server_;
     std::thread thread_;
     std::int64_t owner_ = 0;
     pid_t child_ = 0;
@@ -119,7 +119,7 @@
 TEST(Registry, ADaemonFollowsRegistrations) {
     Io io;
     const Clock clock;
-    CoordinatorServer server(io, clock, own_loopback());
+    FakeCoordinatorServer server(io, clock, own_loopback());
     const std::int64_t owner = server.service().open_session(0, 40);
     (void)server.service().create(0, 0, "/fleet", "", false, false);
     ScriptedPeer boxes[2]{ScriptedPeer(false), ScriptedPeer(false)};
