--- /dev/null
+++ b/src/testkit/run_faults.cpp
@@ -0,0 +1,190 @@
+// Injects the faults of a scenario at their times.
+#include <csignal>
+#include <set>
+
+#include "audit/history.h"
+#include "testkit/scenario_run.h"
+
+namespace brookrelay::testkit {
+namespace {
+
+using audit::index;
+
+constexpr double kDefaultRemovalDelay = 2.0;    // seconds from draining to removed
+constexpr double kDefaultServerDowntime = 2.0;  // seconds
+constexpr double kBrokenFileDuration = 1.0;     // seconds for which a broken configuration file is in place
+constexpr double kDefaultStarvedRatio = 0.8;    // part of the time for which a starved node is stopped
+
+std::vector<int> affected_nodes(const Trouble& t) {
+    return t.nodes.empty() ? std::vector<int>{t.node} : t.nodes;
+}
+
+}  // namespace
+
+void ScenarioRun::strike(const Trouble& t, FakeCacheServer& s) {
+    const int number = s.number();
+    const double until = environment_.now() + t.lasts;
+    switch (t.kind) {
+        case TroubleKind::silent:
+            s.silence(true);
+            environment_.at(until, [&s] { s.silence(false); });
+            break;
+        case TroubleKind::slow:
+            s.slow(t.factor);
+            environment_.at(until, [&s] { s.slow(1); });
+            break;
+        case TroubleKind::spoilt:
+            s.spoil(t.part);
+            environment_.at(until, [&s] { s.spoil(0); });
+            break;
+        case TroubleKind::crash:
+        case TroubleKind::cold_return: {
+            s.stop();
+            const bool at_once = t.kind == TroubleKind::cold_return;
+            if (!at_once) discovery_->list(number, s.address(), EndpointState::removed, s.started());
+            const double away = at_once ? 0.05 : t.lasts > 0 ? t.lasts : kDefaultServerDowntime;
+            environment_.at(environment_.now() + away, [this, &s, number] {
+                s.start_cold();
+                if (s.running()) discovery_->list(number, s.address(), EndpointState::ready, s.started());
+            });
+            break;
+        }
+        case TroubleKind::drain:
+            discovery_->list(number, s.address(), EndpointState::draining, s.started());
+            if (t.lasts > 0) {
+                environment_.at(until, [this, &s, number] {
+                    discovery_->list(number, s.address(), EndpointState::ready, s.started());
+                });
+            }
+            break;
+        case TroubleKind::remove:
+            discovery_->list(number, s.address(), EndpointState::draining, s.started());
+            environment_.at(
+                environment_.now() + (t.lasts > 0 ? t.lasts : kDefaultRemovalDelay), [this, &s, number] {
+                    discovery_->list(number, s.address(), EndpointState::removed, s.started());
+                    // Work that is out there is ended first; a well-kept server goes only then.
+                    environment_.at(environment_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
+                });
+            break;
+        default:
+            break;
+    }
+}
+
+void ScenarioRun::inject_fault(const Trouble& t) {
+    if (ended_) return;
+    const double until = environment_.now() + t.lasts;
+    std::string text = trouble_words()[static_cast<std::size_t>(t.kind)];
+    for (const std::string& name : t.who) text += " " + name;
+    switch (t.kind) {
+        case TroubleKind::silent:
+        case TroubleKind::crash:
+        case TroubleKind::slow:
+        case TroubleKind::cold_return:
+        case TroubleKind::drain:
+        case TroubleKind::remove:
+        case TroubleKind::spoilt:
+            for (const std::string& name : t.who) strike(t, *server(name));
+            break;
+        case TroubleKind::void_copies:
+            for (const auto& c : caches_) c->drop_part(t.part, plan_.seed);
+            break;
+        case TroubleKind::origin_slow:
+            origin_->slow(t.factor);
+            environment_.at(until, [this] { origin_->slow(1); });
+            break;
+        case TroubleKind::origin_stop:
+            origin_->halt(t.lasts);
+            break;
+        case TroubleKind::discovery_down:
+            discovery_->down(true);
+            environment_.at(until, [this] { discovery_->down(false); });
+            break;
+        case TroubleKind::discovery_stale:
+            discovery_->stale(true);
+            environment_.at(until, [this] { discovery_->stale(false); });
+            break;
+        case TroubleKind::discovery_restart: {
+            std::set<int> left_out;
+            for (const std::string& name : t.who) left_out.insert(server(name)->number());
+            discovery_->restart(left_out);
+            if (t.lasts > 0) environment_.at(until, [this] { discovery_->readmit(); });
+            break;
+        }
+        case TroubleKind::node_kill:
+            for (const int node : affected_nodes(t)) {
+                text += " " + std::to_string(node);
+                kill_node(node, t.lasts > 0 ? t.lasts : kDefaultNodeDowntime);
+            }
+            break;
+        case TroubleKind::node_restart:
+            for (const int node : affected_nodes(t)) {
+                text += " " + std::to_string(node);
+                terminate_node(node);
+            }
+            break;
+        case TroubleKind::limits:
+            for (const int node : affected_nodes(t)) {
+                text += " " + std::to_string(node);
+                write_operator_file(node, t.origin);
+                nodes_[index(node)].daemon->signal(SIGHUP);
+            }
+            break;
+        case TroubleKind::freeze:
+        case TroubleKind::starved:
+        case TroubleKind::list_late:
+            for (const int node : affected_nodes(t)) {
+                text += " " + std::to_string(node);
+                if (t.kind == TroubleKind::freeze) {
+                    freeze(node, t.lasts);
+                } else if (t.kind == TroubleKind::starved) {
+                    starve(node, t.part < 1 ? t.part : kDefaultStarvedRatio, until);
+                } else {
+                    discovery_->hold(node, true);
+                    environment_.at(until, [this, node] { discovery_->hold(node, false); });
+                }
+            }
+            break;
+        case TroubleKind::cut:
+        case TroubleKind::lossy:
+        case TroubleKind::late:
+        case TroubleKind::doubled:
+        case TroubleKind::reordered:
+        case TroubleKind::garbled:
+            for (const std::string& name : t.from) text += " " + name;
+            if (network_ != nullptr) network_->strike(t, until);
+            break;
+        case TroubleKind::reload:
+        case TroubleKind::reload_bad: {
+            Node& n = nodes_[index(t.node)];
+            text += " " + std::to_string(t.node);
+            const std::string good = configuration(t.node, 77);
+            n.daemon->configure(t.kind == TroubleKind::reload ? good : good.substr(0, good.size() / 2));
+            n.daemon->signal(SIGHUP);
+            if (t.kind == TroubleKind::reload_bad) {
+                environment_.at(environment_.now() + kBrokenFileDuration,
+                                [&n, good] { n.daemon->configure(good); });
+            }
+            break;
+        }
+        case TroubleKind::tricklers:
+            clients_->trickle(t.node, t.count, until);
+            break;
+        case TroubleKind::non_readers:
+            clients_->never_read(t.node, t.count, until);
+            break;
+        case TroubleKind::hot_key:
+        case TroubleKind::scan:
+        case TroubleKind::over_share:
+        case TroubleKind::count:
+            break;  // drawn into the schedule
+    }
+    mark(text);
+    if (t.lasts > 0) {
+        environment_.at(until, [this, text] {
+            if (!ended_) mark("end of " + text);
+        });
+    }
+}
+
+}  // namespace brookrelay::testkit
--- /dev/null
+++ b/src/testkit/run_nodes.cpp
@@ -0,0 +1,210 @@
+// The daemons of a scenario run: addresses, start, readiness, restart, kill and pause.
+#include <algorithm>
+#include <csignal>
+#include <fstream>
+#include <utility>
+
+#include "audit/history.h"
+#include "testkit/scenario_run.h"
+
+namespace brookrelay::testkit {
+namespace {
+
+using audit::index;
+
+constexpr double kReadyTimeout = 15;        // seconds from the start of a daemon to its first response
+constexpr double kReadyProbeTimeout = 0.5;  // seconds for the response to one readiness probe
+constexpr int kBindFailedExitCode = 1;      // of a daemon whose port is taken
+constexpr std::uint64_t kMaxStarts = 4;     // of a node before the run, on ports that were taken
+constexpr double kLoadBalancerDelay = 0.3;  // seconds from SIGTERM until a node gets no new connections
+constexpr double kShutdownGrace = 0.7;  // seconds beyond the longest client timeout, from SIGTERM to SIGKILL
+constexpr double kMaxAwaitedTimeout = 3.0;  // seconds; longer client timeouts are not awaited
+constexpr double kPauseRecovery = 0.2;  // seconds after a pause in which what the node held may still be late
+constexpr double kStarvationPeriod = 1.0;  // seconds
+constexpr double kStartDelay = 0.5;        // seconds from the readiness of all nodes to the start of the run
+
+}  // namespace
+
+void ScenarioRun::assign_address(int node, unsigned short port) {
+    Node& n = nodes_[index(node)];
+    // A free port may be assigned to another node that has not started yet, whose response would then pass
+    // for this one's.
+    const auto taken = [&](const Node& other) {
+        const std::string address = environment_.host + ":" + std::to_string(port);
+        return &other != &n && (other.listen == address || other.talk.management == address);
+    };
+    while (std::any_of(nodes_.begin(), nodes_.end(), taken)) port = free_port(io_, environment_.host);
+    n.listen = environment_.host + ":" + std::to_string(port);
+    clients_->node_at(node, {boost::asio::ip::make_address(environment_.host), port});
+}
+
+// Distinct from all addresses already assigned, as a free port is not reserved until its node starts.
+void ScenarioRun::assign_admin_address(int node) {
+    if (!scenario_.talk) return;
+    std::string address;
+    const auto taken = [&](const Node& n) { return n.listen == address || n.talk.management == address; };
+    do {
+        address = environment_.host + ":" + std::to_string(free_port(io_, environment_.host));
+    } while (std::any_of(nodes_.begin(), nodes_.end(), taken));
+    nodes_[index(node)].talk.management = address;
+}
+
+std::string ScenarioRun::configuration(int node, std::uint64_t seed) const {
+    const Node& n = nodes_[index(node)];
+    return station_json(scenario_, node, n.listen, discovery_->agent(node), discovery_->whole_list(node),
+                        seed, n.talk);
+}
+
+void ScenarioRun::start_node(int node) {
+    Node& n = nodes_[index(node)];
+    n.ready = false;
+    ++n.starts;
+    const std::uint64_t seed =
+        key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.starts);
+    n.daemon->configure(configuration(node, seed));
+    auditor_.on_node_started(environment_.now(), node);
+    n.daemon->expected_to_end = false;
+    n.daemon->start();
+    probe_readiness(node, environment_.now() + kReadyTimeout);
+}
+
+void ScenarioRun::probe_readiness(int node, double until) {
+    Node& n = nodes_[index(node)];
+    if (ended_) return;
+    if (!n.daemon->running()) {
+        if (n.daemon->expected_to_end) return;
+        if (has_started_) return;  // check_daemons() says so
+        // Between the look for a free port and the daemon's own start somebody else may have taken it.
+        if (n.daemon->exit_code() == kBindFailedExitCode && n.starts < kMaxStarts) {
+            assign_address(node, free_port(io_, environment_.host));
+            assign_admin_address(node);
+            return start_node(node);
+        }
+        return fail("the daemon ended at its start with exit code " + std::to_string(n.daemon->exit_code()) +
+                    "; see " + n.daemon->log_path());
+    }
+    if (environment_.now() > until) return fail("the daemon does not answer; see " + n.daemon->log_path());
+    const std::size_t colon = n.listen.find(':');
+    const Tcp::endpoint where(boost::asio::ip::make_address(n.listen.substr(0, colon)),
+                              static_cast<unsigned short>(std::stoul(n.listen.substr(colon + 1))));
+    // Whoever listens there may be somebody else, who never answers.
+    const auto asked_again = std::make_shared<bool>(false);
+    const auto again = [this, node, until, asked_again] {
+        if (std::exchange(*asked_again, true)) return;
+        environment_.at(environment_.now() + 0.02, [this, node, until] { probe_readiness(node, until); });
+    };
+    const auto conn = Connection::to(io_, where, clock_,
+                                     {[](Connection& c) { c.write("mn\r\n"); },
+                                      [this, node, asked_again](Connection& c) {
+                                          if (!c.input().starts_with("MN")) return;
+                                          *asked_again = true;
+                                          c.close();
+                                          on_node_ready(node);
+                                      },
+                                      [again](Connection&) { again(); }});
+    environment_.at(environment_.now() + kReadyProbeTimeout, [conn, again] {
+        conn->close();
+        again();
+    });
+}
+
+void ScenarioRun::on_node_ready(int node) {
+    Node& n = nodes_[index(node)];
+    if (n.ready || ended_) return;
+    n.ready = true;
+    clients_->front_uses(node, true);
+    if (has_started_) return mark("node " + std::to_string(node) + " serves again");
+    if (!std::all_of(nodes_.begin(), nodes_.end(), [](const Node& one) { return one.ready; })) return;
+    has_started_ = true;
+    // Only now is it known when the day begins, and the day's times are the clock's from here on.
+    started_at_ = environment_.now() + kStartDelay;
+    auditor_.start_run(started_at_);
+    for (PlannedRequest& p : schedule_) p.at += started_at_;
+    begin();
+}
+
+void ScenarioRun::terminate_node(int node) {
+    Node& n = nodes_[index(node)];
+    n.daemon->expected_to_end = true;
+    n.daemon->signal(SIGTERM);
+    double longest = 0;
+    for (const OperationPlan& o : scenario_.operations)
+        longest = std::max(longest, o.promised.client_timeout);
+    const double kill_at = environment_.now() + std::min(longest, kMaxAwaitedTimeout) + kShutdownGrace;
+    environment_.at(environment_.now() + kLoadBalancerDelay,
+                    [this, node] { clients_->front_uses(node, false); });
+    await_shutdown(node, kill_at);
+}
+
+void ScenarioRun::await_shutdown(int node, double kill_at) {
+    Node& n = nodes_[index(node)];
+    if (ended_) return;
+    if (n.daemon->running()) {
+        if (environment_.now() >= kill_at) {
+            // It was told long enough ago: what it still holds now is lost, and by its own fault.
+            n.daemon->kill();
+            mark("node " + std::to_string(node) + " had to be killed after SIGTERM");
+        } else {
+            environment_.at(environment_.now() + 0.02,
+                            [this, node, kill_at] { await_shutdown(node, kill_at); });
+            return;
+        }
+    }
+    n.count_ended_process();
+    if (n.daemon->exit_code() != 0 && n.daemon->exit_code() != 128 + SIGKILL) ++result_.crashes;
+    mark("node " + std::to_string(node) + " has ended, exit code " + std::to_string(n.daemon->exit_code()));
+    start_node(node);
+}
+
+void ScenarioRun::write_operator_file(int node, double origin) const {
+    std::ofstream file(operator_path(node));
+    file << "[fleet]\ntalk = true\nbytes_a_second = " << scenario_.talk_bytes
+         << "\nzones = " << (scenario_.talk_zones ? "true" : "false")
+         << "\n[fleet.limits]\ntenants = " << (scenario_.talk_tenants ? "true" : "false") << "\n";
+    if (origin > 0) file << "origin = " << origin << "\n";
+    if (scenario_.talk_cold > 0) file << "cold = " << scenario_.talk_cold << "\n";
+    if (scenario_.talk_connections > 0) file << "connections = " << scenario_.talk_connections << "\n";
+}
+
+void ScenarioRun::kill_node(int node, double away) {
+    Node& n = nodes_[index(node)];
+    n.daemon->expected_to_end = true;
+    // The judge hears of it first: what breaks from here on is the kill's doing.
+    auditor_.on_node_killed(environment_.now(), node);
+    n.daemon->kill();
+    n.count_ended_process();
+    environment_.at(environment_.now() + scenario_.clients.front_notices, [this, node] {
+        if (!nodes_[index(node)].ready) clients_->front_uses(node, false);
+    });
+    n.ready = false;
+    environment_.at(environment_.now() + away, [this, node] {
+        if (!ended_) start_node(node);
+    });
+}
+
+// Stopped as a machine that pages or is moved: its sockets stand, and nothing is read from them.
+void ScenarioRun::freeze(int node, double lasts) {
+    const double until = environment_.now() + lasts;
+    auditor_.on_node_paused(until + kPauseRecovery, node);
+    nodes_[index(node)].daemon->signal(SIGSTOP);
+    environment_.at(environment_.now() + scenario_.clients.front_notices, [this, node, until] {
+        if (environment_.now() < until) clients_->front_uses(node, false);
+    });
+    environment_.at(until, [this, node] {
+        nodes_[index(node)].daemon->signal(SIGCONT);
+        if (!ended_) clients_->front_uses(node, true);
+    });
+}
+
+// Stopped and let on by turns, as on a crowded core.
+void ScenarioRun::starve(int node, double part, double until) {
+    if (ended_ || environment_.now() >= until) return;
+    auditor_.on_node_paused(until + kPauseRecovery, node);
+    nodes_[index(node)].daemon->signal(SIGSTOP);
+    environment_.at(environment_.now() + part * kStarvationPeriod,
+                    [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
+    environment_.at(environment_.now() + kStarvationPeriod,
+                    [this, node, part, until] { starve(node, part, until); });
+}
+
+}  // namespace brookrelay::testkit
