--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -5,14 +5,15 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kInMost = 4096;
-constexpr int kAcceptsATurn = 4;
-// Sources of a higher priority that are always ready would leave the clients no turn.
+constexpr std::size_t kMaxRequestSize = 4096;
+constexpr int kMaxAcceptsPerIteration = 4;
+// s between two batches: a source of a higher priority that is always ready would starve the clients.
 constexpr double kAcceptPause = 0.005;
-constexpr double kCallMost = 5.0;  // s that a caller may take for its call, and then for its answer
-constexpr double kLinger = 0.5;    // closing with bytes unread would reset the answer on its way
+constexpr double kRequestTimeout = 5.0;  // s for the caller to send its request, and for the answer after it
+// s between the answer and the close: closing with unread bytes would reset the connection under the answer.
+constexpr double kLingerTime = 0.5;
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -35,8 +36,8 @@
 
 }  // namespace
 
-AdminServer::AdminServer(TimerQueue& timers, Log& log, OnRequest asked)
-    : timers_(timers), log_(log), on_request_(std::move(asked)) {}
+AdminServer::AdminServer(TimerQueue& timers, Log& log, OnRequest on_request)
+    : timers_(timers), log_(log), on_request_(std::move(on_request)) {}
 
 AdminServer::~AdminServer() { watch_listener(false); }
 
@@ -47,9 +48,9 @@
     return true;
 }
 
-void AdminServer::watch_listener(bool on) {
-    if (on == (accept_source_ != nullptr)) return;
-    if (!on) {
+void AdminServer::watch_listener(bool enabled) {
+    if (enabled == (accept_source_ != nullptr)) return;
+    if (!enabled) {
         g_source_destroy(accept_source_);
         g_source_unref(accept_source_);
         accept_source_ = nullptr;
@@ -66,22 +67,23 @@
 }
 
 void AdminServer::accept_connections() {
-    for (int n = 0; n < kAcceptsATurn; ++n) {
+    for (int n = 0; n < kMaxAcceptsPerIteration; ++n) {
         if (open_count_ >= kMaxCallers) evict_oldest();
         SocketRef socket(g_socket_accept(listener_.get(), nullptr, nullptr));
         if (socket == nullptr) break;
         const std::uint64_t id = ++last_id_;
-        Caller& c = callers_[id];
+        Caller& caller = callers_[id];
         ++open_count_;
-        c.timeout = timers_.schedule(monotonic_now() + kCallMost, [this, id, &c] {
-            c.timeout = {};
-            if (c.responded) return close(id, c);
-            c.request_read = true;
+        caller.timeout = timers_.schedule(monotonic_now() + kRequestTimeout, [this, id, &caller] {
+            caller.timeout = {};
+            if (caller.responded) return close(id, caller);
+            caller.request_read = true;
             respond(id, 408, "no whole call in time");
         });
-        c.connection = std::make_unique<TcpConnection>(
-            std::move(socket), kInMost, budget_,
-            [this, id, &c](TcpConnection::Event what) { on_event(id, c, what); }, G_PRIORITY_HIGH);
+        caller.connection = std::make_unique<TcpConnection>(
+            std::move(socket), kMaxRequestSize, budget_,
+            [this, id, &caller](TcpConnection::Event event) { on_event(id, caller, event); },
+            G_PRIORITY_HIGH);
     }
     watch_listener(false);
     accept_retry_timer_ = timers_.schedule(monotonic_now() + kAcceptPause, [this] {
@@ -90,52 +92,53 @@
     });
 }
 
-// Whoever is here longest without a whole call gives way; those who wait for their answer have it within a
-// turn.
+// Closes the oldest connection that has not sent its whole request, or else the oldest one: a caller whose
+// request is complete gets its answer within one iteration of the event loop.
 void AdminServer::evict_oldest() {
-    std::pair<const std::uint64_t, Caller>* first = nullptr;
+    std::pair<const std::uint64_t, Caller>* oldest = nullptr;
     for (auto& entry : callers_) {
         if (entry.second.connection->is_closed()) continue;
-        if (first == nullptr) first = &entry;
+        if (oldest == nullptr) oldest = &entry;
         if (!entry.second.request_read) return close(entry.first, entry.second);
     }
-    if (first != nullptr) close(first->first, first->second);
+    if (oldest != nullptr) close(oldest->first, oldest->second);
 }
 
-void AdminServer::on_event(std::uint64_t id, Caller& c, TcpConnection::Event what) {
-    if (what == TcpConnection::Event::closed) return close(id, c);
-    if (what != TcpConnection::Event::readable) return;
-    if (c.request_read)
-        return c.connection->consume(c.connection->input().size());  // a body, or more than one call
-    HttpRequest call;
-    if (parse_http_request(c.connection->input(), call) == 0 && !c.connection->is_read_buffer_full()) return;
-    c.request_read = true;
-    c.connection->consume(c.connection->input().size());
-    if (call.valid) return on_request_(id, call);
+void AdminServer::on_event(std::uint64_t id, Caller& caller, TcpConnection::Event event) {
+    if (event == TcpConnection::Event::closed) return close(id, caller);
+    if (event != TcpConnection::Event::readable) return;
+    TcpConnection& connection = *caller.connection;
+    // What follows the request, a body or a second request, is discarded.
+    if (caller.request_read) return connection.consume(connection.input().size());
+    HttpRequest request;
+    if (parse_http_request(connection.input(), request) == 0 && !connection.is_read_buffer_full()) return;
+    caller.request_read = true;
+    connection.consume(connection.input().size());
+    if (request.valid) return on_request_(id, request);
     respond(id, 400, "no call of HTTP/1.1");
 }
 
-void AdminServer::respond(std::uint64_t caller, int status, std::string_view text) {
-    const auto at = callers_.find(caller);
-    if (at == callers_.end() || at->second.connection->is_closed() || at->second.responded) return;
-    Caller& c = at->second;
-    c.responded = true;
-    std::string said = "HTTP/1.1 " + std::to_string(status) + " " + reason(status);
-    said += "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(text.size() + 1);
-    said.append("\r\nConnection: close\r\n\r\n").append(text).append("\n");
-    c.connection->write(said);
-    c.connection->shutdown_write();
-    timers_.cancel(c.timeout);
-    c.timeout = timers_.schedule(monotonic_now() + kLinger, [this, caller, &c] {
-        c.timeout = {};
-        close(caller, c);
+void AdminServer::respond(std::uint64_t id, int status, std::string_view text) {
+    const auto found = callers_.find(id);
+    if (found == callers_.end() || found->second.connection->is_closed() || found->second.responded) return;
+    Caller& caller = found->second;
+    caller.responded = true;
+    std::string response = "HTTP/1.1 " + std::to_string(status) + " " + reason_phrase(status);
+    response += "\r\nContent-Type: text/plain\r\nContent-Length: " + std::to_string(text.size() + 1);
+    response.append("\r\nConnection: close\r\n\r\n").append(text).append("\n");
+    caller.connection->write(response);
+    caller.connection->shutdown_write();
+    timers_.cancel(caller.timeout);
+    caller.timeout = timers_.schedule(monotonic_now() + kLingerTime, [this, id, &caller] {
+        caller.timeout = {};
+        close(id, caller);
     });
 }
 
-void AdminServer::close(std::uint64_t id, Caller& c) {
-    if (c.connection->is_closed()) return;
-    timers_.cancel(c.timeout);
-    c.connection->close();
+void AdminServer::close(std::uint64_t id, Caller& caller) {
+    if (caller.connection->is_closed()) return;
+    timers_.cancel(caller.timeout);
+    caller.connection->close();
     --open_count_;
     closed_.push_back(id);
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,7 +1,9 @@
-// The operators' address: HTTP/1.1, one call a connection. It owns its listener and its callers and gives
-// both back in drop() and at its end. Its sources come before the clients', so that it is heard however busy
-// the node is; its places and the callers it takes at a time are few, so that it holds up nobody either. It
-// decides nothing: what a call means is the node's to say.
+// The HTTP/1.1 server on the operators' address, with one request a connection.
+//
+// It owns its listener and its connections. Its event sources have a higher priority than the clients', so
+// that it answers however busy the node is; the connections and the accepts of one event-loop iteration are
+// few, so that it does not delay the clients either. It does not interpret requests: the owner does, and
+// answers by respond(). Times are seconds on the monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -19,42 +21,47 @@
 
 namespace brookrelay {
 
+// A listener with at most kMaxCallers open connections; one more evicts the oldest.
 class AdminServer {
   public:
     static constexpr std::size_t kMaxCallers = 8;
-    using OnRequest = std::function<void(std::uint64_t caller, const HttpRequest& call)>;
+    // Called with each valid request; `caller` is the id for respond().
+    using OnRequest = std::function<void(std::uint64_t caller, const HttpRequest& request)>;
 
-    AdminServer(TimerQueue& timers, Log& log, OnRequest asked);
+    AdminServer(TimerQueue& timers, Log& log, OnRequest on_request);
     ~AdminServer();
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
+    // Starts to accept connections. False: the address could not be bound, and `complaint` has the reason.
     bool listen(const std::string& address, std::string& complaint);
-    void respond(std::uint64_t caller, int status, std::string_view text);
+    // Sends the answer as plain text and closes; does nothing if the caller is gone or was answered.
+    void respond(std::uint64_t id, int status, std::string_view text);
+    // Frees closed connections. Not to be called from inside a connection's callback.
     void destroy_closed();
 
   private:
     struct Caller {
         std::unique_ptr<TcpConnection> connection;
-        bool request_read = false;  // its call is whole, or hopeless
+        bool request_read = false;  // completely received, or rejected
         bool responded = false;
         TimerQueue::Handle timeout;
     };
 
-    void watch_listener(bool on);
+    void watch_listener(bool enabled);
     void accept_connections();
     void evict_oldest();
-    void on_event(std::uint64_t id, Caller& c, TcpConnection::Event what);
-    void close(std::uint64_t id, Caller& c);
+    void on_event(std::uint64_t id, Caller& caller, TcpConnection::Event event);
+    void close(std::uint64_t id, Caller& caller);
 
     TimerQueue& timers_;
     Log& log_;
     OnRequest on_request_;
-    ByteBudget budget_;  // never looked at: few places, each bounded by itself
+    ByteBudget budget_;  // not checked: few connections, each with a bounded buffer
     SocketRef listener_;
     GSource* accept_source_ = nullptr;
     TimerQueue::Handle accept_retry_timer_;
-    std::map<std::uint64_t, Caller> callers_;  // the longest here in front
+    std::map<std::uint64_t, Caller> callers_;  // by increasing id: the oldest first
     std::vector<std::uint64_t> closed_;
     std::size_t open_count_ = 0;
     std::uint64_t last_id_ = 0;
--- a/src/admin/admin_state.cpp
+++ b/src/admin/admin_state.cpp
@@ -1,6 +1,5 @@
 #include "admin/admin_state.h"
 
-#include <dirent.h>
 #include <fcntl.h>
 #include <glib.h>
 #include <sys/stat.h>
@@ -13,65 +12,96 @@
 #include <string_view>
 #include <utility>
 
+#include "util/file_descriptor.h"
+
 namespace brookrelay {
 namespace {
 
-constexpr std::string_view kOut = "out-";
-constexpr std::string_view kBack = "back-";
-constexpr double kBackKept = 600;  // s; by then nothing remembers that it was cold
+constexpr std::string_view kDrainedPrefix = "out-";
+constexpr std::string_view kRestoredPrefix = "back-";
+constexpr double kRestoredMarkLifetime = 600;  // s; longer than any slow start after a restore
+constexpr mode_t kDirectoryMode = 0700;
+constexpr mode_t kFileMode = 0600;
 
-struct GFree {
+struct GlibDeleter {
     void operator()(char* text) const { g_free(text); }
 };
-using Text = std::unique_ptr<char, GFree>;
+using GlibString = std::unique_ptr<char, GlibDeleter>;
 
-// As a part of a file's name and as a line: an id is the list's word, and may hold anything.
-std::string escaped(const std::string& name) {
-    return Text(g_uri_escape_string(name.c_str(), nullptr, FALSE)).get();
+// Safe in a file name and as a line: names come from discovery and may hold any character.
+std::string percent_encoded(const std::string& name) {
+    return GlibString(g_uri_escape_string(name.c_str(), nullptr, FALSE)).get();
 }
 
-double time_of(const struct stat& told) {
-    return static_cast<double>(told.st_mtim.tv_sec) + static_cast<double>(told.st_mtim.tv_nsec) / 1e9;
+double modified_at(const struct stat& status) {
+    return static_cast<double>(status.st_mtim.tv_sec) + static_cast<double>(status.st_mtim.tv_nsec) / 1e9;
 }
 
-struct CloseFolder {
-    void operator()(DIR* folder) const { closedir(folder); }
-};
+// The marks in the directory, by server name. Deletes restore marks older than kRestoredMarkLifetime.
+std::unordered_map<std::string, AdminState::ServerState> read_marks(DIR* directory, double wall_now) {
+    std::unordered_map<std::string, AdminState::ServerState> marks;
+    while (const dirent* entry = readdir(directory)) {
+        const std::string_view file_name(entry->d_name);
+        const bool drained = file_name.starts_with(kDrainedPrefix);
+        if (!drained && !file_name.starts_with(kRestoredPrefix)) continue;
+        const std::size_t prefix_size = (drained ? kDrainedPrefix : kRestoredPrefix).size();
+        const GlibString name(g_uri_unescape_string(entry->d_name + prefix_size, nullptr));
+        if (name == nullptr) continue;
+        if (drained) {
+            marks[name.get()] = {.drained = true, .restored_at = 0};
+            continue;
+        }
+        struct stat status {};
+        if (fstatat(dirfd(directory), entry->d_name, &status, 0) != 0) continue;
+        const double restored_at = modified_at(status);
+        if (wall_now - restored_at > kRestoredMarkLifetime) {
+            unlinkat(dirfd(directory), entry->d_name, 0);
+        } else {
+            // Drained again since the restore, it has both marks: the drain counts.
+            marks.try_emplace(name.get(),
+                              AdminState::ServerState{.drained = false, .restored_at = restored_at});
+        }
+    }
+    return marks;
+}
 
 }  // namespace
 
-AdminState::AdminState(std::string folder) : folder_(std::move(folder)) {
-    if (!folder_.empty()) mkdir(folder_.c_str(), 0700);
+AdminState::AdminState(std::string directory) : directory_(std::move(directory)) {
+    if (!directory_.empty()) mkdir(directory_.c_str(), kDirectoryMode);
 }
 
-std::string AdminState::path(const char* what, const std::string& name) const {
-    return folder_ + "/" + what + escaped(name);
+std::string AdminState::path(std::string_view prefix, const std::string& name) const {
+    return directory_ + "/" + std::string(prefix) + percent_encoded(name);
 }
 
 bool AdminState::drain(const std::string& name) {
-    if (!folder_.empty()) {
-        const int file = open(path("out-", name).c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600);
-        if (file < 0) return false;
-        close(file);
-        unlink(path("back-", name).c_str());
+    if (!directory_.empty()) {
+        {
+            const FileDescriptor file(
+                open(path(kDrainedPrefix, name).c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, kFileMode));
+            if (!file.is_open()) return false;
+        }
+        unlink(path(kRestoredPrefix, name).c_str());
     }
-    states_[name] = {true, 0};
+    states_[name] = {.drained = true, .restored_at = 0};
     return true;
 }
 
-// By the file and not by what was seen last: it may have been taken out by another process just now.
-bool AdminState::restore(const std::string& name, double wall) {
-    if (folder_.empty()) {
-        if (state_of(name).drained) states_[name] = {false, wall};
+// Goes by the file and not by states_: another process may have drained the server since the last reload.
+bool AdminState::restore(const std::string& name, double wall_now) {
+    if (directory_.empty()) {
+        if (state_of(name).drained) states_[name] = {.drained = false, .restored_at = wall_now};
         return true;
     }
-    const std::string out = path("out-", name);
-    const std::string back = path("back-", name);
-    utimensat(AT_FDCWD, out.c_str(), nullptr, 0);
-    if (std::rename(out.c_str(), back.c_str()) != 0) return errno == ENOENT;  // it is not out
-    struct stat told {};
-    // As each later look finds it: another time would be another start.
-    states_[name] = {false, stat(back.c_str(), &told) == 0 ? time_of(told) : wall};
+    const std::string drained_path = path(kDrainedPrefix, name);
+    const std::string restored_path = path(kRestoredPrefix, name);
+    utimensat(AT_FDCWD, drained_path.c_str(), nullptr, 0);
+    if (std::rename(drained_path.c_str(), restored_path.c_str()) != 0) return errno == ENOENT;  // not drained
+    struct stat status {};
+    // The time that each later reload reads: a different one would count as another restore.
+    const double restored_at = stat(restored_path.c_str(), &status) == 0 ? modified_at(status) : wall_now;
+    states_[name] = {.drained = false, .restored_at = restored_at};
     return true;
 }
 
@@ -80,30 +110,11 @@
     return known == states_.end() ? ServerState{} : known->second;
 }
 
-std::vector<std::string> AdminState::reload(double wall) {
+std::vector<std::string> AdminState::reload(double wall_now) {
     std::vector<std::string> changed;
-    const std::unique_ptr<DIR, CloseFolder> folder(folder_.empty() ? nullptr : opendir(folder_.c_str()));
-    if (folder == nullptr) return changed;
-    std::unordered_map<std::string, ServerState> found;
-    while (const dirent* entry = readdir(folder.get())) {
-        const std::string_view file(entry->d_name);
-        const bool out = file.starts_with(kOut);
-        if (!out && !file.starts_with(kBack)) continue;
-        const Text name(g_uri_unescape_string(entry->d_name + (out ? kOut : kBack).size(), nullptr));
-        if (name == nullptr) continue;
-        if (out) {
-            found[name.get()] = {true, 0};
-            continue;
-        }
-        struct stat told {};
-        if (fstatat(dirfd(folder.get()), entry->d_name, &told, 0) != 0) continue;
-        const double at = time_of(told);
-        if (wall - at > kBackKept) {
-            unlinkat(dirfd(folder.get()), entry->d_name, 0);
-        } else {
-            found.try_emplace(name.get(), ServerState{false, at});  // taken out again in between, it is out
-        }
-    }
+    const DirectoryHandle directory(directory_.empty() ? nullptr : opendir(directory_.c_str()));
+    if (directory == nullptr) return changed;
+    std::unordered_map<std::string, ServerState> found = read_marks(directory.get(), wall_now);
     for (const auto& [name, state] : found) {
         if (state_of(name) != state) changed.push_back(name);
     }
@@ -115,29 +126,31 @@
 }
 
 void AdminState::record_listed(const std::vector<std::string>& names) {
-    if (folder_.empty()) {
-        listed_here_.insert(names.begin(), names.end());
+    if (directory_.empty()) {
+        listed_in_memory_.insert(names.begin(), names.end());
         return;
     }
     std::string lines;
     for (const std::string& name : names) {
-        if (!in_listed_file(name)) lines.append(escaped(name)).append("\n");
+        if (!in_listed_file(name)) lines.append(percent_encoded(name)).append("\n");
     }
     if (lines.empty()) return;
-    const int file = open((folder_ + "/listed").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-    if (file < 0) return;
-    // In one piece: two processes append here.
-    if (write(file, lines.data(), lines.size()) < 0) listed_here_.insert(names.begin(), names.end());
-    close(file);
+    const FileDescriptor file(
+        open((directory_ + "/listed").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kFileMode));
+    if (!file.is_open()) return;
+    // A single write, because several processes append to the file.
+    if (write(file.get(), lines.data(), lines.size()) < 0) {
+        listed_in_memory_.insert(names.begin(), names.end());
+    }
 }
 
 bool AdminState::was_ever_listed(const std::string& name) const {
-    return listed_here_.contains(name) || (!folder_.empty() && in_listed_file(name));
+    return listed_in_memory_.contains(name) || (!directory_.empty() && in_listed_file(name));
 }
 
 bool AdminState::in_listed_file(const std::string& name) const {
-    std::ifstream file(folder_ + "/listed");
-    const std::string wanted = escaped(name);
+    std::ifstream file(directory_ + "/listed");
+    const std::string wanted = percent_encoded(name);
     for (std::string line; std::getline(file, line);) {
         if (line == wanted) return true;
     }
--- a/src/admin/admin_state.h
+++ b/src/admin/admin_state.h
@@ -1,44 +1,57 @@
-// Which caches operators have taken out, and when they called back the others. It owns one file a cache in a
-// folder that all processes of the node share, and the names ever listed in another; a change is one step of
-// the file system, so a process that dies in the middle leaves it done or not done. It knows no list of
-// servers and tells nobody: its owner looks, and merges.
+// The administrative state of servers: which ones operators have drained, and when the others were restored.
+//
+// It owns a directory that all processes of the node share: one file `out-NAME` for each drained server, one
+// file `back-NAME` for each recently restored one (its modification time is the time of the restore), and
+// `listed`, the names of all servers that were ever on the endpoint list. NAME is percent-encoded. A change
+// is one atomic step of the file system, so a process that dies in the middle leaves it done or not done.
+// It does not know the endpoint list and has no callbacks: the owner calls reload() and merges the result.
+// Times are wall-clock seconds since the epoch. Errors of the file system are reported by a result of false
+// where the caller can act on them.
 #pragma once
 
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <unordered_set>
 #include <vector>
 
 namespace brookrelay {
 
+// The persistent drain and restore marks of one node, by server name.
 class AdminState {
   public:
+    // What operators have decided for one server; the default is a server that was never drained.
     struct ServerState {
         bool drained = false;
-        double restored_at = 0;  // wall clock; 0: it was never called back, or long ago
+        double restored_at = 0;  // wall clock, s; 0: never restored, or long ago
         bool operator==(const ServerState&) const = default;
     };
 
-    // An empty folder's name: this process alone remembers, as long as it runs.
-    explicit AdminState(std::string folder);
+    // Creates `directory` if it is missing. Empty: the state is kept in memory, for this process alone.
+    explicit AdminState(std::string directory);
 
-    // False: it could not be written, and nothing has changed.
+    // Marks a server as drained. False: the mark could not be written, and nothing has changed.
     bool drain(const std::string& name);
-    bool restore(const std::string& name, double wall);
+    // Removes the mark at `wall_now`. True also for a server that is not drained; false as for drain().
+    bool restore(const std::string& name, double wall_now);
+    // As of the last reload(), drain() or restore() of this process.
     ServerState state_of(const std::string& name) const;
-    // Whose state is another than at the last look, by whichever process.
-    std::vector<std::string> reload(double wall);
+    // Reads the directory and returns the names whose state has changed since the last reload, whichever
+    // process changed it. Deletes restore marks that are too old to matter.
+    std::vector<std::string> reload(double wall_now);
 
+    // Remembers that these servers were on the endpoint list.
     void record_listed(const std::vector<std::string>& names);
+    // Whether any process of the node has recorded the name.
     bool was_ever_listed(const std::string& name) const;
 
   private:
-    std::string path(const char* what, const std::string& name) const;
+    std::string path(std::string_view prefix, const std::string& name) const;
     bool in_listed_file(const std::string& name) const;
 
-    std::string folder_;
+    std::string directory_;
     std::unordered_map<std::string, ServerState> states_;
-    std::unordered_set<std::string> listed_here_;  // where there is no folder
+    std::unordered_set<std::string> listed_in_memory_;  // names that are not in the `listed` file
 };
 
 }  // namespace brookrelay
