--- a/src/discovery/coordination_client.h
+++ b/src/discovery/coordination_client.h
@@ -1,6 +1,10 @@
-// The connection to a coordination service: one at a time, to the addresses of its ensemble in an order drawn
-// by chance, with pauses that grow and are jittered. It owns the socket and the times; the follower knows the
-// protocol, and Registrations what its news means. It never ends anything because the service is away.
+// The connection to a coordination service that holds the endpoints as ephemeral registrations.
+//
+// It owns one connection at a time, to the addresses of the ensemble in a random order, and the timers:
+// reconnects back off exponentially with jitter. CoordinationSession implements the protocol, and
+// ServiceRegistrations decides what the views mean. Losing the service never removes an endpoint. Failures
+// are logged under the topic `discovery` and retried; none is reported to the owner. Times are seconds on
+// the monotonic clock.
 #pragma once
 
 #include <functional>
@@ -17,28 +21,35 @@
 
 namespace brookrelay {
 
+// Follows one path of the service and hands over the changes of its registrations.
 class CoordinationClient {
   public:
+    // Called with at least one change, in the order in which they are to be applied.
     using OnChanges = std::function<void(std::vector<RegistrationChange>&&)>;
 
+    // `session_timeout` is what the session asks of the service, s; `seed` is for the order of addresses and
+    // the jitter; `read` decodes the data of one registration. `addresses` must not be empty.
     CoordinationClient(TimerQueue& timers, Log& log, std::vector<std::string> addresses, std::string path,
                        double session_timeout, std::uint64_t seed, CoordinationSession::Read read,
-                       OnChanges told);
+                       OnChanges on_changes);
+    // Opens the first connection.
     void start();
+    // Seconds since the endpoint list was last known to be current: 0 while connected.
     double age() const { return registrations_.age(monotonic_now()); }
 
   private:
     void connect();
-    void on_event(TcpConnection::Event what);
+    void on_event(TcpConnection::Event event);
     void read_frames();
-    void on_failure(const std::string& why);
-    void process_changes();  // whatever happened: tells the changes, and sets the next time
+    void on_failure(const std::string& reason);
+    // After every event: schedules a reconnect if one is due, reports changes and sets the next timer.
+    void process_changes();
 
     TimerQueue& timers_;
     Log& log_;
     std::vector<std::string> addresses_;
     std::size_t next_address_ = 0;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     OnChanges on_changes_;
     ServiceRegistrations registrations_;
     CoordinationSession session_;
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -9,88 +9,89 @@
 namespace brookrelay {
 namespace {
 
-// A change counts as told 6 s after discovery has it and can be reached, whatever has become of the calls
-// meanwhile. What a silent watch or call costs of that is the time until it is given up, and that until the
-// next is answered: docs/design.md has the sum. Longer waits would make fewer calls where each is paid for.
-constexpr double kWait = 4;  // s that a watch may wait for news
-constexpr double kWaitAfterSilence =
-    0.25;                          // the first after silence, which discovery may be too far gone to answer
-constexpr double kAnswerMost = 1;  // s that an answer may take beyond the wait before the call is given up,
-constexpr double kWholeListMost = 1.25;  // and that of a call for the whole list; either with the connecting
-// s to the next try after a failure; doubles, each with jitter: nodes that started together fail together,
-// and would come back together for as long as they are turned away.
-constexpr double kRetryLeast = 0.05;
-constexpr double kRetryMost = 1;
-constexpr std::int64_t kNone = -1;                  // no version: the whole list is asked for
-constexpr std::size_t kListMost = 8 * 1024 * 1024;  // tens of thousands of servers
+// A change has to reach the node within 6 s of discovery having it and being reachable, whatever becomes of
+// the requests in between. A silent watch costs of that the time until it is given up, plus the time until
+// the next request is answered: docs/design.md has the sum. Longer timeouts would mean fewer requests where
+// each one is paid for.
+constexpr double kWatchTimeout = 4;                 // s that a watch may wait for a change
+constexpr double kWatchTimeoutAfterSilence = 0.25;  // s; the first after a timeout: discovery may be down
+constexpr double kResponseAllowance = 1;            // s beyond the watch timeout, connecting included
+constexpr double kFullListTimeout = 1.25;           // s for a request of the full list, connecting included
+// s to the next attempt after a failure. The delay doubles and is jittered, since nodes that started together
+// fail together, and would otherwise retry together for as long as they are rejected.
+constexpr double kMinRetryDelay = 0.05;
+constexpr double kMaxRetryDelay = 1;
+constexpr std::int64_t kNoVersion = -1;                // asks for the full list
+constexpr std::size_t kMaxListSize = 8 * 1024 * 1024;  // bytes: tens of thousands of servers
 
 }  // namespace
 
-EndpointWatch::EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& station, OnUpdate told,
-                             OnFailed failed)
+EndpointWatch::EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& config, OnUpdate on_update,
+                             OnFailed on_failed)
     : timers_(timers),
       log_(log),
-      address_(station.discovery),
-      names_(station.names),
-      polls_(station.deployment.polls_endpoints),
-      on_update_(std::move(told)),
-      on_failed_(std::move(failed)),
-      version_(station.cached_endpoints.version),
-      retry_after_(kRetryLeast),
-      chance_(static_cast<std::uint32_t>(station.seed ^ (station.seed >> 32))) {}
+      address_(config.discovery),
+      names_(config.names),
+      polls_(config.deployment.polls_endpoints),
+      on_update_(std::move(on_update)),
+      on_failed_(std::move(on_failed)),
+      version_(config.cached_endpoints.version),
+      retry_delay_(kMinRetryDelay),
+      random_(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32))) {}
 
 void EndpointWatch::poll() {
     if (watching_) return;
     watching_ = true;
-    call();
+    send_request();
 }
 
-void EndpointWatch::move_to(const std::string& address, const Names& names, bool asks) {
-    polls_ = asks;
-    const bool same = address == address_ && names == names_;
-    if (same && (watching_ || asks)) return;
+void EndpointWatch::move_to(const std::string& address, const Names& names, bool polls) {
+    polls_ = polls;
+    const bool unchanged = address == address_ && names == names_;
+    if (unchanged && (watching_ || polls)) return;
     address_ = address;
     names_ = names;
-    version_ = kNone;
-    last_call_timed_out_ = false;
-    retry_after_ = kRetryLeast;
+    version_ = kNoVersion;
+    last_request_timed_out_ = false;
+    retry_delay_ = kMinRetryDelay;
     if (connection_ != nullptr) disconnect();
     timers_.cancel(retry_timer_);
     watching_ = true;
-    call();
+    send_request();
 }
 
-void EndpointWatch::call() {
+void EndpointWatch::send_request() {
     if (connection_ == nullptr || !connection_->is_connected()) connect();
-    calling_ = true;
+    request_pending_ = true;
     std::string target = "/discovery/hosts";
-    double most = kWholeListMost;
+    double timeout = kFullListTimeout;
     if (version_ >= 0) {
-        const double wait = last_call_timed_out_ ? kWaitAfterSilence : kWait;
-        most = wait + kAnswerMost;
+        const double wait = last_request_timed_out_ ? kWatchTimeoutAfterSilence : kWatchTimeout;
+        timeout = wait + kResponseAllowance;
         target +=
             "?index=" + std::to_string(version_) + "&wait=" + std::to_string(static_cast<int>(wait * 1e3));
     }
     connection_->write(format_http_request("GET", target, address_, {}, {}));
-    // Discovery may be silent with its connection open, and may come back without ever answering this call.
-    call_timer_ = timers_.schedule(monotonic_now() + most, [this] {
-        call_timer_ = {};
+    // Discovery may be silent with its connection open, and may come back without ever answering this
+    // request.
+    request_timer_ = timers_.schedule(monotonic_now() + timeout, [this] {
+        request_timer_ = {};
         on_failure("no answer", true);
     });
 }
 
 void EndpointWatch::connect() {
-    connection_ = std::make_unique<TcpConnection>(address_, kListMost, budget_,
-                                                  [this](TcpConnection::Event what) { on_event(what); });
+    connection_ = std::make_unique<TcpConnection>(address_, kMaxListSize, budget_,
+                                                  [this](TcpConnection::Event event) { on_event(event); });
 }
 
-void EndpointWatch::on_event(TcpConnection::Event what) {
-    if (what == TcpConnection::Event::readable) read_response();
-    if (what != TcpConnection::Event::closed) return;
-    // Closed between two calls it is only opened anew by the next.
-    if (calling_ && connection_->ended_cleanly() && !connection_->input().empty()) {
+void EndpointWatch::on_event(TcpConnection::Event event) {
+    if (event == TcpConnection::Event::readable) read_response();
+    if (event != TcpConnection::Event::closed) return;
+    // Closed between two requests, it is reopened by the next one.
+    if (request_pending_ && connection_->ended_cleanly() && !connection_->input().empty()) {
         read_response(true);
-    } else if (calling_) {
+    } else if (request_pending_) {
         on_failure("connection lost");
     } else {
         connection_->close();
@@ -99,72 +100,73 @@
 
 void EndpointWatch::read_response(bool ended) {
     HttpResponse response;
-    const std::size_t taken = parse_http_response(connection_->input(), kListMost, response, ended);
-    if (taken == 0 && ended) return on_failure("connection lost within an answer");
-    // Of anything but a list the head says all: an end that may never come is not waited for.
+    const std::size_t response_size =
+        parse_http_response(connection_->input(), kMaxListSize, response, ended);
+    if (response_size == 0 && ended) return on_failure("connection lost within an answer");
+    // Of any status but 200 the header is enough: the end of such a body may never come.
     const bool refused = response.body_until_close && response.status != 200;
-    if (taken == 0 && !connection_->is_read_buffer_full() && !refused) return;
-    if (!calling_ || !response.valid || response.status != 200) {
-        // It may not know the version that we hold, having lost its own; one that only turns us away still
-        // does, and the whole list would cost it more.
-        if (!response.valid || response.status != 503) version_ = kNone;
+    if (response_size == 0 && !connection_->is_read_buffer_full() && !refused) return;
+    if (!request_pending_ || !response.valid || response.status != 200) {
+        // Discovery may have lost its versions and not know ours any more. One that only rejects with 503
+        // still knows it, and the full list would cost it more.
+        if (!response.valid || response.status != 503) version_ = kNoVersion;
         return on_failure("nonsense, or status " + std::to_string(response.status));
     }
-    connection_->consume(taken);
-    EndpointUpdate list;
+    connection_->consume(response_size);
+    EndpointUpdate update;
     try {
         rapidjson::Document document;
         document.Parse(response.body.data(), response.body.size());
         if (document.HasParseError()) throw ConfigurationError("the list is not JSON");
-        list = parse_endpoint_update(document, names_);
-    } catch (const ConfigurationError& bad) {
-        return on_failure(bad.what());
+        update = parse_endpoint_update(document, names_);
+    } catch (const ConfigurationError& error) {
+        return on_failure(error.what());
     }
-    // From a replica that lags behind it would bring back servers that drain. If discovery lost its versions,
-    // it says so again when it is asked for all that it has.
-    if (list.version < version_) {
-        version_ = kNone;
+    // The list of a lagging replica would bring back draining servers. If discovery has lost its versions,
+    // its answer to the request for the full list is accepted.
+    if (update.version < version_) {
+        version_ = kNoVersion;
         return on_failure("a list older than the one held");
     }
-    for (const std::string& complaint : list.errors) {
+    for (const std::string& complaint : update.errors) {
         log_.line(Topic::discovery, "entry_left_out", "an entry was left out: " + complaint);
     }
-    calling_ = false;
-    timers_.cancel(call_timer_);
-    retry_after_ = kRetryLeast;
-    last_call_timed_out_ = false;
-    version_ = list.version;
-    on_update_(std::move(list));
+    request_pending_ = false;
+    timers_.cancel(request_timer_);
+    retry_delay_ = kMinRetryDelay;
+    last_request_timed_out_ = false;
+    version_ = update.version;
+    on_update_(std::move(update));
     if (!response.keep_alive) connection_->close();
-    // From the loop, not from inside the stream that the call may replace.
+    // From the event loop, and not from inside the connection that the request may replace.
     retry_timer_ = timers_.schedule(monotonic_now(), [this] {
         retry_timer_ = {};
-        call();
+        send_request();
     });
 }
 
 void EndpointWatch::disconnect() {
-    calling_ = false;
-    timers_.cancel(call_timer_);
+    request_pending_ = false;
+    timers_.cancel(request_timer_);
     connection_->close();
 }
 
-void EndpointWatch::on_failure(const std::string& why, bool given_up) {
+void EndpointWatch::on_failure(const std::string& why, bool timed_out) {
     log_.line(Topic::discovery, "call_failed", "call failed: " + why);
-    // A watch that falls silent has used up most of the time: the next call goes out at once, and those of
-    // many nodes are apart as their watches were. Whatever else fails may have failed for all nodes in the
-    // same moment.
-    const bool silent = given_up && !std::exchange(last_call_timed_out_, given_up);
+    // After the first timeout of a watch most of the time for a change is used up, so the next request goes
+    // out without waiting for the owner; the watches of many nodes end at different times. Any other failure
+    // may have hit all nodes at the same moment.
+    const bool silent = timed_out && !std::exchange(last_request_timed_out_, timed_out);
     disconnect();
     watching_ = false;
     if (polls_ && !silent) return on_failed_();
-    const double spread =
-        0.5 + static_cast<double>(chance_()) / static_cast<double>(std::ranlux24_base::max());
-    retry_timer_ = timers_.schedule(monotonic_now() + retry_after_ * spread, [this] {
+    const double jitter =
+        0.5 + static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
+    retry_timer_ = timers_.schedule(monotonic_now() + retry_delay_ * jitter, [this] {
         retry_timer_ = {};
         poll();
     });
-    retry_after_ = std::min(2 * retry_after_, kRetryMost);
+    retry_delay_ = std::min(2 * retry_delay_, kMaxRetryDelay);
 }
 
 }  // namespace brookrelay
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -1,6 +1,10 @@
-// Follows discovery's list by a watch over HTTP/1.1. It owns its one connection and the version held. It
-// hands over what it is told and no more: an answer that makes no sense changes nothing, and what the list
-// means is for the module.
+// Follows discovery's endpoint list by long polling (a watch) over HTTP/1.1.
+//
+// It owns one connection and the version of the list that the node holds. It hands over each update as
+// decoded and does not interpret it. Failures (timeouts, lost connections, malformed or outdated answers)
+// are logged under the topic `discovery` and change nothing; the watch retries with a jittered, doubling
+// delay, or reports them by OnFailed where the balancer decides when to poll. Times are seconds on the
+// monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +20,46 @@
 
 namespace brookrelay {
 
+// The watch on one discovery address.
 class EndpointWatch {
   public:
     using OnUpdate = std::function<void(EndpointUpdate&&)>;
     using OnFailed = std::function<void()>;
 
-    EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& station, OnUpdate told, OnFailed failed);
-    void poll();  // does nothing while a watch is on
-    // Asks there from now on, and reads by these names. If either is new, at once and for the whole list:
-    // another discovery counts its versions anew, and entries that the old names could not place are told
-    // only so.
-    void move_to(const std::string& address, const Names& names, bool asks);
+    EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& config, OnUpdate on_update,
+                  OnFailed on_failed);
+    // Sends a request, unless a watch is running already.
+    void poll();
+    // Changes the address and the names by which updates are decoded. If either is new, the full list is
+    // requested at once: another discovery has its own versions, and entries that the old names could not
+    // resolve come again only in a full list.
+    void move_to(const std::string& address, const Names& names, bool polls);
 
   private:
-    void call();
+    void send_request();
     void connect();
     void disconnect();
-    void on_event(TcpConnection::Event what);
-    void read_response(bool ended = false);  // `ended`: by an orderly end behind what has come
-    void on_failure(const std::string& why, bool given_up = false);
+    void on_event(TcpConnection::Event event);
+    void read_response(bool ended = false);  // `ended`: the peer closed cleanly after the input
+    void on_failure(const std::string& why, bool timed_out = false);
 
     TimerQueue& timers_;
     Log& log_;
     std::string address_;
     Names names_;
-    bool polls_;  // lists come only when asked for, and the module decides when to ask again
+    bool polls_;  // lists come on request only, and the balancer decides when to poll again
     OnUpdate on_update_;
     OnFailed on_failed_;
     std::int64_t version_;
-    ByteBudget budget_;  // one stream, bounded by itself
+    ByteBudget budget_;  // not checked: one connection with a bounded buffer
     std::unique_ptr<TcpConnection> connection_;
-    bool calling_ = false;
-    bool last_call_timed_out_ = false;  // a call since the last answer, for its silence
+    bool request_pending_ = false;
+    bool last_request_timed_out_ = false;  // at least one request since the last answer
     bool watching_ = false;
-    TimerQueue::Handle call_timer_;
-    TimerQueue::Handle retry_timer_;  // the next call, or the next try
-    double retry_after_;
-    std::ranlux24_base chance_;
+    TimerQueue::Handle request_timer_;
+    TimerQueue::Handle retry_timer_;  // the next request, or the next attempt after a failure
+    double retry_delay_;
+    std::ranlux24_base random_;
 };
 
 }  // namespace brookrelay
