--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -1,18 +1,12 @@
 #include "proxy/node.h"
 
-#include <sys/stat.h>
-#include <unistd.h>
-
 #include <algorithm>
 #include <cstdio>
-#include <fstream>
-#include <iterator>
 #include <tuple>
 #include <utility>
 
 #include "config/json.h"
 #include "config/registration.h"
-#include "config/warm_start.h"
 
 namespace brookrelay {
 namespace {
@@ -41,8 +35,7 @@
 
 constexpr double kLookByHand = 0.025;  // s between looks for what another process of this node was told
 
-constexpr double kLeaveLearned = 0.25;  // s between the times that it is written down
-constexpr double kLearnedKept = 3.0;    // older than that it says little of how the caches are now
+constexpr double kWarmStartInterval = 0.25;  // s between saves of the warm-start file
 
 constexpr int kGrowMeanwhile = 16;   // descriptors that another process may open between two looks
 constexpr double kPartLeast = 0.25;  // of the budget: two that both hold much must both go on
@@ -132,7 +125,8 @@
           [this] { inbox_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
       management_(timers_, log,
                   [this](std::uint64_t caller, const HttpRequest& call) { operators_call(caller, call); }),
-      by_hand_(own_folder(station)) {
+      by_hand_(own_folder(station)),
+      warm_start_file_(own_folder(station) + "/learned") {
     if (operator_file.gossip_enabled) {
         const std::string against = GossipAgent::why_unavailable(station);
         if (against.empty()) {
@@ -191,7 +185,7 @@
     inbox_.emplace_back([this, by_hand](double now) {
         listed(now, UpdateKind::cached_on_disk, station_.cached_endpoints);
         merge_by_hand(now, by_hand);
-        recall_learned(now);
+        load_warm_start(now);
     });
     run_iteration();
     if (registry_ != nullptr) {
@@ -205,7 +199,7 @@
     clients_.listen(std::move(listener));
     timers_.schedule(monotonic_now(), [this] { look_by_hand(); });
     if (shared_ && !station_.state_folder.empty())
-        timers_.schedule(monotonic_now() + kLeaveLearned, [this] { leave_learned(); });
+        timers_.schedule(monotonic_now() + kWarmStartInterval, [this] { save_warm_start(); });
     takes_clients_ = true;
     return true;
 }
@@ -241,6 +235,7 @@
     }
     const bool renamed = !(station.names == station_.names);
     station_ = station;
+    warm_start_file_ = WarmStartFile(own_folder(station_) + "/learned");
     pool_.apply_configuration(station.deployment);
     balancer_->on_configuration(monotonic_now(), station_.deployment);
     std::vector<Endpoint> entries;
@@ -836,38 +831,24 @@
     pool_.set_budget_share(part);
 }
 
-// For the process that will take this one's place, which has no time to learn it anew.
-void Node::leave_learned() {
+void Node::save_warm_start() {
     if (!takes_clients_) return;
-    const std::string path = own_folder(station_) + "/learned";
-    const std::string being_written = path + "-" + std::to_string(getpid());
-    {
-        std::ofstream file(being_written, std::ios::trunc);
-        file << format_warm_start(balancer_->snapshot(monotonic_now()), station_.names.kinds,
-                                  [this](int cache) { return server(cache).name; });
-        if (!file.flush()) std::remove(being_written.c_str());
-    }
-    std::rename(being_written.c_str(), path.c_str());  // whole, or not at all
-    timers_.schedule(monotonic_now() + kLeaveLearned, [this] { leave_learned(); });
+    warm_start_file_.save(balancer_->snapshot(monotonic_now()), station_.names.kinds,
+                          [this](int cache) { return server(cache).name; });
+    timers_.schedule(monotonic_now() + kWarmStartInterval, [this] { save_warm_start(); });
 }
 
-void Node::recall_learned(double now) {
+void Node::load_warm_start(double now) {
     if (!shared_ || station_.state_folder.empty()) return;
-    const std::string path = own_folder(station_) + "/learned";
-    struct stat told {};
-    if (stat(path.c_str(), &told) != 0) return;
-    const double age = wall_less_monotonic_ + now - static_cast<double>(told.st_mtim.tv_sec);
-    if (age > kLearnedKept) return;
-    std::ifstream file(path);
-    const std::string said{std::istreambuf_iterator<char>(file), {}};
-    const auto learned = parse_warm_start(said, station_.names.kinds, [this](const std::string& name) {
-        const auto known = cache_index_.find(name);
-        return known == cache_index_.end() ? -1 : known->second;
-    });
-    if (!learned) return;
-    balancer_->restore(now, *learned);
+    const auto snapshot = warm_start_file_.load(wall_less_monotonic_ + now, station_.names.kinds,
+                                                [this](const std::string& name) {
+                                                    const auto known = cache_index_.find(name);
+                                                    return known == cache_index_.end() ? -1 : known->second;
+                                                });
+    if (!snapshot) return;
+    balancer_->restore(now, *snapshot);
     log_.line(Topic::node, "recalled",
-              "goes on with what another process had learned of " + std::to_string(learned->servers.size()) +
+              "goes on with what another process had learned of " + std::to_string(snapshot->servers.size()) +
                   " cache servers");
 }
 
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -26,6 +26,7 @@
 #include "io/log.h"
 #include "io/timer_queue.h"
 #include "proxy/sibling_processes.h"
+#include "proxy/warm_start_file.h"
 #include "upstream/upstream_pool.h"
 
 namespace brookrelay {
@@ -102,8 +103,8 @@
     void merge_by_hand(double now, const std::vector<std::string>& names);
     void look_by_hand();
     void share_budget();
-    void leave_learned();
-    void recall_learned(double now);
+    void save_warm_start();
+    void load_warm_start(double now);
     void found_by_fleet(double now, const std::string& name, bool bad, double apart);
     void tell_talk_of_list();
 
@@ -134,6 +135,7 @@
     // Servers by the small numbers that the module and the pool know them by.
     std::unordered_map<std::string, int> cache_index_;
     AdminState by_hand_;
+    WarmStartFile warm_start_file_;             // used where the listener is shared
     std::unique_ptr<SiblingProcesses> beside_;  // where the listener is shared
     double turned_at_ = 0;  // when the last turn began, and where the process then stood still,
     double stood_from_ = 0, behind_until_ = 0;  // from when, and until when what comes may be from that time
