--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cstdio>
-#include <tuple>
 #include <utility>
 
 #include "config/json.h"
@@ -77,7 +76,7 @@
     : station_(station),
       operator_file_(operator_file),
       log_(log),
-      wall_less_monotonic_(static_cast<double>(g_get_real_time()) / 1e6 - monotonic_now()),
+      wall_clock_offset_(static_cast<double>(g_get_real_time()) / 1e6 - monotonic_now()),
       balancer_(make_balancer(station.deployment, station.seed, *this)),
       pool_(
           timers_, log, station.deployment, budget(station.descriptors, 1 - kClientsPart),
@@ -126,7 +125,8 @@
       management_(timers_, log,
                   [this](std::uint64_t caller, const HttpRequest& call) { operators_call(caller, call); }),
       by_hand_(own_folder(station)),
-      warm_start_file_(own_folder(station) + "/learned") {
+      warm_start_file_(own_folder(station) + "/learned"),
+      servers_(station_.deployment, wall_clock_offset_) {
     if (operator_file.gossip_enabled) {
         const std::string against = GossipAgent::why_unavailable(station);
         if (against.empty()) {
@@ -181,7 +181,7 @@
         return false;
     }
     turned_at_ = monotonic_now();
-    const std::vector<std::string> by_hand = by_hand_.reload(wall_less_monotonic_ + monotonic_now());
+    const std::vector<std::string> by_hand = by_hand_.reload(wall_clock_offset_ + monotonic_now());
     inbox_.emplace_back([this, by_hand](double now) {
         listed(now, UpdateKind::cached_on_disk, station_.cached_endpoints);
         merge_by_hand(now, by_hand);
@@ -225,9 +225,9 @@
 // has been asked so far is handed to the module under the old ones, by whose numbers it was read.
 void Node::reload(const NodeConfig& station, const OperatorConfig& operator_file) {
     run_iteration();
-    std::vector<std::pair<int, int>> places;
+    std::vector<ServerTable::Placement> placements;
     std::string against = why_not_reloadable(station_, station);
-    if (against.empty()) against = placed_by(station.names, places);
+    if (against.empty()) against = servers_.translate_placements(station_.names, station.names, placements);
     if (!against.empty()) {
         log_.line(Topic::node, "configuration_refused",
                   "new configuration not taken, the old one stays: " + against);
@@ -239,10 +239,12 @@
     pool_.apply_configuration(station.deployment);
     balancer_->on_configuration(monotonic_now(), station_.deployment);
     std::vector<Endpoint> entries;
-    for (const auto& [name, cache] : cache_index_) {
-        Server& s = server(cache);
-        std::tie(s.zone, s.kind) = places[static_cast<std::size_t>(cache)];
-        entries.push_back(listing(cache));
+    for (const auto& [name, server] : servers_.numbers()) {
+        Server& s = servers_.at(server);
+        const ServerTable::Placement& placement = placements[static_cast<std::size_t>(server)];
+        s.zone = placement.zone;
+        s.kind = placement.kind;
+        entries.push_back(servers_.endpoint(server));
     }
     balancer_->on_endpoints(monotonic_now(), UpdateKind::full, entries);
     settle_limits(operator_file);
@@ -271,32 +273,11 @@
 
 void Node::limit_places() {
     if (!talk_->limits_connections()) return pool_.set_connection_limit({});
-    pool_.set_connection_limit([this](int cache, int wanted) {
-        return talk_->max_connections(monotonic_now(), server(cache).name, wanted);
+    pool_.set_connection_limit([this](int server, int wanted) {
+        return talk_->max_connections(monotonic_now(), servers_.at(server).name, wanted);
     });
 }
 
-// Where the known servers stand by other names, or which of them those cannot place.
-std::string Node::placed_by(const Names& names, std::vector<std::pair<int, int>>& places) const {
-    places.assign(servers_.size(), {-1, -1});
-    const auto renumber = [](const std::vector<std::string>& from, const std::vector<std::string>& to,
-                             int index) {
-        const auto i = static_cast<std::size_t>(index);
-        return index < 0 || i >= from.size() ? index : index_of(to, from[i]);
-    };
-    for (const auto& [name, cache] : cache_index_) {
-        const Server& s = servers_[static_cast<std::size_t>(cache)];
-        const int zone = renumber(station_.names.zones, names.zones, s.zone);
-        const int kind = renumber(station_.names.kinds, names.kinds, s.kind);
-        places[static_cast<std::size_t>(cache)] = {zone, kind};
-        if (s.state == EndpointState::removed) continue;
-        if (s.zone >= 0 && zone < 0)
-            return "server " + name + " stands in a zone that 'localities' does not name";
-        if (s.kind >= 0 && kind < 0) return "server " + name + " is of a kind that 'kinds' does not name";
-    }
-    return {};
-}
-
 // ---- what comes in -----------------------------------------------------------------------------------
 
 // When a command that is read now came. A process that was stopped, or swapped out, finds commands that have
@@ -404,61 +385,40 @@
                c.kind == Command::Kind::read ? format_value(c.id, e.body) : format_receipt(c.id, e.body));
         finish(e.request);
     }
-    if (talk_ != nullptr && !is_origin(server(e.server))) {
+    if (talk_ != nullptr && !servers_.is_origin(servers_.at(e.server))) {
         const int operation = index_of(station_.names.operations, v.command.attributes.operation);
         if (operation >= 0)
             talk_->on_attempt_finished(
-                now, forward_key(e.request, e.attempt), server(e.server).name, server(e.server).zone,
-                e.outcome, e.latency,
+                now, forward_key(e.request, e.attempt), servers_.at(e.server).name,
+                servers_.at(e.server).zone, e.outcome, e.latency,
                 station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
     balancer_->on_attempt_finished(now, e.request, e.attempt, e.outcome, e.latency, v.answered);
     to_settle_.push_back(e.request);
 }
 
-int Node::number_of(const std::string& name) {
-    const auto known = cache_index_.find(name);
-    if (known != cache_index_.end()) return known->second;
-    if (free_numbers_.empty()) {
-        free_numbers_.push_back(static_cast<int>(servers_.size()));
-        servers_.emplace_back();
-    }
-    const int cache = free_numbers_.back();
-    free_numbers_.pop_back();
-    cache_index_.emplace(name, cache);
-    server(cache).name = name;
-    return cache;
-}
-
 void Node::listed(double now, UpdateKind kind, const EndpointUpdate& list) {
     std::vector<Endpoint> entries;
     std::unordered_set<int> told_of;
     std::vector<std::string> first_seen;
     for (const EndpointRecord& told : list.servers) {
         // What is gone and was never known, or is forgotten by now, must not become known by that.
-        if (told.state == EndpointState::removed && !cache_index_.contains(told.name)) continue;
-        if (!cache_index_.contains(told.name)) first_seen.push_back(told.name);
-        const int cache = number_of(told.name);
-        told_of.insert(cache);
-        Server& s = server(cache);
-        s.state = told.state;
-        s.started_at = told.started_at;
-        if (!told.address.empty()) s.address = told.address;
-        if (told.zone >= 0) s.zone = told.zone;
-        if (told.kind >= 0) s.kind = told.kind;
-        if (told.cell >= 0) s.cell = told.cell;
-        if (told.weight > 0) s.weight = told.weight;
-        s.admin_state = by_hand_.state_of(told.name);
-        entries.push_back(listing(cache));
-        pool_.add_server(cache, s.name, s.address, is_origin(s));
+        if (told.state == EndpointState::removed && !servers_.contains(told.name)) continue;
+        if (!servers_.contains(told.name)) first_seen.push_back(told.name);
+        const int server = servers_.find_or_add(told.name);
+        told_of.insert(server);
+        servers_.update(server, told, by_hand_.state_of(told.name));
+        const Server& s = servers_.at(server);
+        entries.push_back(servers_.endpoint(server));
+        pool_.add_server(server, s.name, s.address, servers_.is_origin(s));
     }
-    for (const auto& [name, cache] : cache_index_) {
-        Server& s = server(cache);
-        if (list.is_full && !told_of.contains(cache) && s.state != EndpointState::removed) {
+    for (const auto& [name, server] : servers_.numbers()) {
+        Server& s = servers_.at(server);
+        if (list.is_full && !told_of.contains(server) && s.state != EndpointState::removed) {
             s.state = EndpointState::removed;
-            entries.push_back(listing(cache));
+            entries.push_back(servers_.endpoint(server));
         }
-        if (!takes_new(cache)) pool_.close_unstarted(cache);
+        if (!servers_.accepts_attempts(server)) pool_.close_unstarted(server);
         if (s.state != EndpointState::removed) {
             s.removed_at = 0;
         } else if (s.removed_at == 0) {
@@ -468,7 +428,7 @@
     if (!entries.empty() || list.is_full) {
         log_.line(Topic::discovery, "list",
                   "version " + std::to_string(list.version) + ": " + std::to_string(list.servers.size()) +
-                      " servers told, " + std::to_string(cache_index_.size()) + " known" +
+                      " servers told, " + std::to_string(servers_.size()) + " known" +
                       (list.is_full ? " (whole list)" : ""));
     }
     if (!first_seen.empty()) by_hand_.record_listed(first_seen);
@@ -481,11 +441,11 @@
     if (talk_ == nullptr) return;
     std::vector<std::string> names;
     int in_own_zone = 0;
-    for (const auto& [name, cache] : cache_index_) {
-        const Server& s = server(cache);
-        if (is_origin(s)) continue;
+    for (const auto& [name, server] : servers_.numbers()) {
+        const Server& s = servers_.at(server);
+        if (servers_.is_origin(s)) continue;
         names.push_back(name);
-        if (s.zone == station_.deployment.zone && takes_new(cache)) ++in_own_zone;
+        if (s.zone == station_.deployment.zone && servers_.accepts_attempts(server)) ++in_own_zone;
     }
     talk_->on_endpoints(names, in_own_zone);
 }
@@ -493,8 +453,8 @@
 // Only of what this node's own list has named, and knows still: hearing of a server from others is not
 // enough.
 void Node::found_by_fleet(double now, const std::string& name, bool bad, double apart) {
-    const auto known = cache_index_.find(name);
-    if (known != cache_index_.end()) balancer_->on_outlier_verdict(now, known->second, bad, apart);
+    const int known = servers_.find(name);
+    if (known != ServerTable::kUnknown) balancer_->on_outlier_verdict(now, known, bad, apart);
 }
 
 // Registrations are news like discovery's. A start that was seen counts from now: how long ago the server
@@ -512,44 +472,16 @@
         s.kind = c.who.kind;
         s.cell = c.who.cell;
         s.state = c.standing;
-        const auto known = cache_index_.find(s.name);
-        s.started_at = first                         ? c.who.started
-                       : c.fresh                     ? monotonic_now() + wall_less_monotonic_
-                       : known != cache_index_.end() ? server(known->second).started_at
-                                                     : 0;
+        const int known = servers_.find(s.name);
+        s.started_at = first                            ? c.who.started
+                       : c.fresh                        ? monotonic_now() + wall_clock_offset_
+                       : known != ServerTable::kUnknown ? servers_.at(known).started_at
+                                                        : 0;
         list.servers.push_back(std::move(s));
     }
     inbox_.emplace_back([this, told = std::move(list)](double now) { listed(now, UpdateKind::delta, told); });
 }
 
-bool Node::is_origin(const Server& s) const {
-    return s.kind >= 0 && s.kind == station_.deployment.origin_kind;
-}
-
-bool Node::takes_new(int cache) const {
-    const Server& s = servers_[static_cast<std::size_t>(cache)];
-    return s.state == EndpointState::ready && (!s.admin_state.drained || is_origin(s));
-}
-
-Endpoint Node::listing(int cache) {
-    const Server& s = server(cache);
-    Endpoint l;
-    l.server = cache;
-    l.name = s.name;
-    l.zone = s.zone;
-    l.kind = s.kind;
-    l.cell = s.cell;
-    l.weight = s.weight;
-    // Out by hand it drains, whatever the list says. Called back it counts as started then: it was not used
-    // meanwhile, and is cold whenever it may have been restarted.
-    l.state = s.admin_state.drained && s.state == EndpointState::ready && !is_origin(s)
-                  ? EndpointState::draining
-                  : s.state;
-    const double born = std::max(s.started_at, s.admin_state.restored_at);
-    if (born > 0) l.started_at = std::max(born - wall_less_monotonic_, 1e-6);
-    return l;
-}
-
 // Servers come and go for as long as the node runs, so what is gone must go here too. Its number may stand
 // for another only once nothing that names it can still be heard: an invocation from its time may have a
 // forward out there, or be held to where its first one went.
@@ -559,20 +491,9 @@
     for (const ActiveRequest& v : invocations_) {
         if (v.client.connection != 0) oldest = std::min(oldest, v.received_at);
     }
-    bool some_left = false;
-    for (auto at = cache_index_.begin(); at != cache_index_.end();) {
-        const int cache = at->second;
-        const double since = server(cache).removed_at;
-        if (since == 0 || since >= oldest || pool_.in_use(cache)) {
-            some_left = some_left || since > 0;
-            ++at;
-            continue;
-        }
-        pool_.remove_server(cache);
-        server(cache) = {};
-        free_numbers_.push_back(cache);
-        at = cache_index_.erase(at);
-    }
+    const bool some_left = servers_.evict_removed(
+        oldest, [this](int server) { return pool_.in_use(server); },
+        [this](int server) { pool_.remove_server(server); });
     if (!some_left) return;
     forgetting_ = timers_.schedule(monotonic_now() + kForgetEvery, [this] {
         forgetting_ = {};
@@ -582,47 +503,41 @@
 
 // ---- what the module asks for ------------------------------------------------------------------------
 
-// By what the list says of its start: whoever has not been told of it is not held to it.
-bool Node::cold(int cache) const {
-    const Server& s = servers_[static_cast<std::size_t>(cache)];
-    const double born = std::max(s.started_at, s.admin_state.restored_at);
-    return born > 0 && !is_origin(s) &&
-           monotonic_now() < born - wall_less_monotonic_ + station_.deployment.slow_start_duration;
-}
-
-bool Node::admit_slow_start(int cache) {
-    return talk_ == nullptr || !talk_->limits_slow_start() || !cold(cache) ||
-           talk_->admit_slow_start(monotonic_now(), server(cache).name);
+bool Node::admit_slow_start(int server) {
+    return talk_ == nullptr || !talk_->limits_slow_start() || !servers_.is_cold(server, monotonic_now()) ||
+           talk_->admit_slow_start(monotonic_now(), servers_.at(server).name);
 }
 
-void Node::start_attempt(int inv, int cache, double limit) {
-    if (talk_ != nullptr && talk_->limits_slow_start() && cold(cache))
-        talk_->on_slow_start_attempt(monotonic_now(), server(cache).name);
+void Node::start_attempt(int inv, int server, double limit) {
+    if (talk_ != nullptr && talk_->limits_slow_start() && servers_.is_cold(server, monotonic_now()))
+        talk_->on_slow_start_attempt(monotonic_now(), servers_.at(server).name);
     ActiveRequest& v = invocation(inv);
     const int number = v.attempts++;
     ++v.in_flight;
-    to_do_.emplace_back([this, inv, number, cache, limit] { carry_out_forward(inv, number, cache, limit); });
+    to_do_.emplace_back(
+        [this, inv, number, server, limit] { carry_out_forward(inv, number, server, limit); });
 }
 
-void Node::carry_out_forward(int inv, int number, int cache, double limit) {
+void Node::carry_out_forward(int inv, int number, int server, double limit) {
     const ActiveRequest& v = invocation(inv);
     const double left = std::min(limit, v.deadline - monotonic_now());
     // Decided before the turn's news of the server came, or before its client's end was read.
-    const bool declined = v.answered || left <= 0 || !takes_new(cache) || clients_.has_closed(v.client);
+    const bool declined =
+        v.answered || left <= 0 || !servers_.accepts_attempts(server) || clients_.has_closed(v.client);
     // Past its part of the fleet's limit a node sends nothing to the origin: who asked is told to come again.
-    if (declined ||
-        (talk_ != nullptr && is_origin(server(cache)) && !talk_->admit_origin_attempt(monotonic_now()))) {
+    if (declined || (talk_ != nullptr && servers_.is_origin(servers_.at(server)) &&
+                     !talk_->admit_origin_attempt(monotonic_now()))) {
         inbox_.emplace_back(
             [this,
-             e = UpstreamPool::AttemptResult{inv, number, cache, AttemptOutcome::not_sent, 0, {}, 0, 0}](
+             e = UpstreamPool::AttemptResult{inv, number, server, AttemptOutcome::not_sent, 0, {}, 0, 0}](
                 double now) mutable { ended(now, e); });
         return;
     }
-    if (talk_ != nullptr && !is_origin(server(cache))) {
+    if (talk_ != nullptr && !servers_.is_origin(servers_.at(server))) {
         const int operation = index_of(station_.names.operations, v.command.attributes.operation);
         if (operation >= 0)
             talk_->on_attempt_started(
-                monotonic_now(), forward_key(inv, number), server(cache).name, server(cache).zone,
+                monotonic_now(), forward_key(inv, number), servers_.at(server).name, servers_.at(server).zone,
                 station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
     // The module reckons that a repeat has begun a connect time-out later: after that it could run beside the
@@ -632,7 +547,7 @@
     const bool repeat =
         operation >= 0 && station_.deployment.operations[static_cast<std::size_t>(operation)].idempotency ==
                               Idempotency::idempotency_key;
-    pool_.start_attempt(inv, number, cache, v.command, left, repeat ? pool_.connect_timeout() : 0);
+    pool_.start_attempt(inv, number, server, v.command, left, repeat ? pool_.connect_timeout() : 0);
 }
 
 // Its connection has come up, perhaps late.
@@ -656,12 +571,12 @@
     finish(inv);
 }
 
-void Node::check_health(int cache) {
-    to_do_.emplace_back([this, cache] { pool_.check_health(cache, kProbeLimit); });
+void Node::check_health(int server) {
+    to_do_.emplace_back([this, server] { pool_.check_health(server, kProbeLimit); });
 }
 
-void Node::close_idle_connections(int cache) {
-    to_do_.emplace_back([this, cache] { pool_.close_idle(cache); });
+void Node::close_idle_connections(int server) {
+    to_do_.emplace_back([this, server] { pool_.close_idle(server); });
 }
 
 void Node::poll_endpoints() {
@@ -753,13 +668,13 @@
         const auto say = [this, caller](int status, const char* text) {
             to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
         };
-        const auto known = cache_index_.find(name);
-        if (known == cache_index_.end() && !by_hand_.was_ever_listed(name))
+        const int known = servers_.find(name);
+        if (known == ServerTable::kUnknown && !by_hand_.was_ever_listed(name))
             return say(404, "no such cache server was ever listed");
         // Without it no write and no miss could be answered, and there is no other to take its place.
-        if (known != cache_index_.end() && is_origin(server(known->second)))
+        if (known != ServerTable::kUnknown && servers_.is_origin(servers_.at(known)))
             return say(409, "the origin cannot be taken out");
-        if (!(out ? by_hand_.drain(name) : by_hand_.restore(name, wall_less_monotonic_ + now)))
+        if (!(out ? by_hand_.drain(name) : by_hand_.restore(name, wall_clock_offset_ + now)))
             return say(503, "could not be written down, nothing has changed");
         merge_by_hand(now, {name});
         say(200, out ? "out" : "may serve");
@@ -780,7 +695,7 @@
         const std::string against = talk_->why_zones_unavailable();
         if (!against.empty()) return say(409, against);
         if (out && station_.names.zones.size() < 2) return say(409, "the only zone cannot be left");
-        if (!(out ? by_hand_.drain(kept) : by_hand_.restore(kept, wall_less_monotonic_ + now)))
+        if (!(out ? by_hand_.drain(kept) : by_hand_.restore(kept, wall_clock_offset_ + now)))
             return say(503, "could not be written down, nothing has changed");
         merge_by_hand(now, {kept});
         say(200, out ? "left" : "is taken back in steps");
@@ -794,21 +709,21 @@
             talk_->set_zone_admin_state(
                 now, index_of(station_.names.zones, name.substr(std::string_view(kZoneByHand).size())),
                 by_hand_.state_of(name).drained);
-        const auto known = cache_index_.find(name);
-        if (known == cache_index_.end()) continue;
-        Server& s = server(known->second);
+        const int known = servers_.find(name);
+        if (known == ServerTable::kUnknown) continue;
+        Server& s = servers_.at(known);
         if (s.admin_state == by_hand_.state_of(name)) continue;
         s.admin_state = by_hand_.state_of(name);
         log_.line(Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
                   name + (s.admin_state.drained ? " is out by hand" : " may serve again"));
-        entries.push_back(listing(known->second));
-        if (!takes_new(known->second)) pool_.close_unstarted(known->second);
+        entries.push_back(servers_.endpoint(known));
+        if (!servers_.accepts_attempts(known)) pool_.close_unstarted(known);
     }
     if (!entries.empty()) balancer_->on_endpoints(now, UpdateKind::delta, entries);
 }
 
 void Node::look_by_hand() {
-    std::vector<std::string> changed = by_hand_.reload(wall_less_monotonic_ + monotonic_now());
+    std::vector<std::string> changed = by_hand_.reload(wall_clock_offset_ + monotonic_now());
     if (!changed.empty()) {
         inbox_.emplace_back([this, names = std::move(changed)](double now) { merge_by_hand(now, names); });
     }
@@ -834,17 +749,15 @@
 void Node::save_warm_start() {
     if (!takes_clients_) return;
     warm_start_file_.save(balancer_->snapshot(monotonic_now()), station_.names.kinds,
-                          [this](int cache) { return server(cache).name; });
+                          [this](int server) { return servers_.at(server).name; });
     timers_.schedule(monotonic_now() + kWarmStartInterval, [this] { save_warm_start(); });
 }
 
 void Node::load_warm_start(double now) {
     if (!shared_ || station_.state_folder.empty()) return;
-    const auto snapshot = warm_start_file_.load(wall_less_monotonic_ + now, station_.names.kinds,
-                                                [this](const std::string& name) {
-                                                    const auto known = cache_index_.find(name);
-                                                    return known == cache_index_.end() ? -1 : known->second;
-                                                });
+    const auto snapshot =
+        warm_start_file_.load(wall_clock_offset_ + now, station_.names.kinds,
+                              [this](const std::string& name) { return servers_.find(name); });
     if (!snapshot) return;
     balancer_->restore(now, *snapshot);
     log_.line(Topic::node, "recalled",
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -6,7 +6,6 @@
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <memory>
 #include <string>
@@ -25,6 +24,7 @@
 #include "gossip_agent/gossip_agent.h"
 #include "io/log.h"
 #include "io/timer_queue.h"
+#include "proxy/server_table.h"
 #include "proxy/sibling_processes.h"
 #include "proxy/warm_start_file.h"
 #include "upstream/upstream_pool.h"
@@ -44,16 +44,16 @@
     void begin_shutdown();
     bool is_done() const { return done_; }
 
-    void start_attempt(int inv, int cache, double limit) override;
+    void start_attempt(int inv, int server, double limit) override;
     void cancel_attempt(int inv, int forward) override;
     void reject(int inv, double retry_after) override;
     void fail(int inv) override;
-    void check_health(int cache) override;
-    void close_idle_connections(int cache) override;
+    void check_health(int server) override;
+    void close_idle_connections(int server) override;
     void poll_endpoints() override;
     void set_timer(double after, std::uint64_t token) override;
     void log(std::string_view text) override;
-    bool admit_slow_start(int cache) override;
+    bool admit_slow_start(int server) override;
 
   private:
     struct ActiveRequest {
@@ -66,13 +66,8 @@
         bool answered = true;
         TimerQueue::Handle expiry_timer;
     };
-    struct Server : EndpointRecord {
-        double removed_at = 0;  // 0: it is not gone
-        AdminState::ServerState admin_state;
-    };
     using Event = std::function<void(double now)>;
 
-    Server& server(int cache) { return servers_[static_cast<std::size_t>(cache)]; }
     ActiveRequest& invocation(int inv) { return invocations_[static_cast<std::size_t>(inv)]; }
     double came_at();
     int asked(const ClientConnections::RequestHandle& asker, Command&& command);
@@ -82,13 +77,10 @@
     void client_left(double now, int inv);
     void listed(double now, UpdateKind kind, const EndpointUpdate& list);
     void registered(const std::vector<RegistrationChange>& changes);
-    int number_of(const std::string& name);
-    Endpoint listing(int cache);
     void settle_limits(const OperatorConfig& operator_file);
     void limit_places();
-    std::string placed_by(const Names& names, std::vector<std::pair<int, int>>& places) const;
     void forget_gone();
-    void carry_out_forward(int inv, int number, int cache, double limit);
+    void carry_out_forward(int inv, int number, int server, double limit);
     void begin_forward(int inv, int number);
     void answer(int inv, std::string text);
     void finish(int inv);
@@ -96,9 +88,6 @@
     void look_whether_done();
     void operators_call(std::uint64_t caller, const HttpRequest& call);
     void call_by_hand(std::uint64_t caller, const std::string& name, bool out);
-    bool is_origin(const Server& s) const;
-    bool takes_new(int cache) const;
-    bool cold(int cache) const;
     void zone_by_hand(std::uint64_t caller, const std::string& name, bool out);
     void merge_by_hand(double now, const std::vector<std::string>& names);
     void look_by_hand();
@@ -112,7 +101,7 @@
     OperatorConfig operator_file_;
     Log& log_;
     TimerQueue timers_;
-    const double wall_less_monotonic_;
+    const double wall_clock_offset_;
     std::unique_ptr<Balancer> balancer_;
     UpstreamPool pool_;
     ClientConnections clients_;
@@ -132,16 +121,13 @@
     std::unordered_set<std::string> open_ids_;
     std::unordered_map<std::uint64_t, ClientConnections::RequestHandle>
         relays_;  // for whom each long value is
-    // Servers by the small numbers that the module and the pool know them by.
-    std::unordered_map<std::string, int> cache_index_;
     AdminState by_hand_;
-    WarmStartFile warm_start_file_;             // used where the listener is shared
+    WarmStartFile warm_start_file_;  // used where the listener is shared
+    ServerTable servers_;
     std::unique_ptr<SiblingProcesses> beside_;  // where the listener is shared
     double turned_at_ = 0;  // when the last turn began, and where the process then stood still,
     double stood_from_ = 0, behind_until_ = 0;  // from when, and until when what comes may be from that time
     double part_ = 1;                           // of the budget that is this process's
-    std::deque<Server> servers_;                // names in it are lent to the module while more are added
-    std::vector<int> free_numbers_;
     TimerQueue::Handle forgetting_;
     double closes_at_ = 0;        // the clients' connections; 0: not told to end
     double last_answers_at_ = 0;  // some time before the kill
