--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cstdio>
+#include <unordered_set>
 #include <utility>
 
 #include "config/json.h"
@@ -45,8 +46,8 @@
 
 constexpr const char* kFailed = "SERVER_ERROR failed\r\n";
 
-std::uint64_t forward_key(int inv, int number) {
-    return static_cast<std::uint64_t>(inv) << 16 | static_cast<std::uint64_t>(number);
+std::uint64_t forward_key(int request, int number) {
+    return static_cast<std::uint64_t>(request) << 16 | static_cast<std::uint64_t>(number);
 }
 
 std::size_t bytes(int memory_mb) { return static_cast<std::size_t>(memory_mb) * 1'000'000 / kBytesPart; }
@@ -85,9 +86,9 @@
               inbox_.emplace_back([this, e = std::move(end)](double now) mutable { ended(now, e); });
           },
           // Only after all that this turn of the loop brings has been heard: whether it is still to be sent.
-          [this](int inv, int forward) {
-              inbox_.emplace_back([this, inv, forward](double) {
-                  to_do_.emplace_back([this, inv, forward] { begin_forward(inv, forward); });
+          [this](int request, int forward) {
+              inbox_.emplace_back([this, request, forward](double) {
+                  to_do_.emplace_back([this, request, forward] { begin_forward(request, forward); });
               });
           },
           {[this](std::uint64_t relay) {
@@ -108,7 +109,7 @@
           [this](const ClientConnections::RequestHandle& asker, Command&& command) {
               return asked(asker, std::move(command));
           },
-          [this](const ClientConnections::RequestHandle& asker, int inv) { left(asker, inv); },
+          [this](const ClientConnections::RequestHandle& asker, int request) { left(asker, request); },
           {[this](std::uint64_t relay) { pool_.resume(relay); },
            [this](std::uint64_t relay) {
                relays_.erase(relay);
@@ -214,7 +215,7 @@
     std::vector<std::function<void()>> to_do;
     to_do.swap(to_do_);
     for (const auto& action : to_do) action();
-    for (int inv : to_settle_) settle(inv);
+    for (const int request : to_settle_) requests_.release(request);
     to_settle_.clear();
     pool_.destroy_closed();
     clients_.destroy_closed();
@@ -298,10 +299,10 @@
 
 int Node::asked(const ClientConnections::RequestHandle& asker, Command&& command) {
     const int operation = index_of(station_.names.operations, command.attributes.operation);
-    const bool full = station_.max_open_requests > 0 && open_ >= station_.max_open_requests;
+    const bool full = station_.max_open_requests > 0 && requests_.open_count() >= station_.max_open_requests;
     // Servers tell invocations apart by their ids alone: with one that is still open the answer made for the
     // one client would be taken for the other's.
-    const bool taken = open_ids_.contains(command.id);
+    const bool taken = requests_.is_id_open(command.id);
     if (operation < 0 || taken || full) {
         // None has been given to the module: it may not be held, or cannot be named.
         const std::string text = operation < 0 ? "CLIENT_ERROR unknown operation\r\n"
@@ -310,90 +311,83 @@
         inbox_.emplace_back([this, asker, text](double) { clients_.respond(asker, text); });
         return ClientConnections::kNoRequest;
     }
-    if (free_.empty()) {
-        free_.push_back(static_cast<int>(invocations_.size()));
-        invocations_.emplace_back();
-    }
-    const int inv = free_.back();
-    free_.pop_back();
-    ++open_;
-    open_ids_.insert(command.id);
     const double came = came_at();
     const double due = came + command.attributes.time_remaining;
-    invocation(inv) = {asker, std::move(command), came, due, 0, 0, false, {}};
-    inbox_.emplace_back([this, inv, operation](double now) { arrived(now, inv, operation); });
-    return inv;
+    const int request = requests_.open(asker, std::move(command), came, due);
+    inbox_.emplace_back([this, request, operation](double now) { arrived(now, request, operation); });
+    return request;
 }
 
-void Node::arrived(double now, int inv, int operation) {
-    ActiveRequest& v = invocation(inv);
+void Node::arrived(double now, int request, int operation) {
+    ActiveRequest& active = requests_.at(request);
     // A net under the module: its final answer comes before this, or the client has long gone.
-    v.expiry_timer = timers_.schedule(v.deadline + station_.deployment.response_grace, [this, inv] {
-        invocation(inv).expiry_timer = {};
-        inbox_.emplace_back([this, inv](double then) {
-            if (invocation(inv).answered) return;
-            log_.line(Topic::node, "outlived", "an invocation outlived its client timeout");
-            answer(inv, "SERVER_ERROR timed out\r\n");
-            client_left(then, inv);
+    active.expiry_timer =
+        timers_.schedule(active.deadline + station_.deployment.response_grace, [this, request] {
+            requests_.at(request).expiry_timer = {};
+            inbox_.emplace_back([this, request](double then) {
+                if (requests_.at(request).answered) return;
+                log_.line(Topic::node, "outlived", "an invocation outlived its client timeout");
+                answer(request, "SERVER_ERROR timed out\r\n");
+                client_left(then, request);
+            });
         });
-    });
     Request a;
-    a.id = inv;
+    a.id = request;
     a.operation = operation;
-    a.tenant = index_of(station_.names.tenants, v.command.attributes.tenant);
-    a.is_write = v.command.kind == Command::Kind::write;
-    a.is_client_retry = v.command.attributes.is_client_retry;
+    a.tenant = index_of(station_.names.tenants, active.command.attributes.tenant);
+    a.is_write = active.command.kind == Command::Kind::write;
+    a.is_client_retry = active.command.attributes.is_client_retry;
     a.has_key = true;
-    a.key = key_number(v.command.key);
-    a.time_remaining = std::max(0.0, v.deadline - now);
+    a.key = key_number(active.command.key);
+    a.time_remaining = std::max(0.0, active.deadline - now);
     if (talk_ != nullptr && !a.is_client_retry) talk_->on_request(now);
     if (talk_ != nullptr) talk_->on_tenant_request(now, a.tenant);
     balancer_->on_request(now, a);
 }
 
 // By the time that the inbox is read its place may be another's.
-void Node::left(const ClientConnections::RequestHandle& asker, int inv) {
-    inbox_.emplace_back([this, asker, inv](double now) {
-        const ActiveRequest& v = invocation(inv);
-        if (v.client == asker && !v.answered) client_left(now, inv);
+void Node::left(const ClientConnections::RequestHandle& asker, int request) {
+    inbox_.emplace_back([this, asker, request](double now) {
+        const ActiveRequest& active = requests_.at(request);
+        if (active.client == asker && !active.answered) client_left(now, request);
     });
 }
 
-void Node::client_left(double now, int inv) {
-    finish(inv);
-    balancer_->on_client_closed(now, inv);
+void Node::client_left(double now, int request) {
+    finish(request);
+    balancer_->on_client_closed(now, request);
 }
 
 void Node::ended(double now, UpstreamPool::AttemptResult& e) {
     if (e.request == UpstreamPool::kHealthCheck)
         return balancer_->on_health_check(now, e.server, e.outcome, e.latency);
-    ActiveRequest& v = invocation(e.request);
-    --v.in_flight;
-    if (e.stream != 0 && !v.answered) {
+    ActiveRequest& active = requests_.at(e.request);
+    --active.in_flight;
+    if (e.stream != 0 && !active.answered) {
         // The client gets its first bytes now, and no other forward may answer it any more.
-        to_do_.emplace_back([this, asker = v.client, relay = e.stream,
-                             head = format_value_header(v.command.id, e.stream_length)]() mutable {
+        to_do_.emplace_back([this, asker = active.client, relay = e.stream,
+                             head = format_value_header(active.command.id, e.stream_length)]() mutable {
             relays_.emplace(relay, asker);
             clients_.begin_stream(asker, std::move(head), relay);
         });
         finish(e.request);
     } else if (e.stream != 0) {
         pool_.abandon_stream(e.stream);
-    } else if (e.outcome == AttemptOutcome::succeeded && !v.answered) {
-        const Command& c = v.command;
+    } else if (e.outcome == AttemptOutcome::succeeded && !active.answered) {
+        const Command& c = active.command;
         answer(e.request,
                c.kind == Command::Kind::read ? format_value(c.id, e.body) : format_receipt(c.id, e.body));
         finish(e.request);
     }
     if (talk_ != nullptr && !servers_.is_origin(servers_.at(e.server))) {
-        const int operation = index_of(station_.names.operations, v.command.attributes.operation);
+        const int operation = index_of(station_.names.operations, active.command.attributes.operation);
         if (operation >= 0)
             talk_->on_attempt_finished(
                 now, forward_key(e.request, e.attempt), servers_.at(e.server).name,
                 servers_.at(e.server).zone, e.outcome, e.latency,
                 station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
-    balancer_->on_attempt_finished(now, e.request, e.attempt, e.outcome, e.latency, v.answered);
+    balancer_->on_attempt_finished(now, e.request, e.attempt, e.outcome, e.latency, active.answered);
     to_settle_.push_back(e.request);
 }
 
@@ -487,10 +481,7 @@
 // forward out there, or be held to where its first one went.
 void Node::forget_gone() {
     timers_.cancel(forgetting_);
-    double oldest = monotonic_now();
-    for (const ActiveRequest& v : invocations_) {
-        if (v.client.connection != 0) oldest = std::min(oldest, v.received_at);
-    }
+    const double oldest = requests_.oldest_received_at(monotonic_now());
     const bool some_left = servers_.evict_removed(
         oldest, [this](int server) { return pool_.in_use(server); },
         [this](int server) { pool_.remove_server(server); });
@@ -508,67 +499,68 @@
            talk_->admit_slow_start(monotonic_now(), servers_.at(server).name);
 }
 
-void Node::start_attempt(int inv, int server, double limit) {
+void Node::start_attempt(int request, int server, double limit) {
     if (talk_ != nullptr && talk_->limits_slow_start() && servers_.is_cold(server, monotonic_now()))
         talk_->on_slow_start_attempt(monotonic_now(), servers_.at(server).name);
-    ActiveRequest& v = invocation(inv);
-    const int number = v.attempts++;
-    ++v.in_flight;
+    ActiveRequest& active = requests_.at(request);
+    const int number = active.attempts++;
+    ++active.in_flight;
     to_do_.emplace_back(
-        [this, inv, number, server, limit] { carry_out_forward(inv, number, server, limit); });
+        [this, request, number, server, limit] { carry_out_forward(request, number, server, limit); });
 }
 
-void Node::carry_out_forward(int inv, int number, int server, double limit) {
-    const ActiveRequest& v = invocation(inv);
-    const double left = std::min(limit, v.deadline - monotonic_now());
+void Node::carry_out_forward(int request, int number, int server, double limit) {
+    const ActiveRequest& active = requests_.at(request);
+    const double left = std::min(limit, active.deadline - monotonic_now());
     // Decided before the turn's news of the server came, or before its client's end was read.
-    const bool declined =
-        v.answered || left <= 0 || !servers_.accepts_attempts(server) || clients_.has_closed(v.client);
+    const bool declined = active.answered || left <= 0 || !servers_.accepts_attempts(server) ||
+                          clients_.has_closed(active.client);
     // Past its part of the fleet's limit a node sends nothing to the origin: who asked is told to come again.
     if (declined || (talk_ != nullptr && servers_.is_origin(servers_.at(server)) &&
                      !talk_->admit_origin_attempt(monotonic_now()))) {
         inbox_.emplace_back(
             [this,
-             e = UpstreamPool::AttemptResult{inv, number, server, AttemptOutcome::not_sent, 0, {}, 0, 0}](
+             e = UpstreamPool::AttemptResult{request, number, server, AttemptOutcome::not_sent, 0, {}, 0, 0}](
                 double now) mutable { ended(now, e); });
         return;
     }
     if (talk_ != nullptr && !servers_.is_origin(servers_.at(server))) {
-        const int operation = index_of(station_.names.operations, v.command.attributes.operation);
+        const int operation = index_of(station_.names.operations, active.command.attributes.operation);
         if (operation >= 0)
             talk_->on_attempt_started(
-                monotonic_now(), forward_key(inv, number), servers_.at(server).name, servers_.at(server).zone,
+                monotonic_now(), forward_key(request, number), servers_.at(server).name,
+                servers_.at(server).zone,
                 station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
     // The module reckons that a repeat has begun a connect time-out later: after that it could run beside the
     // time for which the first is remembered.
     const int operation =
-        number > 0 ? index_of(station_.names.operations, v.command.attributes.operation) : -1;
+        number > 0 ? index_of(station_.names.operations, active.command.attributes.operation) : -1;
     const bool repeat =
         operation >= 0 && station_.deployment.operations[static_cast<std::size_t>(operation)].idempotency ==
                               Idempotency::idempotency_key;
-    pool_.start_attempt(inv, number, server, v.command, left, repeat ? pool_.connect_timeout() : 0);
+    pool_.start_attempt(request, number, server, active.command, left, repeat ? pool_.connect_timeout() : 0);
 }
 
 // Its connection has come up, perhaps late.
-void Node::begin_forward(int inv, int number) {
-    const ActiveRequest& v = invocation(inv);
-    if (v.answered || clients_.has_closed(v.client)) return pool_.abandon(inv, number);
-    pool_.send(inv, number);
+void Node::begin_forward(int request, int number) {
+    const ActiveRequest& active = requests_.at(request);
+    if (active.answered || clients_.has_closed(active.client)) return pool_.abandon(request, number);
+    pool_.send(request, number);
 }
 
-void Node::cancel_attempt(int inv, int forward) {
-    to_do_.emplace_back([this, inv, forward] { pool_.cancel(inv, forward); });
+void Node::cancel_attempt(int request, int forward) {
+    to_do_.emplace_back([this, request, forward] { pool_.cancel(request, forward); });
 }
 
-void Node::reject(int inv, double retry_after) {
-    answer(inv, format_busy(retry_after));
-    finish(inv);
+void Node::reject(int request, double retry_after) {
+    answer(request, format_busy(retry_after));
+    finish(request);
 }
 
-void Node::fail(int inv) {
-    answer(inv, kFailed);
-    finish(inv);
+void Node::fail(int request) {
+    answer(request, kFailed);
+    finish(request);
 }
 
 void Node::check_health(int server) {
@@ -592,31 +584,21 @@
 
 void Node::log(std::string_view text) { log_.line(Topic::policy, "said", text); }
 
-void Node::answer(int inv, std::string text) {
-    if (invocation(inv).answered) return;
-    to_do_.emplace_back([this, asker = invocation(inv).client, said = std::move(text)]() mutable {
+void Node::answer(int request, std::string text) {
+    if (requests_.at(request).answered) return;
+    to_do_.emplace_back([this, asker = requests_.at(request).client, said = std::move(text)]() mutable {
         clients_.respond(asker, std::move(said));
     });
 }
 
 // ---- an invocation's end -----------------------------------------------------------------------------
 
-void Node::finish(int inv) {
-    ActiveRequest& v = invocation(inv);
-    if (v.answered) return;
-    v.answered = true;
-    --open_;
-    open_ids_.erase(v.command.id);
-    timers_.cancel(v.expiry_timer);
-    to_settle_.push_back(inv);
-}
-
-// An invocation's place is given to another only once nothing of it can be heard any more.
-void Node::settle(int inv) {
-    ActiveRequest& v = invocation(inv);
-    if (!v.answered || v.in_flight > 0 || v.client.connection == 0) return;
-    v = {};
-    free_.push_back(inv);
+void Node::finish(int request) {
+    ActiveRequest& active = requests_.at(request);
+    if (active.answered) return;
+    requests_.close(request);
+    timers_.cancel(active.expiry_timer);
+    to_settle_.push_back(request);
 }
 
 // ---- the operators' calls ----------------------------------------------------------------------------
@@ -794,16 +776,15 @@
     const double now = monotonic_now();
     const bool left =
         shared_ ? clients_.empty() : now - closes_at_ >= kFrontMovesAway && clients_.idle_since(now - kQuiet);
-    if (left && open_ == 0) {
+    if (left && requests_.open_count() == 0) {
         done_ = true;
-    } else if (now >= last_answers_at_ && open_ > 0) {
+    } else if (now >= last_answers_at_ && requests_.open_count() > 0) {
         log_.line(Topic::node, "errored_before_kill",
-                  std::to_string(open_) + " invocations errored before the kill");
-        for (std::size_t i = 0; i < invocations_.size(); ++i) {
-            if (invocations_[i].answered) continue;
-            inbox_.emplace_back([this, inv = static_cast<int>(i)](double then) {
-                fail(inv);
-                client_left(then, inv);
+                  std::to_string(requests_.open_count()) + " invocations errored before the kill");
+        for (const int request : requests_.open_requests()) {
+            inbox_.emplace_back([this, request](double then) {
+                fail(request);
+                client_left(then, request);
             });
         }
     } else if (now >= last_answers_at_ + kQuiet) {
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -10,7 +10,6 @@
 #include <memory>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
 #include <vector>
 
 #include "admin/admin_server.h"
@@ -24,6 +23,7 @@
 #include "gossip_agent/gossip_agent.h"
 #include "io/log.h"
 #include "io/timer_queue.h"
+#include "proxy/request_table.h"
 #include "proxy/server_table.h"
 #include "proxy/sibling_processes.h"
 #include "proxy/warm_start_file.h"
@@ -44,10 +44,10 @@
     void begin_shutdown();
     bool is_done() const { return done_; }
 
-    void start_attempt(int inv, int server, double limit) override;
-    void cancel_attempt(int inv, int forward) override;
-    void reject(int inv, double retry_after) override;
-    void fail(int inv) override;
+    void start_attempt(int request, int server, double limit) override;
+    void cancel_attempt(int request, int forward) override;
+    void reject(int request, double retry_after) override;
+    void fail(int request) override;
     void check_health(int server) override;
     void close_idle_connections(int server) override;
     void poll_endpoints() override;
@@ -56,35 +56,23 @@
     bool admit_slow_start(int server) override;
 
   private:
-    struct ActiveRequest {
-        ClientConnections::RequestHandle client;
-        Command command;
-        double received_at = 0;
-        double deadline = 0;  // when its client stops waiting
-        int attempts = 0;     // their number so far, and those without an end
-        int in_flight = 0;
-        bool answered = true;
-        TimerQueue::Handle expiry_timer;
-    };
     using Event = std::function<void(double now)>;
 
-    ActiveRequest& invocation(int inv) { return invocations_[static_cast<std::size_t>(inv)]; }
     double came_at();
     int asked(const ClientConnections::RequestHandle& asker, Command&& command);
-    void left(const ClientConnections::RequestHandle& asker, int inv);
-    void arrived(double now, int inv, int operation);
+    void left(const ClientConnections::RequestHandle& asker, int request);
+    void arrived(double now, int request, int operation);
     void ended(double now, UpstreamPool::AttemptResult& e);
-    void client_left(double now, int inv);
+    void client_left(double now, int request);
     void listed(double now, UpdateKind kind, const EndpointUpdate& list);
     void registered(const std::vector<RegistrationChange>& changes);
     void settle_limits(const OperatorConfig& operator_file);
     void limit_places();
     void forget_gone();
-    void carry_out_forward(int inv, int number, int server, double limit);
-    void begin_forward(int inv, int number);
-    void answer(int inv, std::string text);
-    void finish(int inv);
-    void settle(int inv);
+    void carry_out_forward(int request, int number, int server, double limit);
+    void begin_forward(int request, int number);
+    void answer(int request, std::string text);
+    void finish(int request);
     void look_whether_done();
     void operators_call(std::uint64_t caller, const HttpRequest& call);
     void call_by_hand(std::uint64_t caller, const std::string& name, bool out);
@@ -115,10 +103,7 @@
     std::vector<Event> inbox_;
     std::vector<std::function<void()>> to_do_;
     std::vector<int> to_settle_;
-    std::vector<ActiveRequest> invocations_;
-    std::vector<int> free_;
-    int open_ = 0;
-    std::unordered_set<std::string> open_ids_;
+    RequestTable requests_;
     std::unordered_map<std::uint64_t, ClientConnections::RequestHandle>
         relays_;  // for whom each long value is
     AdminState by_hand_;
--- a/src/proxy/server_table.cpp
+++ b/src/proxy/server_table.cpp
@@ -81,10 +81,9 @@
     endpoint.cell = server.cell;
     endpoint.weight = server.weight;
     // An operator's drain overrides the listed state.
-    endpoint.state =
-        server.admin_state.drained && server.state == EndpointState::ready && !is_origin(server)
-            ? EndpointState::draining
-            : server.state;
+    endpoint.state = server.admin_state.drained && server.state == EndpointState::ready && !is_origin(server)
+                         ? EndpointState::draining
+                         : server.state;
     const double started = started_at(server);
     if (started > 0) endpoint.started_at = std::max(started - wall_clock_offset_, kEarliestStart);
     return endpoint;
