--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -4,9 +4,11 @@
 #include <cstdio>
 #include <unordered_set>
 #include <utility>
+#include <variant>
 
 #include "config/json.h"
 #include "config/registration.h"
+#include "proxy/admin_api.h"
 
 namespace brookrelay {
 namespace {
@@ -17,16 +19,6 @@
 constexpr int kDescriptorsKept = 16 + static_cast<int>(AdminServer::kMaxCallers);
 constexpr double kClientsPart = 0.6;
 
-// After SIGTERM. The front goes on sending here for a while; whoever is still unanswered near the kill (which
-// comes no sooner than the longest client timeout, kKillMost at the most, and 0.7 s more) is told so.
-// At first as before: the connections that clients have may be the only way in while another node starts.
-constexpr double kServeOn = 1.0;
-constexpr double kFrontMovesAway = 0.5;  // after that; the front has sent nothing new for some time by then
-constexpr double kQuiet = 0.5;
-constexpr double kKillMost = 3.0;
-constexpr double kBeforeKill = 0.4;
-constexpr double kLook = 0.05;
-
 constexpr double kStood = 0.25;    // s without a turn; some timer is due ten times as often
 constexpr double kCatchUp = 0.25;  // s after it in which what lay there meanwhile is read
 
@@ -44,6 +36,7 @@
 
 constexpr const char* kZoneByHand = "\x01zone:";  // before a zone's name, where caches by hand are remembered
 
+constexpr const char* kNoFleet = "this node does not talk with others: [fleet] in the operators' file";
 constexpr const char* kFailed = "SERVER_ERROR failed\r\n";
 
 std::uint64_t forward_key(int request, int number) {
@@ -123,8 +116,9 @@
               });
           },
           [this] { inbox_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
-      management_(timers_, log,
-                  [this](std::uint64_t caller, const HttpRequest& call) { operators_call(caller, call); }),
+      management_(
+          timers_, log,
+          [this](std::uint64_t caller, const HttpRequest& call) { handle_admin_request(caller, call); }),
       by_hand_(own_folder(station)),
       warm_start_file_(own_folder(station) + "/learned"),
       servers_(station_.deployment, wall_clock_offset_) {
@@ -603,49 +597,24 @@
 
 // ---- the operators' calls ----------------------------------------------------------------------------
 
-void Node::operators_call(std::uint64_t caller, const HttpRequest& call) {
-    constexpr std::string_view servers = "/control/cache-servers/";
-    constexpr std::string_view offline = "/offline";
-    constexpr std::string_view online = "/online";
-    const auto say = [this, caller](int status, const char* text) {
-        management_.respond(caller, status, text);
-    };
-    const std::string_view target(call.target);
-    const bool out = target.ends_with(offline);
-    if (target.starts_with(servers) && (out || target.ends_with(online))) {
-        const std::size_t tail = out ? offline.size() : online.size();
-        if (target.size() <= servers.size() + tail) return say(404, "no such path");
-        if (call.method != "POST") return say(405, "the method here is POST");
-        const std::string said(target.substr(servers.size(), target.size() - servers.size() - tail));
-        const std::unique_ptr<char, decltype(&g_free)> name(g_uri_unescape_string(said.c_str(), "/"),
-                                                            &g_free);
-        if (name == nullptr) return say(400, "no id");
-        return call_by_hand(caller, name.get(), out);
-    }
-    constexpr std::string_view zones = "/control/zones/";
-    if (target.starts_with(zones) && (out || target.ends_with(online))) {
-        const std::size_t tail = out ? offline.size() : online.size();
-        if (target.size() <= zones.size() + tail) return say(404, "no such path");
-        if (call.method != "POST") return say(405, "the method here is POST");
-        const std::string said(target.substr(zones.size(), target.size() - zones.size() - tail));
-        const std::unique_ptr<char, decltype(&g_free)> name(g_uri_unescape_string(said.c_str(), nullptr),
-                                                            &g_free);
-        if (name == nullptr) return say(400, "no name");
-        return zone_by_hand(caller, name.get(), out);
+void Node::handle_admin_request(std::uint64_t caller, const HttpRequest& http_request) {
+    const AdminAction action = parse_admin_request(http_request);
+    if (const auto* error = std::get_if<AdminError>(&action))
+        return management_.respond(caller, error->status, error->text);
+    if (const auto* change = std::get_if<ServerStateChange>(&action))
+        return change_server_state(caller, change->server, change->drain);
+    if (const auto* change = std::get_if<ZoneStateChange>(&action))
+        return change_zone_state(caller, change->zone, change->drain);
+    if (std::holds_alternative<FleetStateQuery>(action)) {
+        return talk_ == nullptr ? management_.respond(caller, 404, kNoFleet)
+                                : management_.respond(caller, 200, talk_->state_json(monotonic_now()));
     }
-    if (target == "/control/fleet") {
-        if (call.method != "GET") return say(405, "the method here is GET");
-        if (talk_ == nullptr)
-            return say(404, "this node does not talk with others: [fleet] in the operators' file");
-        return management_.respond(caller, 200, talk_->state_json(monotonic_now()));
-    }
-    if (target != "/control/ready") return say(404, "no such path");
-    if (call.method != "GET") return say(405, "the method here is GET");
-    return takes_clients_ ? say(200, "ready") : say(503, "ends, and takes no new clients");
+    return takes_clients_ ? management_.respond(caller, 200, "ready")
+                          : management_.respond(caller, 503, "ends, and takes no new clients");
 }
 
 // The yes comes after the turn in which the module was told, and what it had asked for before is carried out.
-void Node::call_by_hand(std::uint64_t caller, const std::string& name, bool out) {
+void Node::change_server_state(std::uint64_t caller, const std::string& name, bool out) {
     inbox_.emplace_back([this, caller, name, out](double now) {
         const auto say = [this, caller](int status, const char* text) {
             to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
@@ -665,14 +634,13 @@
 
 // A zone is left here, or taken back, by an operator's word: this node alone, through the states of the
 // fleet's own.
-void Node::zone_by_hand(std::uint64_t caller, const std::string& name, bool out) {
+void Node::change_zone_state(std::uint64_t caller, const std::string& name, bool out) {
     inbox_.emplace_back([this, caller, name, out](double now) {
         const auto say = [this, caller](int status, const std::string& text) {
             to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
         };
         const std::string kept = kZoneByHand + name;
-        if (talk_ == nullptr)
-            return say(404, "this node does not talk with others: [fleet] in the operators' file");
+        if (talk_ == nullptr) return say(404, kNoFleet);
         if (index_of(station_.names.zones, name) < 0) return say(404, "no such zone");
         const std::string against = talk_->why_zones_unavailable();
         if (!against.empty()) return say(409, against);
@@ -750,47 +718,51 @@
 // ---- winding down ------------------------------------------------------------------------------------
 
 void Node::begin_shutdown() {
-    if (closes_at_ > 0) return;
+    if (shutdown_.has_begun()) return;
     log_.line(Topic::node, "told_to_end",
               shared_ ? "told to end: the other processes on the listener take who comes"
                       : "told to end: serves on until the front has moved away");
     double longest = 0;
     for (const Operation& op : station_.deployment.operations) longest = std::max(longest, op.client_timeout);
-    const double left = std::min(longest, kKillMost) + kBeforeKill;
     const double now = monotonic_now();
-    last_answers_at_ = now + left;
-    // Where client timeouts are short the kill comes early, and what was taken must be answered before it.
+    shutdown_.begin(now, longest, shared_);
     takes_clients_ = false;
     if (shared_) {
-        closes_at_ = now;
         clients_.stop_accepting();
         clients_.begin_shutdown(true);
         return look_whether_done();
     }
-    closes_at_ = now + std::min(kServeOn, left / 2);
-    timers_.schedule(closes_at_, [this] { clients_.begin_shutdown(false); });
+    timers_.schedule(shutdown_.closes_at(), [this] { clients_.begin_shutdown(false); });
     look_whether_done();
 }
 
 void Node::look_whether_done() {
     const double now = monotonic_now();
-    const bool left =
-        shared_ ? clients_.empty() : now - closes_at_ >= kFrontMovesAway && clients_.idle_since(now - kQuiet);
-    if (left && requests_.open_count() == 0) {
-        done_ = true;
-    } else if (now >= last_answers_at_ && requests_.open_count() > 0) {
-        log_.line(Topic::node, "errored_before_kill",
-                  std::to_string(requests_.open_count()) + " invocations errored before the kill");
-        for (const int request : requests_.open_requests()) {
-            inbox_.emplace_back([this, request](double then) {
-                fail(request);
-                client_left(then, request);
-            });
-        }
-    } else if (now >= last_answers_at_ + kQuiet) {
-        done_ = true;
+    const bool clients_are_gone = shared_ ? clients_.empty()
+                                          : shutdown_.has_front_moved_away(now) &&
+                                                clients_.idle_since(GracefulShutdown::quiet_from(now));
+    switch (shutdown_.next_step(now, clients_are_gone, requests_.open_count() > 0)) {
+        case GracefulShutdown::Step::wait:
+            break;
+        case GracefulShutdown::Step::fail_open_requests:
+            fail_open_requests();
+            break;
+        case GracefulShutdown::Step::finish:
+            done_ = true;
+            return;
+    }
+    timers_.schedule(now + GracefulShutdown::kCheckInterval, [this] { look_whether_done(); });
+}
+
+void Node::fail_open_requests() {
+    log_.line(Topic::node, "errored_before_kill",
+              std::to_string(requests_.open_count()) + " invocations errored before the kill");
+    for (const int request : requests_.open_requests()) {
+        inbox_.emplace_back([this, request](double then) {
+            fail(request);
+            client_left(then, request);
+        });
     }
-    if (!done_) timers_.schedule(now + kLook, [this] { look_whether_done(); });
 }
 
 }  // namespace brookrelay
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -23,6 +23,7 @@
 #include "gossip_agent/gossip_agent.h"
 #include "io/log.h"
 #include "io/timer_queue.h"
+#include "proxy/graceful_shutdown.h"
 #include "proxy/request_table.h"
 #include "proxy/server_table.h"
 #include "proxy/sibling_processes.h"
@@ -74,9 +75,10 @@
     void answer(int request, std::string text);
     void finish(int request);
     void look_whether_done();
-    void operators_call(std::uint64_t caller, const HttpRequest& call);
-    void call_by_hand(std::uint64_t caller, const std::string& name, bool out);
-    void zone_by_hand(std::uint64_t caller, const std::string& name, bool out);
+    void fail_open_requests();
+    void handle_admin_request(std::uint64_t caller, const HttpRequest& http_request);
+    void change_server_state(std::uint64_t caller, const std::string& name, bool out);
+    void change_zone_state(std::uint64_t caller, const std::string& name, bool out);
     void merge_by_hand(double now, const std::vector<std::string>& names);
     void look_by_hand();
     void share_budget();
@@ -114,8 +116,7 @@
     double stood_from_ = 0, behind_until_ = 0;  // from when, and until when what comes may be from that time
     double part_ = 1;                           // of the budget that is this process's
     TimerQueue::Handle forgetting_;
-    double closes_at_ = 0;        // the clients' connections; 0: not told to end
-    double last_answers_at_ = 0;  // some time before the kill
+    GracefulShutdown shutdown_;
     bool done_ = false;
     bool takes_clients_ = false;
     bool shared_ = false;  // the clients' listener is another process's too
