--- a/src/proxy/admin_api.h
+++ b/src/proxy/admin_api.h
@@ -1,5 +1,5 @@
-/// The paths of the operators' HTTP interface: turns a request into a typed action, or into the error response
-/// that it deserves. It knows neither the node's servers nor its zones, and carries nothing out.
+/// The paths of the operators' HTTP interface: turns a request into a typed action, or into the error
+/// response that it deserves. It knows neither the node's servers nor its zones, and carries nothing out.
 #pragma once
 
 #include <string>
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -13,52 +13,55 @@
 namespace brookrelay {
 namespace {
 
-// Descriptors: some for the listeners, operators, discovery, the loop and the log; the rest is shared out
-// once, so that neither side's flood can leave the other without any. Each forward belongs to some client,
-// but not every client has one out, so the clients' part is the larger.
-constexpr int kDescriptorsKept = 16 + static_cast<int>(AdminServer::kMaxCallers);
-constexpr double kClientsPart = 0.6;
+// Some descriptors are reserved for the listeners, the operators, the endpoint sources, the event loop and
+// the log. The rest is split once, so that neither side's flood can leave the other without any. Each attempt
+// belongs to some client, but not every client has one in flight, so the clients' share is the larger.
+constexpr int kReservedDescriptors = 16 + static_cast<int>(AdminServer::kMaxCallers);
+constexpr double kClientsShare = 0.6;
 
-constexpr double kStood = 0.25;    // s without a turn; some timer is due ten times as often
-constexpr double kCatchUp = 0.25;  // s after it in which what lay there meanwhile is read
+constexpr double kPauseThreshold = 0.25;  // s without an iteration; some timer is due ten times as often
+constexpr double kCatchUp = 0.25;         // s after a pause in which the backlog is read
 
-constexpr double kForgetEvery = 1.0;  // s between looks, while a server that is gone is not forgotten yet
-constexpr double kProbeLimit = 0.5;   // s; a probe has no limit of its own
+constexpr double kEvictionInterval = 1.0;    // s between checks, until all removed servers are evicted
+constexpr double kHealthCheckTimeout = 0.5;  // s; a health check has no request whose deadline it shares
 
-constexpr double kLookByHand = 0.025;  // s between looks for what another process of this node was told
+constexpr double kAdminStateInterval = 0.025;  // s between reloads of what sibling processes wrote
 
 constexpr double kWarmStartInterval = 0.25;  // s between saves of the warm-start file
 
-constexpr int kGrowMeanwhile = 16;   // descriptors that another process may open between two looks
-constexpr double kPartLeast = 0.25;  // of the budget: two that both hold much must both go on
+constexpr int kDescriptorMargin = 16;     // that a sibling process may open between two updates
+constexpr double kMinBudgetShare = 0.25;  // two processes that both hold much must both go on
 
-constexpr std::size_t kBytesPart = 4;  // of the memory: what each side's buffers may hold together
+constexpr std::size_t kBufferFraction = 4;  // each side's buffers may hold a quarter of the memory
 
-constexpr const char* kZoneByHand = "\x01zone:";  // before a zone's name, where caches by hand are remembered
+// Marks the zones among the server names in the administrative state.
+constexpr const char* kZoneKeyPrefix = "\x01zone:";
 
 constexpr const char* kNoFleet = "this node does not talk with others: [fleet] in the operators' file";
 constexpr const char* kFailed = "SERVER_ERROR failed\r\n";
 
-std::uint64_t forward_key(int request, int number) {
+std::uint64_t attempt_key(int request, int number) {
     return static_cast<std::uint64_t>(request) << 16 | static_cast<std::uint64_t>(number);
 }
 
-std::size_t bytes(int memory_mb) { return static_cast<std::size_t>(memory_mb) * 1'000'000 / kBytesPart; }
+std::size_t buffer_budget(int memory_mb) {
+    return static_cast<std::size_t>(memory_mb) * 1'000'000 / kBufferFraction;
+}
 
-std::size_t budget(int descriptors, double part) {
-    return static_cast<std::size_t>((descriptors - kDescriptorsKept) * part);
+std::size_t connection_budget(int descriptors, double part) {
+    return static_cast<std::size_t>((descriptors - kReservedDescriptors) * part);
 }
 
-// Nodes on one machine may have one folder for what they keep.
-std::string own_folder(const NodeConfig& s) {
+// Several nodes on one machine may share the state folder.
+std::string node_folder(const NodeConfig& s) {
     if (s.state_folder.empty()) return {};
     std::string name = s.name + "-" + s.listen;
     std::replace(name.begin(), name.end(), '/', '_');
     return s.state_folder + "/brookrelay-" + name;
 }
 
-// FNV-1a: the same at every node, as the ring needs it; the module mixes it further.
-std::uint64_t key_number(std::string_view key) {
+// FNV-1a: the same at every node, as the hash ring needs it; the balancer mixes it further.
+std::uint64_t hash_key(std::string_view key) {
     std::uint64_t h = 0xcbf29ce484222325ULL;
     for (const char c : key) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
     return h;
@@ -66,75 +69,79 @@
 
 }  // namespace
 
-Node::Node(const NodeConfig& station, const OperatorConfig& operator_file, Log& log)
-    : station_(station),
-      operator_file_(operator_file),
+Node::Node(const NodeConfig& config, const OperatorConfig& operator_config, Log& log)
+    : config_(config),
+      operator_config_(operator_config),
       log_(log),
       wall_clock_offset_(static_cast<double>(g_get_real_time()) / 1e6 - monotonic_now()),
-      balancer_(make_balancer(station.deployment, station.seed, *this)),
+      balancer_(make_balancer(config.deployment, config.seed, *this)),
       pool_(
-          timers_, log, station.deployment, budget(station.descriptors, 1 - kClientsPart),
-          bytes(station.memory_mb),
+          timers_, log, config.deployment, connection_budget(config.descriptors, 1 - kClientsShare),
+          buffer_budget(config.memory_mb),
           [this](UpstreamPool::AttemptResult&& end) {
-              inbox_.emplace_back([this, e = std::move(end)](double now) mutable { ended(now, e); });
+              event_queue_.emplace_back(
+                  [this, e = std::move(end)](double now) mutable { on_attempt_finished(now, e); });
           },
-          // Only after all that this turn of the loop brings has been heard: whether it is still to be sent.
-          [this](int request, int forward) {
-              inbox_.emplace_back([this, request, forward](double) {
-                  to_do_.emplace_back([this, request, forward] { begin_forward(request, forward); });
+          // Decided after all events of this iteration: whether the attempt is still to be sent.
+          [this](int request, int attempt) {
+              event_queue_.emplace_back([this, request, attempt](double) {
+                  action_queue_.emplace_back(
+                      [this, request, attempt] { send_on_connection(request, attempt); });
               });
           },
-          {[this](std::uint64_t relay) {
-               return relays_.contains(relay) ? clients_.stream_capacity(relays_[relay]) : 0;
+          {[this](std::uint64_t stream) {
+               return streams_.contains(stream) ? clients_.stream_capacity(streams_[stream]) : 0;
            },
-           [this](std::uint64_t relay, std::string_view piece) {
-               clients_.write_chunk(relays_[relay], piece);
+           [this](std::uint64_t stream, std::string_view piece) {
+               clients_.write_chunk(streams_[stream], piece);
            },
-           [this](std::uint64_t relay, bool whole) {
-               const auto at = relays_.find(relay);
-               if (at == relays_.end()) return;
-               const ClientConnections::RequestHandle asker = at->second;
-               relays_.erase(at);
-               clients_.end_stream(asker, whole, kFailed);
+           [this](std::uint64_t stream, bool whole) {
+               const auto at = streams_.find(stream);
+               if (at == streams_.end()) return;
+               const ClientConnections::RequestHandle client = at->second;
+               streams_.erase(at);
+               clients_.end_stream(client, whole, kFailed);
            }}),
       clients_(
-          timers_, log, budget(station.descriptors, kClientsPart), bytes(station.memory_mb),
-          [this](const ClientConnections::RequestHandle& asker, Command&& command) {
-              return asked(asker, std::move(command));
+          timers_, log, connection_budget(config.descriptors, kClientsShare), buffer_budget(config.memory_mb),
+          [this](const ClientConnections::RequestHandle& client, Command&& command) {
+              return on_command(client, std::move(command));
+          },
+          [this](const ClientConnections::RequestHandle& client, int request) {
+              on_connection_closed(client, request);
           },
-          [this](const ClientConnections::RequestHandle& asker, int request) { left(asker, request); },
-          {[this](std::uint64_t relay) { pool_.resume(relay); },
-           [this](std::uint64_t relay) {
-               relays_.erase(relay);
-               pool_.abandon_stream(relay);
+          {[this](std::uint64_t stream) { pool_.resume(stream); },
+           [this](std::uint64_t stream) {
+               streams_.erase(stream);
+               pool_.abandon_stream(stream);
            }}),
-      discovery_(
-          timers_, log, station,
+      endpoint_watch_(
+          timers_, log, config,
           [this](EndpointUpdate&& list) {
-              inbox_.emplace_back([this, told = std::move(list)](double now) {
-                  listed(now, told.is_full ? UpdateKind::full : UpdateKind::delta, told);
+              event_queue_.emplace_back([this, record = std::move(list)](double now) {
+                  apply_endpoint_update(now, record.is_full ? UpdateKind::full : UpdateKind::delta, record);
               });
           },
-          [this] { inbox_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
-      management_(
+          [this] { event_queue_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
+      admin_server_(
           timers_, log,
           [this](std::uint64_t caller, const HttpRequest& call) { handle_admin_request(caller, call); }),
-      by_hand_(own_folder(station)),
-      warm_start_file_(own_folder(station) + "/learned"),
-      servers_(station_.deployment, wall_clock_offset_) {
-    if (operator_file.gossip_enabled) {
-        const std::string against = GossipAgent::why_unavailable(station);
-        if (against.empty()) {
-            talk_ = std::make_unique<GossipAgent>(
-                timers_, log, station, operator_file,
+      admin_state_(node_folder(config)),
+      warm_start_file_(node_folder(config) + "/learned"),
+      servers_(config_.deployment, wall_clock_offset_) {
+    if (operator_config.gossip_enabled) {
+        const std::string refusal = GossipAgent::why_unavailable(config);
+        if (refusal.empty()) {
+            gossip_ = std::make_unique<GossipAgent>(
+                timers_, log, config, operator_config,
                 [this] {
-                    inbox_.emplace_back([this](double now) {
-                        talk_->tick(now);
-                        if (talk_->limits_connections()) pool_.enforce_connection_limit();
+                    event_queue_.emplace_back([this](double now) {
+                        gossip_->tick(now);
+                        if (gossip_->limits_connections()) pool_.enforce_connection_limit();
                     });
                 },
                 [this](double now, const std::string& name, bool bad, double apart) {
-                    found_by_fleet(now, name, bad, apart);
+                    on_outlier_verdict(now, name, bad, apart);
                 },
                 [this](double now, const gossip::ZoneFailover::Change& o) {
                     balancer_->set_zone_weight(now, o.zone, o.weight, o.probe_interval);
@@ -142,97 +149,93 @@
                 [this](double now, int tenant, double part) {
                     balancer_->set_tenant_quota_share(now, tenant, part);
                 });
-            limit_places();
+            apply_connection_limit();
         } else {
-            log.line(Topic::node, "peers_off", "tells other nodes nothing: " + against);
+            log.line(Topic::node, "peers_off", "tells other nodes nothing: " + refusal);
         }
     }
-    if (operator_file.registry_addresses.empty()) return;
+    if (operator_config.registry_addresses.empty()) return;
     const auto read = [this](const std::string&, const std::string& data,
                              std::string& why) -> std::optional<Registration> {
         try {
-            return read_registration(data, station_.names);
+            return read_registration(data, config_.names);
         } catch (const ConfigurationError& bad) {
             why = bad.what();
             return std::nullopt;
         }
     };
-    registry_ = std::make_unique<CoordinationClient>(
-        timers_, log, operator_file.registry_addresses, operator_file.registry_path,
-        operator_file.registry_session_timeout, station.seed, read,
-        [this](std::vector<RegistrationChange>&& changes) { registered(changes); });
+    coordination_ = std::make_unique<CoordinationClient>(
+        timers_, log, operator_config.registry_addresses, operator_config.registry_path,
+        operator_config.registry_session_timeout, config.seed, read,
+        [this](std::vector<RegistrationChange>&& changes) { on_registrations(changes); });
 }
 
-bool Node::start(int inherited, std::string& complaint) {
-    shared_ = inherited >= 0;
+void Node::start(int inherited) {
+    has_shared_listener_ = inherited >= 0;
+    std::string error;
     SocketRef listener =
-        shared_ ? adopt_listener(inherited, complaint) : listen_on(station_.listen, complaint);
-    if (listener == nullptr) {
-        complaint = (shared_ ? "GW_ACCEPT_FD: " : "field 'listen': ") + complaint;
-        return false;
-    }
-    if (!station_.admin_listen.empty() && !management_.listen(station_.admin_listen, complaint)) {
-        complaint = "field 'management': " + complaint;
-        return false;
-    }
-    turned_at_ = monotonic_now();
-    const std::vector<std::string> by_hand = by_hand_.reload(wall_clock_offset_ + monotonic_now());
-    inbox_.emplace_back([this, by_hand](double now) {
-        listed(now, UpdateKind::cached_on_disk, station_.cached_endpoints);
-        merge_by_hand(now, by_hand);
+        has_shared_listener_ ? adopt_listener(inherited, error) : listen_on(config_.listen, error);
+    if (listener == nullptr)
+        throw BindError((has_shared_listener_ ? "GW_ACCEPT_FD: " : "field 'listen': ") + error);
+    if (!config_.admin_listen.empty() && !admin_server_.listen(config_.admin_listen, error))
+        throw BindError("field 'management': " + error);
+    iteration_started_at_ = monotonic_now();
+    const std::vector<std::string> by_hand = admin_state_.reload(wall_clock_offset_ + monotonic_now());
+    event_queue_.emplace_back([this, by_hand](double now) {
+        apply_endpoint_update(now, UpdateKind::cached_on_disk, config_.cached_endpoints);
+        apply_admin_state(now, by_hand);
         load_warm_start(now);
     });
     run_iteration();
-    if (registry_ != nullptr) {
-        registry_->start();
-    } else if (!station_.deployment.polls_endpoints) {
-        discovery_.poll();
+    if (coordination_ != nullptr) {
+        coordination_->start();
+    } else if (!config_.deployment.polls_endpoints) {
+        endpoint_watch_.poll();
     }
-    if (shared_) beside_ = std::make_unique<SiblingProcesses>(own_folder(station_));
-    share_budget();
-    if (talk_ != nullptr) talk_->start();
+    if (has_shared_listener_) sibling_processes_ = std::make_unique<SiblingProcesses>(node_folder(config_));
+    update_budget_share();
+    if (gossip_ != nullptr) gossip_->start();
     clients_.listen(std::move(listener));
-    timers_.schedule(monotonic_now(), [this] { look_by_hand(); });
-    if (shared_ && !station_.state_folder.empty())
+    timers_.schedule(monotonic_now(), [this] { reload_admin_state(); });
+    if (has_shared_listener_ && !config_.state_folder.empty())
         timers_.schedule(monotonic_now() + kWarmStartInterval, [this] { save_warm_start(); });
-    takes_clients_ = true;
-    return true;
+    accepts_clients_ = true;
 }
 
 void Node::run_iteration() {
-    (void)came_at();
+    (void)arrival_time();
     const double now = monotonic_now();
-    turned_at_ = now;
-    std::vector<Event> inbox;
-    inbox.swap(inbox_);
-    for (const Event& happening : inbox) happening(now);
-    std::vector<std::function<void()>> to_do;
-    to_do.swap(to_do_);
-    for (const auto& action : to_do) action();
-    for (const int request : to_settle_) requests_.release(request);
-    to_settle_.clear();
+    iteration_started_at_ = now;
+    std::vector<Event> events;
+    events.swap(event_queue_);
+    for (const Event& happening : events) happening(now);
+    std::vector<std::function<void()>> actions;
+    actions.swap(action_queue_);
+    for (const auto& action : actions) action();
+    for (const int request : finished_requests_) requests_.release(request);
+    finished_requests_.clear();
     pool_.destroy_closed();
     clients_.destroy_closed();
-    management_.destroy_closed();
+    admin_server_.destroy_closed();
 }
 
-// All or nothing: whatever speaks against the new settings is found before the first of them is taken. What
-// has been asked so far is handed to the module under the old ones, by whose numbers it was read.
-void Node::reload(const NodeConfig& station, const OperatorConfig& operator_file) {
+// Anything that speaks against the new configuration is found before a part of it is applied. Events so far
+// reach the balancer under the old one, by whose indexes they were parsed.
+void Node::reload(const NodeConfig& config, const OperatorConfig& operator_config) {
     run_iteration();
     std::vector<ServerTable::Placement> placements;
-    std::string against = why_not_reloadable(station_, station);
-    if (against.empty()) against = servers_.translate_placements(station_.names, station.names, placements);
-    if (!against.empty()) {
+    std::string refusal = why_not_reloadable(config_, config);
+    if (refusal.empty()) refusal = servers_.translate_placements(config_.names, config.names, placements);
+    if (!refusal.empty()) {
         log_.line(Topic::node, "configuration_refused",
-                  "new configuration not taken, the old one stays: " + against);
+                  "new configuration not taken, the old one stays: " + refusal);
         return;
     }
-    const bool renamed = !(station.names == station_.names);
-    station_ = station;
-    warm_start_file_ = WarmStartFile(own_folder(station_) + "/learned");
-    pool_.apply_configuration(station.deployment);
-    balancer_->on_configuration(monotonic_now(), station_.deployment);
+    const bool has_new_names = !(config.names == config_.names);
+    config_ = config;
+    warm_start_file_ = WarmStartFile(node_folder(config_) + "/learned");
+    pool_.apply_configuration(config.deployment);
+    balancer_->on_configuration(monotonic_now(), config_.deployment);
     std::vector<Endpoint> entries;
     for (const auto& [name, server] : servers_.numbers()) {
         Server& s = servers_.at(server);
@@ -242,167 +245,170 @@
         entries.push_back(servers_.endpoint(server));
     }
     balancer_->on_endpoints(monotonic_now(), UpdateKind::full, entries);
-    settle_limits(operator_file);
-    if (talk_ != nullptr) talk_->repeat_zone_changes(monotonic_now());
+    apply_operator_config(operator_config);
+    if (gossip_ != nullptr) gossip_->repeat_zone_changes(monotonic_now());
     log_.line(Topic::node, "configuration_read",
-              "configuration read again: discovery at " + station.discovery + ", settings taken" +
-                  (renamed ? ", names changed" : ""));
-    if (registry_ == nullptr)
-        discovery_.move_to(station.discovery, station.names, station.deployment.polls_endpoints);
-}
-
-// Limits of the whole fleet are taken from a running file; the rest of it waits for a restart, and is said
-// to.
-void Node::settle_limits(const OperatorConfig& operator_file) {
-    OperatorConfig as_it_runs = operator_file_;
-    as_it_runs.fleet_quotas = operator_file.fleet_quotas;
-    if (!(as_it_runs == operator_file))
+              "configuration read again: discovery at " + config.discovery + ", settings taken" +
+                  (has_new_names ? ", names changed" : ""));
+    if (coordination_ == nullptr)
+        endpoint_watch_.move_to(config.discovery, config.names, config.deployment.polls_endpoints);
+}
+
+// Only the fleet's quotas change in a running node; a change of the rest is logged and waits for a restart.
+void Node::apply_operator_config(const OperatorConfig& operator_config) {
+    OperatorConfig effective = operator_config_;
+    effective.fleet_quotas = operator_config.fleet_quotas;
+    if (!(effective == operator_config))
         log_.line(
             Topic::node, "operator_file_waits",
             "in the operators' file more than fleet.limits has changed: that counts from the next start");
-    operator_file_ = as_it_runs;
-    if (talk_ == nullptr) return;
-    talk_->apply_configuration(station_, operator_file_.fleet_quotas);
-    limit_places();
+    operator_config_ = effective;
+    if (gossip_ == nullptr) return;
+    gossip_->apply_configuration(config_, operator_config_.fleet_quotas);
+    apply_connection_limit();
 }
 
-void Node::limit_places() {
-    if (!talk_->limits_connections()) return pool_.set_connection_limit({});
+void Node::apply_connection_limit() {
+    if (!gossip_->limits_connections()) return pool_.set_connection_limit({});
     pool_.set_connection_limit([this](int server, int wanted) {
-        return talk_->max_connections(monotonic_now(), servers_.at(server).name, wanted);
+        return gossip_->max_connections(monotonic_now(), servers_.at(server).name, wanted);
     });
 }
 
-// ---- what comes in -----------------------------------------------------------------------------------
+// ---- events ------------------------------------------------------------------------------------------
 
-// When a command that is read now came. A process that was stopped, or swapped out, finds commands that have
-// lain in its sockets all that time. Taken for new, a write would run after its client asked again elsewhere
-// and was served, past the time for which a repeat is known: so they count as come when the process last ran.
-double Node::came_at() {
+// When a command that is read now arrived. After a process pause (stopped, or swapped out) commands have lain
+// in the sockets all that time. Taken for new, a write would run after its client retried elsewhere and was
+// served, past the time for which a retry is recognised: so they count as received before the pause.
+double Node::arrival_time() {
     const double now = monotonic_now();
-    if (now - turned_at_ > kStood && now >= behind_until_) {
-        stood_from_ = turned_at_;
-        behind_until_ = now + kCatchUp;
+    if (now - iteration_started_at_ > kPauseThreshold && now >= catch_up_until_) {
+        paused_since_ = iteration_started_at_;
+        catch_up_until_ = now + kCatchUp;
         char text[96];
         std::snprintf(text, sizeof text, "stood still for %.2f s: what came meanwhile counts as come before",
-                      now - turned_at_);
+                      now - iteration_started_at_);
         log_.line(Topic::node, "stood_still", text);
     }
-    return now < behind_until_ ? stood_from_ : now;
+    return now < catch_up_until_ ? paused_since_ : now;
 }
 
-int Node::asked(const ClientConnections::RequestHandle& asker, Command&& command) {
-    const int operation = index_of(station_.names.operations, command.attributes.operation);
-    const bool full = station_.max_open_requests > 0 && requests_.open_count() >= station_.max_open_requests;
-    // Servers tell invocations apart by their ids alone: with one that is still open the answer made for the
-    // one client would be taken for the other's.
-    const bool taken = requests_.is_id_open(command.id);
-    if (operation < 0 || taken || full) {
-        // None has been given to the module: it may not be held, or cannot be named.
+int Node::on_command(const ClientConnections::RequestHandle& client, Command&& command) {
+    const int operation = index_of(config_.names.operations, command.attributes.operation);
+    const bool is_full = config_.max_open_requests > 0 && requests_.open_count() >= config_.max_open_requests;
+    // Servers tell requests apart by their ids alone: with a duplicate id the response made for one client
+    // could be taken for the other's.
+    const bool is_taken = requests_.is_id_open(command.id);
+    if (operation < 0 || is_taken || is_full) {
+        // The balancer never hears of this request: there is no room for it, or no name.
         const std::string text = operation < 0 ? "CLIENT_ERROR unknown operation\r\n"
-                                 : taken       ? "CLIENT_ERROR id in use\r\n"
+                                 : is_taken    ? "CLIENT_ERROR id in use\r\n"
                                                : format_busy(0);
-        inbox_.emplace_back([this, asker, text](double) { clients_.respond(asker, text); });
+        event_queue_.emplace_back([this, client, text](double) { clients_.respond(client, text); });
         return ClientConnections::kNoRequest;
     }
-    const double came = came_at();
-    const double due = came + command.attributes.time_remaining;
-    const int request = requests_.open(asker, std::move(command), came, due);
-    inbox_.emplace_back([this, request, operation](double now) { arrived(now, request, operation); });
+    const double received_at = arrival_time();
+    const double deadline = received_at + command.attributes.time_remaining;
+    const int request = requests_.open(client, std::move(command), received_at, deadline);
+    event_queue_.emplace_back(
+        [this, request, operation](double now) { start_request(now, request, operation); });
     return request;
 }
 
-void Node::arrived(double now, int request, int operation) {
+void Node::start_request(double now, int request, int operation) {
     ActiveRequest& active = requests_.at(request);
-    // A net under the module: its final answer comes before this, or the client has long gone.
+    // A safety net: the balancer ends a request before this, or its client has long gone.
     active.expiry_timer =
-        timers_.schedule(active.deadline + station_.deployment.response_grace, [this, request] {
+        timers_.schedule(active.deadline + config_.deployment.response_grace, [this, request] {
             requests_.at(request).expiry_timer = {};
-            inbox_.emplace_back([this, request](double then) {
+            event_queue_.emplace_back([this, request](double then) {
                 if (requests_.at(request).answered) return;
                 log_.line(Topic::node, "outlived", "an invocation outlived its client timeout");
-                answer(request, "SERVER_ERROR timed out\r\n");
-                client_left(then, request);
+                respond(request, "SERVER_ERROR timed out\r\n");
+                abandon_request(then, request);
             });
         });
-    Request a;
-    a.id = request;
-    a.operation = operation;
-    a.tenant = index_of(station_.names.tenants, active.command.attributes.tenant);
-    a.is_write = active.command.kind == Command::Kind::write;
-    a.is_client_retry = active.command.attributes.is_client_retry;
-    a.has_key = true;
-    a.key = key_number(active.command.key);
-    a.time_remaining = std::max(0.0, active.deadline - now);
-    if (talk_ != nullptr && !a.is_client_retry) talk_->on_request(now);
-    if (talk_ != nullptr) talk_->on_tenant_request(now, a.tenant);
-    balancer_->on_request(now, a);
-}
-
-// By the time that the inbox is read its place may be another's.
-void Node::left(const ClientConnections::RequestHandle& asker, int request) {
-    inbox_.emplace_back([this, asker, request](double now) {
+    Request arrival;
+    arrival.id = request;
+    arrival.operation = operation;
+    arrival.tenant = index_of(config_.names.tenants, active.command.attributes.tenant);
+    arrival.is_write = active.command.kind == Command::Kind::write;
+    arrival.is_client_retry = active.command.attributes.is_client_retry;
+    arrival.has_key = true;
+    arrival.key = hash_key(active.command.key);
+    arrival.time_remaining = std::max(0.0, active.deadline - now);
+    if (gossip_ != nullptr && !arrival.is_client_retry) gossip_->on_request(now);
+    if (gossip_ != nullptr) gossip_->on_tenant_request(now, arrival.tenant);
+    balancer_->on_request(now, arrival);
+}
+
+// By the time that the event is handled another request may have the slot.
+void Node::on_connection_closed(const ClientConnections::RequestHandle& client, int request) {
+    event_queue_.emplace_back([this, client, request](double now) {
         const ActiveRequest& active = requests_.at(request);
-        if (active.client == asker && !active.answered) client_left(now, request);
+        if (active.client == client && !active.answered) abandon_request(now, request);
     });
 }
 
-void Node::client_left(double now, int request) {
+void Node::abandon_request(double now, int request) {
     finish(request);
     balancer_->on_client_closed(now, request);
 }
 
-void Node::ended(double now, UpstreamPool::AttemptResult& e) {
-    if (e.request == UpstreamPool::kHealthCheck)
-        return balancer_->on_health_check(now, e.server, e.outcome, e.latency);
-    ActiveRequest& active = requests_.at(e.request);
+void Node::on_attempt_finished(double now, UpstreamPool::AttemptResult& result) {
+    if (result.request == UpstreamPool::kHealthCheck)
+        return balancer_->on_health_check(now, result.server, result.outcome, result.latency);
+    ActiveRequest& active = requests_.at(result.request);
     --active.in_flight;
-    if (e.stream != 0 && !active.answered) {
-        // The client gets its first bytes now, and no other forward may answer it any more.
-        to_do_.emplace_back([this, asker = active.client, relay = e.stream,
-                             head = format_value_header(active.command.id, e.stream_length)]() mutable {
-            relays_.emplace(relay, asker);
-            clients_.begin_stream(asker, std::move(head), relay);
-        });
-        finish(e.request);
-    } else if (e.stream != 0) {
-        pool_.abandon_stream(e.stream);
-    } else if (e.outcome == AttemptOutcome::succeeded && !active.answered) {
-        const Command& c = active.command;
-        answer(e.request,
-               c.kind == Command::Kind::read ? format_value(c.id, e.body) : format_receipt(c.id, e.body));
-        finish(e.request);
+    if (result.stream != 0 && !active.answered) {
+        // The client gets its first bytes now, and no other attempt may answer it any more.
+        action_queue_.emplace_back(
+            [this, client = active.client, stream = result.stream,
+             head = format_value_header(active.command.id, result.stream_length)]() mutable {
+                streams_.emplace(stream, client);
+                clients_.begin_stream(client, std::move(head), stream);
+            });
+        finish(result.request);
+    } else if (result.stream != 0) {
+        pool_.abandon_stream(result.stream);
+    } else if (result.outcome == AttemptOutcome::succeeded && !active.answered) {
+        const Command& command = active.command;
+        respond(result.request, command.kind == Command::Kind::read
+                                    ? format_value(command.id, result.body)
+                                    : format_receipt(command.id, result.body));
+        finish(result.request);
     }
-    if (talk_ != nullptr && !servers_.is_origin(servers_.at(e.server))) {
-        const int operation = index_of(station_.names.operations, active.command.attributes.operation);
+    if (gossip_ != nullptr && !servers_.is_origin(servers_.at(result.server))) {
+        const int operation = index_of(config_.names.operations, active.command.attributes.operation);
         if (operation >= 0)
-            talk_->on_attempt_finished(
-                now, forward_key(e.request, e.attempt), servers_.at(e.server).name,
-                servers_.at(e.server).zone, e.outcome, e.latency,
-                station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
+            gossip_->on_attempt_finished(
+                now, attempt_key(result.request, result.attempt), servers_.at(result.server).name,
+                servers_.at(result.server).zone, result.outcome, result.latency,
+                config_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
-    balancer_->on_attempt_finished(now, e.request, e.attempt, e.outcome, e.latency, active.answered);
-    to_settle_.push_back(e.request);
+    balancer_->on_attempt_finished(now, result.request, result.attempt, result.outcome, result.latency,
+                                   active.answered);
+    finished_requests_.push_back(result.request);
 }
 
-void Node::listed(double now, UpdateKind kind, const EndpointUpdate& list) {
+void Node::apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& list) {
     std::vector<Endpoint> entries;
-    std::unordered_set<int> told_of;
+    std::unordered_set<int> listed_servers;
     std::vector<std::string> first_seen;
-    for (const EndpointRecord& told : list.servers) {
-        // What is gone and was never known, or is forgotten by now, must not become known by that.
-        if (told.state == EndpointState::removed && !servers_.contains(told.name)) continue;
-        if (!servers_.contains(told.name)) first_seen.push_back(told.name);
-        const int server = servers_.find_or_add(told.name);
-        told_of.insert(server);
-        servers_.update(server, told, by_hand_.state_of(told.name));
+    for (const EndpointRecord& record : list.servers) {
+        // The removal of a server that is unknown, or evicted by now, must not add it.
+        if (record.state == EndpointState::removed && !servers_.contains(record.name)) continue;
+        if (!servers_.contains(record.name)) first_seen.push_back(record.name);
+        const int server = servers_.find_or_add(record.name);
+        listed_servers.insert(server);
+        servers_.update(server, record, admin_state_.state_of(record.name));
         const Server& s = servers_.at(server);
         entries.push_back(servers_.endpoint(server));
         pool_.add_server(server, s.name, s.address, servers_.is_origin(s));
     }
     for (const auto& [name, server] : servers_.numbers()) {
         Server& s = servers_.at(server);
-        if (list.is_full && !told_of.contains(server) && s.state != EndpointState::removed) {
+        if (list.is_full && !listed_servers.contains(server) && s.state != EndpointState::removed) {
             s.state = EndpointState::removed;
             entries.push_back(servers_.endpoint(server));
         }
@@ -419,39 +425,37 @@
                       " servers told, " + std::to_string(servers_.size()) + " known" +
                       (list.is_full ? " (whole list)" : ""));
     }
-    if (!first_seen.empty()) by_hand_.record_listed(first_seen);
+    if (!first_seen.empty()) admin_state_.record_listed(first_seen);
     balancer_->on_endpoints(now, kind, entries);
-    forget_gone();
-    tell_talk_of_list();
+    evict_removed_servers();
+    publish_endpoints();
 }
 
-void Node::tell_talk_of_list() {
-    if (talk_ == nullptr) return;
+void Node::publish_endpoints() {
+    if (gossip_ == nullptr) return;
     std::vector<std::string> names;
     int in_own_zone = 0;
     for (const auto& [name, server] : servers_.numbers()) {
         const Server& s = servers_.at(server);
         if (servers_.is_origin(s)) continue;
         names.push_back(name);
-        if (s.zone == station_.deployment.zone && servers_.accepts_attempts(server)) ++in_own_zone;
+        if (s.zone == config_.deployment.zone && servers_.accepts_attempts(server)) ++in_own_zone;
     }
-    talk_->on_endpoints(names, in_own_zone);
+    gossip_->on_endpoints(names, in_own_zone);
 }
 
-// Only of what this node's own list has named, and knows still: hearing of a server from others is not
-// enough.
-void Node::found_by_fleet(double now, const std::string& name, bool bad, double apart) {
+// Only servers that this node's own endpoint list has named count: a verdict of other nodes adds none.
+void Node::on_outlier_verdict(double now, const std::string& name, bool bad, double apart) {
     const int known = servers_.find(name);
     if (known != ServerTable::kUnknown) balancer_->on_outlier_verdict(now, known, bad, apart);
 }
 
-// Registrations are news like discovery's. A start that was seen counts from now: how long ago the server
-// itself says that it began is its own clock's word.
-void Node::registered(const std::vector<RegistrationChange>& changes) {
+// Registrations are treated as an endpoint update. A start that was observed counts from now: the start time
+// that a server reports is that of its own clock.
+void Node::on_registrations(const std::vector<RegistrationChange>& changes) {
     EndpointUpdate list;
-    // Who stands there when this node first looks did not start just now: only then the registration's word
-    // counts.
-    const bool first = !std::exchange(registry_heard_, true);
+    // Servers found by the first look did not start just now: for them the reported start counts.
+    const bool first = !std::exchange(has_registrations_, true);
     for (const RegistrationChange& c : changes) {
         EndpointRecord s;
         s.name = c.who.name;
@@ -467,203 +471,208 @@
                                                         : 0;
         list.servers.push_back(std::move(s));
     }
-    inbox_.emplace_back([this, told = std::move(list)](double now) { listed(now, UpdateKind::delta, told); });
+    event_queue_.emplace_back([this, record = std::move(list)](double now) {
+        apply_endpoint_update(now, UpdateKind::delta, record);
+    });
 }
 
-// Servers come and go for as long as the node runs, so what is gone must go here too. Its number may stand
-// for another only once nothing that names it can still be heard: an invocation from its time may have a
-// forward out there, or be held to where its first one went.
-void Node::forget_gone() {
-    timers_.cancel(forgetting_);
+// Servers come and go for as long as the node runs, so the removed ones must not accumulate.
+void Node::evict_removed_servers() {
+    timers_.cancel(eviction_timer_);
     const double oldest = requests_.oldest_received_at(monotonic_now());
-    const bool some_left = servers_.evict_removed(
+    const bool has_removed = servers_.evict_removed(
         oldest, [this](int server) { return pool_.in_use(server); },
         [this](int server) { pool_.remove_server(server); });
-    if (!some_left) return;
-    forgetting_ = timers_.schedule(monotonic_now() + kForgetEvery, [this] {
-        forgetting_ = {};
-        forget_gone();
+    if (!has_removed) return;
+    eviction_timer_ = timers_.schedule(monotonic_now() + kEvictionInterval, [this] {
+        eviction_timer_ = {};
+        evict_removed_servers();
     });
 }
 
-// ---- what the module asks for ------------------------------------------------------------------------
+// ---- the balancer's requests -----------------------------------------------------------------------------
 
 bool Node::admit_slow_start(int server) {
-    return talk_ == nullptr || !talk_->limits_slow_start() || !servers_.is_cold(server, monotonic_now()) ||
-           talk_->admit_slow_start(monotonic_now(), servers_.at(server).name);
+    return gossip_ == nullptr || !gossip_->limits_slow_start() ||
+           !servers_.is_cold(server, monotonic_now()) ||
+           gossip_->admit_slow_start(monotonic_now(), servers_.at(server).name);
 }
 
 void Node::start_attempt(int request, int server, double limit) {
-    if (talk_ != nullptr && talk_->limits_slow_start() && servers_.is_cold(server, monotonic_now()))
-        talk_->on_slow_start_attempt(monotonic_now(), servers_.at(server).name);
+    if (gossip_ != nullptr && gossip_->limits_slow_start() && servers_.is_cold(server, monotonic_now()))
+        gossip_->on_slow_start_attempt(monotonic_now(), servers_.at(server).name);
     ActiveRequest& active = requests_.at(request);
-    const int number = active.attempts++;
+    const int attempt = active.attempts++;
     ++active.in_flight;
-    to_do_.emplace_back(
-        [this, request, number, server, limit] { carry_out_forward(request, number, server, limit); });
+    action_queue_.emplace_back(
+        [this, request, attempt, server, limit] { send_attempt(request, attempt, server, limit); });
 }
 
-void Node::carry_out_forward(int request, int number, int server, double limit) {
+void Node::send_attempt(int request, int attempt, int server, double limit) {
     const ActiveRequest& active = requests_.at(request);
-    const double left = std::min(limit, active.deadline - monotonic_now());
-    // Decided before the turn's news of the server came, or before its client's end was read.
-    const bool declined = active.answered || left <= 0 || !servers_.accepts_attempts(server) ||
+    const double time_left = std::min(limit, active.deadline - monotonic_now());
+    // The balancer decided before this iteration's update of the server, or before the client closed.
+    const bool declined = active.answered || time_left <= 0 || !servers_.accepts_attempts(server) ||
                           clients_.has_closed(active.client);
-    // Past its part of the fleet's limit a node sends nothing to the origin: who asked is told to come again.
-    if (declined || (talk_ != nullptr && servers_.is_origin(servers_.at(server)) &&
-                     !talk_->admit_origin_attempt(monotonic_now()))) {
-        inbox_.emplace_back(
-            [this,
-             e = UpstreamPool::AttemptResult{request, number, server, AttemptOutcome::not_sent, 0, {}, 0, 0}](
-                double now) mutable { ended(now, e); });
+    // Past its share of the fleet's quota a node sends nothing to the origin, and the client is to retry.
+    if (declined || (gossip_ != nullptr && servers_.is_origin(servers_.at(server)) &&
+                     !gossip_->admit_origin_attempt(monotonic_now()))) {
+        event_queue_.emplace_back(
+            [this, e = UpstreamPool::AttemptResult{
+                       request, attempt, server, AttemptOutcome::not_sent, 0, {}, 0, 0}](double now) mutable {
+                on_attempt_finished(now, e);
+            });
         return;
     }
-    if (talk_ != nullptr && !servers_.is_origin(servers_.at(server))) {
-        const int operation = index_of(station_.names.operations, active.command.attributes.operation);
+    if (gossip_ != nullptr && !servers_.is_origin(servers_.at(server))) {
+        const int operation = index_of(config_.names.operations, active.command.attributes.operation);
         if (operation >= 0)
-            talk_->on_attempt_started(
-                monotonic_now(), forward_key(request, number), servers_.at(server).name,
+            gossip_->on_attempt_started(
+                monotonic_now(), attempt_key(request, attempt), servers_.at(server).name,
                 servers_.at(server).zone,
-                station_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
+                config_.deployment.operations[static_cast<std::size_t>(operation)].latency_objective);
     }
-    // The module reckons that a repeat has begun a connect time-out later: after that it could run beside the
-    // time for which the first is remembered.
+    // The balancer assumes that a retry begins at most a connect timeout later: after that it could run
+    // beside the end of the time for which the first attempt is remembered.
     const int operation =
-        number > 0 ? index_of(station_.names.operations, active.command.attributes.operation) : -1;
-    const bool repeat =
-        operation >= 0 && station_.deployment.operations[static_cast<std::size_t>(operation)].idempotency ==
+        attempt > 0 ? index_of(config_.names.operations, active.command.attributes.operation) : -1;
+    const bool is_retry =
+        operation >= 0 && config_.deployment.operations[static_cast<std::size_t>(operation)].idempotency ==
                               Idempotency::idempotency_key;
-    pool_.start_attempt(request, number, server, active.command, left, repeat ? pool_.connect_timeout() : 0);
+    pool_.start_attempt(request, attempt, server, active.command, time_left,
+                        is_retry ? pool_.connect_timeout() : 0);
 }
 
-// Its connection has come up, perhaps late.
-void Node::begin_forward(int request, int number) {
+// The attempt's connection is established, perhaps late.
+void Node::send_on_connection(int request, int attempt) {
     const ActiveRequest& active = requests_.at(request);
-    if (active.answered || clients_.has_closed(active.client)) return pool_.abandon(request, number);
-    pool_.send(request, number);
+    if (active.answered || clients_.has_closed(active.client)) return pool_.abandon(request, attempt);
+    pool_.send(request, attempt);
 }
 
-void Node::cancel_attempt(int request, int forward) {
-    to_do_.emplace_back([this, request, forward] { pool_.cancel(request, forward); });
+void Node::cancel_attempt(int request, int attempt) {
+    action_queue_.emplace_back([this, request, attempt] { pool_.cancel(request, attempt); });
 }
 
 void Node::reject(int request, double retry_after) {
-    answer(request, format_busy(retry_after));
+    respond(request, format_busy(retry_after));
     finish(request);
 }
 
 void Node::fail(int request) {
-    answer(request, kFailed);
+    respond(request, kFailed);
     finish(request);
 }
 
 void Node::check_health(int server) {
-    to_do_.emplace_back([this, server] { pool_.check_health(server, kProbeLimit); });
+    action_queue_.emplace_back([this, server] { pool_.check_health(server, kHealthCheckTimeout); });
 }
 
 void Node::close_idle_connections(int server) {
-    to_do_.emplace_back([this, server] { pool_.close_idle(server); });
+    action_queue_.emplace_back([this, server] { pool_.close_idle(server); });
 }
 
 void Node::poll_endpoints() {
-    if (registry_ != nullptr) return;  // it is told without asking
-    to_do_.emplace_back([this] { discovery_.poll(); });
+    if (coordination_ != nullptr) return;  // it is notified without polling
+    action_queue_.emplace_back([this] { endpoint_watch_.poll(); });
 }
 
 void Node::set_timer(double after, std::uint64_t token) {
     timers_.schedule(monotonic_now() + after, [this, token] {
-        inbox_.emplace_back([this, token](double now) { balancer_->on_timer(now, token); });
+        event_queue_.emplace_back([this, token](double now) { balancer_->on_timer(now, token); });
     });
 }
 
 void Node::log(std::string_view text) { log_.line(Topic::policy, "said", text); }
 
-void Node::answer(int request, std::string text) {
+void Node::respond(int request, std::string text) {
     if (requests_.at(request).answered) return;
-    to_do_.emplace_back([this, asker = requests_.at(request).client, said = std::move(text)]() mutable {
-        clients_.respond(asker, std::move(said));
-    });
+    action_queue_.emplace_back(
+        [this, client = requests_.at(request).client, text = std::move(text)]() mutable {
+            clients_.respond(client, std::move(text));
+        });
 }
 
-// ---- an invocation's end -----------------------------------------------------------------------------
+// ---- the end of a request -----------------------------------------------------------------------------
 
 void Node::finish(int request) {
     ActiveRequest& active = requests_.at(request);
     if (active.answered) return;
     requests_.close(request);
     timers_.cancel(active.expiry_timer);
-    to_settle_.push_back(request);
+    finished_requests_.push_back(request);
 }
 
-// ---- the operators' calls ----------------------------------------------------------------------------
+// ---- the admin interface -----------------------------------------------------------------------------
 
 void Node::handle_admin_request(std::uint64_t caller, const HttpRequest& http_request) {
     const AdminAction action = parse_admin_request(http_request);
     if (const auto* error = std::get_if<AdminError>(&action))
-        return management_.respond(caller, error->status, error->text);
+        return admin_server_.respond(caller, error->status, error->text);
     if (const auto* change = std::get_if<ServerStateChange>(&action))
         return change_server_state(caller, change->server, change->drain);
     if (const auto* change = std::get_if<ZoneStateChange>(&action))
         return change_zone_state(caller, change->zone, change->drain);
     if (std::holds_alternative<FleetStateQuery>(action)) {
-        return talk_ == nullptr ? management_.respond(caller, 404, kNoFleet)
-                                : management_.respond(caller, 200, talk_->state_json(monotonic_now()));
+        return gossip_ == nullptr ? admin_server_.respond(caller, 404, kNoFleet)
+                                  : admin_server_.respond(caller, 200, gossip_->state_json(monotonic_now()));
     }
-    return takes_clients_ ? management_.respond(caller, 200, "ready")
-                          : management_.respond(caller, 503, "ends, and takes no new clients");
+    return accepts_clients_ ? admin_server_.respond(caller, 200, "ready")
+                            : admin_server_.respond(caller, 503, "ends, and takes no new clients");
 }
 
-// The yes comes after the turn in which the module was told, and what it had asked for before is carried out.
-void Node::change_server_state(std::uint64_t caller, const std::string& name, bool out) {
-    inbox_.emplace_back([this, caller, name, out](double now) {
+// The response is sent after the iteration in which the balancer learned of the change and acted on it.
+void Node::change_server_state(std::uint64_t caller, const std::string& name, bool drain) {
+    event_queue_.emplace_back([this, caller, name, drain](double now) {
         const auto say = [this, caller](int status, const char* text) {
-            to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
+            action_queue_.emplace_back(
+                [this, caller, status, text] { admin_server_.respond(caller, status, text); });
         };
         const int known = servers_.find(name);
-        if (known == ServerTable::kUnknown && !by_hand_.was_ever_listed(name))
+        if (known == ServerTable::kUnknown && !admin_state_.was_ever_listed(name))
             return say(404, "no such cache server was ever listed");
-        // Without it no write and no miss could be answered, and there is no other to take its place.
+        // Without the origin no write and no miss could be answered, and no other server can replace it.
         if (known != ServerTable::kUnknown && servers_.is_origin(servers_.at(known)))
             return say(409, "the origin cannot be taken out");
-        if (!(out ? by_hand_.drain(name) : by_hand_.restore(name, wall_clock_offset_ + now)))
+        if (!(drain ? admin_state_.drain(name) : admin_state_.restore(name, wall_clock_offset_ + now)))
             return say(503, "could not be written down, nothing has changed");
-        merge_by_hand(now, {name});
-        say(200, out ? "out" : "may serve");
+        apply_admin_state(now, {name});
+        say(200, drain ? "out" : "may serve");
     });
 }
 
-// A zone is left here, or taken back, by an operator's word: this node alone, through the states of the
-// fleet's own.
-void Node::change_zone_state(std::uint64_t caller, const std::string& name, bool out) {
-    inbox_.emplace_back([this, caller, name, out](double now) {
+// An operator drains or restores a zone for this node alone, through the states of zone failover.
+void Node::change_zone_state(std::uint64_t caller, const std::string& name, bool drain) {
+    event_queue_.emplace_back([this, caller, name, drain](double now) {
         const auto say = [this, caller](int status, const std::string& text) {
-            to_do_.emplace_back([this, caller, status, text] { management_.respond(caller, status, text); });
+            action_queue_.emplace_back(
+                [this, caller, status, text] { admin_server_.respond(caller, status, text); });
         };
-        const std::string kept = kZoneByHand + name;
-        if (talk_ == nullptr) return say(404, kNoFleet);
-        if (index_of(station_.names.zones, name) < 0) return say(404, "no such zone");
-        const std::string against = talk_->why_zones_unavailable();
-        if (!against.empty()) return say(409, against);
-        if (out && station_.names.zones.size() < 2) return say(409, "the only zone cannot be left");
-        if (!(out ? by_hand_.drain(kept) : by_hand_.restore(kept, wall_clock_offset_ + now)))
+        const std::string key = kZoneKeyPrefix + name;
+        if (gossip_ == nullptr) return say(404, kNoFleet);
+        if (index_of(config_.names.zones, name) < 0) return say(404, "no such zone");
+        const std::string refusal = gossip_->why_zones_unavailable();
+        if (!refusal.empty()) return say(409, refusal);
+        if (drain && config_.names.zones.size() < 2) return say(409, "the only zone cannot be left");
+        if (!(drain ? admin_state_.drain(key) : admin_state_.restore(key, wall_clock_offset_ + now)))
             return say(503, "could not be written down, nothing has changed");
-        merge_by_hand(now, {kept});
-        say(200, out ? "left" : "is taken back in steps");
+        apply_admin_state(now, {key});
+        say(200, drain ? "left" : "is taken back in steps");
     });
 }
 
-void Node::merge_by_hand(double now, const std::vector<std::string>& names) {
+void Node::apply_admin_state(double now, const std::vector<std::string>& names) {
     std::vector<Endpoint> entries;
     for (const std::string& name : names) {
-        if (name.starts_with(kZoneByHand) && talk_ != nullptr)
-            talk_->set_zone_admin_state(
-                now, index_of(station_.names.zones, name.substr(std::string_view(kZoneByHand).size())),
-                by_hand_.state_of(name).drained);
+        if (name.starts_with(kZoneKeyPrefix) && gossip_ != nullptr)
+            gossip_->set_zone_admin_state(
+                now, index_of(config_.names.zones, name.substr(std::string_view(kZoneKeyPrefix).size())),
+                admin_state_.state_of(name).drained);
         const int known = servers_.find(name);
         if (known == ServerTable::kUnknown) continue;
         Server& s = servers_.at(known);
-        if (s.admin_state == by_hand_.state_of(name)) continue;
-        s.admin_state = by_hand_.state_of(name);
+        if (s.admin_state == admin_state_.state_of(name)) continue;
+        s.admin_state = admin_state_.state_of(name);
         log_.line(Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
                   name + (s.admin_state.drained ? " is out by hand" : " may serve again"));
         entries.push_back(servers_.endpoint(known));
@@ -672,41 +681,42 @@
     if (!entries.empty()) balancer_->on_endpoints(now, UpdateKind::delta, entries);
 }
 
-void Node::look_by_hand() {
-    std::vector<std::string> changed = by_hand_.reload(wall_clock_offset_ + monotonic_now());
+void Node::reload_admin_state() {
+    std::vector<std::string> changed = admin_state_.reload(wall_clock_offset_ + monotonic_now());
     if (!changed.empty()) {
-        inbox_.emplace_back([this, names = std::move(changed)](double now) { merge_by_hand(now, names); });
+        event_queue_.emplace_back(
+            [this, names = std::move(changed)](double now) { apply_admin_state(now, names); });
     }
-    share_budget();
-    timers_.schedule(monotonic_now() + kLookByHand, [this] { look_by_hand(); });
+    update_budget_share();
+    timers_.schedule(monotonic_now() + kAdminStateInterval, [this] { reload_admin_state(); });
 }
 
-// Descriptors and memory are one budget for all processes of this node: what the others hold is not this
-// one's.
-void Node::share_budget() {
-    if (beside_ == nullptr) return;
-    beside_->publish(clients_.open_count() + pool_.open_count());
-    const SiblingProcesses::Usage others = beside_->others_usage();
-    const double all = station_.descriptors - kDescriptorsKept;
-    const double taken = others.descriptors + others.processes * (kDescriptorsKept + kGrowMeanwhile);
-    const double part = std::max(1 - taken / all, kPartLeast);
-    if (part == part_) return;
-    part_ = part;
-    clients_.set_budget_share(part);
-    pool_.set_budget_share(part);
+// Descriptors and memory are one budget for all processes of this node: less what the siblings hold.
+void Node::update_budget_share() {
+    if (sibling_processes_ == nullptr) return;
+    sibling_processes_->publish(clients_.open_count() + pool_.open_count());
+    const SiblingProcesses::Usage others = sibling_processes_->others_usage();
+    const double all = config_.descriptors - kReservedDescriptors;
+    const double taken_by_siblings =
+        others.descriptors + others.processes * (kReservedDescriptors + kDescriptorMargin);
+    const double share = std::max(1 - taken_by_siblings / all, kMinBudgetShare);
+    if (share == budget_share_) return;
+    budget_share_ = share;
+    clients_.set_budget_share(share);
+    pool_.set_budget_share(share);
 }
 
 void Node::save_warm_start() {
-    if (!takes_clients_) return;
-    warm_start_file_.save(balancer_->snapshot(monotonic_now()), station_.names.kinds,
+    if (!accepts_clients_) return;
+    warm_start_file_.save(balancer_->snapshot(monotonic_now()), config_.names.kinds,
                           [this](int server) { return servers_.at(server).name; });
     timers_.schedule(monotonic_now() + kWarmStartInterval, [this] { save_warm_start(); });
 }
 
 void Node::load_warm_start(double now) {
-    if (!shared_ || station_.state_folder.empty()) return;
+    if (!has_shared_listener_ || config_.state_folder.empty()) return;
     const auto snapshot =
-        warm_start_file_.load(wall_clock_offset_ + now, station_.names.kinds,
+        warm_start_file_.load(wall_clock_offset_ + now, config_.names.kinds,
                               [this](const std::string& name) { return servers_.find(name); });
     if (!snapshot) return;
     balancer_->restore(now, *snapshot);
@@ -715,32 +725,34 @@
                   " cache servers");
 }
 
-// ---- winding down ------------------------------------------------------------------------------------
+// ---- shutdown ----------------------------------------------------------------------------------------
 
 void Node::begin_shutdown() {
     if (shutdown_.has_begun()) return;
     log_.line(Topic::node, "told_to_end",
-              shared_ ? "told to end: the other processes on the listener take who comes"
-                      : "told to end: serves on until the front has moved away");
-    double longest = 0;
-    for (const Operation& op : station_.deployment.operations) longest = std::max(longest, op.client_timeout);
+              has_shared_listener_ ? "told to end: the other processes on the listener take who comes"
+                                   : "told to end: serves on until the front has moved away");
+    double longest_timeout = 0;
+    for (const Operation& op : config_.deployment.operations)
+        longest_timeout = std::max(longest_timeout, op.client_timeout);
     const double now = monotonic_now();
-    shutdown_.begin(now, longest, shared_);
-    takes_clients_ = false;
-    if (shared_) {
+    shutdown_.begin(now, longest_timeout, has_shared_listener_);
+    accepts_clients_ = false;
+    if (has_shared_listener_) {
         clients_.stop_accepting();
         clients_.begin_shutdown(true);
-        return look_whether_done();
+        return check_shutdown();
     }
     timers_.schedule(shutdown_.closes_at(), [this] { clients_.begin_shutdown(false); });
-    look_whether_done();
+    check_shutdown();
 }
 
-void Node::look_whether_done() {
+void Node::check_shutdown() {
     const double now = monotonic_now();
-    const bool clients_are_gone = shared_ ? clients_.empty()
-                                          : shutdown_.has_front_moved_away(now) &&
-                                                clients_.idle_since(GracefulShutdown::quiet_from(now));
+    const bool clients_are_gone =
+        has_shared_listener_
+            ? clients_.empty()
+            : shutdown_.has_front_moved_away(now) && clients_.idle_since(GracefulShutdown::quiet_from(now));
     switch (shutdown_.next_step(now, clients_are_gone, requests_.open_count() > 0)) {
         case GracefulShutdown::Step::wait:
             break;
@@ -751,16 +763,16 @@
             done_ = true;
             return;
     }
-    timers_.schedule(now + GracefulShutdown::kCheckInterval, [this] { look_whether_done(); });
+    timers_.schedule(now + GracefulShutdown::kCheckInterval, [this] { check_shutdown(); });
 }
 
 void Node::fail_open_requests() {
     log_.line(Topic::node, "errored_before_kill",
               std::to_string(requests_.open_count()) + " invocations errored before the kill");
     for (const int request : requests_.open_requests()) {
-        inbox_.emplace_back([this, request](double then) {
+        event_queue_.emplace_back([this, request](double then) {
             fail(request);
-            client_left(then, request);
+            abandon_request(then, request);
         });
     }
 }
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -1,13 +1,16 @@
-// The node around the module. A turn gathers what is ready into an inbox, hands it to the module in one go at
-// one `now`, and then carries out what the module asked, in its order. It owns the invocations and gives
-// their places back in settle(). It decides nothing: no server, no time, no further forward, and no final
-// answer but those that the protocol itself calls for: the first success, a command that names no operation,
-// and whoever would outlive its client timeout or this node.
+/// The proxy node: joins the clients' connections, the upstream pool, the endpoint sources, the gossip agent
+/// and the balancer. Each iteration gathers what is ready in an event queue, hands it to the balancer at one
+/// common `now`, and then carries out the actions that the balancer requested, in its order.
+///
+/// The node makes no balancing decision: no server, no time, no further attempt. It answers a request by
+/// itself only where the protocol calls for that: with the first success, for a command that names no known
+/// operation, and where a request would outlive its client's timeout or this node.
 #pragma once
 
 #include <cstdint>
 #include <functional>
 #include <memory>
+#include <stdexcept>
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -32,21 +35,31 @@
 
 namespace brookrelay {
 
+/// A listener could not be opened; what() names the setting and the cause.
+class BindError : public std::runtime_error {
+  public:
+    using std::runtime_error::runtime_error;
+};
+
 class Node final : public Host {
   public:
-    Node(const NodeConfig& station, const OperatorConfig& operator_file, Log& log);
-    // Listens: from here on it can serve. `inherited`: the clients' listener, shared with other processes;
-    // else -1.
-    bool start(int inherited, std::string& complaint);
+    /// `log` must outlive the node.
+    Node(const NodeConfig& config, const OperatorConfig& operator_config, Log& log);
+    /// Starts to serve. `inherited`: the descriptor of a clients' listener shared with other processes, which
+    /// the node takes over; else -1. Throws BindError.
+    void start(int inherited);
+    /// One round of the event loop, after the sources that were ready have been dispatched.
     void run_iteration();
-    bool has_work() const { return !inbox_.empty(); }
-    // All of it that can be live, or nothing; of the operators' own file the fleet's limits.
-    void reload(const NodeConfig& station, const OperatorConfig& operator_file);
+    bool has_work() const { return !event_queue_.empty(); }
+    /// Takes over all that can change in a running node, or nothing, with the reason in the log. Of the
+    /// operators' configuration only the fleet's quotas change.
+    void reload(const NodeConfig& config, const OperatorConfig& operator_config);
     void begin_shutdown();
     bool is_done() const { return done_; }
 
+    // Host: what the balancer requests.
     void start_attempt(int request, int server, double limit) override;
-    void cancel_attempt(int request, int forward) override;
+    void cancel_attempt(int request, int attempt) override;
     void reject(int request, double retry_after) override;
     void fail(int request) override;
     void check_health(int server) override;
@@ -59,67 +72,66 @@
   private:
     using Event = std::function<void(double now)>;
 
-    double came_at();
-    int asked(const ClientConnections::RequestHandle& asker, Command&& command);
-    void left(const ClientConnections::RequestHandle& asker, int request);
-    void arrived(double now, int request, int operation);
-    void ended(double now, UpstreamPool::AttemptResult& e);
-    void client_left(double now, int request);
-    void listed(double now, UpdateKind kind, const EndpointUpdate& list);
-    void registered(const std::vector<RegistrationChange>& changes);
-    void settle_limits(const OperatorConfig& operator_file);
-    void limit_places();
-    void forget_gone();
-    void carry_out_forward(int request, int number, int server, double limit);
-    void begin_forward(int request, int number);
-    void answer(int request, std::string text);
+    double arrival_time();
+    int on_command(const ClientConnections::RequestHandle& client, Command&& command);
+    void on_connection_closed(const ClientConnections::RequestHandle& client, int request);
+    void start_request(double now, int request, int operation);
+    void on_attempt_finished(double now, UpstreamPool::AttemptResult& result);
+    void abandon_request(double now, int request);
+    void apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& list);
+    void on_registrations(const std::vector<RegistrationChange>& changes);
+    void apply_operator_config(const OperatorConfig& operator_config);
+    void apply_connection_limit();
+    void evict_removed_servers();
+    void send_attempt(int request, int attempt, int server, double limit);
+    void send_on_connection(int request, int attempt);
+    void respond(int request, std::string text);
     void finish(int request);
-    void look_whether_done();
+    void check_shutdown();
     void fail_open_requests();
     void handle_admin_request(std::uint64_t caller, const HttpRequest& http_request);
-    void change_server_state(std::uint64_t caller, const std::string& name, bool out);
-    void change_zone_state(std::uint64_t caller, const std::string& name, bool out);
-    void merge_by_hand(double now, const std::vector<std::string>& names);
-    void look_by_hand();
-    void share_budget();
+    void change_server_state(std::uint64_t caller, const std::string& name, bool drain);
+    void change_zone_state(std::uint64_t caller, const std::string& name, bool drain);
+    void apply_admin_state(double now, const std::vector<std::string>& names);
+    void reload_admin_state();
+    void update_budget_share();
     void save_warm_start();
     void load_warm_start(double now);
-    void found_by_fleet(double now, const std::string& name, bool bad, double apart);
-    void tell_talk_of_list();
+    void on_outlier_verdict(double now, const std::string& name, bool bad, double apart);
+    void publish_endpoints();
 
-    NodeConfig station_;
-    OperatorConfig operator_file_;
+    NodeConfig config_;
+    OperatorConfig operator_config_;
     Log& log_;
     TimerQueue timers_;
     const double wall_clock_offset_;
     std::unique_ptr<Balancer> balancer_;
     UpstreamPool pool_;
     ClientConnections clients_;
-    EndpointWatch discovery_;
-    AdminServer management_;
-    bool registry_heard_ = false;
-    std::unique_ptr<GossipAgent>
-        talk_;  // with other nodes, where the operators have it so and the settings allow it
-    std::unique_ptr<CoordinationClient>
-        registry_;  // in the place of discovery, where the operators have it so
-    std::vector<Event> inbox_;
-    std::vector<std::function<void()>> to_do_;
-    std::vector<int> to_settle_;
+    EndpointWatch endpoint_watch_;
+    AdminServer admin_server_;
+    bool has_registrations_ = false;
+    std::unique_ptr<GossipAgent> gossip_;               // null: off, or not possible with the settings
+    std::unique_ptr<CoordinationClient> coordination_;  // null: endpoint_watch_ is used
+    std::vector<Event> event_queue_;
+    std::vector<std::function<void()>> action_queue_;
+    std::vector<int> finished_requests_;
     RequestTable requests_;
-    std::unordered_map<std::uint64_t, ClientConnections::RequestHandle>
-        relays_;  // for whom each long value is
-    AdminState by_hand_;
+    // The receiving request of each streamed response, by the id of the stream.
+    std::unordered_map<std::uint64_t, ClientConnections::RequestHandle> streams_;
+    AdminState admin_state_;
     WarmStartFile warm_start_file_;  // used where the listener is shared
     ServerTable servers_;
-    std::unique_ptr<SiblingProcesses> beside_;  // where the listener is shared
-    double turned_at_ = 0;  // when the last turn began, and where the process then stood still,
-    double stood_from_ = 0, behind_until_ = 0;  // from when, and until when what comes may be from that time
-    double part_ = 1;                           // of the budget that is this process's
-    TimerQueue::Handle forgetting_;
+    std::unique_ptr<SiblingProcesses> sibling_processes_;  // null: the listener is not shared
+    double iteration_started_at_ = 0;
+    double paused_since_ = 0;    // when the last process pause began,
+    double catch_up_until_ = 0;  // and until when what is read counts as received then
+    double budget_share_ = 1;    // this process's part of the node's budget
+    TimerQueue::Handle eviction_timer_;
     GracefulShutdown shutdown_;
     bool done_ = false;
-    bool takes_clients_ = false;
-    bool shared_ = false;  // the clients' listener is another process's too
+    bool accepts_clients_ = false;
+    bool has_shared_listener_ = false;  // with other processes of this node
 };
 
 }  // namespace brookrelay
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -15,80 +15,81 @@
 namespace brookrelay {
 namespace {
 
-// What a signal's handler needs.
-struct Running {
+// What the signal handlers need.
+struct SignalContext {
     const std::string& path;
     Log& log;
     Node& node;
-    const std::function<OperatorConfig()>& read_operator_file;
+    const std::function<OperatorConfig()>& reload_operator_config;
 };
 
-// The environment goes before the file: two processes of one node may share the file, but not the operators'
+// The environment overrides the file: two processes of one node may share the file, but not the admin
 // address.
-NodeConfig read_own_station(const std::string& path) {
-    NodeConfig station = read_node_config(path);
-    if (const char* scratch = std::getenv("TMPDIR")) station.state_folder = scratch;
-    const char* said = std::getenv("GW_MANAGEMENT");
-    if (said == nullptr || *said == 0) return station;
-    if (!parse_address(said))
-        throw ConfigurationError(std::string("GW_MANAGEMENT is not an address and port: '") + said + "'");
-    station.admin_listen = said;
-    return station;
+NodeConfig read_configuration(const std::string& path) {
+    NodeConfig config = read_node_config(path);
+    if (const char* state_folder = std::getenv("TMPDIR")) config.state_folder = state_folder;
+    const char* value = std::getenv("GW_MANAGEMENT");
+    if (value == nullptr || *value == 0) return config;
+    if (!parse_address(value))
+        throw ConfigurationError(std::string("GW_MANAGEMENT is not an address and port: '") + value + "'");
+    config.admin_listen = value;
+    return config;
 }
 
-// A file that is wrong must not cost the service that an older one keeps up.
-void read_again(const Running& running) {
+// An invalid file must not end the service under the configuration that runs.
+void reload(const SignalContext& context) {
     try {
-        running.node.reload(read_own_station(running.path), running.read_operator_file());
-    } catch (const std::runtime_error& bad) {  // of either file
-        running.log.line(Topic::node, "configuration_refused",
-                         "new configuration not taken, the old one stays: " + std::string(bad.what()));
+        context.node.reload(read_configuration(context.path), context.reload_operator_config());
+    } catch (const std::runtime_error& error) {  // of either file
+        context.log.line(Topic::node, "configuration_refused",
+                         "new configuration not taken, the old one stays: " + std::string(error.what()));
     }
 }
 
-// The listener that the platform holds and hands to each process, if it does: -1 if not.
+// The descriptor of the listener that the platform hands to each process; -1: it hands none.
 int inherited_descriptor() {
-    const char* said = std::getenv("GW_ACCEPT_FD");
-    if (said == nullptr || *said == 0) return -1;
+    const char* value = std::getenv("GW_ACCEPT_FD");
+    if (value == nullptr || *value == 0) return -1;
     int descriptor = 0;
-    if (!parse_number(std::string_view(said), descriptor))
-        throw ConfigurationError(std::string("GW_ACCEPT_FD is no descriptor: '") + said + "'");
+    if (!parse_number(std::string_view(value), descriptor))
+        throw ConfigurationError(std::string("GW_ACCEPT_FD is no descriptor: '") + value + "'");
     return descriptor;
 }
 
 }  // namespace
 
-int serve(const std::string& path, const OperatorConfig& operator_file,
-          const std::function<OperatorConfig()>& read_again_file) {
-    NodeConfig station;
+int serve(const std::string& path, const OperatorConfig& operator_config,
+          const std::function<OperatorConfig()>& reload_operator_config) {
+    NodeConfig config;
     int inherited = -1;
     try {
-        station = read_own_station(path);
+        config = read_configuration(path);
         inherited = inherited_descriptor();
-    } catch (const ConfigurationError& bad) {
-        std::fprintf(stderr, "brookrelay: %s: %s\n", path.c_str(), bad.what());
+    } catch (const ConfigurationError& error) {
+        std::fprintf(stderr, "brookrelay: %s: %s\n", path.c_str(), error.what());
         return kWrongUse;
     }
-    Log log(station.name, operator_file.json_log, operator_file.log_lines_per_second);
-    Node node(station, operator_file, log);
-    Running running{path, log, node, read_again_file};
-    const auto told_to_end = [](gpointer self) -> gboolean {
-        static_cast<Running*>(self)->node.begin_shutdown();
+    Log log(config.name, operator_config.json_log, operator_config.log_lines_per_second);
+    Node node(config, operator_config, log);
+    SignalContext context{path, log, node, reload_operator_config};
+    const auto on_terminate = [](gpointer self) -> gboolean {
+        static_cast<SignalContext*>(self)->node.begin_shutdown();
         return G_SOURCE_CONTINUE;
     };
-    const auto told_to_read = [](gpointer self) -> gboolean {
-        read_again(*static_cast<Running*>(self));
+    const auto on_reload = [](gpointer self) -> gboolean {
+        reload(*static_cast<SignalContext*>(self));
         return G_SOURCE_CONTINUE;
     };
-    g_unix_signal_add(SIGTERM, told_to_end, &running);
-    g_unix_signal_add(SIGINT, told_to_end, &running);
-    g_unix_signal_add(SIGHUP, told_to_read, &running);
-    std::string complaint;
-    if (!node.start(inherited, complaint)) {
-        std::fprintf(stderr, "brookrelay: %s\n", complaint.c_str());
+    g_unix_signal_add(SIGTERM, on_terminate, &context);
+    g_unix_signal_add(SIGINT, on_terminate, &context);
+    g_unix_signal_add(SIGHUP, on_reload, &context);
+    try {
+        node.start(inherited);
+    } catch (const BindError& error) {
+        std::fprintf(stderr, "brookrelay: %s\n", error.what());
         return kBroken;
     }
-    log.line(Topic::node, "serves", "serves on " + station.listen);
+    log.line(Topic::node, "serves", "serves on " + config.listen);
     while (!node.is_done()) {
         g_main_context_iteration(nullptr, node.has_work() ? FALSE : TRUE);
         node.run_iteration();
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -1,5 +1,5 @@
-// The daemon: reads what the node is told at its start, runs the loop, and hears the signals. It owns the
-// node and the log, and never touches a socket.
+/// The daemon: reads the configuration at start, runs the event loop and handles the signals. It owns the
+/// node and the log, and never touches a socket.
 #pragma once
 
 #include <functional>
@@ -9,9 +9,10 @@
 
 namespace brookrelay {
 
-// Returns the program's exit code: kDone after SIGTERM, kWrongUse for a wrong file, kBroken where it cannot
-// listen. `read_again`: the operators' own file as it is by then, for SIGHUP; throws what reading it throws.
-int serve(const std::string& station_path, const OperatorConfig& operator_file,
-          const std::function<OperatorConfig()>& read_again);
+/// Runs the node until it is done and returns the program's exit code: kDone after SIGTERM or SIGINT,
+/// kWrongUse for an invalid configuration, kBroken where it cannot listen. `reload_operator_config` is called
+/// on SIGHUP; what it throws as std::runtime_error is logged, and the running configuration stays.
+int serve(const std::string& config_path, const OperatorConfig& operator_config,
+          const std::function<OperatorConfig()>& reload_operator_config);
 
 }  // namespace brookrelay
--- a/src/proxy/sibling_processes.cpp
+++ b/src/proxy/sibling_processes.cpp
@@ -12,7 +12,7 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::string_view kAlive = "alive-";
+constexpr std::string_view kFilePrefix = "alive-";
 
 struct CloseFolder {
     void operator()(DIR* folder) const { closedir(folder); }
@@ -22,21 +22,21 @@
 
 SiblingProcesses::SiblingProcesses(const std::string& folder) : folder_(folder) {
     if (folder_.empty()) return;
-    own_ = std::string(kAlive) + std::to_string(getpid());
-    file_ = open((folder_ + "/" + own_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    file_name_ = std::string(kFilePrefix) + std::to_string(getpid());
+    file_ = open((folder_ + "/" + file_name_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (file_ >= 0) flock(file_, LOCK_EX | LOCK_NB);
     publish(0);
 }
 
 SiblingProcesses::~SiblingProcesses() {
     if (file_ < 0) return;
-    unlink((folder_ + "/" + own_).c_str());
+    unlink((folder_ + "/" + file_name_).c_str());
     close(file_);
 }
 
 void SiblingProcesses::publish(int descriptors) {
-    if (file_ < 0 || descriptors == told_) return;
-    if (ftruncate(file_, descriptors) == 0) told_ = descriptors;
+    if (file_ < 0 || descriptors == published_) return;
+    if (ftruncate(file_, descriptors) == 0) published_ = descriptors;
 }
 
 SiblingProcesses::Usage SiblingProcesses::others_usage() const {
@@ -45,15 +45,15 @@
     if (folder == nullptr) return others;
     while (const dirent* entry = readdir(folder.get())) {
         const std::string_view name(entry->d_name);
-        if (!name.starts_with(kAlive) || name == own_) continue;
+        if (!name.starts_with(kFilePrefix) || name == file_name_) continue;
         const int file = openat(dirfd(folder.get()), entry->d_name, O_RDWR | O_CLOEXEC);
         if (file < 0) continue;
-        struct stat told {};
+        struct stat status {};
         if (flock(file, LOCK_EX | LOCK_NB) == 0) {
-            unlinkat(dirfd(folder.get()), entry->d_name, 0);  // whose it was is gone
-        } else if (fstat(file, &told) == 0) {
+            unlinkat(dirfd(folder.get()), entry->d_name, 0);  // its process is gone
+        } else if (fstat(file, &status) == 0) {
             ++others.processes;
-            others.descriptors += static_cast<int>(told.st_size);
+            others.descriptors += static_cast<int>(status.st_size);
         }
         close(file);
     }
--- a/src/proxy/sibling_processes.h
+++ b/src/proxy/sibling_processes.h
@@ -1,6 +1,6 @@
-// Other processes of this node: what they hold of the one budget that all share. It owns a file of this
-// process's that is locked as long as it lives, so that one that was killed is not counted, and as long as
-// its size says how many descriptors are in use. It limits nothing itself.
+/// What the other processes of this node hold of the descriptor budget that all of them share. Each process
+/// owns one file in a common folder: it is locked as long as the process lives, so that a killed process does
+/// not count, and its size is the number of descriptors in use. The class enforces no limit.
 #pragma once
 
 #include <string>
@@ -9,12 +9,14 @@
 
 class SiblingProcesses {
   public:
-    explicit SiblingProcesses(const std::string& folder);  // empty: this process is alone
+    /// An empty `folder`: this process has no siblings.
+    explicit SiblingProcesses(const std::string& folder);
     ~SiblingProcesses();
     SiblingProcesses(const SiblingProcesses&) = delete;
     SiblingProcesses& operator=(const SiblingProcesses&) = delete;
 
-    void publish(int descriptors);  // this process, by now
+    /// Publishes how many descriptors this process has in use.
+    void publish(int descriptors);
     struct Usage {
         int processes = 0;
         int descriptors = 0;
@@ -22,9 +24,10 @@
     Usage others_usage() const;
 
   private:
-    std::string folder_, own_;
+    std::string folder_;
+    std::string file_name_;  // this process's, within the folder
     int file_ = -1;
-    int told_ = -1;
+    int published_ = -1;
 };
 
 }  // namespace brookrelay
