--- a/src/proxy/sibling_processes.cpp
+++ b/src/proxy/sibling_processes.cpp
@@ -8,6 +8,7 @@
 
 #include <memory>
 #include <string_view>
+#include <utility>
 
 namespace brookrelay {
 namespace {
@@ -20,7 +21,7 @@
 
 }  // namespace
 
-SiblingProcesses::SiblingProcesses(const std::string& folder) : folder_(folder) {
+SiblingProcesses::SiblingProcesses(std::string folder) : folder_(std::move(folder)) {
     if (folder_.empty()) return;
     file_name_ = std::string(kFilePrefix) + std::to_string(getpid());
     file_ = open((folder_ + "/" + file_name_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
--- a/src/proxy/sibling_processes.h
+++ b/src/proxy/sibling_processes.h
@@ -10,7 +10,7 @@
 class SiblingProcesses {
   public:
     /// An empty `folder`: this process has no siblings.
-    explicit SiblingProcesses(const std::string& folder);
+    explicit SiblingProcesses(std::string folder);
     ~SiblingProcesses();
     SiblingProcesses(const SiblingProcesses&) = delete;
     SiblingProcesses& operator=(const SiblingProcesses&) = delete;
