--- a/src/coordination/coordination_session.cpp
+++ b/src/coordination/coordination_session.cpp
@@ -11,226 +11,234 @@
 namespace brookrelay {
 namespace {
 
-// The protocol's numbers.
+// Request types, reserved transaction ids, the error code and the watch events of the protocol.
 constexpr std::int32_t kGetData = 4, kPing = 11, kGetChildren2 = 12;
-constexpr std::int32_t kEventXid = -1, kPingXid = -2;
-constexpr std::int32_t kNoNode = -101;
-constexpr std::int32_t kRemoved = 2, kChanged = 3, kChildren = 4;
+constexpr std::int32_t kWatchEventXid = -1, kPingXid = -2;
+constexpr std::int32_t kNoNodeError = -101;
+constexpr std::int32_t kNodeRemoved = 2, kDataChanged = 3, kChildrenChanged = 4;
 
-constexpr double kPingPart = 1.0 / 3.0;  // of the time-out: so often something is said
-constexpr double kSilentPart =
-    2.0 / 3.0;  // of it: a service that says nothing for so long is left for another
-constexpr std::size_t kChildrenMost = 20000;
+constexpr std::size_t kReplyHeaderSize = 16;  // bytes: transaction id, order and error code
+
+// Ratios of the session timeout: the interval of pings, and the silence after which another server is tried.
+constexpr double kPingRatio = 1.0 / 3.0;
+constexpr double kSilenceRatio = 2.0 / 3.0;
+constexpr std::size_t kMaxChildren = 20000;
 
 }  // namespace
 
 CoordinationSession::CoordinationSession(std::string path, double timeout,
                                          ServiceRegistrations& registrations, Read read, Out out)
     : path_(std::move(path)),
-      wished_timeout_(timeout),
+      requested_timeout_(timeout),
       registrations_(registrations),
       read_(std::move(read)),
       out_(std::move(out)),
       timeout_(timeout) {}
 
 void CoordinationSession::up(double now) {
-    state_ = State::greeting;
-    asked_.clear();
-    listing_ = list_again_ = listed_ = false;
-    heard_at_ = now;
-    greet(now);
+    state_ = State::connecting;
+    pending_requests_.clear();
+    list_pending_ = relist_pending_ = listed_ = false;
+    last_received_at_ = now;
+    send_connect_request(now);
 }
 
-void CoordinationSession::greet(double now) {
-    JuteWriter out;
-    out.number(0).long_number(seen_).number(static_cast<std::int32_t>(wished_timeout_ * 1e3));
-    out.long_number(session_).text(password_).flag(false);
-    said_at_ = now;
-    out_.send(out.frame());
+void CoordinationSession::send_connect_request(double now) {
+    JuteWriter writer;
+    writer.number(0).long_number(last_order_).number(static_cast<std::int32_t>(requested_timeout_ * 1e3));
+    writer.long_number(session_).text(password_).flag(false);
+    last_sent_at_ = now;
+    out_.send(writer.frame());
 }
 
 void CoordinationSession::broke(double now) {
     if (state_ == State::down) return;
     state_ = State::down;
-    asked_.clear();
+    pending_requests_.clear();
     registrations_.lost(now);
 }
 
-void CoordinationSession::give_up(double now, const char* why) {
+void CoordinationSession::disconnect(double now, const char* why) {
     broke(now);
     out_.hang_up(why);
 }
 
 void CoordinationSession::received(double now, std::string_view payload) {
-    heard_at_ = now;
-    JuteReader in(payload);
-    if (state_ == State::greeting) {
-        (void)in.number();
-        const std::int32_t timeout = in.number();
-        const std::int64_t session = in.long_number();
-        const std::string password = in.text();
-        if (!in.sound()) return give_up(now, "nonsense in the place of a greeting");
-        if (timeout <= 0 || session == 0) {
-            // Expired. A new session sees whatever is there: nothing of ours hung on the old one.
-            session_ = 0;
-            password_.assign(16, '\0');
-            return give_up(now, "the session had expired");
-        }
-        session_ = session;
-        password_ = password;
-        timeout_ = timeout / 1e3;
-        state_ = State::following;
-        return list_children();
+    last_received_at_ = now;
+    if (state_ == State::connecting) return on_connect_response(now, payload);
+    if (state_ == State::following) on_reply(now, payload);
+}
+
+void CoordinationSession::on_connect_response(double now, std::string_view payload) {
+    JuteReader reader(payload);
+    (void)reader.number();
+    const std::int32_t timeout = reader.number();
+    const std::int64_t session = reader.long_number();
+    const std::string password = reader.text();
+    if (!reader.sound()) return disconnect(now, "nonsense in the place of a greeting");
+    if (timeout <= 0 || session == 0) {
+        // Expired. Nothing depends on the old session, so the next connection asks for a new one.
+        session_ = 0;
+        password_.assign(kPasswordSize, '\0');
+        return disconnect(now, "the session had expired");
     }
-    if (state_ != State::following) return;
-    const std::int32_t xid = in.number();
-    const std::int64_t order = in.long_number();
-    const std::int32_t error = in.number();
-    if (!in.sound()) return give_up(now, "an answer that is not whole");
-    if (xid == kEventXid) return heard_event(now, payload.substr(16));
-    seen_ = std::max(seen_, order);
+    session_ = session;
+    password_ = password;
+    timeout_ = timeout / 1e3;
+    state_ = State::following;
+    list_children();
+}
+
+void CoordinationSession::on_reply(double now, std::string_view payload) {
+    JuteReader reader(payload);
+    const std::int32_t xid = reader.number();
+    const std::int64_t order = reader.long_number();
+    const std::int32_t error = reader.number();
+    if (!reader.sound()) return disconnect(now, "an answer that is not whole");
+    const std::string_view body = payload.substr(kReplyHeaderSize);
+    if (xid == kWatchEventXid) return on_watch_event(now, body);
+    last_order_ = std::max(last_order_, order);
     if (xid == kPingXid) return;
-    const auto found = asked_.find(xid);
-    if (found == asked_.end()) return give_up(now, "an answer to nothing that was asked");
-    const Asked asked = std::move(found->second);
-    asked_.erase(found);
-    if (asked.call == Call::children) return heard_children(now, order, payload.substr(16), error);
-    heard_data(now, order, asked.child, payload.substr(16), error);
+    const auto found = pending_requests_.find(xid);
+    if (found == pending_requests_.end()) return disconnect(now, "an answer to nothing that was asked");
+    const PendingRequest request = std::move(found->second);
+    pending_requests_.erase(found);
+    if (request.type == RequestType::children) return on_children(now, order, body, error);
+    on_data(now, order, request.child, body, error);
 }
 
-void CoordinationSession::call(std::int32_t type, const std::string& path, Asked asked) {
-    JuteWriter out;
-    out.number(++xid_).number(type).text(path).flag(true);
-    asked_.emplace(xid_, std::move(asked));
-    out_.send(out.frame());
+void CoordinationSession::send_request(std::int32_t type, const std::string& path, PendingRequest request) {
+    JuteWriter writer;
+    writer.number(++xid_).number(type).text(path).flag(true);
+    pending_requests_.emplace(xid_, std::move(request));
+    out_.send(writer.frame());
 }
 
 void CoordinationSession::list_children() {
-    if (listing_) {
-        list_again_ = true;
+    if (list_pending_) {
+        relist_pending_ = true;
         return;
     }
-    listing_ = true;
-    call(kGetChildren2, path_, {Call::children, ""});
+    list_pending_ = true;
+    send_request(kGetChildren2, path_, {RequestType::children, ""});
 }
 
 void CoordinationSession::read_child(const std::string& name) {
-    Child& c = children_[name];
-    if (c.asked) {
-        c.again = true;
+    Child& child = children_[name];
+    if (child.read_pending) {
+        child.reread_needed = true;
         return;
     }
-    c.asked = true;
-    c.again = false;
-    call(kGetData, path_ + "/" + name, {Call::data, name});
+    child.read_pending = true;
+    child.reread_needed = false;
+    send_request(kGetData, path_ + "/" + name, {RequestType::data, name});
 }
 
-void CoordinationSession::heard_event(double now, std::string_view payload) {
-    JuteReader in(payload);
-    const std::int32_t kind = in.number();
-    (void)in.number();
-    const std::string path = in.text();
-    if (!in.sound()) return give_up(now, "an event that is not whole");
+void CoordinationSession::on_watch_event(double now, std::string_view payload) {
+    JuteReader reader(payload);
+    const std::int32_t kind = reader.number();
+    (void)reader.number();
+    const std::string path = reader.text();
+    if (!reader.sound()) return disconnect(now, "an event that is not whole");
     if (path == path_) {
-        if (kind == kChildren || kind == kRemoved) list_children();
+        if (kind == kChildrenChanged || kind == kNodeRemoved) list_children();
         return;
     }
     if (!path.starts_with(path_ + "/")) return;
     const std::string name = path.substr(path_.size() + 1);
     const auto found = children_.find(name);
     if (found == children_.end()) return;
-    if (kind == kChanged) return read_child(name);
-    if (kind != kRemoved) return;
-    // Gone at once: the listing that follows may take long, and may show another under the same name.
+    if (kind == kDataChanged) return read_child(name);
+    if (kind != kNodeRemoved) return;
+    // Removed at once: the next listing may take long, and may hold a new child of the same name.
     found->second.registration.reset();
-    if (found->second.asked) found->second.again = true;
-    show(now, seen_);
+    if (found->second.read_pending) found->second.reread_needed = true;
+    publish_view(now, last_order_);
     list_children();
 }
 
-void CoordinationSession::heard_children(double now, std::int64_t order, std::string_view payload,
-                                         std::int32_t error) {
-    listing_ = false;
-    if (error != 0 && error != kNoNode) return give_up(now, "the path may not be listed");
+void CoordinationSession::on_children(double now, std::int64_t order, std::string_view payload,
+                                      std::int32_t error) {
+    list_pending_ = false;
+    if (error != 0 && error != kNoNodeError) return disconnect(now, "the path may not be listed");
     std::vector<std::string> names;
     if (error == 0) {
-        JuteReader in(payload);
-        names = in.texts();
-        if (!in.sound() || names.size() > kChildrenMost)
-            return give_up(now, "a listing that is not whole, or too long");
+        JuteReader reader(payload);
+        names = reader.texts();
+        if (!reader.sound() || names.size() > kMaxChildren)
+            return disconnect(now, "a listing that is not whole, or too long");
     }
-    const std::set<std::string> named(names.begin(), names.end());
-    std::erase_if(children_, [&](const auto& one) { return !named.contains(one.first); });
-    // After a new connection all watches are gone, so each child is read again; else only those not known
-    // yet.
-    for (const std::string& name : named) {
+    const std::set<std::string> listed_names(names.begin(), names.end());
+    std::erase_if(children_, [&](const auto& one) { return !listed_names.contains(one.first); });
+    // A new connection has no watches, so each child is read again; otherwise only those not known yet.
+    for (const std::string& name : listed_names) {
         if (!listed_ || !children_[name].registration) {
-            if (!listed_) children_[name].asked = false;
+            if (!listed_) children_[name].read_pending = false;
             read_child(name);
         }
     }
     const bool first = !listed_;
     listed_ = true;
-    // The first listing is shown once its children have been read: until then it is no picture of the whole.
-    if (!first || named.empty()) show(now, order);
-    if (std::exchange(list_again_, false)) list_children();
+    // The first listing is published once all its children have been read: until then the view is partial.
+    if (!first || listed_names.empty()) publish_view(now, order);
+    if (std::exchange(relist_pending_, false)) list_children();
 }
 
-void CoordinationSession::heard_data(double now, std::int64_t order, const std::string& name,
-                                     std::string_view payload, std::int32_t error) {
+void CoordinationSession::on_data(double now, std::int64_t order, const std::string& name,
+                                  std::string_view payload, std::int32_t error) {
     const auto found = children_.find(name);
     if (found == children_.end()) return;
-    Child& c = found->second;
-    c.asked = false;
-    if (c.again) return read_child(name);
+    Child& child = found->second;
+    child.read_pending = false;
+    if (child.reread_needed) return read_child(name);
     if (error != 0) {
-        // It went between the listing and this; another listing follows its own event, or is due now.
+        // Removed between the listing and the read.
         children_.erase(found);
         list_children();
     } else {
-        JuteReader in(payload);
-        const std::string data = in.text();
-        const std::int64_t created = in.long_number();
-        if (!in.sound()) return give_up(now, "data that is not whole");
+        JuteReader reader(payload);
+        const std::string data = reader.text();
+        const std::int64_t created = reader.long_number();
+        if (!reader.sound()) return disconnect(now, "data that is not whole");
         std::string why;
-        c.registration = read_(name, data, why);
-        if (c.registration) {
-            c.registration->name = name;
-            c.registration->created = created;
+        child.registration = read_(name, data, why);
+        if (child.registration) {
+            child.registration->name = name;
+            child.registration->created = created;
         } else {
             out_.left_out(name, why);
-            c.registration.reset();
+            child.registration.reset();
         }
     }
-    const bool all_read =
-        std::none_of(children_.begin(), children_.end(), [](const auto& one) { return one.second.asked; });
-    if (all_read) show(now, order);
+    const bool all_read = std::none_of(children_.begin(), children_.end(),
+                                       [](const auto& one) { return one.second.read_pending; });
+    if (all_read) publish_view(now, order);
 }
 
-void CoordinationSession::show(double now, std::int64_t order) {
+void CoordinationSession::publish_view(double now, std::int64_t order) {
     std::vector<Registration> all;
-    for (const auto& [name, c] : children_) {
-        if (c.registration) all.push_back(*c.registration);
+    for (const auto& [name, child] : children_) {
+        if (child.registration) all.push_back(*child.registration);
     }
-    (void)registrations_.view(now, std::max(order, seen_), all);
+    (void)registrations_.view(now, std::max(order, last_order_), all);
 }
 
 void CoordinationSession::tick(double now) {
     if (state_ == State::down) return;
-    // As next_at() has them: a difference would round to just before, and be asked for again at once.
-    if (now >= heard_at_ + kSilentPart * timeout_) return give_up(now, "it says nothing");
-    if (state_ == State::following && now >= said_at_ + kPingPart * timeout_) {
-        JuteWriter out;
-        out.number(kPingXid).number(kPing);
-        said_at_ = now;
-        out_.send(out.frame());
+    // The same sums as in next_at(): differences may round to just before it, and tick() would be due again.
+    if (now >= last_received_at_ + kSilenceRatio * timeout_) return disconnect(now, "it says nothing");
+    if (state_ == State::following && now >= last_sent_at_ + kPingRatio * timeout_) {
+        JuteWriter writer;
+        writer.number(kPingXid).number(kPing);
+        last_sent_at_ = now;
+        out_.send(writer.frame());
     }
 }
 
 double CoordinationSession::next_at() const {
     if (state_ == State::down) return std::numeric_limits<double>::infinity();
-    const double silent = heard_at_ + kSilentPart * timeout_;
-    return state_ == State::following ? std::min(silent, said_at_ + kPingPart * timeout_) : silent;
+    const double silent = last_received_at_ + kSilenceRatio * timeout_;
+    return state_ == State::following ? std::min(silent, last_sent_at_ + kPingRatio * timeout_) : silent;
 }
 
 }  // namespace brookrelay
--- a/src/coordination/coordination_session.h
+++ b/src/coordination/coordination_session.h
@@ -1,11 +1,15 @@
-// Follows one path of a coordination service by its published protocol: a session that moves from address to
-// address, the children of the path and what stands in each, watched without a gap. It knows no socket and no
-// clock: bytes and times are told, and what it wants sent or closed it says. It decides nothing of what a
-// registration means; each whole picture goes to Registrations with the order that the service gave it.
+// The client side of one session with a coordination service (its published protocol), which follows the
+// children of one path.
 //
-// Without a gap: children are listed with a watch and each is read with one, so whatever changes after a
-// reading is told; a child that is removed and created again between two listings shows by its own watch.
-// All sessions begin anew after a lost connection with a listing, so no watch needs to be set again.
+// It owns the session, which moves from server to server of the ensemble, and the children with their data.
+// It knows no socket and no clock: bytes and times are arguments, and what is to be sent or closed goes out
+// by callbacks. It does not interpret registrations: each complete view goes to ServiceRegistrations with the
+// transaction id of the service as its order. Protocol errors close the connection by Out::hang_up with a
+// reason. Times are seconds on the monotonic clock.
+//
+// No change is missed: children are listed with a watch and each is read with one, so whatever changes after
+// a read triggers an event; a child that is re-created between two listings triggers its own. After a lost
+// connection everything is listed again, so that no watch has to be restored.
 #pragma once
 
 #include <cstdint>
@@ -19,68 +23,82 @@
 
 namespace brookrelay {
 
+// The protocol's state machine; the owner passes in connection events and received frames.
 class CoordinationSession {
   public:
+    // Where the session's output goes.
     struct Out {
         std::function<void(const std::string& frame)> send;
-        std::function<void(const char* why)> hang_up;  // the connection is of no more use
+        std::function<void(const char* why)> hang_up;  // close the connection
+        // A child whose data is invalid.
         std::function<void(const std::string& child, const std::string& why)> left_out;
     };
-    // What a child's data says; nothing: it makes no sense, and `why` says so.
+    // Decodes a child's data; nothing if it is invalid, with the reason in `why`.
     using Read = std::function<std::optional<Registration>(const std::string& child, const std::string& data,
                                                            std::string& why)>;
 
-    // `path` without a slash at its end; `timeout` of the session, seconds.
+    // `path` has no trailing slash; `timeout` is the session timeout to ask for, s.
     CoordinationSession(std::string path, double timeout, ServiceRegistrations& registrations, Read read,
                         Out out);
 
-    void up(double now);  // a new connection stands, to any address of the ensemble
+    // A connection to any server of the ensemble has been opened.
+    void up(double now);
+    // A frame has been received, without its length prefix.
     void received(double now, std::string_view payload);
-    void broke(double now);  // it is gone, or none came up
-    void tick(double now);   // call it at next_at()
-    double next_at() const;  // infinity: nothing is due
+    // The connection is lost, or could not be opened.
+    void broke(double now);
+    // Sends pings and detects a silent service; to be called at next_at().
+    void tick(double now);
+    // The time of the next tick(); infinity without a connection.
+    double next_at() const;
+    // Whether the session is established.
     bool follows() const { return state_ == State::following; }
+    // The service's id of the session; 0 before the first.
     std::int64_t session() const { return session_; }
 
   private:
-    enum class State { down, greeting, following };
-    enum class Call { children, data };
+    enum class State { down, connecting, following };
+    enum class RequestType { children, data };
     struct Child {
-        bool asked = false;  // its data is on the way
-        bool again = false;  // and is old news already
+        bool read_pending = false;   // a read of its data is in flight
+        bool reread_needed = false;  // and will be outdated when it is answered
         std::optional<Registration> registration;
     };
-    struct Asked {
-        Call call = Call::children;
+    struct PendingRequest {
+        RequestType type = RequestType::children;
         std::string child;
     };
 
-    void greet(double now);
+    void send_connect_request(double now);
     void list_children();
     void read_child(const std::string& name);
-    void call(std::int32_t type, const std::string& path, Asked asked);
-    void heard_event(double now, std::string_view payload);
-    void heard_children(double now, std::int64_t order, std::string_view payload, std::int32_t error);
-    void heard_data(double now, std::int64_t order, const std::string& child, std::string_view payload,
-                    std::int32_t error);
-    void show(double now, std::int64_t order);
-    void give_up(double now, const char* why);
+    void send_request(std::int32_t type, const std::string& path, PendingRequest request);
+    void on_connect_response(double now, std::string_view payload);
+    void on_reply(double now, std::string_view payload);
+    void on_watch_event(double now, std::string_view payload);
+    void on_children(double now, std::int64_t order, std::string_view payload, std::int32_t error);
+    void on_data(double now, std::int64_t order, const std::string& child, std::string_view payload,
+                 std::int32_t error);
+    void publish_view(double now, std::int64_t order);
+    void disconnect(double now, const char* why);
+
+    static constexpr std::size_t kPasswordSize = 16;  // bytes, of a new session
 
     const std::string path_;
-    const double wished_timeout_;
+    const double requested_timeout_;
     ServiceRegistrations& registrations_;
     Read read_;
     Out out_;
     State state_ = State::down;
     std::int64_t session_ = 0;
-    std::string password_ = std::string(16, '\0');
-    double timeout_ = 0;  // as the service granted it
-    double heard_at_ = 0, said_at_ = 0;
-    std::int64_t seen_ = 0;  // the newest order that was shown by any answer
+    std::string password_ = std::string(kPasswordSize, '\0');
+    double timeout_ = 0;  // s, as granted by the service
+    double last_received_at_ = 0, last_sent_at_ = 0;
+    std::int64_t last_order_ = 0;  // the highest order in any reply
     std::int32_t xid_ = 0;
-    std::map<std::int32_t, Asked> asked_;
+    std::map<std::int32_t, PendingRequest> pending_requests_;
     std::map<std::string, Child> children_;
-    bool listing_ = false, list_again_ = false, listed_ = false;
+    bool list_pending_ = false, relist_pending_ = false, listed_ = false;
 };
 
 }  // namespace brookrelay
--- a/src/coordination/jute.cpp
+++ b/src/coordination/jute.cpp
@@ -44,7 +44,7 @@
 std::vector<std::string> JuteReader::texts() {
     const std::int32_t count = number();
     std::vector<std::string> values;
-    // Each takes four bytes at the least: a larger count lies.
+    // Each string takes at least the four bytes of its count.
     if (count < -1 || (count > 0 && static_cast<std::size_t>(count) > rest_.size() / 4)) {
         sound_ = false;
         rest_ = {};
@@ -95,10 +95,10 @@
         sound = false;
         return 0;
     }
-    const auto whole = 4 + static_cast<std::size_t>(length);
-    if (in.size() < whole) return 0;
+    const auto frame_size = 4 + static_cast<std::size_t>(length);
+    if (in.size() < frame_size) return 0;
     payload = in.substr(4, static_cast<std::size_t>(length));
-    return whole;
+    return frame_size;
 }
 
 }  // namespace brookrelay
--- a/src/coordination/service_registrations.cpp
+++ b/src/coordination/service_registrations.cpp
@@ -8,157 +8,170 @@
 
 namespace brookrelay {
 
-bool ServiceRegistrations::view(double now, std::int64_t order, const std::vector<Registration>& all) {
+bool ServiceRegistrations::view(double now, std::int64_t order,
+                                const std::vector<Registration>& registrations) {
     tick(now);
-    if (order < order_) return false;
-    order_ = order;
+    if (order < last_order_) return false;
+    last_order_ = order;
     connected(now);
-    std::set<std::string> named;
-    for (const Registration& r : all) {
-        named.insert(r.name);
-        came(now, r);
+    std::set<std::string> names;
+    for (const Registration& registration : registrations) {
+        names.insert(registration.name);
+        on_registered(now, registration);
     }
-    for (auto& [name, k] : known_) {
-        if (!named.contains(name) && (k.state == State::ready || k.state == State::waiting)) went(now, k);
+    for (auto& [name, entry] : entries_) {
+        if (!names.contains(name) &&
+            (entry.state == RegistrationState::ready || entry.state == RegistrationState::waiting))
+            on_removed(now, entry);
     }
-    doubt_if_wiped(now);
+    suspect_mass_removal(now);
     return true;
 }
 
-void ServiceRegistrations::came(double now, const Registration& r) {
-    const auto [at, is_new] = known_.try_emplace(r.name);
-    Known& k = at->second;
-    const bool same = !is_new && k.registration.created == r.created;
-    if (k.state == State::doubted && same) {
-        // It was there all the time, as was thought.
-        k.registration = r;
-        k.state = State::ready;
+void ServiceRegistrations::on_registered(double now, const Registration& registration) {
+    const auto [found, is_new] = entries_.try_emplace(registration.name);
+    Entry& entry = found->second;
+    const bool is_same = !is_new && entry.registration.created == registration.created;
+    if (entry.state == RegistrationState::suspect && is_same) {
+        // It was never removed, as suspected.
+        entry.registration = registration;
+        entry.state = RegistrationState::ready;
         return;
     }
-    if ((k.state == State::ready || k.state == State::waiting) && same) {
-        // Its data may have changed: where it is, is news; that it is there, is none.
-        const bool moved = k.registration.address != r.address;
-        k.registration = r;
-        if (moved && k.state == State::ready) tell(k, EndpointState::ready, false);
-        if (k.state == State::ready && now - k.since >= bounds_.forgiven_after) k.flaps = 0;
+    if ((entry.state == RegistrationState::ready || entry.state == RegistrationState::waiting) && is_same) {
+        // Of its data only a change of the address is reported.
+        const bool address_changed = entry.registration.address != registration.address;
+        entry.registration = registration;
+        if (address_changed && entry.state == RegistrationState::ready)
+            report(entry, EndpointState::ready, false);
+        if (entry.state == RegistrationState::ready && now - entry.changed_at >= bounds_.forgiven_after)
+            entry.flap_count = 0;
         return;
     }
-    // Replaced between two views: its former self went in the meantime, and that counts as any going.
-    if (!is_new && !same && k.state != State::gone) went(now, k);
-    k.registration = r;
-    k.since = now;
-    std::erase_if(lately_gone_, [&](const auto& gone) { return gone.second == r.name; });
+    // Re-created between two views: the removal in between counts as any other.
+    if (!is_new && !is_same && entry.state != RegistrationState::removed) on_removed(now, entry);
+    entry.registration = registration;
+    entry.changed_at = now;
+    std::erase_if(recent_removals_, [&](const auto& removal) { return removal.second == registration.name; });
     const double wait =
-        k.flaps < 2
+        entry.flap_count < 2
             ? 0
-            : std::min(bounds_.trust_most, bounds_.trust_after * std::pow(2.0, std::min(k.flaps - 2, 30)));
+            : std::min(bounds_.trust_most,
+                       bounds_.trust_after * std::pow(2.0, std::min(entry.flap_count - 2, 30)));
     if (wait <= 0) {
-        k.state = State::ready;
-        return tell(k, EndpointState::ready, true);
+        entry.state = RegistrationState::ready;
+        return report(entry, EndpointState::ready, true);
     }
-    k.state = State::waiting;
-    k.waits_until = now + wait;
+    entry.state = RegistrationState::waiting;
+    entry.wait_ends_at = now + wait;
 }
 
-void ServiceRegistrations::went(double now, Known& k) {
-    k.flaps = now - k.since <= bounds_.flap_within      ? k.flaps + 1
-              : now - k.since >= bounds_.forgiven_after ? 0
-                                                        : k.flaps;
-    const bool stood = k.state == State::ready || k.state == State::doubted;
-    k.state = State::gone;
-    k.since = now;
-    if (!stood) return;
-    lately_gone_.emplace_back(now, k.registration.name);
-    tell(k, EndpointState::removed, false);
+void ServiceRegistrations::on_removed(double now, Entry& entry) {
+    entry.flap_count = now - entry.changed_at <= bounds_.flap_within      ? entry.flap_count + 1
+                       : now - entry.changed_at >= bounds_.forgiven_after ? 0
+                                                                          : entry.flap_count;
+    const bool was_available =
+        entry.state == RegistrationState::ready || entry.state == RegistrationState::suspect;
+    entry.state = RegistrationState::removed;
+    entry.changed_at = now;
+    if (!was_available) return;
+    recent_removals_.emplace_back(now, entry.registration.name);
+    report(entry, EndpointState::removed, false);
 }
 
-void ServiceRegistrations::doubt_if_wiped(double now) {
-    std::erase_if(lately_gone_, [&](const auto& gone) { return gone.first < now - bounds_.wiped_within; });
-    const auto going = static_cast<double>(lately_gone_.size());
-    const auto left = static_cast<double>(standing() - doubted());
-    const auto in_doubt = static_cast<double>(doubted());
-    // Where some are doubted already, whoever goes too is doubted with them.
-    const bool wiped = going + in_doubt >= bounds_.wiped_least &&
-                       going + in_doubt > bounds_.wiped_part * (going + in_doubt + left);
-    if (!wiped) return;
-    for (const auto& [when, name] : std::exchange(lately_gone_, {})) {
-        Known& k = known_[name];
-        if (k.state != State::gone) continue;
-        k.state = State::doubted;
-        k.waits_until = now + bounds_.doubted_most;
-        // It left no forward undone and is as warm as it was: no start has been seen.
-        tell(k, EndpointState::ready, false);
+void ServiceRegistrations::suspect_mass_removal(double now) {
+    std::erase_if(recent_removals_,
+                  [&](const auto& removal) { return removal.first < now - bounds_.wiped_within; });
+    const auto removed_count = static_cast<double>(recent_removals_.size());
+    const auto remaining_count = static_cast<double>(standing() - doubted());
+    const auto suspect_count = static_cast<double>(doubted());
+    // While some are suspect, further removals are suspect too.
+    const bool is_mass_removal = removed_count + suspect_count >= bounds_.wiped_least &&
+                                 removed_count + suspect_count >
+                                     bounds_.wiped_part * (removed_count + suspect_count + remaining_count);
+    if (!is_mass_removal) return;
+    for (const auto& [when, name] : std::exchange(recent_removals_, {})) {
+        Entry& entry = entries_[name];
+        if (entry.state != RegistrationState::removed) continue;
+        entry.state = RegistrationState::suspect;
+        entry.wait_ends_at = now + bounds_.doubted_most;
+        // Not reported as a fresh start: the server has most likely been running all the time.
+        report(entry, EndpointState::ready, false);
     }
 }
 
 void ServiceRegistrations::connected(double) { connected_ = true; }
 
 void ServiceRegistrations::lost(double now) {
-    if (connected_) lost_at_ = now;
+    if (connected_) disconnected_at_ = now;
     connected_ = false;
 }
 
 void ServiceRegistrations::believe(double now) {
-    for (auto& [name, k] : known_) {
-        if (k.state != State::doubted) continue;
-        k.state = State::gone;
-        k.since = now;
-        tell(k, EndpointState::removed, false);
+    for (auto& [name, entry] : entries_) {
+        if (entry.state != RegistrationState::suspect) continue;
+        entry.state = RegistrationState::removed;
+        entry.changed_at = now;
+        report(entry, EndpointState::removed, false);
     }
 }
 
 void ServiceRegistrations::tick(double now) {
-    for (auto at = known_.begin(); at != known_.end();) {
-        Known& k = at->second;
-        if (k.state == State::waiting && now >= k.waits_until) {
-            k.state = State::ready;
-            tell(k, EndpointState::ready, true);
+    for (auto found = entries_.begin(); found != entries_.end();) {
+        Entry& entry = found->second;
+        if (entry.state == RegistrationState::waiting && now >= entry.wait_ends_at) {
+            entry.state = RegistrationState::ready;
+            report(entry, EndpointState::ready, true);
         }
-        // While the coordinator is away nothing speaks against those who are doubted but its last word.
-        if (k.state == State::doubted && connected_ && now >= k.waits_until) {
-            k.state = State::gone;
-            k.since = now;
-            tell(k, EndpointState::removed, false);
+        // Without a connection there is no newer evidence against suspect entries than the doubted view.
+        if (entry.state == RegistrationState::suspect && connected_ && now >= entry.wait_ends_at) {
+            entry.state = RegistrationState::removed;
+            entry.changed_at = now;
+            report(entry, EndpointState::removed, false);
         }
-        // What is long gone is forgotten, so that names that never return do not fill the table.
-        const bool forgotten =
-            k.state == State::gone && now - k.since > std::max(bounds_.forgiven_after, bounds_.trust_most);
-        at = forgotten ? known_.erase(at) : std::next(at);
+        // Bounds the table: names that never return are erased.
+        const bool is_expired = entry.state == RegistrationState::removed &&
+                                now - entry.changed_at > std::max(bounds_.forgiven_after, bounds_.trust_most);
+        found = is_expired ? entries_.erase(found) : std::next(found);
     }
 }
 
 double ServiceRegistrations::next_at() const {
     double next = std::numeric_limits<double>::infinity();
-    for (const auto& [name, k] : known_) {
-        const bool waits = k.state == State::waiting || (k.state == State::doubted && connected_);
-        if (waits) next = std::min(next, k.waits_until);
+    for (const auto& [name, entry] : entries_) {
+        const bool has_timer = entry.state == RegistrationState::waiting ||
+                               (entry.state == RegistrationState::suspect && connected_);
+        if (has_timer) next = std::min(next, entry.wait_ends_at);
     }
     return next;
 }
 
-void ServiceRegistrations::tell(Known& k, EndpointState standing, bool fresh) {
-    // Event that nobody has taken yet is overtaken by this.
+void ServiceRegistrations::report(Entry& entry, EndpointState standing, bool fresh) {
+    // Supersedes a change of the same registration that has not been taken yet.
     std::erase_if(changes_, [&](const RegistrationChange& c) {
-        const bool same = c.who.name == k.registration.name;
-        if (same && c.fresh && standing == EndpointState::ready) fresh = true;
-        return same;
+        const bool is_same = c.who.name == entry.registration.name;
+        if (is_same && c.fresh && standing == EndpointState::ready) fresh = true;
+        return is_same;
     });
-    changes_.push_back({k.registration, standing, fresh});
+    changes_.push_back({entry.registration, standing, fresh});
 }
 
 std::vector<RegistrationChange> ServiceRegistrations::take_changes() { return std::exchange(changes_, {}); }
 
 std::size_t ServiceRegistrations::standing() const {
-    return static_cast<std::size_t>(std::count_if(known_.begin(), known_.end(), [](const auto& one) {
-        return one.second.state == State::ready || one.second.state == State::doubted;
+    return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [](const auto& one) {
+        return one.second.state == RegistrationState::ready || one.second.state == RegistrationState::suspect;
     }));
 }
 
 std::size_t ServiceRegistrations::doubted() const {
-    return static_cast<std::size_t>(std::count_if(
-        known_.begin(), known_.end(), [](const auto& one) { return one.second.state == State::doubted; }));
+    return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [](const auto& one) {
+        return one.second.state == RegistrationState::suspect;
+    }));
 }
 
-double ServiceRegistrations::age(double now) const { return connected_ || order_ < 0 ? 0 : now - lost_at_; }
+double ServiceRegistrations::age(double now) const {
+    return connected_ || last_order_ < 0 ? 0 : now - disconnected_at_;
+}
 
 }  // namespace brookrelay
