--- a/src/config/deployment.h
+++ b/src/config/deployment.h
@@ -1,5 +1,7 @@
-// Decodes the `settings` that a node or a simulated instance is given at its start. Both programs read them
-// here and nowhere else. It keeps names apart from the Deployment: the module is never told any.
+// Decodes the `settings` object that a node or a simulated instance gets at its start.
+//
+// Durations are in microseconds in the file and in seconds in Deployment. Names are kept apart from it: the
+// balancer works with indices only. Errors are thrown as ConfigurationError, which names the faulty field.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -12,16 +14,19 @@
 
 namespace brookrelay {
 
-// What the indices in Deployment, Listing and Arrival stand for.
+// The names behind the indices in Deployment, Endpoint and Request.
 struct Names {
     std::vector<std::string> zones, kinds, operations, tenants;
     bool operator==(const Names&) const = default;
 };
-int index_of(const std::vector<std::string>& names, std::string_view name);  // -1: there is none
+// The index of `name`, or -1 if it is not there.
+int index_of(const std::vector<std::string>& names, std::string_view name);
 
+// Throws ConfigurationError.
 Deployment read_deployment(const rapidjson::Value& settings);
-// The words are the same on the wire of the simulator and in discovery.
+// The simulator's protocol and discovery use the same words. Throws ConfigurationError.
 EndpointState parse_endpoint_state(const rapidjson::Value& value, const char* name);
+// Throws ConfigurationError, also for a duplicate name.
 Names read_names(const rapidjson::Value& settings);
 
 }  // namespace brookrelay
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,5 +1,5 @@
-// Typed reading of JSON values, with complaints that name the faulty key. It owns nothing and never fills in
-// a value that was given but is of the wrong type.
+// Typed access to JSON values. A value of the wrong type is an error and never replaced by a default: all
+// functions throw ConfigurationError, which names the faulty field.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -13,33 +13,40 @@
 
 namespace brookrelay {
 
+// A configuration or message that cannot be used; what() names the field.
 struct ConfigurationError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// The member, or null if it is missing or JSON null.
 const rapidjson::Value* find(const rapidjson::Value& object, const char* name);
+// The member, which has to be there; need_list() also requires an array.
 const rapidjson::Value& need(const rapidjson::Value& object, const char* name);
 const rapidjson::Value& need_list(const rapidjson::Value& object, const char* name);
+// The readers of members return `otherwise` if the member is missing.
 double number(const rapidjson::Value& value, const char* name);
 double number(const rapidjson::Value& object, const char* name, double otherwise);
-double seconds(const rapidjson::Value& object, const char* name, double otherwise = 0);  // given in us
-double duration(const rapidjson::Value& object, const char* name);  // the same, 0 if untold, never under 0
+// Microseconds in the file, seconds in the result; duration() is 0 if missing, and rejects negative values.
+double seconds(const rapidjson::Value& object, const char* name, double otherwise = 0);
+double duration(const rapidjson::Value& object, const char* name);
 std::int64_t whole(const rapidjson::Value& value, const char* name);
 int small(const rapidjson::Value& object, const char* name, int otherwise);
 bool flag(const rapidjson::Value& object, const char* name, bool otherwise = false);
 std::string_view text(const rapidjson::Value& value, const char* name);
 
+// The words that a field may hold, each with its value.
 template <typename T, std::size_t N>
 using Words = std::array<std::pair<std::string_view, T>, N>;
 
+// The value of the word that the field holds.
 template <typename T, std::size_t N>
 T word(const rapidjson::Value& value, const char* name, const Words<T, N>& words) {
-    const std::string_view said = text(value, name);
+    const std::string_view found = text(value, name);
     for (const auto& [known, meaning] : words) {
-        if (known == said) return meaning;
+        if (known == found) return meaning;
     }
-    throw ConfigurationError(std::string("field '") + name + "' has the unknown value '" + std::string(said) +
-                             "'");
+    throw ConfigurationError(std::string("field '") + name + "' has the unknown value '" +
+                             std::string(found) + "'");
 }
 
 }  // namespace brookrelay
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -15,17 +15,17 @@
 
 using rapidjson::Value;
 
-constexpr int kDescriptorsUntold = 1024;
-constexpr int kMemoryUntold = 192;
-constexpr int kMemoryLeast = 16;       // the program itself takes some 4
-constexpr int kDescriptorsLeast = 32;  // with fewer there is no room for clients, caches and the origin
-
-int named(const std::vector<std::string>& names, const Value& server, const char* field) {
-    const std::string_view said = text(need(server, field), field);
-    const int index = index_of(names, said);
+constexpr int kDefaultDescriptors = 1024;
+constexpr int kDefaultMemoryMb = 192;
+constexpr int kMinMemoryMb = 16;     // the program itself takes some 4
+constexpr int kMinDescriptors = 32;  // for clients, servers and the origin
+
+int read_name_index(const std::vector<std::string>& names, const Value& server, const char* field) {
+    const std::string_view name = text(need(server, field), field);
+    const int index = index_of(names, name);
     if (index < 0) {
         throw ConfigurationError(std::string("field '") + field + "' names the unknown '" +
-                                 std::string(said) + "'");
+                                 std::string(name) + "'");
     }
     return index;
 }
@@ -43,11 +43,11 @@
     EndpointRecord s;
     s.name = text(need(entry, "host"), "host");
     s.state = parse_endpoint_state(need(entry, "health"), "health");
-    // Event that a server drains or is gone counts even if it says nothing else.
+    // A draining or removed server needs no fields but its name and state.
     const bool all = s.state == EndpointState::ready;
     if (all || find(entry, "dial") != nullptr) s.address = read_address(entry, "dial");
-    if (all || find(entry, "site") != nullptr) s.zone = named(names.zones, entry, "site");
-    if (all || find(entry, "class") != nullptr) s.kind = named(names.kinds, entry, "class");
+    if (all || find(entry, "site") != nullptr) s.zone = read_name_index(names.zones, entry, "site");
+    if (all || find(entry, "class") != nullptr) s.kind = read_name_index(names.kinds, entry, "class");
     s.cell = small(entry, "block", all ? 0 : -1);
     s.weight = number(entry, "share", 0);
     if (s.weight < 0) throw ConfigurationError("field 'share' is under 0");
@@ -62,18 +62,18 @@
     return seed;
 }
 
-// A list of servers is news, and says as much of each as there is to say.
-constexpr std::string_view kNews = "known.hosts";
+// The endpoint list changes at run time, so its keys are not part of the comparison at a reload.
+constexpr std::string_view kEndpointListPath = "known.hosts";
 
-void give_keys(const Value& value, const std::string& path, GivenKeys& given) {
-    if (path == kNews) return;
+void collect_keys(const Value& value, const std::string& path, GivenKeys& given) {
+    if (path == kEndpointListPath) return;
     if (value.IsArray()) {
         for (const Value& entry : value.GetArray()) {
             if (!entry.IsObject()) continue;
-            give_keys(entry, path + "[]", given);
+            collect_keys(entry, path + "[]", given);
             const auto effect = entry.FindMember("repeat");
             if (effect == entry.MemberEnd() || !effect->value.IsString()) continue;
-            give_keys(entry, path + "[" + effect->value.GetString() + "]", given);
+            collect_keys(entry, path + "[" + effect->value.GetString() + "]", given);
         }
         return;
     }
@@ -81,21 +81,21 @@
     std::set<std::string> keys;
     for (const auto& member : value.GetObject()) {
         const std::string key(member.name.GetString(), member.name.GetStringLength());
-        // Which of the two would count is chance.
+        // It would be undefined which of the two counts.
         if (!keys.insert(key).second) throw ConfigurationError("key '" + key + "' stands twice");
         if (member.value.IsNull()) keys.erase(key);
-        give_keys(member.value, path.empty() ? key : path + "." + key, given);
+        collect_keys(member.value, path.empty() ? key : path + "." + key, given);
     }
     const auto [at, first] = given.try_emplace(path, keys);
     if (!first) std::erase_if(at->second, [&keys](const std::string& key) { return !keys.contains(key); });
 }
 
-// The first key that the one gives and the other lacks; empty: none.
-std::string key_lacking(const GivenKeys& running, const GivenKeys& wanted) {
+// The first key that `running` gives and `wanted` lacks; empty if there is none.
+std::string first_missing_key(const GivenKeys& running, const GivenKeys& wanted) {
     for (const auto& [path, keys] : running) {
         const auto there = wanted.find(path);
         if (there == wanted.end())
-            continue;  // the key that leads there is lacking, or no entry is of that effect
+            continue;  // the parent key is reported as missing, or no operation has that idempotency
         for (const std::string& key : keys) {
             if (!there->second.contains(key)) return path.empty() ? key : path + "." + key;
         }
@@ -103,6 +103,59 @@
     return {};
 }
 
+rapidjson::Document parse_file(const std::string& path) {
+    std::ifstream file(path);
+    if (!file) throw ConfigurationError("cannot read the file");
+    const std::string content{std::istreambuf_iterator<char>(file), {}};
+    rapidjson::Document root;
+    root.Parse(content.data(), content.size());
+    if (root.HasParseError()) {
+        throw ConfigurationError(std::string("not JSON: ") +
+                                 rapidjson::GetParseError_En(root.GetParseError()));
+    }
+    return root;
+}
+
+void read_addresses(const Value& root, NodeConfig& config) {
+    config.listen = read_address(root, "listen");
+    config.discovery = read_address(root, "discovery");
+    if (find(root, "management") != nullptr) config.admin_listen = read_address(root, "management");
+    if (find(root, "peer_listen") != nullptr) config.peer_listen = read_address(root, "peer_listen");
+    if (find(root, "peers") == nullptr) return;
+    for (const Value& peer : need_list(root, "peers").GetArray()) {
+        config.peers.emplace_back(text(peer, "peers"));
+        if (!parse_address(config.peers.back())) {
+            throw ConfigurationError("field 'peers' holds no address and port: '" + config.peers.back() +
+                                     "'");
+        }
+    }
+}
+
+void read_limits(const Value& root, NodeConfig& config) {
+    config.descriptors = kDefaultDescriptors;
+    config.memory_mb = kDefaultMemoryMb;
+    const Value* limits = find(root, "limits");
+    if (limits == nullptr) return;
+    config.descriptors = small(*limits, "sockets", kDefaultDescriptors);
+    if (config.descriptors < kMinDescriptors) {
+        throw ConfigurationError("field 'limits.sockets' is under " + std::to_string(kMinDescriptors));
+    }
+    config.memory_mb = small(*limits, "memory_mb", kDefaultMemoryMb);
+    if (config.memory_mb < kMinMemoryMb) {
+        throw ConfigurationError("field 'limits.memory_mb' is under " + std::to_string(kMinMemoryMb));
+    }
+}
+
+void read_settings(const Value& settings, NodeConfig& config) {
+    config.deployment = read_deployment(settings);
+    config.names = read_names(settings);
+    if (const Value* permissions = find(settings, "permissions"))
+        config.max_open_requests = small(*permissions, "max_open", 0);
+    if (const Value* prices = find(settings, "prices"))
+        config.gossip_price = std::max(0.0, number(*prices, "peer", 0));
+    if (config.deployment.operations.empty()) throw ConfigurationError("field 'operations' is empty");
+}
+
 }  // namespace
 
 EndpointUpdate parse_endpoint_update(const Value& value, const Names& names) {
@@ -112,8 +165,8 @@
     for (const Value& entry : need_list(value, "hosts").GetArray()) {
         try {
             list.servers.push_back(read_server(entry, names));
-        } catch (const ConfigurationError& bad) {
-            list.errors.emplace_back(bad.what());
+        } catch (const ConfigurationError& error) {
+            list.errors.emplace_back(error.what());
         }
     }
     return list;
@@ -129,7 +182,7 @@
         return s.deployment.origin_kind >= 0 && kind < s.names.kinds.size() ? s.names.kinds[kind]
                                                                             : std::string();
     };
-    const std::string lacking = key_lacking(running.given_keys, wanted.given_keys);
+    const std::string lacking = first_missing_key(running.given_keys, wanted.given_keys);
     if (!lacking.empty()) return "key '" + lacking + "' is missing, which the running configuration has";
     const char* field = nullptr;
     if (wanted.listen != running.listen) field = "'listen'";
@@ -138,69 +191,35 @@
     if (wanted.memory_mb != running.memory_mb) field = "'limits.memory_mb'";
     if (zone(wanted) != zone(running)) field = "'az' (the node's own zone) in 'settings'";
     if (wanted.deployment.node_index != running.deployment.node_index) field = "'my_number' in 'settings'";
-    // Forwards that are out there are counted as the origin's, and reads wait for them.
+    // Attempts in flight are accounted to the origin, and reads wait for them.
     if (origin(wanted) != origin(running)) field = "'specifics.origin_kind' in 'settings'";
     if (field == nullptr) return {};
     return std::string("field ") + field + " cannot change while the node runs";
 }
 
 NodeConfig read_node_config(const std::string& path) {
-    std::ifstream file(path);
-    if (!file) throw ConfigurationError("cannot read the file");
-    const std::string content{std::istreambuf_iterator<char>(file), {}};
-    rapidjson::Document root;
-    root.Parse(content.data(), content.size());
-    if (root.HasParseError()) {
-        throw ConfigurationError(std::string("not JSON: ") +
-                                 rapidjson::GetParseError_En(root.GetParseError()));
-    }
+    const rapidjson::Document root = parse_file(path);
     if (!root.IsObject()) throw ConfigurationError("the configuration is not an object");
-    NodeConfig s;
-    give_keys(root, {}, s.given_keys);
-    s.name = text(need(root, "name"), "name");
-    s.listen = read_address(root, "listen");
-    s.discovery = read_address(root, "discovery");
-    if (find(root, "management") != nullptr) s.admin_listen = read_address(root, "management");
-    if (find(root, "peer_listen") != nullptr) s.peer_listen = read_address(root, "peer_listen");
-    if (find(root, "peers") != nullptr) {
-        for (const Value& peer : need_list(root, "peers").GetArray()) {
-            s.peers.emplace_back(text(peer, "peers"));
-            if (!parse_address(s.peers.back()))
-                throw ConfigurationError("field 'peers' holds no address and port: '" + s.peers.back() + "'");
-        }
-    }
-    s.seed = read_seed(need(root, "seed"));
-    s.descriptors = kDescriptorsUntold;
-    s.memory_mb = kMemoryUntold;
-    if (const Value* limits = find(root, "limits")) {
-        s.descriptors = small(*limits, "sockets", kDescriptorsUntold);
-        if (s.descriptors < kDescriptorsLeast) {
-            throw ConfigurationError("field 'limits.sockets' is under " + std::to_string(kDescriptorsLeast));
-        }
-        s.memory_mb = small(*limits, "memory_mb", kMemoryUntold);
-        if (s.memory_mb < kMemoryLeast) {
-            throw ConfigurationError("field 'limits.memory_mb' is under " + std::to_string(kMemoryLeast));
-        }
-    }
+    NodeConfig config;
+    collect_keys(root, {}, config.given_keys);
+    config.name = text(need(root, "name"), "name");
+    read_addresses(root, config);
+    config.seed = read_seed(need(root, "seed"));
+    read_limits(root, config);
     const Value& settings = need(root, "settings");
     try {
-        s.deployment = read_deployment(settings);
-        s.names = read_names(settings);
-        if (const Value* allowed = find(settings, "permissions"))
-            s.max_open_requests = small(*allowed, "max_open", 0);
-        if (const Value* prices = find(settings, "prices"))
-            s.gossip_price = std::max(0.0, number(*prices, "peer", 0));
-        if (s.deployment.operations.empty()) throw ConfigurationError("field 'operations' is empty");
-    } catch (const ConfigurationError& bad) {
-        throw ConfigurationError(std::string("in 'settings': ") + bad.what());
+        read_settings(settings, config);
+    } catch (const ConfigurationError& error) {
+        throw ConfigurationError(std::string("in 'settings': ") + error.what());
     }
     try {
-        s.cached_endpoints = parse_endpoint_update(need(root, "known"), s.names);
-        if (!s.cached_endpoints.errors.empty()) throw ConfigurationError(s.cached_endpoints.errors.front());
-    } catch (const ConfigurationError& bad) {
-        throw ConfigurationError(std::string("in 'known': ") + bad.what());
+        config.cached_endpoints = parse_endpoint_update(need(root, "known"), config.names);
+        if (!config.cached_endpoints.errors.empty())
+            throw ConfigurationError(config.cached_endpoints.errors.front());
+    } catch (const ConfigurationError& error) {
+        throw ConfigurationError(std::string("in 'known': ") + error.what());
     }
-    return s;
+    return config;
 }
 
 }  // namespace brookrelay
--- a/src/config/node_config.h
+++ b/src/config/node_config.h
@@ -1,5 +1,6 @@
-// What one node is told at its start, and discovery's list, which comes in the same form at the start and
-// later. Read and checked here alone; nothing of it changes once it has been read.
+// The configuration file of one node (the platform's JSON), and discovery's endpoint list, which has the same
+// form in the file and in later updates. The result does not change once it has been read. Errors are thrown
+// as ConfigurationError, which names the faulty field.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -15,51 +16,56 @@
 
 namespace brookrelay {
 
-// Of one that drains or is gone only the name need be told: an empty address and -1 mean "as it was".
+// One entry of the endpoint list. A draining or removed one may have only its name: an empty address and -1
+// mean "unchanged".
 struct EndpointRecord {
     std::string name;
-    std::string address;  // where this node finds it
+    std::string address;  // HOST:PORT, as reachable from this node
     int zone = -1;
     int kind = -1;
     int cell = -1;
-    double weight = 0;  // as `share` gives it; 0: not told
+    double weight = 0;  // the field `share`; 0: not given
     EndpointState state = EndpointState::ready;
-    double started_at = 0;  // wall clock; 0: long ago
+    double started_at = 0;  // wall clock, s; 0: long ago
 };
 
+// The endpoint list, or a change of it.
 struct EndpointUpdate {
     std::int64_t version = 0;
     bool is_full = false;
     std::vector<EndpointRecord> servers;
-    std::vector<std::string> errors;  // one for each entry that made no sense and was left out
+    std::vector<std::string> errors;  // one for each invalid entry, which is skipped
 };
 
-// The keys that a file gives, by the path to each object. Entries of a list may come and go, so of a list it
-// is the keys that all have, and of operations also those that all of one effect have.
+// The keys that a file gives, by the path to each object. Entries of a list may be added and removed, so a
+// list has the keys that all its entries have, and operations also those that all of one idempotency have.
 using GivenKeys = std::map<std::string, std::set<std::string>>;
 
+// All that one node is configured with.
 struct NodeConfig {
     std::string name;
     std::string listen;
     std::string discovery;
-    std::string admin_listen;        // where operators call; empty: nowhere
-    std::string peer_listen;         // where other nodes' datagrams come; empty: nowhere
-    std::vector<std::string> peers;  // a node of the tier each, by number, this one among them
-    double gossip_price = 0;         // of G for 256 bytes a first try, as the settings tell it
-    std::string state_folder;        // the folder that all processes of this node share; empty: there is none
+    std::string admin_listen;        // of the operators' interface; empty: none
+    std::string peer_listen;         // for gossip datagrams; empty: none
+    std::vector<std::string> peers;  // all nodes of the tier by index, with this one
+    double gossip_price = 0;         // of G for 256 bytes per first attempt, as in the settings
+    std::string state_folder;        // shared by all processes of this node; empty: none
     std::uint64_t seed = 0;
     int descriptors = 0;
     int memory_mb = 0;
-    int max_open_requests = 0;  // invocations that it may hold; 0: no limit is told
+    int max_open_requests = 0;  // 0: no limit is given
     Deployment deployment;
     Names names;
     EndpointUpdate cached_endpoints;
     GivenKeys given_keys;
 };
 
+// Skips invalid entries, and throws ConfigurationError if the list itself is invalid.
 EndpointUpdate parse_endpoint_update(const rapidjson::Value& list, const Names& names);
+// Throws ConfigurationError.
 NodeConfig read_node_config(const std::string& path);
-// Why a running node cannot take these settings in the place of those; empty: it can.
+// Why a running node cannot switch to `wanted`; empty if it can.
 std::string why_not_reloadable(const NodeConfig& running, const NodeConfig& wanted);
 
 }  // namespace brookrelay
--- a/src/config/registration.cpp
+++ b/src/config/registration.cpp
@@ -6,13 +6,14 @@
 namespace brookrelay {
 namespace {
 
-int named(const std::vector<std::string>& names, const rapidjson::Value& object, const char* field) {
-    const std::string_view said = text(need(object, field), field);
+int read_name_index(const std::vector<std::string>& names, const rapidjson::Value& object,
+                    const char* field) {
+    const std::string_view name = text(need(object, field), field);
     if (names.empty()) return 0;
-    const int index = index_of(names, said);
+    const int index = index_of(names, name);
     if (index < 0)
         throw ConfigurationError(std::string("field '") + field + "' names the unknown '" +
-                                 std::string(said) + "'");
+                                 std::string(name) + "'");
     return index;
 }
 
@@ -22,15 +23,16 @@
     rapidjson::Document root;
     root.Parse(data.data(), data.size());
     if (root.HasParseError() || !root.IsObject()) throw ConfigurationError("the data is not a JSON object");
-    Registration r;
-    r.address = text(need(root, "address"), "address");
-    if (!parse_address(r.address))
-        throw ConfigurationError("field 'address' is not an address and port: '" + r.address + "'");
-    r.zone = named(names.zones, root, "zone");
-    r.kind = named(names.kinds, root, "kind");
-    r.cell = small(root, "cell", 0);
-    r.started = number(root, "started_ms", 0) / 1e3;
-    return r;
+    Registration registration;
+    registration.address = text(need(root, "address"), "address");
+    if (!parse_address(registration.address))
+        throw ConfigurationError("field 'address' is not an address and port: '" + registration.address +
+                                 "'");
+    registration.zone = read_name_index(names.zones, root, "zone");
+    registration.kind = read_name_index(names.kinds, root, "kind");
+    registration.cell = small(root, "cell", 0);
+    registration.started = number(root, "started_ms", 0) / 1e3;
+    return registration;
 }
 
 }  // namespace brookrelay
--- a/src/config/registration.h
+++ b/src/config/registration.h
@@ -1,4 +1,4 @@
-// What a registration's data says: one JSON object. Read and checked here alone.
+// Decodes the data of a service registration: one JSON object.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace brookrelay {
 
-// {"address": "HOST:PORT", "zone": NAME, "kind": NAME, "cell": 0, "started_ms": 0}. Throws BadInput naming
-// the field. Where `names` knows no zones or kinds at all, any is taken.
+// {"address": "HOST:PORT", "zone": NAME, "kind": NAME, "cell": 0, "started_ms": 0}. Throws
+// ConfigurationError naming the field. Where `names` has no zones or no kinds, any name is accepted.
 Registration read_registration(std::string_view data, const Names& names);
 
 }  // namespace brookrelay
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -12,16 +12,16 @@
 using Table = TomlFile::Table;
 
 constexpr double kHour = 3600;
-constexpr int kServersMost = 400;  // and nodes: what one machine's loopback can play at all
-constexpr int kNodesMost = 64;
-constexpr double kRateMost = 200000;
-constexpr double kArrivalsMost = 5e6;  // of a day: each is kept until the day is judged
+constexpr int kMaxServers = 400;  // and kMaxNodes: what one machine's loopback can carry
+constexpr int kMaxNodes = 64;
+constexpr double kMaxRate = 200000;
+constexpr double kMaxArrivals = 5e6;  // of one day; all are kept in memory until the evaluation
 
 enum class Who { nobody, servers, tenants, node, nodes, links };
 struct TroubleRow {
     const char* word;
     Who who;
-    bool lasts;  // needs a time
+    bool lasts;  // needs a duration
 };
 constexpr TroubleRow kTroubles[] = {{"silent", Who::servers, true},
                                     {"crash", Who::servers, false},
@@ -66,7 +66,7 @@
 void read_kind(Table& t, Scenario& s) {
     ServerKind k;
     k.name = t.text("name", k.name);
-    k.count = static_cast<int>(t.whole("count", k.count, 1, kServersMost));
+    k.count = static_cast<int>(t.whole("count", k.count, 1, kMaxServers));
     k.slots = static_cast<int>(t.whole("slots", k.slots, 1, 1024));
     k.queue = static_cast<int>(t.whole("queue", k.queue, 0, 100000));
     k.speed = t.number("speed", k.speed, 0.01, 1000);
@@ -90,7 +90,7 @@
 }
 
 void read_node(Table& t, Scenario& s) {
-    s.nodes = static_cast<int>(t.whole("count", s.nodes, 1, kNodesMost));
+    s.nodes = static_cast<int>(t.whole("count", s.nodes, 1, kMaxNodes));
     s.node_memory_mb = static_cast<int>(t.whole("memory_mb", s.node_memory_mb, 16, 65536));
     s.node_descriptors = static_cast<int>(t.whole("descriptors", s.node_descriptors, 32, 65536));
     s.most_forwards = static_cast<int>(t.whole("most_forwards", s.most_forwards, 1, 100));
@@ -150,7 +150,7 @@
 }
 
 void read_clients(Table& t, ClientsPlan& c) {
-    c.rate = t.number("rate", c.rate, 0.1, kRateMost);
+    c.rate = t.number("rate", c.rate, 0.1, kMaxRate);
     c.curve = t.curve("curve");
     c.retries = static_cast<int>(t.whole("retries", c.retries, 0, 20));
     c.wait = t.duration("wait", c.wait, 0.001, 60);
@@ -175,29 +175,37 @@
     return false;
 }
 
-// Who is meant by a trouble of the links or of several nodes.
-void read_links(Table& t, const Scenario& s, const TroubleRow& row, Trouble& trouble) {
+std::string suggestion(const std::string& name, const std::vector<std::string>& known) {
+    const std::string meant = nearest(name, known);
+    return meant.empty() ? "" : "; did you mean '" + meant + "'?";
+}
+
+bool contains(const std::vector<std::string>& names, const std::string& name) {
+    return std::find(names.begin(), names.end(), name) != names.end();
+}
+
+// The ends of the links that a trouble strikes: zones, nodes or servers.
+void read_link_ends(Table& t, const Scenario& s, const TroubleRow& row, Trouble& trouble) {
     const bool links = row.who == Who::links;
     trouble.from = t.texts("from");
     trouble.to = t.texts("to");
     trouble.one_way = t.flag("one_way", false);
-    trouble.delay = t.duration(
-        "delay", trouble.kind == TroubleKind::late || trouble.kind == TroubleKind::reordered ? 0.5 : 0, 0,
-        s.length);
+    const bool delays = trouble.kind == TroubleKind::late || trouble.kind == TroubleKind::reordered;
+    trouble.delay = t.duration("delay", delays ? 0.5 : 0, 0, s.length);
+    const std::vector<std::string> servers = s.server_names();
     for (const auto& [key, names] : {std::pair{"from", &trouble.from}, std::pair{"to", &trouble.to}}) {
         if (!links && !names->empty()) t.complain(key, std::string("'") + row.word + "' strikes no links");
         for (const std::string& name : *names) {
-            const std::vector<std::string> servers = s.server_names();
-            if (is_node(name, s) || std::find(s.zones.begin(), s.zones.end(), name) != s.zones.end())
-                continue;
-            if (std::find(servers.begin(), servers.end(), name) != servers.end()) continue;
-            const std::string meant = nearest(name, s.zones);
-            t.complain(key, "there is no zone, node or server '" + name + "'" +
-                                (meant.empty() ? "" : "; did you mean '" + meant + "'?"));
+            if (is_node(name, s) || contains(s.zones, name) || contains(servers, name)) continue;
+            t.complain(key, "there is no zone, node or server '" + name + "'" + suggestion(name, s.zones));
         }
     }
     if (links && trouble.from.empty())
         t.complain("from", std::string("is missing; '") + row.word + "' needs zones, nodes or servers");
+}
+
+// The nodes that a trouble strikes together; without a list, the one of `node`.
+void read_trouble_nodes(Table& t, const Scenario& s, const TroubleRow& row, Trouble& trouble) {
     for (const std::string& name : t.texts("nodes")) {
         if (row.who != Who::nodes)
             t.complain("nodes", std::string("'") + row.word + "' strikes no nodes together");
@@ -211,35 +219,32 @@
     if (trouble.nodes.empty()) trouble.nodes = {trouble.node};
 }
 
-void read_trouble(Table& t, Scenario& s) {
-    Trouble trouble;
-    const std::size_t kind = t.word("what", 0, trouble_words());
-    if (!t.has("what")) t.complain("what", "is missing; expected a kind of trouble");
-    trouble.kind = static_cast<TroubleKind>(kind);
-    const TroubleRow& row = kTroubles[kind];
+void read_trouble_time(Table& t, const Scenario& s, const TroubleRow& row, Trouble& trouble) {
     trouble.at = t.duration("at", 0, 0, s.length);
     if (!t.has("at")) t.complain("at", "is missing; expected a time of the day, such as \"10s\"");
     trouble.lasts = t.duration("lasts", 0, 0.01, s.length);
     if (row.lasts && !t.has("lasts"))
         t.complain("lasts", std::string("is missing; '") + row.word + "' needs it");
-    trouble.factor = t.number("factor", trouble.factor, 0.001, 1e6);
-    trouble.part = t.number("part", trouble.part, 0, 1);
-    trouble.count = static_cast<int>(t.whole("count", trouble.count, 1, 500));
-    trouble.node = static_cast<int>(t.whole("node", 0, 0, s.nodes - 1));
-    trouble.who = t.texts("who");
-    trouble.origin = t.number("origin", 0, 1, 1e6);
+}
+
+void check_trouble_limits(Table& t, const Scenario& s, const TroubleRow& row, const Trouble& trouble) {
     const bool limits = trouble.kind == TroubleKind::limits;
     if (limits != t.has("origin"))
         t.complain("origin", limits ? "is missing; 'limits' needs the origin's limit from then on"
                                     : std::string("'") + row.word + "' sets no limit");
     if (limits && s.talk_origin <= 0)
         t.complain("what", "'limits' needs a limit to begin with: node.talk_origin");
-    read_links(t, s, row, trouble);
+}
+
+// Checks the names of the servers or tenants that a trouble strikes.
+void check_trouble_targets(Table& t, const Scenario& s, const TroubleRow& row, const Trouble& trouble) {
     std::vector<std::string> known;
-    if (row.who == Who::servers) known = s.server_names();
-    if (row.who == Who::servers) known.pop_back();  // the origin has troubles of its own
+    if (row.who == Who::servers) {
+        known = s.server_names();
+        known.pop_back();  // the origin has troubles of its own
+    }
     if (row.who == Who::tenants) {
-        for (const TenantPlan& one : s.tenants) known.push_back(one.name);
+        for (const TenantPlan& tenant : s.tenants) known.push_back(tenant.name);
     }
     if (known.empty() && !trouble.who.empty())
         t.complain("who", std::string("'") + row.word + "' strikes nobody by name");
@@ -247,16 +252,32 @@
         t.complain("who", std::string("is missing; '") + row.word + "' needs a list of names");
     }
     for (const std::string& name : trouble.who) {
-        if (known.empty() || std::find(known.begin(), known.end(), name) != known.end()) continue;
-        const std::string meant = nearest(name, known);
-        t.complain("who",
-                   "there is no '" + name + "'" + (meant.empty() ? "" : "; did you mean '" + meant + "'?"));
+        if (known.empty() || contains(known, name)) continue;
+        t.complain("who", "there is no '" + name + "'" + suggestion(name, known));
     }
+}
+
+void read_trouble(Table& t, Scenario& s) {
+    Trouble trouble;
+    const std::size_t kind = t.word("what", 0, trouble_words());
+    if (!t.has("what")) t.complain("what", "is missing; expected a kind of trouble");
+    trouble.kind = static_cast<TroubleKind>(kind);
+    const TroubleRow& row = kTroubles[kind];
+    read_trouble_time(t, s, row, trouble);
+    trouble.factor = t.number("factor", trouble.factor, 0.001, 1e6);
+    trouble.part = t.number("part", trouble.part, 0, 1);
+    trouble.count = static_cast<int>(t.whole("count", trouble.count, 1, 500));
+    trouble.node = static_cast<int>(t.whole("node", 0, 0, s.nodes - 1));
+    trouble.who = t.texts("who");
+    trouble.origin = t.number("origin", 0, 1, 1e6);
+    check_trouble_limits(t, s, row, trouble);
+    read_link_ends(t, s, row, trouble);
+    read_trouble_nodes(t, s, row, trouble);
+    check_trouble_targets(t, s, row, trouble);
     s.troubles.push_back(trouble);
 }
 
-void look_at_whole(Table& root, Scenario& s) {
-    if (s.kinds.empty()) s.kinds.emplace_back();
+void check_servers(Table& root, const Scenario& s) {
     int servers = 0;
     std::set<std::string> names{"origin"};
     for (const ServerKind& k : s.kinds) {
@@ -264,16 +285,19 @@
         if (!names.insert(k.name).second)
             root.complain("server", "expected names that differ, found '" + k.name + "' again");
     }
-    if (servers > kServersMost) {
-        root.complain("server", "expected " + std::to_string(kServersMost) + " servers at the most, found " +
+    if (servers > kMaxServers) {
+        root.complain("server", "expected " + std::to_string(kMaxServers) + " servers at the most, found " +
                                     std::to_string(servers));
     }
+}
+
+void check_operations(Table& root, const Scenario& s) {
     if (s.operations.empty()) root.complain("operation", "expected at least one entry [[operation]]");
-    std::set<std::string> operations;
+    std::set<std::string> names;
     double share = 0;
     for (const OperationPlan& o : s.operations) {
         share += o.share;
-        if (!operations.insert(o.name).second) {
+        if (!names.insert(o.name).second) {
             root.complain("operation", "expected names that differ, found '" + o.name + "' again");
         }
         if (o.name.find_first_of(" ,=\r\n") != std::string::npos) {
@@ -283,19 +307,43 @@
     }
     if (!s.operations.empty() && share <= 0)
         root.complain("operation", "expected a share above 0 in one of them");
-    double most = s.clients.curve.empty() ? 1 : 0;
-    for (const auto& [time, value] : s.clients.curve) most = std::max(most, value);
-    if (s.clients.rate * most * s.length > kArrivalsMost) {
+}
+
+void check_arrivals(Table& root, const Scenario& s) {
+    double peak = s.clients.curve.empty() ? 1 : 0;
+    for (const auto& [time, value] : s.clients.curve) peak = std::max(peak, value);
+    if (s.clients.rate * peak * s.length > kMaxArrivals) {
         root.complain("clients", "expected no more than 5000000 arrivals in a day, found up to " +
-                                     std::to_string(std::llround(s.clients.rate * most * s.length)));
+                                     std::to_string(std::llround(s.clients.rate * peak * s.length)));
+    }
+}
+
+void check_warming(Table& root, const Scenario& s) {
+    if (s.warm_within <= 0) return;
+    for (const ServerKind& k : s.kinds) {
+        if (k.warm_after <= s.warm_within) continue;
+        root.complain("server", "expected kind '" + k.name + "' to be warm after no more than " +
+                                    "guarantees.warm_within (" + duration_text(s.warm_within) + "), found " +
+                                    duration_text(k.warm_after));
     }
-    if (s.warm_within > 0) {
-        for (const ServerKind& k : s.kinds) {
-            if (k.warm_after > s.warm_within) {
-                root.complain("server", "expected kind '" + k.name + "' to be warm after no more than " +
-                                            "guarantees.warm_within (" + duration_text(s.warm_within) +
-                                            "), found " + duration_text(k.warm_after));
-            }
+}
+
+void read_discovery(Table& t, Scenario& s) {
+    s.discovery_lag = t.duration("lag", s.discovery_lag, 0, 60);
+    s.discovery_asked = t.flag("asked", s.discovery_asked);
+    s.ask_every = t.duration("ask_every", s.ask_every, 0.1, kHour);
+    s.discovery_calls = t.number("calls", s.discovery_calls, 0, 1e6);
+}
+
+void read_tenant(Table& t, Scenario& s) {
+    TenantPlan& tenant = s.tenants.emplace_back(
+        TenantPlan{t.needed_text("name"), t.number("share", 1, 0, 1e6), t.number("quota", 0, 0, 1e9)});
+    tenant.nodes = t.texts("nodes");
+    tenant.then = t.texts("then");
+    tenant.moves = t.duration("moves", 0, 0, 1e6);
+    for (const auto& [key, names] : {std::pair{"nodes", &tenant.nodes}, std::pair{"then", &tenant.then}}) {
+        for (const std::string& name : *names) {
+            if (!is_node(name, s)) t.complain(key, "there is no node '" + name + "'");
         }
     }
 }
@@ -365,29 +413,17 @@
         root.table("node", [&](Table& t) { read_node(t, s); });
         root.each("server", [&](Table& t) { read_kind(t, s); });
         root.table("origin", [&](Table& t) { read_origin(t, s.origin); });
-        root.table("discovery", [&](Table& t) {
-            s.discovery_lag = t.duration("lag", s.discovery_lag, 0, 60);
-            s.discovery_asked = t.flag("asked", s.discovery_asked);
-            s.ask_every = t.duration("ask_every", s.ask_every, 0.1, kHour);
-            s.discovery_calls = t.number("calls", s.discovery_calls, 0, 1e6);
-        });
+        root.table("discovery", [&](Table& t) { read_discovery(t, s); });
         root.table("guarantees", [&](Table& t) { read_guarantees(t, s); });
         root.each("operation", [&](Table& t) { read_operation(t, s); });
-        root.each("tenant", [&](Table& t) {
-            TenantPlan& one = s.tenants.emplace_back(TenantPlan{
-                t.needed_text("name"), t.number("share", 1, 0, 1e6), t.number("quota", 0, 0, 1e9)});
-            one.nodes = t.texts("nodes");
-            one.then = t.texts("then");
-            one.moves = t.duration("moves", 0, 0, 1e6);
-            for (const char* key : {"nodes", "then"}) {
-                for (const std::string& name : key[0] == 'n' ? one.nodes : one.then) {
-                    if (!is_node(name, s)) t.complain(key, "there is no node '" + name + "'");
-                }
-            }
-        });
+        root.each("tenant", [&](Table& t) { read_tenant(t, s); });
         root.table("clients", [&](Table& t) { read_clients(t, s.clients); });
         root.table("keys", [&](Table& t) { read_keys(t, s.keys); });
-        look_at_whole(root, s);
+        if (s.kinds.empty()) s.kinds.emplace_back();
+        check_servers(root, s);
+        check_operations(root, s);
+        check_arrivals(root, s);
+        check_warming(root, s);
         root.each("trouble", [&](Table& t) { read_trouble(t, s); });
     });
     file.throw_if_wrong();
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -11,9 +11,9 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kNearEnough = 3;  // edits; more is another word
+constexpr std::size_t kMaxSuggestionDistance = 3;  // edits; a word further away is not suggested
 
-std::size_t edits(std::string_view a, std::string_view b) {
+std::size_t edit_distance(std::string_view a, std::string_view b) {
     std::vector<std::size_t> row(b.size() + 1);
     for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
     for (std::size_t i = 1; i <= a.size(); ++i) {
@@ -29,9 +29,9 @@
 }
 
 std::string number_text(double value) {
-    char room[32];
-    std::snprintf(room, sizeof room, "%g", value);
-    return room;
+    char buffer[32];
+    std::snprintf(buffer, sizeof buffer, "%g", value);
+    return buffer;
 }
 
 std::string kind_of(const toml::node& node) {
@@ -49,9 +49,9 @@
 
 std::string nearest(std::string_view word, const std::vector<std::string>& known) {
     std::string best;
-    std::size_t least = std::min(kNearEnough, word.size() / 2 + 1) + 1;
+    std::size_t least = std::min(kMaxSuggestionDistance, word.size() / 2 + 1) + 1;
     for (const std::string& k : known) {
-        const std::size_t distance = edits(word, k);
+        const std::size_t distance = edit_distance(word, k);
         if (distance < least) {
             least = distance;
             best = k;
@@ -96,15 +96,15 @@
     }
     try {
         root_ = toml::parse(content.str(), path);
-    } catch (const toml::parse_error& bad) {
+    } catch (const toml::parse_error& error) {
         throw ConfigurationFileError(
-            complaint_text(path, bad.source().begin.line, "syntax", std::string(bad.description())));
+            complaint_text(path, error.source().begin.line, "syntax", std::string(error.description())));
     }
-    for (const std::string& assignment : overrides) put_over(assignment);
+    for (const std::string& assignment : overrides) apply_override(assignment);
 }
 
-// The value is parsed by TOML's own rules, so that durations want their quotes here as in the file.
-void TomlFile::put_over(const std::string& assignment) {
+// The value is parsed as TOML, so durations need their quotes here as in the file.
+void TomlFile::apply_override(const std::string& assignment) {
     const std::size_t equals = assignment.find('=');
     const std::string where = "--set " + assignment;
     if (equals == std::string::npos || equals == 0)
@@ -114,7 +114,7 @@
     try {
         parsed = toml::parse("value = " + given);
     } catch (const toml::parse_error&) {
-        // What a shell took the quotes off: a bare word is the text that it spells.
+        // The shell may have removed the quotes: a bare word is taken as a string.
         parsed.insert_or_assign("value", given);
     }
     toml::node* at = &root_;
@@ -147,7 +147,7 @@
 void TomlFile::read(const std::function<void(Table&)>& read_root) {
     Table root(*this, &root_, "");
     read_root(root);
-    root.look_for_unknown();
+    root.complain_unknown_keys();
 }
 
 void TomlFile::throw_if_wrong() const {
@@ -160,7 +160,7 @@
 // ---- one table ------------------------------------------------------------------------------------------
 
 const toml::node* TomlFile::Table::find(const std::string& key) {
-    asked_.insert(key);
+    known_keys_.insert(key);
     return table_ == nullptr ? nullptr : table_->get(key);
 }
 
@@ -174,12 +174,12 @@
     file_.complaints_.push_back(complaint_text(file_.path_, line_of(key), at(key), what));
 }
 
-void TomlFile::Table::look_for_unknown() {
+void TomlFile::Table::complain_unknown_keys() {
     if (table_ == nullptr) return;
-    const std::vector<std::string> known(asked_.begin(), asked_.end());
+    const std::vector<std::string> known(known_keys_.begin(), known_keys_.end());
     for (const auto& [key, node] : *table_) {
         const std::string name(key.str());
-        if (asked_.contains(name)) continue;
+        if (known_keys_.contains(name)) continue;
         const std::string meant = nearest(name, known);
         std::string list;
         for (const std::string& k : known) list += (list.empty() ? "" : ", ") + k;
@@ -261,13 +261,13 @@
                                   const std::vector<std::string>& words) {
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
-    const std::string said = node->value<std::string>().value_or("");
-    const auto found = std::find(words.begin(), words.end(), said);
+    const std::string found_word = node->value<std::string>().value_or("");
+    const auto found = std::find(words.begin(), words.end(), found_word);
     if (found != words.end()) return static_cast<std::size_t>(found - words.begin());
     std::string list;
     for (const std::string& w : words) list += (list.empty() ? "\"" : ", \"") + w + "\"";
-    const std::string meant = nearest(said, words);
-    complain(key, "expected one of " + list + ", found '" + said + "'" +
+    const std::string meant = nearest(found_word, words);
+    complain(key, "expected one of " + list + ", found '" + found_word + "'" +
                       (meant.empty() ? "" : "; did you mean '" + meant + "'?"));
     return otherwise;
 }
@@ -323,7 +323,7 @@
     }
     Table inner(file_, node == nullptr ? nullptr : node->as_table(), at(key));
     read(inner);
-    inner.look_for_unknown();
+    inner.complain_unknown_keys();
 }
 
 void TomlFile::Table::each(const std::string& key, const std::function<void(Table&)>& read) {
@@ -339,7 +339,7 @@
     for (const toml::node& one : *list) {
         Table inner(file_, one.as_table(), at(key) + "[" + std::to_string(index++) + "]");
         read(inner);
-        inner.look_for_unknown();
+        inner.complain_unknown_keys();
     }
 }
 
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -63,14 +63,14 @@
             : file_(file), table_(table), path_(std::move(path)) {}
         const toml::node* find(const std::string& key);
         std::string at(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
-        void look_for_unknown();
+        void complain_unknown_keys();
         bool check_range(const std::string& key, double value, double least, double most,
                          const std::function<std::string(double)>& say);
 
         TomlFile& file_;
         const toml::table* table_;
         std::string path_;
-        std::set<std::string> asked_;
+        std::set<std::string> known_keys_;
     };
 
     // Reads the file; a syntax error is thrown as BadFile at once. `overrides` are "path.to.key=value" in
@@ -85,7 +85,7 @@
     }
 
   private:
-    void put_over(const std::string& assignment);
+    void apply_override(const std::string& assignment);
     std::string path_;
     toml::table root_;
     std::vector<std::string> complaints_;
--- a/src/config/warm_start.h
+++ b/src/config/warm_start.h
@@ -1,6 +1,6 @@
-// What a module has learned, as one process of a node leaves it for the next: to text and back. Caches, kinds
-// and tenants go by name, since the two processes number them each for itself. It owns no file, and a text
-// that makes no sense is nothing learned.
+// The warm-start snapshot as text: what a balancer has snapshot, from one process of a node to the next.
+// Servers, kinds and tenants are identified by name, since each process has its own indices. It does no file
+// I/O, and a malformed text is no snapshot.
 #pragma once
 
 #include <functional>
@@ -12,11 +12,12 @@
 
 namespace brookrelay {
 
-std::string format_warm_start(const WarmStartSnapshot& learned, const std::vector<std::string>& kinds,
+// A JSON object. `name_of` maps a server's index to its name.
+std::string format_warm_start(const WarmStartSnapshot& snapshot, const std::vector<std::string>& kinds,
                               const std::function<std::string(int)>& name_of);
-// `number_of` is -1 for a cache that is not known; what was learned of that one is left out.
-std::optional<WarmStartSnapshot> parse_warm_start(const std::string& text,
-                                                  const std::vector<std::string>& kinds,
-                                                  const std::function<int(const std::string&)>& number_of);
+// Nothing if the text is malformed. `index_of_server` returns -1 for an unknown server, which is skipped.
+std::optional<WarmStartSnapshot> parse_warm_start(
+    const std::string& content, const std::vector<std::string>& kinds,
+    const std::function<int(const std::string&)>& index_of_server);
 
 }  // namespace brookrelay
