--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -137,8 +137,8 @@
 }
 
 void OutlierExchange::turn(Own& own, double now) const {
-    constexpr double width = kObservationWindow / Own::kBuckets;
-    const auto bucket = static_cast<std::int64_t>(now / width);
+    constexpr double kBucketSeconds = kObservationWindow / Own::kBuckets;
+    const auto bucket = static_cast<std::int64_t>(now / kBucketSeconds);
     const std::int64_t steps = std::min<std::int64_t>(bucket - own.turn, Own::kBuckets);
     for (std::int64_t s = 1; s <= steps; ++s) {
         const auto at = static_cast<std::size_t>((own.turn + s) % Own::kBuckets);
