--- a/src/net/management.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "management.h"
+#include "admin/admin_server.h"
 
 #include <utility>
 
--- a/src/net/management.h
+++ b/src/admin/admin_server.h
@@ -12,10 +12,10 @@
 #include <string_view>
 #include <vector>
 
-#include "http1.h"
-#include "log.h"
-#include "stream.h"
-#include "timers.h"
+#include "protocol/http1.h"
+#include "io/log.h"
+#include "io/tcp_connection.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/membership/by_hand.cpp
+++ b/src/admin/admin_state.cpp
@@ -1,4 +1,4 @@
-#include "by_hand.h"
+#include "admin/admin_state.h"
 
 #include <dirent.h>
 #include <fcntl.h>
--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -1,4 +1,4 @@
-#include "auditor.h"
+#include "audit/auditor.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/decision/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -6,7 +6,7 @@
 //
 // The ordinary path: the key's point on the own zone's ring, the owner of the next point clockwise, unless
 // that cache's load passes the bound; a read that misses and every write go on to the origin.
-#include "balancer.h"
+#include "balancer/balancer.h"
 
 #include <algorithm>
 #include <array>
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,13 +1,13 @@
-#include "check.h"
+#include "cli/check.h"
 
 #include <cstdio>
 
-#include "exit_codes.h"
-#include "json.h"
-#include "operator.h"
-#include "scenario.h"
-#include "station.h"
-#include "toml.h"
+#include "util/exit_codes.h"
+#include "config/json.h"
+#include "config/operator_config.h"
+#include "config/scenario.h"
+#include "config/node_config.h"
+#include "config/toml.h"
 
 namespace brookrelay {
 namespace {
--- a/src/cli/explore.cpp
+++ b/src/cli/check_model.cpp
@@ -1,12 +1,12 @@
-#include "explore.h"
+#include "cli/check_model.h"
 
 #include <cstdio>
 #include <string>
 
-#include "exit_codes.h"
-#include "explorer.h"
-#include "small_limits.h"
-#include "small_zones.h"
+#include "util/exit_codes.h"
+#include "model/model_checker.h"
+#include "model/quota_lease_model.h"
+#include "model/zone_failover_model.h"
 
 namespace brookrelay {
 namespace {
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -1,4 +1,4 @@
-#include "fleet.h"
+#include "cli/fleet_commands.h"
 
 #include <gio/gio.h>
 #include <rapidjson/document.h>
@@ -6,10 +6,10 @@
 #include <cstdio>
 #include <memory>
 
-#include "address.h"
-#include "exit_codes.h"
-#include "json.h"
-#include "stream.h"
+#include "util/address.h"
+#include "util/exit_codes.h"
+#include "config/json.h"
+#include "io/tcp_connection.h"
 
 namespace brookrelay {
 namespace {
--- a/src/cli/registry.cpp
+++ b/src/cli/registry_watch.cpp
@@ -1,15 +1,15 @@
-#include "registry.h"
+#include "cli/registry_watch.h"
 
 #include <glib-unix.h>
 
 #include <cstdio>
 #include <random>
 
-#include "address.h"
-#include "exit_codes.h"
-#include "json.h"
-#include "net/registry.h"
-#include "registration.h"
+#include "util/address.h"
+#include "util/exit_codes.h"
+#include "config/json.h"
+#include "discovery/coordination_client.h"
+#include "config/registration.h"
 
 namespace brookrelay {
 
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -1,4 +1,4 @@
-#include "rehearse.h"
+#include "cli/rehearse.h"
 
 #include <unistd.h>
 
@@ -9,12 +9,12 @@
 #include <ctime>
 #include <filesystem>
 
-#include "exit_codes.h"
-#include "kit/experiment.h"
-#include "kit/load.h"
-#include "kit/report.h"
-#include "scenario.h"
-#include "toml.h"
+#include "util/exit_codes.h"
+#include "testkit/experiment.h"
+#include "testkit/load.h"
+#include "testkit/report.h"
+#include "config/scenario.h"
+#include "config/toml.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/deployment.cpp
+++ b/src/config/deployment.cpp
@@ -1,8 +1,8 @@
-#include "deployment.h"
+#include "config/deployment.h"
 
 #include <algorithm>
 
-#include "json.h"
+#include "config/json.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/deployment.h
+++ b/src/config/deployment.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "balancer.h"
+#include "balancer/balancer.h"
 
 namespace brookrelay {
 
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -1,4 +1,4 @@
-#include "json.h"
+#include "config/json.h"
 
 namespace brookrelay {
 
--- a/src/config/station.cpp
+++ b/src/config/node_config.cpp
@@ -1,4 +1,4 @@
-#include "station.h"
+#include "config/node_config.h"
 
 #include <rapidjson/error/en.h>
 
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "address.h"
-#include "digits.h"
-#include "json.h"
+#include "util/address.h"
+#include "util/parse_number.h"
+#include "config/json.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/station.h
+++ b/src/config/node_config.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "balancer.h"
-#include "deployment.h"
+#include "balancer/balancer.h"
+#include "config/deployment.h"
 
 namespace brookrelay {
 
--- a/src/config/operator.cpp
+++ b/src/config/operator_config.cpp
@@ -1,11 +1,11 @@
-#include "operator.h"
+#include "config/operator_config.h"
 
 #include <iterator>
 #include <set>
 #include <sstream>
 
-#include "address.h"
-#include "toml.h"
+#include "util/address.h"
+#include "config/toml.h"
 
 namespace brookrelay {
 
--- a/src/config/registration.cpp
+++ b/src/config/registration.cpp
@@ -1,7 +1,7 @@
-#include "registration.h"
+#include "config/registration.h"
 
-#include "address.h"
-#include "json.h"
+#include "util/address.h"
+#include "config/json.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/registration.h
+++ b/src/config/registration.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <string_view>
 
-#include "deployment.h"
-#include "registrations.h"
+#include "config/deployment.h"
+#include "coordination/service_registrations.h"
 
 namespace brookrelay {
 
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -1,10 +1,10 @@
-#include "scenario.h"
+#include "config/scenario.h"
 
 #include <algorithm>
 #include <cmath>
 #include <set>
 
-#include "toml.h"
+#include "config/toml.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "balancer.h"
+#include "balancer/balancer.h"
 
 namespace brookrelay {
 
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -1,4 +1,4 @@
-#include "toml.h"
+#include "config/toml.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "digits.h"
+#include "util/parse_number.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/learned.cpp
+++ b/src/config/warm_start.cpp
@@ -1,12 +1,12 @@
-#include "learned.h"
+#include "config/warm_start.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
 #include <algorithm>
 
-#include "deployment.h"
-#include "json.h"
+#include "config/deployment.h"
+#include "config/json.h"
 
 namespace brookrelay {
 namespace {
--- a/src/config/learned.h
+++ b/src/config/warm_start.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "balancer.h"
+#include "balancer/balancer.h"
 
 namespace brookrelay {
 
--- a/src/coordination/follower.cpp
+++ b/src/coordination/coordination_session.cpp
@@ -1,4 +1,4 @@
-#include "follower.h"
+#include "coordination/coordination_session.h"
 
 #include <algorithm>
 #include <limits>
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "jute.h"
+#include "coordination/jute.h"
 
 namespace brookrelay {
 namespace {
--- a/src/coordination/follower.h
+++ b/src/coordination/coordination_session.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <string_view>
 
-#include "registrations.h"
+#include "coordination/service_registrations.h"
 
 namespace brookrelay {
 
--- a/src/coordination/jute.cpp
+++ b/src/coordination/jute.cpp
@@ -1,4 +1,4 @@
-#include "jute.h"
+#include "coordination/jute.h"
 
 namespace brookrelay {
 namespace {
--- a/src/membership/registrations.cpp
+++ b/src/coordination/service_registrations.cpp
@@ -1,4 +1,4 @@
-#include "registrations.h"
+#include "coordination/service_registrations.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/membership/registrations.h
+++ b/src/coordination/service_registrations.h
@@ -24,7 +24,7 @@
 #include <string>
 #include <vector>
 
-#include "balancer.h"
+#include "balancer/balancer.h"
 
 namespace brookrelay {
 
--- a/src/net/registry.cpp
+++ b/src/discovery/coordination_client.cpp
@@ -1,10 +1,10 @@
-#include "registry.h"
+#include "discovery/coordination_client.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "jute.h"
+#include "coordination/jute.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/registry.h
+++ b/src/discovery/coordination_client.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "follower.h"
-#include "log.h"
-#include "registrations.h"
-#include "stream.h"
-#include "timers.h"
+#include "coordination/coordination_session.h"
+#include "io/log.h"
+#include "coordination/service_registrations.h"
+#include "io/tcp_connection.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/net/discovery.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -1,10 +1,10 @@
-#include "discovery.h"
+#include "discovery/endpoint_watch.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "http1.h"
-#include "json.h"
+#include "protocol/http1.h"
+#include "config/json.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/discovery.h
+++ b/src/discovery/endpoint_watch.h
@@ -9,10 +9,10 @@
 #include <random>
 #include <string>
 
-#include "log.h"
-#include "station.h"
-#include "stream.h"
-#include "timers.h"
+#include "io/log.h"
+#include "config/node_config.h"
+#include "io/tcp_connection.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/net/clients.cpp
+++ b/src/downstream/client_connections.cpp
@@ -1,4 +1,4 @@
-#include "clients.h"
+#include "downstream/client_connections.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/net/clients.h
+++ b/src/downstream/client_connections.h
@@ -14,10 +14,10 @@
 #include <string_view>
 #include <vector>
 
-#include "log.h"
-#include "memcache_text.h"
-#include "stream.h"
-#include "timers.h"
+#include "io/log.h"
+#include "protocol/memcache_text.h"
+#include "io/tcp_connection.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/fleet/budgets.cpp
+++ b/src/gossip/fleet_quotas.cpp
@@ -1,9 +1,9 @@
-#include "budgets.h"
+#include "gossip/fleet_quotas.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "mix.h"
+#include "util/splitmix64.h"
 
 namespace brookrelay::fleet {
 namespace {
--- a/src/fleet/budgets.h
+++ b/src/gossip/fleet_quotas.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet_limits.h"
+#include "gossip/quota_leases.h"
 
 namespace brookrelay::fleet {
 
--- a/src/fleet/members.cpp
+++ b/src/gossip/membership.cpp
@@ -1,4 +1,4 @@
-#include "members.h"
+#include "gossip/membership.h"
 
 #include <algorithm>
 
--- a/src/fleet/members.h
+++ b/src/gossip/membership.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "words.h"
+#include "gossip/messages.h"
 
 namespace brookrelay::fleet {
 
--- a/src/fleet/words.cpp
+++ b/src/gossip/messages.cpp
@@ -1,4 +1,4 @@
-#include "words.h"
+#include "gossip/messages.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/fleet/exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -1,4 +1,4 @@
-#include "exchange.h"
+#include "gossip/outlier_exchange.h"
 
 #include <algorithm>
 #include <bit>
@@ -7,7 +7,7 @@
 #include <set>
 #include <tuple>
 
-#include "mix.h"
+#include "util/splitmix64.h"
 
 namespace brookrelay::fleet {
 namespace {
--- a/src/fleet/exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -16,11 +16,11 @@
 #include <utility>
 #include <vector>
 
-#include "balancer.h"
-#include "fleet_limits.h"
-#include "members.h"
-#include "words.h"
-#include "zones.h"
+#include "balancer/balancer.h"
+#include "gossip/quota_leases.h"
+#include "gossip/membership.h"
+#include "gossip/messages.h"
+#include "gossip/zone_failover.h"
 
 namespace brookrelay::fleet {
 
--- a/src/fleet/fleet_limits.cpp
+++ b/src/gossip/quota_leases.cpp
@@ -1,4 +1,4 @@
-#include "fleet_limits.h"
+#include "gossip/quota_leases.h"
 
 #include <algorithm>
 #include <set>
--- a/src/fleet/fleet_limits.h
+++ b/src/gossip/quota_leases.h
@@ -13,7 +13,7 @@
 #include <map>
 #include <vector>
 
-#include "words.h"
+#include "gossip/messages.h"
 
 namespace brookrelay::fleet {
 
--- a/src/fleet/zones.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -1,10 +1,10 @@
-#include "zones.h"
+#include "gossip/zone_failover.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "mix.h"
+#include "util/splitmix64.h"
 
 namespace brookrelay::fleet {
 namespace {
--- a/src/fleet/zones.h
+++ b/src/gossip/zone_failover.h
@@ -12,7 +12,7 @@
 #include <map>
 #include <vector>
 
-#include "words.h"
+#include "gossip/messages.h"
 
 namespace brookrelay::fleet {
 
--- a/src/net/talk.cpp
+++ b/src/gossip_agent/gossip_agent.cpp
@@ -1,4 +1,4 @@
-#include "talk.h"
+#include "gossip_agent/gossip_agent.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
--- a/src/net/talk.h
+++ b/src/gossip_agent/gossip_agent.h
@@ -9,13 +9,13 @@
 #include <string>
 #include <unordered_map>
 
-#include "budgets.h"
-#include "exchange.h"
-#include "log.h"
-#include "operator.h"
-#include "peers.h"
-#include "station.h"
-#include "timers.h"
+#include "gossip/fleet_quotas.h"
+#include "gossip/outlier_exchange.h"
+#include "io/log.h"
+#include "config/operator_config.h"
+#include "gossip_agent/gossip_socket.h"
+#include "config/node_config.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/net/peers.cpp
+++ b/src/gossip_agent/gossip_socket.cpp
@@ -1,8 +1,8 @@
-#include "peers.h"
+#include "gossip_agent/gossip_socket.h"
 
 #include <array>
 
-#include "address.h"
+#include "util/address.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/peers.h
+++ b/src/gossip_agent/gossip_socket.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "stream.h"
+#include "io/tcp_connection.h"
 
 namespace brookrelay {
 
--- a/src/net/log.cpp
+++ b/src/io/log.cpp
@@ -1,4 +1,4 @@
-#include "log.h"
+#include "io/log.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
--- a/src/net/stream.cpp
+++ b/src/io/tcp_connection.cpp
@@ -1,4 +1,4 @@
-#include "stream.h"
+#include "io/tcp_connection.h"
 
 #include <linux/sockios.h>
 #include <netinet/in.h>
@@ -10,7 +10,7 @@
 #include <array>
 #include <utility>
 
-#include "address.h"
+#include "util/address.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/timers.cpp
+++ b/src/io/timer_queue.cpp
@@ -1,4 +1,4 @@
-#include "timers.h"
+#include "io/timer_queue.h"
 
 #include <cmath>
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,13 +7,13 @@
 #include <string>
 
 #include "cli/check.h"
-#include "cli/exit_codes.h"
-#include "cli/explore.h"
-#include "cli/fleet.h"
-#include "cli/registry.h"
+#include "util/exit_codes.h"
+#include "cli/check_model.h"
+#include "cli/fleet_commands.h"
+#include "cli/registry_watch.h"
 #include "cli/rehearse.h"
-#include "net/serve.h"
-#include "toml.h"
+#include "proxy/serve.h"
+#include "config/toml.h"
 
 namespace {
 
--- a/src/model/finding_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "exchange.h"
-#include "network.h"
+#include "gossip/outlier_exchange.h"
+#include "model/network.h"
 
 namespace brookrelay::model {
 
--- a/src/model/limit_fleet.h
+++ b/src/model/quota_fleet.h
@@ -12,8 +12,8 @@
 #include <utility>
 #include <vector>
 
-#include "exchange.h"
-#include "network.h"
+#include "gossip/outlier_exchange.h"
+#include "model/network.h"
 
 namespace brookrelay::model {
 
--- a/src/model/small_limits.h
+++ b/src/model/quota_lease_model.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet_limits.h"
+#include "gossip/quota_leases.h"
 
 namespace brookrelay::model {
 
--- a/src/model/small_zones.h
+++ b/src/model/zone_failover_model.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "zones.h"
+#include "gossip/zone_failover.h"
 
 namespace brookrelay::model {
 
--- a/src/net/answer.h
+++ b/src/protocol/attempt_response.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "balancer.h"
+#include "balancer/balancer.h"
 
 namespace brookrelay {
 
--- a/src/net/http1.cpp
+++ b/src/protocol/http1.cpp
@@ -1,8 +1,8 @@
-#include "http1.h"
+#include "protocol/http1.h"
 
 #include <algorithm>
 
-#include "digits.h"
+#include "util/parse_number.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/memcache_text.cpp
+++ b/src/protocol/memcache_text.cpp
@@ -1,9 +1,9 @@
-#include "memcache_text.h"
+#include "protocol/memcache_text.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "digits.h"
+#include "util/parse_number.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/origin.cpp
+++ b/src/protocol/origin_http.cpp
@@ -1,8 +1,8 @@
-#include "origin.h"
+#include "protocol/origin_http.h"
 
 #include <utility>
 
-#include "http1.h"
+#include "protocol/http1.h"
 
 namespace brookrelay {
 
--- a/src/net/origin.h
+++ b/src/protocol/origin_http.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <string_view>
 
-#include "answer.h"
-#include "memcache_text.h"
+#include "protocol/attempt_response.h"
+#include "protocol/memcache_text.h"
 
 namespace brookrelay {
 
--- a/src/net/node.cpp
+++ b/src/proxy/node.cpp
@@ -1,4 +1,4 @@
-#include "node.h"
+#include "proxy/node.h"
 
 #include <sys/stat.h>
 #include <unistd.h>
@@ -10,9 +10,9 @@
 #include <tuple>
 #include <utility>
 
-#include "json.h"
-#include "learned.h"
-#include "registration.h"
+#include "config/json.h"
+#include "config/warm_start.h"
+#include "config/registration.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/node.h
+++ b/src/proxy/node.h
@@ -14,19 +14,19 @@
 #include <unordered_set>
 #include <vector>
 
-#include "balancer.h"
-#include "beside.h"
-#include "by_hand.h"
-#include "clients.h"
-#include "discovery.h"
-#include "log.h"
-#include "management.h"
-#include "operator.h"
-#include "pool.h"
-#include "registry.h"
-#include "station.h"
-#include "talk.h"
-#include "timers.h"
+#include "balancer/balancer.h"
+#include "proxy/sibling_processes.h"
+#include "admin/admin_state.h"
+#include "downstream/client_connections.h"
+#include "discovery/endpoint_watch.h"
+#include "io/log.h"
+#include "admin/admin_server.h"
+#include "config/operator_config.h"
+#include "upstream/upstream_pool.h"
+#include "discovery/coordination_client.h"
+#include "config/node_config.h"
+#include "gossip_agent/gossip_agent.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/net/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -1,16 +1,16 @@
-#include "serve.h"
+#include "proxy/serve.h"
 
 #include <glib-unix.h>
 
 #include <cstdio>
 #include <cstdlib>
 
-#include "address.h"
-#include "digits.h"
-#include "exit_codes.h"
-#include "json.h"
-#include "node.h"
-#include "station.h"
+#include "util/address.h"
+#include "util/parse_number.h"
+#include "util/exit_codes.h"
+#include "config/json.h"
+#include "proxy/node.h"
+#include "config/node_config.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/serve.h
+++ b/src/proxy/serve.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "operator.h"
+#include "config/operator_config.h"
 
 namespace brookrelay {
 
--- a/src/net/beside.cpp
+++ b/src/proxy/sibling_processes.cpp
@@ -1,4 +1,4 @@
-#include "beside.h"
+#include "proxy/sibling_processes.h"
 
 #include <dirent.h>
 #include <fcntl.h>
--- a/src/sim/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "balancer.h"
-#include "deployment.h"
-#include "json.h"
+#include "balancer/balancer.h"
+#include "config/deployment.h"
+#include "config/json.h"
 
 namespace brookrelay {
 namespace {
--- a/src/kit/conn.cpp
+++ b/src/testkit/connection.cpp
@@ -1,4 +1,4 @@
-#include "conn.h"
+#include "testkit/connection.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
--- a/src/kit/daemon.cpp
+++ b/src/testkit/daemon_process.cpp
@@ -1,4 +1,4 @@
-#include "daemon.h"
+#include "testkit/daemon_process.h"
 
 #include <dirent.h>
 #include <fcntl.h>
--- a/src/kit/experiment.cpp
+++ b/src/testkit/experiment.cpp
@@ -1,4 +1,4 @@
-#include "experiment.h"
+#include "testkit/experiment.h"
 
 #include <rapidjson/document.h>
 #include <sys/prctl.h>
@@ -18,8 +18,8 @@
 #include <stdexcept>
 #include <thread>
 
-#include "digits.h"
-#include "svg.h"
+#include "util/parse_number.h"
+#include "testkit/svg.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/cache_server.cpp
+++ b/src/testkit/fake_cache_server.cpp
@@ -1,8 +1,8 @@
-#include "cache_server.h"
+#include "testkit/fake_cache_server.h"
 
 #include <algorithm>
 
-#include "schedule.h"
+#include "testkit/fault_schedule.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/cache_server.h
+++ b/src/testkit/fake_cache_server.h
@@ -8,9 +8,9 @@
 #include <memory>
 #include <unordered_map>
 
-#include "server_model.h"
-#include "wire.h"
-#include "world.h"
+#include "testkit/server_model.h"
+#include "testkit/wire.h"
+#include "testkit/test_environment.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/coordinator.cpp
+++ b/src/testkit/fake_coordinator.cpp
@@ -1,11 +1,11 @@
-#include "coordinator.h"
+#include "testkit/fake_coordinator.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <limits>
 #include <utility>
 
-#include "jute.h"
+#include "coordination/jute.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/coordinator_server.cpp
+++ b/src/testkit/fake_coordinator_server.cpp
@@ -1,8 +1,8 @@
-#include "coordinator_server.h"
+#include "testkit/fake_coordinator_server.h"
 
 #include <cmath>
 
-#include "jute.h"
+#include "coordination/jute.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/coordinator_server.h
+++ b/src/testkit/fake_coordinator_server.h
@@ -7,8 +7,8 @@
 #include <memory>
 #include <string>
 
-#include "conn.h"
-#include "coordinator.h"
+#include "testkit/connection.h"
+#include "testkit/fake_coordinator.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/discovery_server.cpp
+++ b/src/testkit/fake_discovery_server.cpp
@@ -1,4 +1,4 @@
-#include "discovery_server.h"
+#include "testkit/fake_discovery_server.h"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -7,8 +7,8 @@
 #include <chrono>
 #include <cmath>
 
-#include "digits.h"
-#include "wire.h"
+#include "util/parse_number.h"
+#include "testkit/wire.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/discovery_server.h
+++ b/src/testkit/fake_discovery_server.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "world.h"
+#include "testkit/test_environment.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/origin_server.cpp
+++ b/src/testkit/fake_origin_server.cpp
@@ -1,4 +1,4 @@
-#include "origin_server.h"
+#include "testkit/fake_origin_server.h"
 
 #include <algorithm>
 
--- a/src/kit/schedule.cpp
+++ b/src/testkit/fault_schedule.cpp
@@ -1,4 +1,4 @@
-#include "schedule.h"
+#include "testkit/fault_schedule.h"
 
 #include <algorithm>
 #include <boost/random/discrete_distribution.hpp>
--- a/src/kit/schedule.h
+++ b/src/testkit/fault_schedule.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "scenario.h"
+#include "config/scenario.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/fleet_views.cpp
+++ b/src/testkit/fleet_views.cpp
@@ -1,4 +1,4 @@
-#include "fleet_views.h"
+#include "testkit/fleet_views.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/kit/fleet_views.h
+++ b/src/testkit/fleet_views.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "rehearsal.h"
+#include "testkit/rehearsal.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/claimer.h
+++ b/src/testkit/greedy_peer.h
@@ -14,8 +14,8 @@
 #include <string>
 #include <thread>
 
-#include "fleet_limits.h"
-#include "words.h"
+#include "gossip/quota_leases.h"
+#include "gossip/messages.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/load.cpp
+++ b/src/testkit/load.cpp
@@ -1,4 +1,4 @@
-#include "load.h"
+#include "testkit/load.h"
 
 #include <atomic>
 #include <boost/asio/executor_work_guard.hpp>
@@ -12,10 +12,10 @@
 #include <set>
 #include <thread>
 
-#include "conn.h"
-#include "daemon.h"
-#include "schedule.h"
-#include "wire.h"
+#include "testkit/connection.h"
+#include "testkit/daemon_process.h"
+#include "testkit/fault_schedule.h"
+#include "testkit/wire.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/load.h
+++ b/src/testkit/load.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "histogram.h"
+#include "testkit/histogram.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -1,4 +1,4 @@
-#include "clients.h"
+#include "testkit/load_clients.h"
 
 #include <algorithm>
 #include <boost/random/uniform_01.hpp>
--- a/src/kit/clients.h
+++ b/src/testkit/load_clients.h
@@ -9,10 +9,10 @@
 #include <set>
 #include <vector>
 
-#include "histogram.h"
-#include "schedule.h"
-#include "wire.h"
-#include "world.h"
+#include "testkit/histogram.h"
+#include "testkit/fault_schedule.h"
+#include "testkit/wire.h"
+#include "testkit/test_environment.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/links.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -1,4 +1,4 @@
-#include "links.h"
+#include "testkit/network_fault_proxy.h"
 
 #include <algorithm>
 
--- a/src/kit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal.h"
+#include "testkit/rehearsal.h"
 
 #include <rapidjson/document.h>
 #include <unistd.h>
@@ -14,12 +14,12 @@
 #include <random>
 #include <utility>
 
-#include "cache_server.h"
-#include "clients.h"
-#include "discovery_server.h"
-#include "links.h"
-#include "origin_server.h"
-#include "schedule.h"
+#include "testkit/fake_cache_server.h"
+#include "testkit/load_clients.h"
+#include "testkit/fake_discovery_server.h"
+#include "testkit/network_fault_proxy.h"
+#include "testkit/fake_origin_server.h"
+#include "testkit/fault_schedule.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "auditor.h"
-#include "daemon.h"
-#include "histogram.h"
-#include "scenario.h"
+#include "audit/auditor.h"
+#include "testkit/daemon_process.h"
+#include "testkit/histogram.h"
+#include "config/scenario.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/report.cpp
+++ b/src/testkit/report.cpp
@@ -1,4 +1,4 @@
-#include "report.h"
+#include "testkit/report.h"
 
 #include <rapidjson/prettywriter.h>
 #include <rapidjson/stringbuffer.h>
@@ -9,9 +9,9 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "fleet_views.h"
-#include "svg.h"
-#include "wire.h"
+#include "testkit/fleet_views.h"
+#include "testkit/svg.h"
+#include "testkit/wire.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/report.h
+++ b/src/testkit/report.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "rehearsal.h"
+#include "testkit/rehearsal.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -1,4 +1,4 @@
-#include "scripted_peer.h"
+#include "testkit/scripted_peer.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "conn.h"
+#include "testkit/connection.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/kit/server_model.cpp
+++ b/src/testkit/server_model.cpp
@@ -1,4 +1,4 @@
-#include "server_model.h"
+#include "testkit/server_model.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/kit/svg.cpp
+++ b/src/testkit/svg.cpp
@@ -1,4 +1,4 @@
-#include "svg.h"
+#include "testkit/svg.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/kit/world.h
+++ b/src/testkit/test_environment.h
@@ -10,9 +10,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "auditor.h"
-#include "conn.h"
-#include "scenario.h"
+#include "audit/auditor.h"
+#include "testkit/connection.h"
+#include "config/scenario.h"
 
 namespace brookrelay::kit {
 
--- a/src/kit/wire.cpp
+++ b/src/testkit/wire.cpp
@@ -1,10 +1,10 @@
-#include "wire.h"
+#include "testkit/wire.h"
 
 #include <algorithm>
 #include <cctype>
 #include <cstdio>
 
-#include "digits.h"
+#include "util/parse_number.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/src/net/pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -1,11 +1,11 @@
-#include "pool.h"
+#include "upstream/upstream_pool.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <utility>
 
-#include "http1.h"
-#include "origin.h"
+#include "protocol/http1.h"
+#include "protocol/origin_http.h"
 
 namespace brookrelay {
 namespace {
--- a/src/net/pool.h
+++ b/src/upstream/upstream_pool.h
@@ -14,11 +14,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "answer.h"
-#include "log.h"
-#include "memcache_text.h"
-#include "stream.h"
-#include "timers.h"
+#include "protocol/attempt_response.h"
+#include "io/log.h"
+#include "protocol/memcache_text.h"
+#include "io/tcp_connection.h"
+#include "io/timer_queue.h"
 
 namespace brookrelay {
 
--- a/src/config/address.cpp
+++ b/src/util/address.cpp
@@ -1,8 +1,8 @@
-#include "address.h"
+#include "util/address.h"
 
 #include <arpa/inet.h>
 
-#include "digits.h"
+#include "util/parse_number.h"
 
 namespace brookrelay {
 
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <string>
 
-#include "auditor.h"
+#include "audit/auditor.h"
 
 namespace {
 
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <thread>
 
-#include "conn.h"
-#include "scripted_peer.h"
+#include "testkit/connection.h"
+#include "testkit/scripted_peer.h"
 
 namespace {
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <string>
 
-#include "json.h"
-#include "learned.h"
-#include "station.h"
+#include "config/json.h"
+#include "config/warm_start.h"
+#include "config/node_config.h"
 
 using namespace brookrelay;
 
--- a/tests/coordinator_test.cpp
+++ b/tests/coordinator_test.cpp
@@ -1,5 +1,5 @@
 // The stand-in coordinator by its wire, message by message, and with bytes that are none.
-#include "coordinator.h"
+#include "testkit/fake_coordinator.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "jute.h"
+#include "coordination/jute.h"
 
 namespace {
 
--- a/tests/days.h
+++ b/tests/days.h
@@ -13,8 +13,8 @@
 #include <utility>
 #include <vector>
 
-#include "rehearsal.h"
-#include "report.h"
+#include "testkit/rehearsal.h"
+#include "testkit/report.h"
 
 namespace brookrelay::kit {
 
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -12,7 +12,7 @@
 #include <random>
 #include <set>
 
-#include "finding_fleet.h"
+#include "model/outlier_fleet.h"
 
 namespace brookrelay::fleet {
 namespace {
--- a/tests/files_test.cpp
+++ b/tests/files_test.cpp
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <string>
 
-#include "operator.h"
-#include "scenario.h"
-#include "toml.h"
+#include "config/operator_config.h"
+#include "config/scenario.h"
+#include "config/toml.h"
 
 namespace {
 
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -25,9 +25,9 @@
 #include <utility>
 #include <vector>
 
-#include "conn.h"
-#include "daemon.h"
-#include "scripted_peer.h"
+#include "testkit/connection.h"
+#include "testkit/daemon_process.h"
+#include "testkit/scripted_peer.h"
 
 namespace brookrelay::kit {
 
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -1,6 +1,6 @@
 // The follower against the stand-in coordinator, without sockets: each step of the clock and each message is
 // the test's. What the decision module would be told is looked at after it.
-#include "follower.h"
+#include "coordination/coordination_session.h"
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 #include <deque>
 #include <string>
 
-#include "coordinator.h"
-#include "jute.h"
+#include "testkit/fake_coordinator.h"
+#include "coordination/jute.h"
 
 namespace {
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -32,19 +32,19 @@
 #include <utility>
 #include <vector>
 
-#include "by_hand.h"
-#include "http1.h"
-#include "json.h"
-#include "learned.h"
-#include "log.h"
-#include "memcache_text.h"
-#include "operator.h"
-#include "origin.h"
-#include "scenario.h"
-#include "station.h"
-#include "talk.h"
-#include "timers.h"
-#include "words.h"
+#include "admin/admin_state.h"
+#include "protocol/http1.h"
+#include "config/json.h"
+#include "config/warm_start.h"
+#include "io/log.h"
+#include "protocol/memcache_text.h"
+#include "config/operator_config.h"
+#include "protocol/origin_http.h"
+#include "config/scenario.h"
+#include "config/node_config.h"
+#include "gossip_agent/gossip_agent.h"
+#include "io/timer_queue.h"
+#include "gossip/messages.h"
 
 namespace {
 
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -15,14 +15,14 @@
 #include <string>
 #include <thread>
 
-#include "experiment.h"
-#include "histogram.h"
-#include "rehearsal.h"
-#include "report.h"
-#include "schedule.h"
-#include "scripted_peer.h"
-#include "server_model.h"
-#include "wire.h"
+#include "testkit/experiment.h"
+#include "testkit/histogram.h"
+#include "testkit/rehearsal.h"
+#include "testkit/report.h"
+#include "testkit/fault_schedule.h"
+#include "testkit/scripted_peer.h"
+#include "testkit/server_model.h"
+#include "testkit/wire.h"
 
 namespace {
 
--- a/tests/limit_days_test.cpp
+++ b/tests/limit_days_test.cpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cstdio>
 
-#include "claimer.h"
+#include "testkit/greedy_peer.h"
 #include "days.h"
 
 namespace brookrelay::kit {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -13,10 +13,10 @@
 #include <random>
 #include <set>
 
-#include "budgets.h"
-#include "explorer.h"
-#include "limit_fleet.h"
-#include "small_limits.h"
+#include "gossip/fleet_quotas.h"
+#include "model/model_checker.h"
+#include "model/quota_fleet.h"
+#include "model/quota_lease_model.h"
 
 namespace brookrelay::fleet {
 namespace {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -2,7 +2,7 @@
 // discovery, and spoken to as clients would.
 #include <gtest/gtest.h>
 
-#include "fleet.h"
+#include "cli/fleet_commands.h"
 
 namespace {
 
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -3,7 +3,7 @@
 
 #include <filesystem>
 
-#include "fleet.h"
+#include "cli/fleet_commands.h"
 
 namespace {
 
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -8,9 +8,9 @@
 #include <functional>
 #include <set>
 
-#include "conn.h"
+#include "testkit/connection.h"
 #include "days.h"
-#include "words.h"
+#include "gossip/messages.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-#include "fleet.h"
+#include "cli/fleet_commands.h"
 
 namespace {
 
--- a/tests/registrations_test.cpp
+++ b/tests/registrations_test.cpp
@@ -1,6 +1,6 @@
 // What is made of ephemeral registrations: views written by hand, and what the decision module is told of
 // them.
-#include "registrations.h"
+#include "coordination/service_registrations.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -14,10 +14,10 @@
 #include <string>
 #include <thread>
 
-#include "coordinator_server.h"
-#include "json.h"
-#include "registration.h"
-#include "scripted_peer.h"
+#include "testkit/fake_coordinator_server.h"
+#include "config/json.h"
+#include "config/registration.h"
+#include "testkit/scripted_peer.h"
 
 namespace {
 
--- a/tests/text_test.cpp
+++ b/tests/text_test.cpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "http1.h"
-#include "memcache_text.h"
-#include "origin.h"
+#include "protocol/http1.h"
+#include "protocol/memcache_text.h"
+#include "protocol/origin_http.h"
 
 using namespace brookrelay;
 
--- a/tests/zone_days_test.cpp
+++ b/tests/zone_days_test.cpp
@@ -11,7 +11,7 @@
 #include <set>
 
 #include "days.h"
-#include "fleet_views.h"
+#include "testkit/fleet_views.h"
 
 namespace brookrelay::kit {
 namespace {
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -13,9 +13,9 @@
 #include <random>
 #include <set>
 
-#include "explorer.h"
-#include "small_zones.h"
-#include "zone_fleet.h"
+#include "model/model_checker.h"
+#include "model/zone_failover_model.h"
+#include "model/zone_fleet.h"
 
 namespace brookrelay::fleet {
 namespace {
