--- a/src/downstream/arrival_times.cpp
+++ b/src/downstream/arrival_times.cpp
@@ -5,8 +5,8 @@
 namespace brookrelay {
 namespace {
 
-// Arrivals that are closer together count as one, at the time of the first: input that waits may have come
-// byte by byte, and its list must stay short.
+// Arrivals within this interval are merged into one, at the time of the first. Unconsumed input may arrive
+// byte by byte, and the merge keeps the list short.
 constexpr double kResolutionSeconds = 0.01;
 
 }  // namespace
--- a/src/downstream/arrival_times.h
+++ b/src/downstream/arrival_times.h
@@ -1,7 +1,8 @@
-// When the bytes of a connection's input arrived, so that a command which waited unread keeps its time.
+// Records when the bytes of a connection's input arrived, so that the age of a command includes the time that
+// it waited in the buffer.
 //
-// One object per connection, without I/O. Times are seconds on the monotonic clock, positions are bytes since
-// the connection was accepted.
+// One object serves one connection and does no I/O. Times are seconds on the monotonic clock; positions are
+// bytes since the connection was accepted.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +11,21 @@
 
 namespace brookrelay {
 
-/// Remembers the arrival time of input that is received and not consumed yet.
+/// Tracks the arrival times of input that is received but not yet consumed.
 class ArrivalTimes {
   public:
-    /// Input has arrived at `time`, or may have; `unconsumed_bytes` is now received and not consumed.
+    /// Records that input may have arrived at `time`. `unconsumed_bytes` is the total that is now received
+    /// but not consumed.
     void on_received(std::size_t unconsumed_bytes, double time);
-    /// The first `bytes` of the unconsumed input are consumed. Returns when the last of them arrived.
+    /// Marks the first `bytes` of the unconsumed input as consumed and returns when the last of them arrived.
     double on_consumed(std::size_t bytes);
 
   private:
     struct Arrival {
-        std::uint64_t end;  // position behind its last byte
+        std::uint64_t end;  // position after its last byte
         double time;
     };
-    std::vector<Arrival> arrivals_;  // in ascending order, of what is not consumed yet
+    std::vector<Arrival> arrivals_;  // arrivals of unconsumed input, in ascending order
     std::uint64_t consumed_ = 0;
     double last_arrival_ = 0;
 };
--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -7,29 +7,39 @@
 namespace {
 
 constexpr std::size_t kReadLimitBytes = kMaxBufferedValueBytes + 2 * kMaxLineBytes;
-constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;  // written but not yet sent to the client
+// Limits the bytes of a stream that are written to its connection but not yet taken by the kernel.
+constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;
 constexpr std::size_t kLineEndBytes = 2;
-constexpr std::size_t kReservedShareDivisor = 2;  // half of the bytes may be reserved for long written values
+// Half of the byte budget may be reserved for the long values that clients write.
+constexpr std::size_t kReservedShareDivisor = 2;
+// Limits the unanswered commands of one client.
 constexpr std::size_t kMaxPipelinedCommands = 32;
-// Pipelining is allowed while the unanswered commands are fewer than this fraction of the connections.
+// Clients may pipeline while the unanswered commands of all clients are fewer than this fraction of the
+// connection limit.
 constexpr double kPipelinedCommandsFraction = 0.25;
 constexpr int kMaxAcceptsPerIteration = 64;
+// Pause of the listener after a failed accept or while no connection is available.
 constexpr double kAcceptRetrySeconds = 0.05;
-constexpr double kFirstCommandGraceSeconds = 0.5;  // a new client is not evicted before it had time to write
-// Descriptors are scarce, so clients that are silent or stop inside a command are closed. The timeouts run
-// from the last byte received: a slow client that makes progress is served.
-constexpr double kSilenceTimeoutSeconds = 2.5;  // before the first command, and inside any command
-constexpr double kIdleTimeoutSeconds = 30.0;    // between two commands
-// Clients that send one command and stay connected could hold all connections. So beyond this fraction of the
-// connections the longest idle ones are closed, unless their next command may already be on its way.
+// A new client is not evicted before it has had this time to send its first command.
+constexpr double kFirstCommandGraceSeconds = 0.5;
+// File descriptors are scarce, so clients that send nothing for this time before their first command or
+// inside any command are closed. The time runs from the last byte received, so a slow client that makes
+// progress is served.
+constexpr double kSilenceTimeoutSeconds = 2.5;
+// A client that sends nothing for this time between two commands is closed.
+constexpr double kIdleTimeoutSeconds = 30.0;
+// Clients that send one command and stay connected could occupy all connections. When the idle connections
+// exceed this fraction of the connection limit, the longest idle ones are closed.
 constexpr double kMaxIdleFraction = 0.1;
+// A connection that has been idle for less is not closed, because its next command may be on its way.
 constexpr double kMinIdleSeconds = 0.05;
-constexpr double kUnreadResponseTimeoutSeconds = 10.0;  // without a client reading any of its responses
+// A client that reads none of its pending responses for this time is closed.
+constexpr double kUnreadResponseTimeoutSeconds = 10.0;
 constexpr double kTimeoutCheckIntervalSeconds = 0.05;
 constexpr const char* kFailedLine = "SERVER_ERROR failed\r\n";
 constexpr const char* kOutOfMemoryLine = "SERVER_ERROR out of memory";
-// Closing a socket with unread input resets the connection, and responses not delivered yet are lost. So the
-// write side is shut down first, and for this time further input is read and discarded.
+// Closing a socket with unread input resets the connection and loses responses that are not yet delivered.
+// Therefore the write side is shut down first, and further input is read and discarded for this time.
 constexpr double kLingerSeconds = 1.0;
 
 }  // namespace
@@ -69,7 +79,7 @@
         if (result.socket == nullptr) {
             if (has_capacity && result.would_block()) return;
             log_.line(Topic::client, "accepting_waits",
-                      std::string("accepting waits: ") +
+                      std::string("accepting connections is paused: ") +
                           (has_capacity ? result.error->message : "all client connections are in use"));
             return listener_.pause(kAcceptRetrySeconds);
         }
@@ -83,8 +93,8 @@
     }
 }
 
-// A client may only be closed between commands: a command written to an accepted connection counts as
-// accepted even while it is unread, and a client that has just connected is about to write.
+// Returns whether the client can be closed without losing a command. A command sent on an accepted connection
+// counts as accepted even while it is unread, and a client that has just connected is about to send one.
 bool ClientConnections::between_commands(const Client& client) {
     const bool just_connected =
         client.first_command == 0 && monotonic_now() - client.last_used < kFirstCommandGraceSeconds;
@@ -92,7 +102,7 @@
            !client.connection->has_unread_input();
 }
 
-// Closes the connection that has been idle for longest; returns false if none may be closed.
+// Closes the connection that has been idle the longest. Returns false if none can be closed.
 bool ClientConnections::evict_idle() {
     Client* oldest = nullptr;
     std::uint64_t oldest_id = 0;
@@ -176,8 +186,9 @@
     write_responses(client);
 }
 
-// A long value is only read once memory for all of it is reserved. Other clients with long values wait, so
-// that none has to be closed inside its value. Returns false if this one has to wait.
+// Reserves memory for the whole long value at the start of the input, before more of it is received. Other
+// clients with long values wait, so that no client has to be closed in the middle of its value. Returns false
+// if this client has to wait.
 bool ClientConnections::reserve_long_value(Client& client) {
     if (client.reserved > 0) return true;
     const std::size_t length = streamed_write_length(client.connection->input());
@@ -189,18 +200,18 @@
     return true;
 }
 
-// A command and its response may each hold a value of the greatest size, so the commands pipelined by all
-// clients together are bounded. Each client may always have one.
+// A command and its response can each hold a value of the maximum size, so the number of commands pipelined
+// by all clients is limited. The limit does not apply to the first unanswered command of a client.
 bool ClientConnections::too_many_commands_of_all() const {
     return static_cast<double>(unanswered_commands_) >=
            kPipelinedCommandsFraction * static_cast<double>(connection_limit_);
 }
 
 ClientConnections::HoldReason ClientConnections::why_held_back(const Client& client) const {
-    // No commands are read from a client that does not read its responses.
+    // Commands are not read from a client that does not read its responses.
     if (client.connection->unwritten_bytes() > 0) return HoldReason::unread_responses;
     if (client.pending.size() >= kMaxPipelinedCommands) return HoldReason::own_commands;
-    // A streamed response that breaks off ends the connection, and what was read behind it would be lost.
+    // A streamed response that breaks off closes the connection, and commands read after it would be lost.
     const bool streams = std::any_of(client.pending.begin(), client.pending.end(),
                                      [](const PendingResponse& response) { return response.stream != 0; });
     if (streams) return HoldReason::own_commands;
@@ -208,8 +219,8 @@
                                                                  : HoldReason::none;
 }
 
-// Only a client whose next command is there, or would be if it were read on, is held back. One that stopped
-// inside a command is silent, whatever it would have to wait for.
+// Marks the client as paused only if its next command is complete or only waits for memory. A client that has
+// stopped inside a command counts as silent even if another reason to pause applies.
 void ClientConnections::hold_back(std::uint64_t id, Client& client, HoldReason reason) {
     const std::string_view input = client.connection->input();
     Command command;
@@ -221,7 +232,8 @@
     if (std::find(held_back_.begin(), held_back_.end(), id) == held_back_.end()) held_back_.push_back(id);
 }
 
-// Called wherever commands are answered. Reading on starts requests, so it waits for the next iteration.
+// Called wherever commands are answered. Reading starts new requests, so it is deferred to the next iteration
+// of the main loop.
 void ClientConnections::schedule_resume() {
     if (held_back_.empty() || resume_timer_.second != 0) return;
     resume_timer_ = timers_.schedule(monotonic_now(), [this] {
@@ -237,7 +249,7 @@
         const auto entry = clients_.find(id);
         if (entry == clients_.end() || entry->second.connection->is_closed()) continue;
         Client& client = entry->second;
-        if (client.held_back != HoldReason::commands_of_all) continue;  // read on meanwhile
+        if (client.held_back != HoldReason::commands_of_all) continue;  // reading has already resumed
         client.last_used = client.last_received = monotonic_now();
         read_commands(id, client);
         close_if_done(id, client);
@@ -252,7 +264,7 @@
 
 // Sends an error line after the pending responses and discards all further input.
 void ClientConnections::reject_connection(std::uint64_t id, Client& client, const char* line) {
-    log_.line(Topic::client, "turned_away", std::string("turned away: ") + line);
+    log_.line(Topic::client, "turned_away", std::string("client connection rejected: ") + line);
     finish_response(client.pending.emplace_back(), std::string(line) + "\r\n");
     ++unanswered_commands_;
     stop_reading(client, CloseReason::rejected);
@@ -261,8 +273,8 @@
     close_if_done(id, client);
 }
 
-// Frees the memory of buffered input: each whole command in it is answered with an error, since it is read
-// and must not be lost; a command that is still incomplete is rejected together with its connection.
+// Frees the memory of buffered input. Each complete command in it is answered with an error, because it is
+// already read and must not be lost. A long incomplete command is rejected together with its connection.
 void ClientConnections::shed_input(std::uint64_t id, Client& client) {
     Command command;
     std::size_t parsed_bytes = 0;
@@ -295,7 +307,7 @@
 
 void ClientConnections::close_longest_idle(double now) {
     const auto max_idle = static_cast<std::size_t>(kMaxIdleFraction * static_cast<double>(connection_limit_));
-    if (open_count_ <= max_idle) return;  // the loop below makes a system call for each client
+    if (open_count_ <= max_idle) return;  // avoids the loop below, which makes a system call for each client
     std::vector<std::pair<double, std::uint64_t>> idle;
     for (const auto& [id, client] : clients_) {
         const bool answered =
@@ -312,7 +324,7 @@
         client.unread_response_bytes = client.connection->unwritten_bytes();
         client.unread_since = now;
     }
-    // Input that we chose not to read, or did not get to, is no silence of the client.
+    // A client is not silent while this node has paused reading its input or has not yet received it.
     const bool is_read = !client.reading_stopped && client.held_back == HoldReason::none &&
                          !client.connection->has_unreceived_input();
     const bool inside_command = is_read && !client.connection->input().empty() &&
@@ -337,13 +349,14 @@
     const std::uint64_t index = handle.command - client.first_command;
     if (index >= client.pending.size() || client.pending[index].ready || client.pending[index].stream != 0)
         return;
-    // Clients that read slowly must not hold more response bytes than the budget.
+    // Responses to clients that read slowly must not exceed the byte budget.
     const bool out_of_memory = budget_.exceeded() && text.size() > kMaxLineBytes;
-    if (out_of_memory) log_.line(Topic::client, "answer_dropped", "an answer is not passed on: no memory");
+    if (out_of_memory)
+        log_.line(Topic::client, "answer_dropped", "response dropped: the byte budget is exceeded");
     finish_response(client.pending[index],
                     out_of_memory ? std::string(kOutOfMemoryLine) + "\r\n" : std::move(text));
     write_responses(client);
-    read_commands(handle.connection, client);  // commands may have waited for this response
+    read_commands(handle.connection, client);  // reading may have been paused until this response
     close_if_done(handle.connection, client);
 }
 
@@ -376,20 +389,22 @@
     stream_callbacks_.on_writable(stream);
 }
 
-// From now on the response is written as it comes. If it breaks off, later ones are lost; but its client
-// judges it by its first bytes.
+// Writes what is buffered of the response; further chunks are written as they arrive. Waiting longer would
+// delay the first bytes, by which the client measures latency. If the stream breaks off now, later responses
+// are lost.
 void ClientConnections::write_collected(Client& client, PendingResponse& response) {
     response.collecting = false;
     write_responses(client);
 }
 
-// Nothing of the response is written yet, so an error line can stand in its place, in time.
+// Fails a buffered response that has stalled. None of it is written yet, so an error line can replace it
+// before the client times out.
 void ClientConnections::give_up_collecting(const RequestHandle& handle) {
     Client* client = find(handle);
     if (client == nullptr || !response_to(*client, handle).collecting) return;
     PendingResponse& response = response_to(*client, handle);
     log_.line(Topic::client, "value_given_up",
-              "a long value stalls, and its client has sent further commands");
+              "long value abandoned: it stalled while further commands of its client were pending");
     response.collecting = false;
     budget_.used -= response.text.size();
     response.text = {};
@@ -400,8 +415,8 @@
     close_if_done(handle.connection, *client);
 }
 
-// Responses are written in the order of the commands: a stream that is not in front gets no capacity, and its
-// data waits at the server.
+// Responses are written in command order: a stream that is not first gets no capacity unless it is buffered,
+// and its data remains on the server's connection.
 std::size_t ClientConnections::stream_capacity(const RequestHandle& handle) const {
     const auto entry = clients_.find(handle.connection);
     if (entry == clients_.end() || entry->second.connection->is_closed()) return 0;
@@ -435,8 +450,8 @@
     response.text.clear();
     if (!complete && response.started) {
         log_.line(Topic::client, "value_broken_off",
-                  "closed: the rest of a value that was begun is not to be had");
-        // Earlier responses are still sent. The client recognizes the truncated value by the early end of the
+                  "client connection closed: the rest of a partly sent value is not available");
+        // Earlier responses are still sent. The client detects the truncated value by the early end of the
         // connection.
         response.ready = true;
         stop_reading(*client, CloseReason::broken_value);
@@ -463,7 +478,7 @@
         } else {
             text += response_text;
         }
-        if (!client.pending.front().ready) {  // a streamed response: the chunks follow
+        if (!client.pending.front().ready) {  // streamed response, whose chunks follow
             response_text.clear();
             client.pending.front().started = true;
             break;
@@ -505,8 +520,8 @@
                                              std::size_t unanswered) {
     if (!loses_commands(reason, {unanswered, false})) return;
     violations_.report(Violation::commands_lost,
-                       "connection " + std::to_string(id) + " closed as " + std::string(name_of(reason)) +
-                           ", " + std::to_string(unanswered) + " of " +
+                       "connection " + std::to_string(id) + " closed with reason " +
+                           std::string(name_of(reason)) + ": " + std::to_string(unanswered) + " of " +
                            std::to_string(client.first_command + client.pending.size()) +
                            " commands unanswered");
 }
@@ -519,7 +534,8 @@
     start_lingering_close(id, client);
 }
 
-// The linger time starts once all is written, so that a slow client still reads its last response completely.
+// Starts or restarts the linger time, which counts from when all output is written, so that a slow client can
+// still read its last response completely.
 void ClientConnections::start_lingering_close(std::uint64_t id, Client& client) {
     timers_.cancel(client.linger_timer);
     client.linger_timer = timers_.schedule(monotonic_now() + kLingerSeconds, [this, id, &client] {
@@ -540,7 +556,7 @@
     }
 }
 
-// Counts commands, not connections, because some clients connect and never send a command.
+// Depends on commands rather than connections, because some clients connect and never send a command.
 bool ClientConnections::idle_since(double time) const {
     return last_command_at_ < time && std::all_of(clients_.begin(), clients_.end(), [](const auto& entry) {
                const Client& client = entry.second;
@@ -553,8 +569,9 @@
 void ClientConnections::close(std::uint64_t id, Client& client, CloseReason reason) {
     if (client.connection->is_closed()) return;
     if (!client.closing && !may_close(reason, close_facts(client)))
-        violations_.report(Violation::closed_while_in_use,
-                           "connection " + std::to_string(id) + " closed as " + std::string(name_of(reason)));
+        violations_.report(
+            Violation::closed_while_in_use,
+            "connection " + std::to_string(id) + " closed with reason " + std::string(name_of(reason)));
     report_lost_commands(id, client, reason, client.pending.size());
     ++closed_counts_[static_cast<std::size_t>(reason)];
     timers_.cancel(client.linger_timer);
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -1,14 +1,14 @@
-// The clients' side of the proxy: accepts connections, parses commands and writes responses in their order.
+// The client side of the proxy: accepts connections, parses commands and writes responses in command order.
 //
-// ClientConnections owns the listening socket, every client connection and its buffers; a connection is
-// closed in close() and its memory freed in destroy_closed(), which the owner calls once per iteration of the
-// main loop. It closes the connections of clients that are silent, idle or do not read their responses. Each
-// request is passed on through OnCommand and answered once through respond() or a stream; only malformed and
-// incomplete commands are answered here, with an error line.
+// ClientConnections owns the listening socket, every client connection and its buffers. A connection is
+// closed in close() and its memory is freed in destroy_closed(), which the owner calls once per iteration of
+// the main loop. Connections of clients that are silent, idle or do not read their responses are closed. Each
+// request is passed on through OnCommand and answered once, through respond() or a stream. Only `mn` and
+// malformed or incomplete commands, and input shed for lack of memory, are answered here.
 //
-// Times are seconds on the clock of monotonic_now(), sizes are bytes. Errors of a connection close it and are
-// reported through OnClientClosed for each request without its response. Everything runs on the thread of the
-// GLib main loop.
+// Times are seconds on the clock of monotonic_now(), sizes are bytes. A connection error closes the
+// connection and is reported through OnClientClosed for each request that has no response. Everything runs on
+// the thread of the GLib main loop.
 #pragma once
 
 #include <array>
@@ -36,72 +36,79 @@
 /// Accepts client connections and serves pipelined commands on each of them.
 class ClientConnections {
   public:
-    /// Identifies a command by its connection and its number on that connection. A handle stays safe to use
-    /// after the connection has closed.
+    /// Identifies a command by its connection and its sequence number on that connection. A handle remains
+    /// safe to use after the connection has closed.
     struct RequestHandle {
         std::uint64_t connection = 0;
         std::uint64_t command = 0;
         bool operator==(const RequestHandle&) const = default;
     };
     static constexpr int kNoRequest = -1;
-    /// Returns the id of the request started for the command, or kNoRequest if it is answered at once. The
-    /// last byte of the command arrived at `received_at`, even if it is only read now.
+    /// Returns the id of the request started for the command, or kNoRequest if the command is answered
+    /// immediately. `received_at` is when the last byte of the command arrived, which may be earlier than
+    /// when it was read.
     using OnCommand = std::function<int(RequestHandle, Command&&, double received_at)>;
-    /// Called when a client has closed, once for each of its requests without a response.
+    /// Called after a client connection has closed, once for each of its requests that has no response.
     using OnClientClosed = std::function<void(RequestHandle, int request)>;
-    /// For streamed responses: there is capacity for more, or the rest of it is not wanted.
+    /// Events of streamed responses. `on_writable`: more of the body may be written. `on_abandoned`: the rest
+    /// of the body is no longer needed.
     struct StreamCallbacks {
         std::function<void(std::uint64_t stream)> on_writable;
         std::function<void(std::uint64_t stream)> on_abandoned;
     };
 
-    /// `timers`, `log` and `violations` must outlive this object. `max_connections` and `max_bytes` bound the
-    /// connections and the buffered bytes of all clients together.
+    /// `timers`, `log` and `violations` must outlive this object. `max_connections` and `max_bytes` limit the
+    /// total number of connections and of buffered bytes over all clients.
     ClientConnections(TimerQueue& timers, Log& log, ViolationCounter& violations, std::size_t max_connections,
                       std::size_t max_bytes, OnCommand on_command, OnClientClosed on_client_closed,
                       StreamCallbacks stream_callbacks);
     ClientConnections(const ClientConnections&) = delete;
     ClientConnections& operator=(const ClientConnections&) = delete;
 
+    /// Starts to accept connections on `listener`.
     void listen(SocketRef listener);
-    /// Closes this process's descriptor of the listener, which a sibling process may continue to accept on.
+    /// Closes this process's descriptor of the listener. A sibling process may continue to accept on its own.
     void stop_accepting();
-    /// Answers a command with `text`, complete with its line end. No effect if it is already answered or the
-    /// client has closed. Out of memory, an error line is sent instead of a long response.
+    /// Answers a command with `text`, which includes its line end. Does nothing if the command is already
+    /// answered or the client connection has closed. If the byte budget is exceeded, an error line replaces a
+    /// long response.
     void respond(const RequestHandle& handle, std::string text);
-    /// How a streamed response is collected where further commands of its client are read already: breaking
-    /// off, it would take their responses with it. It is written once it is complete, or by its next chunk
-    /// after `write_from`; a response that stalls fails at `give_up_at`, with an error line in its place.
+    /// Controls the buffering of a streamed response when further commands of its client are already read: if
+    /// the stream broke off after its first byte, the connection would close and their responses would be
+    /// lost. The response is written once it is complete, or with the first chunk after `write_from`. If it
+    /// stalls until `give_up_at`, an error line replaces it.
     struct StreamTerms {
         std::size_t length = 0;  // bytes that follow in chunks
         double write_from = 0;   // s, monotonic
         double give_up_at = 0;   // s, monotonic
     };
-    /// Begins a streamed response with its header; the chunks follow within stream_capacity().
+    /// Begins a streamed response with its header. The chunks follow, each within stream_capacity().
     void begin_stream(const RequestHandle& handle, std::string header, std::uint64_t stream,
                       const StreamTerms& terms);
+    /// Returns how many bytes of the streamed response may be written now.
     std::size_t stream_capacity(const RequestHandle& handle) const;
+    /// Appends `bytes` to a streamed response.
     void write_chunk(const RequestHandle& handle, std::string_view bytes);
-    /// Ends a streamed response. If it is not complete, `line` is sent in its place; once a part of it has
-    /// been written, the connection is closed instead.
+    /// Ends a streamed response. If it is incomplete, `line` is sent in its place, unless a part of it has
+    /// already been written: then the connection is closed.
     void end_stream(const RequestHandle& handle, bool complete, std::string_view line);
-    /// From now on each connection is closed once it has no unanswered command. With `at_once`, idle
-    /// connections are closed without lingering, because another process of this node needs their
-    /// descriptors.
+    /// Closes each connection as soon as it has no unanswered command. With `at_once`, idle connections are
+    /// closed without lingering, because another process of this node needs their descriptors.
     void begin_shutdown(bool at_once);
-    /// Whether the client has closed its connection, even if the end is not read yet; closes it if so.
+    /// Returns whether the client has closed its connection, even if unread input precedes the close. If so,
+    /// closes the connection on this side.
     bool has_closed(const RequestHandle& handle);
     bool empty() const { return open_count_ == 0; }
-    /// How many connections were closed for the reason.
+    /// Returns how many connections were closed for `reason`.
     std::uint64_t closed_count(CloseReason reason) const {
         return closed_counts_[static_cast<std::size_t>(reason)];
     }
     int open_count() const { return static_cast<int>(open_count_); }
-    /// Limits this object to a share (0 to 1) of its connections and bytes; a sibling process uses the rest.
+    /// Limits this object to a share (0 to 1) of its connections and bytes. A sibling process uses the rest.
     void set_budget_share(double share);
-    /// Whether no command has arrived since `time`, and none is unanswered or unread.
+    /// Returns whether no command has arrived since `time` and none is unanswered or unread.
     bool idle_since(double time) const;
-    /// Frees the connections closed since the last call; never called from inside a callback of this object.
+    /// Frees the connections closed since the last call. Must not be called from a callback of this object.
     void destroy_closed();
 
   private:
@@ -111,33 +118,32 @@
         std::string text;
         std::uint64_t stream = 0;  // id of the streamed response, or 0
         bool started = false;      // a part of the streamed response is written
-        bool collecting = false;   // the streamed response is kept in `text` until it may be written
-        double write_from = 0;     // of a collected response, see StreamTerms
+        bool collecting = false;   // the streamed response is buffered in `text` until it may be written
+        double write_from = 0;     // of a buffered response, see StreamTerms
         std::size_t reserved = 0;  // bytes reserved for the command's value
     };
-    /// Why input that holds a whole command is not read; each reason names who reads on.
+    /// Why reading is paused although the input may hold a complete command, and what resumes it.
     enum class HoldReason {
         none,
-        unread_responses,  // of this client: on Event::drained
-        own_commands,      // of this client are too many, or one is streamed: when one is answered
-        commands_of_all,   // clients together are too many: resume_held_back()
-        memory_of_all,     // for long values is reserved: check_clients()
+        unread_responses,  // the client has unread responses; resumed by Event::drained
+        own_commands,     // the client's pipeline is full or has a stream; resumed when a command is answered
+        commands_of_all,  // the pipelines of all clients are full; resumed by resume_held_back()
+        memory_of_all,    // no memory is left for its long value; resumed by check_clients()
     };
     struct Client {
         std::unique_ptr<TcpConnection> connection;
         ArrivalTimes arrival_times;
         std::deque<PendingResponse> pending;
-        std::uint64_t first_command = 0;  // the number of pending.front()
-        double last_used = 0;             // when bytes last went either way
-        double last_received = 0;         // when it last wrote, or was last read on after it was held back
-        // Response bytes not written yet, as last seen by check_timeouts(), and when that number changed.
-        std::size_t unread_response_bytes = 0;
-        double unread_since = 0;
-        bool reading_stopped = false;  // further input is discarded
-        bool closing = false;          // all commands are answered and the write side is shut down
-        CloseReason close_reason = CloseReason::count;  // once it is closing or reading has stopped
+        std::uint64_t first_command = 0;        // sequence number of pending.front()
+        double last_used = 0;                   // when bytes were last received, written or resumed
+        double last_received = 0;               // when bytes were last received or reading last resumed
+        std::size_t unread_response_bytes = 0;  // unwritten response bytes at the last check_timeouts()
+        double unread_since = 0;                // when check_timeouts() last saw that number change
+        bool reading_stopped = false;           // further input is discarded
+        bool closing = false;                   // all commands are answered and the write side is shut down
+        CloseReason close_reason = CloseReason::count;  // set once `closing` or `reading_stopped` is
         TimerQueue::Handle linger_timer;
-        std::size_t reserved = 0;  // bytes reserved for the long value being read
+        std::size_t reserved = 0;  // bytes reserved for the long value being received
         HoldReason held_back = HoldReason::none;
     };
 
@@ -187,14 +193,14 @@
     OnClientClosed on_client_closed_;
     StreamCallbacks stream_callbacks_;
     std::size_t reserved_limit_;
-    std::size_t reserved_ = 0;  // bytes reserved for long values being written by clients
+    std::size_t reserved_ = 0;  // bytes reserved for the long values that clients write
     Listener listener_;
     std::map<std::uint64_t, Client> clients_;
     std::vector<std::uint64_t> closed_;
     std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count)> closed_counts_{};
     std::size_t open_count_ = 0;
-    std::size_t unanswered_commands_ = 0;  // commands whose response is not written
-    std::deque<std::uint64_t> held_back_;  // connections held back for commands_of_all, the longest first
+    std::size_t unanswered_commands_ = 0;  // commands whose response is not completely written
+    std::deque<std::uint64_t> held_back_;  // connections paused for commands_of_all, longest waiting first
     TimerQueue::Handle resume_timer_;
     std::uint64_t last_id_ = 0;
     double last_command_at_ = 0;
