--- a/src/downstream/arrival_times.cpp
+++ b/src/downstream/arrival_times.cpp
@@ -25,8 +25,8 @@
     const auto last = std::find_if(arrivals_.begin(), arrivals_.end(),
                                    [this](const Arrival& arrival) { return arrival.end >= consumed_; });
     if (last != arrivals_.end()) last_arrival_ = last->time;
-    const bool whole = last != arrivals_.end() && last->end == consumed_;
-    arrivals_.erase(arrivals_.begin(), whole ? last + 1 : last);
+    const bool is_whole_arrival = last != arrivals_.end() && last->end == consumed_;
+    arrivals_.erase(arrivals_.begin(), is_whole_arrival ? last + 1 : last);
     return last_arrival_;
 }
 
--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -57,7 +57,7 @@
       on_command_(std::move(on_command)),
       on_client_closed_(std::move(on_client_closed)),
       stream_callbacks_(std::move(stream_callbacks)),
-      reserved_limit_(max_bytes / kReservedShareDivisor),
+      reserved_bytes_limit_(max_bytes / kReservedShareDivisor),
       listener_(timers, G_PRIORITY_DEFAULT, [this] { accept_connections(); }) {
     check_clients();
 }
@@ -67,7 +67,7 @@
 void ClientConnections::set_budget_share(double share) {
     connection_limit_ = static_cast<std::size_t>(share * static_cast<double>(max_connections_));
     budget_.limit = static_cast<std::size_t>(share * static_cast<double>(max_bytes_));
-    reserved_limit_ = budget_.limit / kReservedShareDivisor;
+    reserved_bytes_limit_ = budget_.limit / kReservedShareDivisor;
 }
 
 void ClientConnections::stop_accepting() { listener_.close(); }
@@ -95,7 +95,7 @@
 
 // Returns whether the client can be closed without losing a command. A command sent on an accepted connection
 // counts as accepted even while it is unread, and a client that has just connected is about to send one.
-bool ClientConnections::between_commands(const Client& client) {
+bool ClientConnections::is_between_commands(const Client& client) {
     const bool just_connected =
         client.first_command == 0 && monotonic_now() - client.last_used < kFirstCommandGraceSeconds;
     return !client.connection->is_closed() && client.pending.empty() && !just_connected &&
@@ -107,11 +107,11 @@
     Client* oldest = nullptr;
     std::uint64_t oldest_id = 0;
     for (auto& [id, client] : clients_) {
-        const bool is_closing = client.closing && !client.connection->is_closed();
+        const bool is_lingering = client.is_closing && !client.connection->is_closed();
         if ((oldest != nullptr && client.last_used >= oldest->last_used) ||
             client.connection->unwritten_bytes() > 0)
             continue;
-        if (!is_closing && !between_commands(client)) continue;
+        if (!is_lingering && !is_between_commands(client)) continue;
         oldest = &client;
         oldest_id = id;
     }
@@ -124,14 +124,14 @@
     if (event == TcpConnection::Event::readable) {
         client.arrival_times.on_received(client.connection->input().size(), client.connection->received_at());
         client.last_received = monotonic_now();
-        if (!client.closing) client.last_used = client.last_received;
+        if (!client.is_closing) client.last_used = client.last_received;
     }
-    if (event == TcpConnection::Event::drained && client.closing) start_lingering_close(id, client);
+    if (event == TcpConnection::Event::drained && client.is_closing) start_lingering_close(id, client);
     read_commands(id, client);
     if (event == TcpConnection::Event::drained && !client.pending.empty() &&
         client.pending.front().stream != 0)
         stream_callbacks_.on_writable(client.pending.front().stream);
-    if (budget_.exceeded() && client.reserved == 0 && client.connection->input().size() > kMaxLineBytes)
+    if (budget_.exceeded() && client.reserved_bytes == 0 && client.connection->input().size() > kMaxLineBytes)
         return shed_input(id, client);
     close_if_done(id, client);
 }
@@ -146,15 +146,15 @@
 }
 
 void ClientConnections::read_commands(std::uint64_t id, Client& client) {
-    client.held_back = HoldReason::none;
-    while (!client.reading_stopped) {
+    client.pause_reason = PauseReason::none;
+    while (!client.is_reading_stopped) {
         if (client.connection->input().empty()) return;
-        const HoldReason reason = why_held_back(client);
-        if (reason != HoldReason::none) return hold_back(id, client, reason);
+        const PauseReason reason = find_pause_reason(client);
+        if (reason != PauseReason::none) return pause_reading(id, client, reason);
         Command command;
         const std::size_t parsed_bytes = parse_command(client.connection->input(), command);
         if (parsed_bytes == 0) {
-            if (!reserve_long_value(client)) client.held_back = HoldReason::memory_of_all;
+            if (!reserve_long_value(client)) client.pause_reason = PauseReason::value_memory_limit;
             return;
         }
         handle_command(id, client, std::move(command), consume(client, parsed_bytes));
@@ -166,8 +166,8 @@
                                        double received_at) {
     last_command_at_ = monotonic_now();
     PendingResponse& response = client.pending.emplace_back();
-    if (client.reserved > 0) client.connection->set_read_limit(kReadLimitBytes);
-    response.reserved = std::exchange(client.reserved, 0);
+    if (client.reserved_bytes > 0) client.connection->set_read_limit(kReadLimitBytes);
+    response.reserved_bytes = std::exchange(client.reserved_bytes, 0);
     ++unanswered_commands_;
     if (command.kind != Command::Kind::hello && command.kind != Command::Kind::malformed) {
         response.request = on_command_({id, client.first_command + client.pending.size() - 1},
@@ -190,66 +190,67 @@
 // clients with long values wait, so that no client has to be closed in the middle of its value. Returns false
 // if this client has to wait.
 bool ClientConnections::reserve_long_value(Client& client) {
-    if (client.reserved > 0) return true;
+    if (client.reserved_bytes > 0) return true;
     const std::size_t length = streamed_write_length(client.connection->input());
     if (length == 0) return true;
-    if (reserved_ > 0 && reserved_ + length > reserved_limit_) return false;
-    client.reserved = length;
-    reserved_ += length;
+    if (reserved_bytes_ > 0 && reserved_bytes_ + length > reserved_bytes_limit_) return false;
+    client.reserved_bytes = length;
+    reserved_bytes_ += length;
     client.connection->set_read_limit(length + 2 * kMaxLineBytes);
     return true;
 }
 
 // A command and its response can each hold a value of the maximum size, so the number of commands pipelined
 // by all clients is limited. The limit does not apply to the first unanswered command of a client.
-bool ClientConnections::too_many_commands_of_all() const {
+bool ClientConnections::is_total_command_limit_reached() const {
     return static_cast<double>(unanswered_commands_) >=
            kPipelinedCommandsFraction * static_cast<double>(connection_limit_);
 }
 
-ClientConnections::HoldReason ClientConnections::why_held_back(const Client& client) const {
+ClientConnections::PauseReason ClientConnections::find_pause_reason(const Client& client) const {
     // Commands are not read from a client that does not read its responses.
-    if (client.connection->unwritten_bytes() > 0) return HoldReason::unread_responses;
-    if (client.pending.size() >= kMaxPipelinedCommands) return HoldReason::own_commands;
+    if (client.connection->unwritten_bytes() > 0) return PauseReason::unread_responses;
+    if (client.pending.size() >= kMaxPipelinedCommands) return PauseReason::client_command_limit;
     // A streamed response that breaks off closes the connection, and commands read after it would be lost.
-    const bool streams = std::any_of(client.pending.begin(), client.pending.end(),
-                                     [](const PendingResponse& response) { return response.stream != 0; });
-    if (streams) return HoldReason::own_commands;
-    return !client.pending.empty() && too_many_commands_of_all() ? HoldReason::commands_of_all
-                                                                 : HoldReason::none;
+    const bool has_stream = std::any_of(client.pending.begin(), client.pending.end(),
+                                        [](const PendingResponse& response) { return response.stream != 0; });
+    if (has_stream) return PauseReason::client_command_limit;
+    return !client.pending.empty() && is_total_command_limit_reached() ? PauseReason::total_command_limit
+                                                                       : PauseReason::none;
 }
 
 // Marks the client as paused only if its next command is complete or only waits for memory. A client that has
 // stopped inside a command counts as silent even if another reason to pause applies.
-void ClientConnections::hold_back(std::uint64_t id, Client& client, HoldReason reason) {
+void ClientConnections::pause_reading(std::uint64_t id, Client& client, PauseReason reason) {
     const std::string_view input = client.connection->input();
     Command command;
-    const bool waits_for_us =
-        (client.reserved == 0 && streamed_write_length(input) > 0) || parse_command(input, command) > 0;
-    if (!waits_for_us) return;
-    client.held_back = reason;
-    if (reason != HoldReason::commands_of_all) return;
-    if (std::find(held_back_.begin(), held_back_.end(), id) == held_back_.end()) held_back_.push_back(id);
+    const bool is_command_available =
+        (client.reserved_bytes == 0 && streamed_write_length(input) > 0) || parse_command(input, command) > 0;
+    if (!is_command_available) return;
+    client.pause_reason = reason;
+    if (reason != PauseReason::total_command_limit) return;
+    if (std::find(paused_clients_.begin(), paused_clients_.end(), id) == paused_clients_.end())
+        paused_clients_.push_back(id);
 }
 
 // Called wherever commands are answered. Reading starts new requests, so it is deferred to the next iteration
 // of the main loop.
 void ClientConnections::schedule_resume() {
-    if (held_back_.empty() || resume_timer_.second != 0) return;
+    if (paused_clients_.empty() || resume_timer_.second != 0) return;
     resume_timer_ = timers_.schedule(monotonic_now(), [this] {
         resume_timer_ = {};
-        resume_held_back();
+        resume_paused_clients();
     });
 }
 
-void ClientConnections::resume_held_back() {
-    for (std::size_t left = held_back_.size(); left > 0 && !too_many_commands_of_all(); --left) {
-        const std::uint64_t id = held_back_.front();
-        held_back_.pop_front();
+void ClientConnections::resume_paused_clients() {
+    for (std::size_t left = paused_clients_.size(); left > 0 && !is_total_command_limit_reached(); --left) {
+        const std::uint64_t id = paused_clients_.front();
+        paused_clients_.pop_front();
         const auto entry = clients_.find(id);
         if (entry == clients_.end() || entry->second.connection->is_closed()) continue;
         Client& client = entry->second;
-        if (client.held_back != HoldReason::commands_of_all) continue;  // reading has already resumed
+        if (client.pause_reason != PauseReason::total_command_limit) continue;  // reading has already resumed
         client.last_used = client.last_received = monotonic_now();
         read_commands(id, client);
         close_if_done(id, client);
@@ -258,7 +259,7 @@
 
 void ClientConnections::finish_response(PendingResponse& response, std::string text) {
     budget_.used += text.size();
-    response.ready = true;
+    response.is_ready = true;
     response.text = std::move(text);
 }
 
@@ -294,12 +295,12 @@
 void ClientConnections::check_clients() {
     const double now = monotonic_now();
     for (auto& [id, client] : clients_) {
-        if (!client.connection->is_closed() && client.held_back == HoldReason::memory_of_all) {
+        if (!client.connection->is_closed() && client.pause_reason == PauseReason::value_memory_limit) {
             client.last_used = client.last_received = now;
             read_commands(id, client);
         }
         if (!client.connection->is_closed()) check_timeouts(id, client, now);
-        if (shutting_down_ && !client.connection->is_closed()) close_if_done(id, client);
+        if (is_shutting_down_ && !client.connection->is_closed()) close_if_done(id, client);
     }
     close_longest_idle(now);
     timers_.schedule(now + kTimeoutCheckIntervalSeconds, [this] { check_clients(); });
@@ -310,9 +311,9 @@
     if (open_count_ <= max_idle) return;  // avoids the loop below, which makes a system call for each client
     std::vector<std::pair<double, std::uint64_t>> idle;
     for (const auto& [id, client] : clients_) {
-        const bool answered =
-            client.first_command > 0 && client.connection->unwritten_bytes() == 0 && !client.reading_stopped;
-        if (answered && between_commands(client)) idle.emplace_back(client.last_used, id);
+        const bool is_answered = client.first_command > 0 && client.connection->unwritten_bytes() == 0 &&
+                                 !client.is_reading_stopped;
+        if (is_answered && is_between_commands(client)) idle.emplace_back(client.last_used, id);
     }
     std::sort(idle.begin(), idle.end());
     for (std::size_t i = 0; i + max_idle < idle.size() && now - idle[i].first >= kMinIdleSeconds; ++i)
@@ -325,18 +326,18 @@
         client.unread_since = now;
     }
     // A client is not silent while this node has paused reading its input or has not yet received it.
-    const bool is_read = !client.reading_stopped && client.held_back == HoldReason::none &&
+    const bool is_read = !client.is_reading_stopped && client.pause_reason == PauseReason::none &&
                          !client.connection->has_unreceived_input();
-    const bool inside_command = is_read && !client.connection->input().empty() &&
-                                now - client.last_received >= kSilenceTimeoutSeconds;
-    const bool silent =
+    const bool is_stalled_in_command = is_read && !client.connection->input().empty() &&
+                                       now - client.last_received >= kSilenceTimeoutSeconds;
+    const bool is_silent =
         is_read && client.connection->input().empty() && now - client.last_used >= kSilenceTimeoutSeconds;
     if (client.unread_response_bytes > 0) {
-        const double limit = inside_command ? kSilenceTimeoutSeconds : kUnreadResponseTimeoutSeconds;
+        const double limit = is_stalled_in_command ? kSilenceTimeoutSeconds : kUnreadResponseTimeoutSeconds;
         if (now - client.unread_since >= limit) close(id, client, CloseReason::unread_responses);
-    } else if (inside_command) {
+    } else if (is_stalled_in_command) {
         reject_connection(id, client, "CLIENT_ERROR incomplete command");
-    } else if (silent && client.pending.empty() &&
+    } else if (is_silent && client.pending.empty() &&
                (client.first_command == 0 || now - client.last_used >= kIdleTimeoutSeconds)) {
         close(id, client, client.first_command == 0 ? CloseReason::first_command_late : CloseReason::idle);
     }
@@ -347,7 +348,7 @@
     if (entry == clients_.end() || entry->second.connection->is_closed()) return;
     Client& client = entry->second;
     const std::uint64_t index = handle.command - client.first_command;
-    if (index >= client.pending.size() || client.pending[index].ready || client.pending[index].stream != 0)
+    if (index >= client.pending.size() || client.pending[index].is_ready || client.pending[index].stream != 0)
         return;
     // Responses to clients that read slowly must not exceed the byte budget.
     const bool out_of_memory = budget_.exceeded() && text.size() > kMaxLineBytes;
@@ -382,30 +383,30 @@
     response.stream = stream;
     const bool is_last = handle.command + 1 == client->first_command + client->pending.size();
     if (is_last || budget_.used + terms.length > budget_.limit) return write_responses(*client);
-    response.collecting = true;
+    response.is_buffered = true;
     response.write_from = terms.write_from;
     response.text.reserve(response.text.size() + terms.length + kLineEndBytes);
-    timers_.schedule(terms.give_up_at, [this, handle] { give_up_collecting(handle); });
+    timers_.schedule(terms.give_up_at, [this, handle] { fail_buffered_response(handle); });
     stream_callbacks_.on_writable(stream);
 }
 
 // Writes what is buffered of the response; further chunks are written as they arrive. Waiting longer would
 // delay the first bytes, by which the client measures latency. If the stream breaks off now, later responses
 // are lost.
-void ClientConnections::write_collected(Client& client, PendingResponse& response) {
-    response.collecting = false;
+void ClientConnections::write_buffered(Client& client, PendingResponse& response) {
+    response.is_buffered = false;
     write_responses(client);
 }
 
 // Fails a buffered response that has stalled. None of it is written yet, so an error line can replace it
 // before the client times out.
-void ClientConnections::give_up_collecting(const RequestHandle& handle) {
+void ClientConnections::fail_buffered_response(const RequestHandle& handle) {
     Client* client = find(handle);
-    if (client == nullptr || !response_to(*client, handle).collecting) return;
+    if (client == nullptr || !response_to(*client, handle).is_buffered) return;
     PendingResponse& response = response_to(*client, handle);
     log_.line(Topic::client, "value_given_up",
               "long value abandoned: it stalled while further commands of its client were pending");
-    response.collecting = false;
+    response.is_buffered = false;
     budget_.used -= response.text.size();
     response.text = {};
     stream_callbacks_.on_abandoned(std::exchange(response.stream, 0));
@@ -421,7 +422,7 @@
     const auto entry = clients_.find(handle.connection);
     if (entry == clients_.end() || entry->second.connection->is_closed()) return 0;
     const std::uint64_t index = handle.command - entry->second.first_command;
-    if (index < entry->second.pending.size() && entry->second.pending[index].collecting)
+    if (index < entry->second.pending.size() && entry->second.pending[index].is_buffered)
         return kStreamWindowBytes;
     if (index != 0) return 0;
     const std::size_t unwritten = entry->second.connection->unwritten_bytes();
@@ -433,10 +434,10 @@
     if (client == nullptr) return;
     client->last_used = monotonic_now();
     PendingResponse& response = response_to(*client, handle);
-    if (!response.collecting) return client->connection->write(bytes);
+    if (!response.is_buffered) return client->connection->write(bytes);
     response.text += bytes;
     budget_.used += bytes.size();
-    if (budget_.exceeded() || monotonic_now() >= response.write_from) write_collected(*client, response);
+    if (budget_.exceeded() || monotonic_now() >= response.write_from) write_buffered(*client, response);
 }
 
 void ClientConnections::end_stream(const RequestHandle& handle, bool complete, std::string_view line) {
@@ -444,16 +445,16 @@
     if (client == nullptr) return;
     PendingResponse& response = response_to(*client, handle);
     response.stream = 0;
-    const bool collected = std::exchange(response.collecting, false) && complete;
+    const bool has_buffered_body = std::exchange(response.is_buffered, false) && complete;
     budget_.used -= response.text.size();
-    std::string text = collected ? std::move(response.text) : std::string();
+    std::string text = has_buffered_body ? std::move(response.text) : std::string();
     response.text.clear();
-    if (!complete && response.started) {
+    if (!complete && response.is_started) {
         log_.line(Topic::client, "value_broken_off",
                   "client connection closed: the rest of a partly sent value is not available");
         // Earlier responses are still sent. The client detects the truncated value by the early end of the
         // connection.
-        response.ready = true;
+        response.is_ready = true;
         stop_reading(*client, CloseReason::broken_value);
         report_lost_commands(handle.connection, *client, CloseReason::broken_value,
                              client->pending.size() - 1);
@@ -469,8 +470,8 @@
 void ClientConnections::write_responses(Client& client) {
     std::string text;
     while (!client.pending.empty() &&
-           (client.pending.front().ready ||
-            (!client.pending.front().text.empty() && !client.pending.front().collecting))) {
+           (client.pending.front().is_ready ||
+            (!client.pending.front().text.empty() && !client.pending.front().is_buffered))) {
         std::string& response_text = client.pending.front().text;
         budget_.used -= response_text.size();
         if (text.empty()) {
@@ -478,12 +479,12 @@
         } else {
             text += response_text;
         }
-        if (!client.pending.front().ready) {  // streamed response, whose chunks follow
+        if (!client.pending.front().is_ready) {  // streamed response, whose chunks follow
             response_text.clear();
-            client.pending.front().started = true;
+            client.pending.front().is_started = true;
             break;
         }
-        reserved_ -= client.pending.front().reserved;
+        reserved_bytes_ -= client.pending.front().reserved_bytes;
         client.pending.pop_front();
         ++client.first_command;
         --unanswered_commands_;
@@ -497,13 +498,13 @@
 }
 
 void ClientConnections::close_if_done(std::uint64_t id, Client& client) {
-    const bool done =
-        client.reading_stopped ? client.pending.empty() : shutting_down_ && between_commands(client);
-    if (!done || client.closing) return;
-    const bool idle =
+    const bool is_done =
+        client.is_reading_stopped ? client.pending.empty() : is_shutting_down_ && is_between_commands(client);
+    if (!is_done || client.is_closing) return;
+    const bool is_idle =
         client.connection->unwritten_bytes() == 0 && monotonic_now() - client.last_used >= kMinIdleSeconds;
-    const CloseReason reason = client.reading_stopped ? client.close_reason : CloseReason::shutdown;
-    if (close_idle_at_once_ && !client.reading_stopped && idle) return close(id, client, reason);
+    const CloseReason reason = client.is_reading_stopped ? client.close_reason : CloseReason::shutdown;
+    if (close_idle_at_once_ && !client.is_reading_stopped && is_idle) return close(id, client, reason);
     close_gracefully(id, client, reason);
 }
 
@@ -512,7 +513,7 @@
 }
 
 void ClientConnections::stop_reading(Client& client, CloseReason reason) {
-    client.reading_stopped = true;
+    client.is_reading_stopped = true;
     client.close_reason = reason;
 }
 
@@ -529,7 +530,7 @@
 void ClientConnections::close_gracefully(std::uint64_t id, Client& client, CloseReason reason) {
     if (!may_close(reason, close_facts(client))) return;
     stop_reading(client, reason);
-    client.closing = true;
+    client.is_closing = true;
     client.connection->shutdown_write();
     start_lingering_close(id, client);
 }
@@ -549,7 +550,7 @@
 }
 
 void ClientConnections::begin_shutdown(bool at_once) {
-    shutting_down_ = true;
+    is_shutting_down_ = true;
     close_idle_at_once_ = at_once;
     for (auto& [id, client] : clients_) {
         if (!client.connection->is_closed()) close_if_done(id, client);
@@ -568,7 +569,7 @@
 
 void ClientConnections::close(std::uint64_t id, Client& client, CloseReason reason) {
     if (client.connection->is_closed()) return;
-    if (!client.closing && !may_close(reason, close_facts(client)))
+    if (!client.is_closing && !may_close(reason, close_facts(client)))
         violations_.report(
             Violation::closed_while_in_use,
             "connection " + std::to_string(id) + " closed with reason " + std::string(name_of(reason)));
@@ -591,13 +592,13 @@
 
 void ClientConnections::abandon_pending(std::uint64_t id, Client& client) {
     unanswered_commands_ -= client.pending.size();
-    reserved_ -= std::exchange(client.reserved, 0);
+    reserved_bytes_ -= std::exchange(client.reserved_bytes, 0);
     for (std::size_t i = 0; i < client.pending.size(); ++i) {
         budget_.used -= client.pending[i].text.size();
-        reserved_ -= client.pending[i].reserved;
+        reserved_bytes_ -= client.pending[i].reserved_bytes;
         if (client.pending[i].stream != 0) {
             stream_callbacks_.on_abandoned(client.pending[i].stream);
-        } else if (!client.pending[i].ready && client.pending[i].request != kNoRequest) {
+        } else if (!client.pending[i].is_ready && client.pending[i].request != kNoRequest) {
             on_client_closed_({id, client.first_command + i}, client.pending[i].request);
         }
     }
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -113,22 +113,22 @@
 
   private:
     struct PendingResponse {
-        bool ready = false;
+        bool is_ready = false;
         int request = kNoRequest;
         std::string text;
         std::uint64_t stream = 0;  // id of the streamed response, or 0
-        bool started = false;      // a part of the streamed response is written
-        bool collecting = false;   // the streamed response is buffered in `text` until it may be written
+        bool is_started = false;   // a part of the streamed response is written
+        bool is_buffered = false;  // the streamed response is buffered in `text` until it may be written
         double write_from = 0;     // of a buffered response, see StreamTerms
-        std::size_t reserved = 0;  // bytes reserved for the command's value
+        std::size_t reserved_bytes = 0;  // bytes reserved for the command's value
     };
     /// Why reading is paused although the input may hold a complete command, and what resumes it.
-    enum class HoldReason {
+    enum class PauseReason {
         none,
-        unread_responses,  // the client has unread responses; resumed by Event::drained
-        own_commands,     // the client's pipeline is full or has a stream; resumed when a command is answered
-        commands_of_all,  // the pipelines of all clients are full; resumed by resume_held_back()
-        memory_of_all,    // no memory is left for its long value; resumed by check_clients()
+        unread_responses,      // the client has unread responses; resumed by Event::drained
+        client_command_limit,  // the client's pipeline is full or has a stream; resumed by a response
+        total_command_limit,   // the pipelines of all clients are full; resumed by resume_paused_clients()
+        value_memory_limit,    // no memory is left for its long value; resumed by check_clients()
     };
     struct Client {
         std::unique_ptr<TcpConnection> connection;
@@ -139,20 +139,20 @@
         double last_received = 0;               // when bytes were last received or reading last resumed
         std::size_t unread_response_bytes = 0;  // unwritten response bytes at the last check_timeouts()
         double unread_since = 0;                // when check_timeouts() last saw that number change
-        bool reading_stopped = false;           // further input is discarded
-        bool closing = false;                   // all commands are answered and the write side is shut down
-        CloseReason close_reason = CloseReason::count;  // set once `closing` or `reading_stopped` is
+        bool is_reading_stopped = false;        // further input is discarded
+        bool is_closing = false;                // all commands are answered and the write side is shut down
+        CloseReason close_reason = CloseReason::count;  // set once `is_closing` or `is_reading_stopped` is
         TimerQueue::Handle linger_timer;
-        std::size_t reserved = 0;  // bytes reserved for the long value being received
-        HoldReason held_back = HoldReason::none;
+        std::size_t reserved_bytes = 0;  // bytes reserved for the long value being received
+        PauseReason pause_reason = PauseReason::none;
     };
 
-    HoldReason why_held_back(const Client& client) const;
-    bool too_many_commands_of_all() const;
-    void hold_back(std::uint64_t id, Client& client, HoldReason reason);
+    PauseReason find_pause_reason(const Client& client) const;
+    bool is_total_command_limit_reached() const;
+    void pause_reading(std::uint64_t id, Client& client, PauseReason reason);
     void schedule_resume();
-    void resume_held_back();
-    static bool between_commands(const Client& client);
+    void resume_paused_clients();
+    static bool is_between_commands(const Client& client);
     void accept_connections();
     bool evict_idle();
     void on_event(std::uint64_t id, Client& client, TcpConnection::Event event);
@@ -165,8 +165,8 @@
     Client* find(const RequestHandle& handle);
     void finish_response(PendingResponse& response, std::string text);
     PendingResponse& response_to(Client& client, const RequestHandle& handle);
-    void write_collected(Client& client, PendingResponse& response);
-    void give_up_collecting(const RequestHandle& handle);
+    void write_buffered(Client& client, PendingResponse& response);
+    void fail_buffered_response(const RequestHandle& handle);
     void write_responses(Client& client);
     void reject_connection(std::uint64_t id, Client& client, const char* line);
     void check_clients();
@@ -192,19 +192,20 @@
     OnCommand on_command_;
     OnClientClosed on_client_closed_;
     StreamCallbacks stream_callbacks_;
-    std::size_t reserved_limit_;
-    std::size_t reserved_ = 0;  // bytes reserved for the long values that clients write
+    std::size_t reserved_bytes_limit_;
+    std::size_t reserved_bytes_ = 0;  // bytes reserved for the long values that clients write
     Listener listener_;
     std::map<std::uint64_t, Client> clients_;
     std::vector<std::uint64_t> closed_;
     std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count)> closed_counts_{};
     std::size_t open_count_ = 0;
     std::size_t unanswered_commands_ = 0;  // commands whose response is not completely written
-    std::deque<std::uint64_t> held_back_;  // connections paused for commands_of_all, longest waiting first
+    // Connections paused for total_command_limit, the longest waiting first.
+    std::deque<std::uint64_t> paused_clients_;
     TimerQueue::Handle resume_timer_;
     std::uint64_t last_id_ = 0;
     double last_command_at_ = 0;
-    bool shutting_down_ = false;
+    bool is_shutting_down_ = false;
     bool close_idle_at_once_ = false;
 };
 
