--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -11,19 +11,25 @@
 namespace {
 
 constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;
-// A whole buffered value with its header, or a window of a streamed one.
+// Limits the input buffer to one buffered value with its header, or to a window of a streamed value.
 constexpr std::size_t kReadLimitBytes = kMaxBufferedValueBytes + kMaxHeaderBytes;
-// A response of unknown length cannot be streamed and is buffered whole.
+// Read limit for a response of unknown length, which cannot be streamed and is buffered completely.
 constexpr std::size_t kUnknownLengthReadLimitBytes = kMaxValueBytes + kMaxHeaderBytes;
-constexpr double kStallTimeoutSeconds = 10.0;  // without progress of a streamed response
-// After an HTTP response a duplicate of it may still arrive within this time.
+// A streamed response that makes no progress for this time is ended as incomplete.
+constexpr double kStallTimeoutSeconds = 10.0;
+// An HTTP connection is not reused until this time after a response, because a duplicate of the response may
+// still arrive.
 constexpr double kHttpReuseDelaySeconds = 0.04;
-// Connections are reused for this fraction of the idle timeout; later the peer may be about to close them.
+// Connections are reused for this fraction of the configured idle timeout. Later the peer may be about to
+// close them.
 constexpr double kIdleTimeoutFraction = 0.8;
 constexpr double kDefaultConnectTimeoutSeconds = 1.0;
+// Idle timeout if none is configured: practically unlimited.
 constexpr double kNoIdleTimeoutSeconds = 1e9;
 constexpr double kExpiryCheckIntervalSeconds = 1.0;
-constexpr double kMinSendTimeoutSeconds = 1e-6;  // above 0, which means no send timeout
+// Smallest remaining send timeout: 0 would mean that there is none.
+constexpr double kMinSendTimeoutSeconds = 1e-6;
+// Malformed input is logged up to this length.
 constexpr std::size_t kLoggedInputBytes = 80;
 
 }  // namespace
@@ -64,7 +70,7 @@
     if (server_id >= static_cast<int>(servers_.size()))
         servers_.resize(static_cast<std::size_t>(server_id) + 1);
     Server& server = server_at(server_id);
-    if (server.address != address) close_idle(server_id);  // another server may have the old address now
+    if (server.address != address) close_idle(server_id);  // the old address may now belong to another server
     server.name = name;
     server.address = address;
     server.origin = origin;
@@ -90,14 +96,14 @@
     const Server& server = server_at(server_id);
     if (!has_capacity(server_id)) {
         log_.line(topic(server_id), "no_place_left",
-                  server.name + ": this node's part of the fleet's connections is in use, forward not sent");
+                  server.name + ": attempt not sent: this node's share of the connection limit is in use");
         on_finished_({request, attempt, server_id, AttemptOutcome::not_sent, 0, {}, 0, 0, false});
         return;
     }
     Connection* connection = connection_to(server_id);
     if (connection == nullptr) {
         log_.line(topic(server_id), "no_connection_left",
-                  server.name + ": no connection is left in the budget, forward not sent");
+                  server.name + ": attempt not sent: the connection budget is exhausted");
         on_finished_({request, attempt, server_id, AttemptOutcome::refused, 0, {}, 0, 0, false});
         return;
     }
@@ -119,7 +125,8 @@
     if (begin_attempt(*connection, kHealthCheck, check_number, timeout, 0)) write_health_check(*connection);
 }
 
-// Returns whether the connection may carry the request now. If not, on_ready() follows.
+// Assigns the attempt to the connection. Returns whether its request may be written now; otherwise on_ready()
+// is called later.
 bool UpstreamPool::begin_attempt(Connection& connection, int request, int attempt, double timeout,
                                  double send_timeout) {
     connection.busy = true;
@@ -142,7 +149,7 @@
     }
     if (!connection.socket->is_connected()) return false;
     // A duplicate of the last response may arrive some milliseconds late. Waiting is better than opening a
-    // new connection, of which a server holds only a few.
+    // new connection, because the number of connections per server is limited.
     const double reusable_at = server_at(connection.server).origin && connection.last_used > 0
                                    ? connection.last_used + kHttpReuseDelaySeconds
                                    : 0;
@@ -159,12 +166,12 @@
     on_connected_(connection.request, connection.attempt, connection.server);
 }
 
-// The connection closed or received a duplicate response during the reuse delay. Nothing of the attempt has
-// been sent, so it moves to another connection with its remaining time.
+// Moves an attempt to another connection with its remaining time. Called when its connection closes or
+// receives a duplicate response during the reuse delay, before anything of the attempt is sent.
 void UpstreamPool::continue_attempt(Connection& connection) {
-    log_.line(
-        topic(connection.server), "second_answer",
-        server_at(connection.server).name + ": closed or answered again while it rested, not used any more");
+    log_.line(topic(connection.server), "second_answer",
+              server_at(connection.server).name +
+                  ": connection discarded: closed, or a second response received, during the reuse delay");
     const double now = monotonic_now();
     const int request = connection.request, attempt = connection.attempt, server_id = connection.server;
     const bool is_read = connection.is_read;
@@ -192,9 +199,10 @@
     if (begin_attempt(*next, request, attempt, timeout, send_timeout)) on_ready(*next);
 }
 
-// Only called on an established connection. A connecting TcpConnection would send buffered bytes as soon as
-// it is established, even if by then the deadline has passed, the server is draining or the client has
-// closed. The server is told what is left now: waiting for the connection has used up a part of the time.
+// Writes the request of an attempt. Only called on an established connection: a connecting TcpConnection
+// would send buffered bytes as soon as it is established, even if by then the deadline has passed, the server
+// is draining or the client has closed. The request states the time left now, because waiting for the
+// connection has used a part of it.
 void UpstreamPool::write_command(Connection& connection, const Command& command) {
     const Server& server = server_at(connection.server);
     const double time_left = connection.deadline - monotonic_now();
@@ -213,7 +221,7 @@
 
 void UpstreamPool::send(int request, int attempt, const Command& command) {
     const auto entry = in_flight_.find(attempt_key(request, attempt));
-    if (entry == in_flight_.end()) return;  // its result is already reported
+    if (entry == in_flight_.end()) return;  // the result is already reported
     Connection& connection = *entry->second;
     const bool too_late = connection.send_timer.second != 0 && monotonic_now() >= connection.send_timer.first;
     if (too_late || monotonic_now() >= connection.deadline)
@@ -229,8 +237,8 @@
     keep_or_close(connection, true);
 }
 
-// Busy and idle connections together stay within the server's limit: a new connection is only opened if it
-// fits beside the idle ones.
+// Returns whether the server's connection limit allows another attempt. Idle connections count towards the
+// limit: a new connection is only opened if it fits in addition to the idle ones.
 bool UpstreamPool::has_capacity(int server_id) {
     Server& server = server_at(server_id);
     if (!server_connection_limit_ || server.origin) return true;
@@ -276,7 +284,7 @@
     return &connection;
 }
 
-// Closes the connection that has been idle for longest, of all servers; returns false if none is idle.
+// Closes the connection that has been idle the longest, over all servers. Returns false if none is idle.
 bool UpstreamPool::evict_idle() {
     Connection* oldest = nullptr;
     for (const Server& server : servers_) {
@@ -289,13 +297,14 @@
 
 void UpstreamPool::cancel(int request, int attempt) {
     const auto entry = in_flight_.find(attempt_key(request, attempt));
-    if (entry == in_flight_.end()) return;  // its result is already reported
+    if (entry == in_flight_.end()) return;  // the result is already reported
     Connection& connection = *entry->second;
     finish_attempt(connection, AttemptOutcome::cancelled);
     close(connection);
 }
 
-// A request begins with its last byte. What is written and not acknowledged may still be on its way.
+// A server starts to execute a request when its last byte arrives. A request that is fully written but not
+// acknowledged may still be in transit.
 void UpstreamPool::cancel_half_sent(int request, int attempt, bool may_cancel) {
     const auto entry = in_flight_.find(attempt_key(request, attempt));
     if (entry == in_flight_.end()) return;
@@ -317,7 +326,7 @@
         return continue_attempt(connection);
     switch (event) {
         case TcpConnection::Event::connected:
-            // If the loop was delayed, this event may be dispatched before the timer that is already due.
+            // If the main loop was delayed, this event may be dispatched before the expired connect timer.
             if (connection.connect_timer.first <= monotonic_now())
                 return on_broken(connection, AttemptOutcome::timed_out);
             timers_.cancel(connection.connect_timer);
@@ -331,7 +340,7 @@
             break;
         case TcpConnection::Event::closed:
             if (connection.stream != 0) {
-                forward_chunks(connection);  // the input before the close may complete the body
+                forward_chunks(connection);  // input received before the close may complete the body
             } else if (connection.busy && connection.socket->ended_cleanly() &&
                        !connection.socket->input().empty()) {
                 read_response(connection, true);
@@ -380,8 +389,8 @@
     return parsed_bytes;
 }
 
-// Begins to stream a long value if its header is complete and valid. Once its header is forwarded, no other
-// response can replace this one.
+// Starts to stream a long value if its header is complete and valid. Once the header is forwarded, no other
+// response can replace this one. Returns whether streaming has started.
 bool UpstreamPool::begin_stream(Connection& connection) {
     if (!connection.busy || !connection.is_read || !is_fully_sent(connection)) return false;
     const bool origin = server_at(connection.server).origin;
@@ -410,19 +419,20 @@
 }
 
 void UpstreamPool::forward_chunks(Connection& connection) {
-    if (connection.writing_chunk) return;  // reentered by resume(); the loop below continues
+    if (connection.writing_chunk) return;  // reentered through resume(): the outer call continues its loop
     while (connection.remaining.length > 0) {
         const std::string_view input = connection.socket->input();
         std::size_t bytes = std::min(input.size(), connection.remaining.length);
         if (bytes == connection.remaining.length && connection.remaining.trailer_bytes > 0) {
-            // A value without its trailer after the announced length must not look complete to the client,
-            // so its last byte is held back until the trailer has arrived.
+            // A value that is not followed by its trailer must not look complete to the client, so the last
+            // byte is only forwarded once the trailer has arrived.
             const std::string_view trailer = input.substr(bytes);
             if (trailer.size() < connection.remaining.trailer_bytes) {
                 --bytes;
             } else if (!trailer.starts_with("\r\n")) {
                 log_.line(topic(connection.server), "nonsense",
-                          server_at(connection.server).name + ": a long value does not end where it should");
+                          server_at(connection.server).name +
+                              ": protocol error: no line end after a streamed value of the stated length");
                 return end_stream(connection, false);
             }
         }
@@ -443,7 +453,8 @@
     end_stream(connection, true);
 }
 
-// Time spent waiting for the client to read what is already received does not count as a stall.
+// Starts the timer that ends a stalled stream. Time during which received input waits for the client to read
+// does not count as a stall.
 void UpstreamPool::restart_stall_timer(Connection& connection) {
     connection.attempt_timer =
         timers_.schedule(connection.last_used + kStallTimeoutSeconds, [this, &connection] {
@@ -452,7 +463,7 @@
             if (monotonic_now() - connection.last_used < kStallTimeoutSeconds)
                 return restart_stall_timer(connection);
             log_.line(topic(connection.server), "value_broken_off",
-                      server_at(connection.server).name + ": nothing more of a value that it had begun");
+                      server_at(connection.server).name + ": streamed value stalled, connection closed");
             end_stream(connection, false);
         });
 }
@@ -488,7 +499,7 @@
     Server& server = server_at(connection.server);
     if (server_connection_limit_ && !server.origin &&
         server.open > server_connection_limit_(connection.server, 0))
-        return close(connection);  // the limit was lowered meanwhile
+        return close(connection);  // the limit has been lowered since
     connection.last_used = monotonic_now();
     connection.socket->set_read_limit(kReadLimitBytes);
     server.idle.push_back(&connection);
@@ -504,20 +515,20 @@
     std::size_t parsed_bytes = 0;
     if (connection.busy) parsed_bytes = parse(connection, response, ended);
     if (connection.busy && parsed_bytes == 0 && ended)
-        return on_broken(connection, AttemptOutcome::reset);  // closed inside the response
+        return on_broken(connection, AttemptOutcome::reset);  // closed before the end of the response
     if (parsed_bytes == 0 && connection.socket->is_read_buffer_full() && response.unknown_length)
         connection.socket->set_read_limit(kUnknownLengthReadLimitBytes);
     if (connection.busy && parsed_bytes == 0 && !connection.socket->is_read_buffer_full()) {
         if (!budget_.exceeded() || connection.socket->input().size() <= kMaxLineBytes) return;
         log_.line(topic(connection.server), "no_memory",
-                  server_at(connection.server).name + ": no memory for its answer, forward given up");
+                  server_at(connection.server).name + ": attempt failed: the byte budget is exceeded");
         return on_broken(connection, AttemptOutcome::failed);
     }
-    // A response received before the request is fully sent cannot belong to it.
+    // A response received before the request is fully sent cannot be the response to it.
     if (connection.busy &&
         (response.outcome == AttemptOutcome::succeeded || response.outcome == AttemptOutcome::miss))
         response.valid = response.valid && is_fully_sent(connection);
-    // A write receipt becomes part of a line to the client, which it must not be able to break.
+    // A write receipt is copied into a line to the client and must not contain a line end or a blank.
     if (connection.busy && response.outcome == AttemptOutcome::succeeded && !connection.is_read &&
         connection.request != kHealthCheck)
         response.valid = response.valid && is_printable_word(response.body);
@@ -527,19 +538,20 @@
     keep_or_close(connection, response.reusable);
 }
 
-// The framing is lost: it is unknown to which request the next bytes belong.
+// Fails the attempt and closes the connection: after input that does not parse or was not requested it is
+// unknown to which request the next bytes belong.
 void UpstreamPool::on_unexpected_input(Connection& connection) {
     const std::string_view input = connection.socket->input();
     log_.line(topic(connection.server), "nonsense",
               server_at(connection.server).name +
                   ": nonsense, connection closed: " + std::string(input.substr(0, kLoggedInputBytes)));
-    // The server did respond, so it is neither down nor overloaded: only this attempt fails, and its request
-    // may have been executed.
+    // The server has responded, so it is neither down nor overloaded. Only this attempt fails, and its
+    // request may have been executed.
     if (connection.busy) return on_broken(connection, AttemptOutcome::failed);
     close(connection);
 }
 
-// Called when a server starts draining: attempts not sent by then must not be sent to it any more.
+// Called when a server starts draining. Attempts that are not sent by then must no longer be sent to it.
 void UpstreamPool::close_unstarted(int server_id) {
     close_idle(server_id);
     if (server_at(server_id).open == 0) return;
@@ -550,7 +562,8 @@
     }
 }
 
-// Only a request whose last byte was written may have been executed; any other one was refused.
+// Ends the attempt and closes the connection. Only a request whose last byte was written may have been
+// executed; any other ends as refused.
 void UpstreamPool::on_broken(Connection& connection, AttemptOutcome outcome_if_sent) {
     finish_attempt(connection, is_fully_sent(connection) ? outcome_if_sent : AttemptOutcome::refused);
     close(connection);
--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -1,9 +1,9 @@
 // The pool of connections to the memcache servers and to the HTTP origin, and the attempts in flight on them.
 //
-// UpstreamPool owns every connection, its buffers and its timers; a connection is closed in close() and its
-// memory freed in destroy_closed(), which the owner calls once per iteration of the main loop. A connection
-// carries one attempt at a time: cancelling an attempt closes its connection, and pipelining would make a
-// quick response wait behind a slow one. The pool neither chooses servers nor retries.
+// UpstreamPool owns every connection, its buffers and its timers. A connection is closed in close() and its
+// memory is freed in destroy_closed(), which the owner calls once per iteration of the main loop. A
+// connection carries one attempt at a time, because cancelling an attempt closes its connection, and with
+// pipelining a fast response would wait behind a slow one. The pool neither chooses servers nor retries.
 //
 // Times are seconds on the clock of monotonic_now(), sizes are bytes. Failures are reported as the
 // AttemptOutcome of an AttemptResult, never as exceptions. Everything runs on the thread of the GLib main
@@ -28,10 +28,10 @@
 
 namespace brookrelay {
 
-/// Keeps reusable connections to each server and runs one attempt at a time on each of them.
+/// Pools connections to each server and runs at most one attempt at a time on each connection.
 class UpstreamPool {
   public:
-    /// How one attempt (or health check, with request == kHealthCheck) ended.
+    /// The result of one attempt, or of a health check if `request` is kHealthCheck.
     struct AttemptResult {
         int request;
         int attempt;
@@ -39,79 +39,83 @@
         AttemptOutcome outcome;
         double latency;  // seconds since the attempt was started
         std::string body;
-        // If not 0, the body follows in chunks through the BodySink under this stream id, `stream_length`
-        // bytes in all, and `body` is empty.
+        // If not 0, `body` is empty and the body follows in chunks through the BodySink under this stream id.
         std::uint64_t stream = 0;
-        std::size_t stream_length = 0;
-        bool written = false;  // at least a part of the request was
+        std::size_t stream_length = 0;  // total bytes of the streamed body
+        bool written = false;           // at least a part of the request was written
     };
-    /// Receives the bodies of streamed responses. `capacity` says how many bytes may be written now; after it
-    /// has returned 0, the sink calls resume() once there is room. `end` is called once per stream, with
-    /// `complete` false if the body was cut short, but not after abandon_stream().
+    /// Receives the bodies of streamed responses. `capacity` returns how many bytes may be written now; after
+    /// it has returned 0, the owner of the sink calls resume() when there is capacity again. `end` is called
+    /// once per stream, with `complete` false if the body was truncated, but not after abandon_stream().
     struct BodySink {
         std::function<std::size_t(std::uint64_t stream)> capacity;
         std::function<void(std::uint64_t stream, std::string_view chunk)> write;
         std::function<void(std::uint64_t stream, bool complete)> end;
     };
     using OnFinished = std::function<void(AttemptResult&&)>;
-    /// The attempt's connection may carry it now and nothing is sent yet: the owner calls send() or
-    /// abandon().
+    /// Called when the connection of an attempt is ready to send and nothing is sent yet. The owner then
+    /// calls send() or abandon().
     using OnConnected = std::function<void(int request, int attempt, int server)>;
-    /// Called immediately before the request of an attempt is written, `time_left` being what its server is
-    /// told.
+    /// Called immediately before the request of an attempt is written. `time_left` is the remaining time, in
+    /// seconds, that the request gives to its server.
     using OnWrite = std::function<void(int request, int attempt, int server, double time_left)>;
-    /// The number of connections that may be open to a server, given how many of them would be busy.
+    /// Returns the number of connections that may be open to a server, given how many of them would be busy.
     using ConnectionLimit = std::function<int(int server_id, int busy)>;
-    static constexpr int kHealthCheck = -1;  ///< stands in place of a request id
+    static constexpr int kHealthCheck = -1;  ///< the request id of health checks
 
-    /// `timers` and `log` must outlive the pool. `max_connections` and `max_bytes` bound the connections and
-    /// the buffered bytes of all servers together.
+    /// `timers` and `log` must outlive the pool. `max_connections` and `max_bytes` limit the total number of
+    /// connections and of buffered bytes over all servers.
     UpstreamPool(TimerQueue& timers, Log& log, const Deployment& deployment, std::size_t max_connections,
                  std::size_t max_bytes, OnFinished on_finished, OnConnected on_connected, OnWrite on_write,
                  BodySink body_sink);
 
-    /// Takes the connect and idle timeouts; connects already in progress keep their timeout.
+    /// Sets the connect and idle timeouts from `deployment`. Connects already in progress keep their timeout.
     void apply_configuration(const Deployment& deployment);
-    /// Without a limit per server only `max_connections` counts. Connections above it are closed by
-    /// enforce_connection_limit(), or when they become idle.
+    /// Sets the connection limit per cache server; without one only `max_connections` applies. Connections
+    /// above the limit are closed by enforce_connection_limit(), or when they become idle.
     void set_connection_limit(ConnectionLimit limit) { server_connection_limit_ = std::move(limit); }
+    /// Closes the idle connections that exceed the limit of their server.
     void enforce_connection_limit();
+    /// Adds a server or changes its name and address. Idle connections to its old address are closed.
     void add_server(int server_id, const std::string& name, const std::string& address, bool origin);
-    /// Whether any connection to the server is still open.
+    /// Returns whether any connection to the server is open.
     bool in_use(int server_id) const;
-    /// Forgets a server that is not in use; its id may then be given to another server.
+    /// Removes a server that is not in use. Its id may then be given to another server.
     void remove_server(int server_id);
     /// Starts an attempt that times out after `timeout` seconds. Unless `send_timeout` is 0, the request must
     /// also be sent and acknowledged within that many seconds, or the attempt ends as timed out. The result
-    /// is reported through OnFinished, at once if there is no connection to be had.
+    /// is reported through OnFinished, immediately if no connection is available.
     void start_attempt(int request, int attempt, int server_id, const Command& command, double timeout,
                        double send_timeout);
-    /// Like start_attempt(), for the server's health check; the request id of its result is kHealthCheck.
+    /// Starts a health check of the server, like start_attempt(). The request id of its result is
+    /// kHealthCheck.
     void check_health(int server_id, double timeout);
-    /// Sends the request of an attempt announced by OnConnected; its server is told the time left now. An
-    /// attempt whose deadline or send timeout has passed ends as timed out.
+    /// Sends the request of an attempt announced by OnConnected, with the time that remains now. An attempt
+    /// whose deadline or send timeout has passed ends as timed out.
     void send(int request, int attempt, const Command& command);
-    /// Ends an attempt announced by OnConnected without sending it; its connection becomes idle.
+    /// Ends an attempt announced by OnConnected without sending it. Its connection becomes idle.
     void abandon(int request, int attempt);
-    /// Ends an attempt and closes its connection. No effect if the attempt has already ended.
+    /// Ends an attempt and closes its connection. Does nothing if the attempt has already ended.
     void cancel(int request, int attempt);
-    /// Cancels an attempt of which a part is written, so that it does not begin later. One that is written
-    /// whole and only not acknowledged may have begun: it is cancelled if `may_cancel`. No effect on others.
+    /// Cancels an attempt whose request is only partly written, so that it cannot execute later. A request
+    /// that is fully written but not acknowledged may be executing: it is cancelled only if `may_cancel`.
+    /// Does nothing to other attempts.
     void cancel_half_sent(int request, int attempt, bool may_cancel);
     /// Continues a stream whose sink had no capacity.
     void resume(std::uint64_t stream);
-    /// Closes the connection of a stream whose remaining body is not wanted; BodySink::end is not called.
+    /// Closes the connection of a stream whose remaining body is not needed. BodySink::end is not called.
     void abandon_stream(std::uint64_t stream);
+    /// Closes the idle connections to the server.
     void close_idle(int server_id);
-    /// Closes the server's idle connections and refuses its attempts that are not sent yet.
+    /// Closes the server's idle connections and refuses its attempts that are not yet sent.
     void close_unstarted(int server_id);
     int open_count() const { return static_cast<int>(open_count_); }
-    /// Connections that searches have passed so far; only grows.
+    /// Returns the total number of connections visited by linear searches since the start.
     std::uint64_t searched_connections() const { return searched_connections_; }
     double connect_timeout() const { return connect_timeout_; }
-    /// Limits the pool to this share (0 to 1) of its connections and bytes; a sibling process uses the rest.
+    /// Limits the pool to a share (0 to 1) of its connections and bytes. A sibling process uses the rest.
     void set_budget_share(double share);
-    /// Frees the connections closed since the last call; never called from inside a callback of the pool.
+    /// Frees the connections closed since the last call. Must not be called from a callback of the pool.
     void destroy_closed();
 
   private:
@@ -119,27 +123,27 @@
         int server = 0;
         std::unique_ptr<TcpConnection> socket;
         bool busy = false;
-        bool is_read = false;  // the request in flight is a read, which only a value answers
+        bool is_read = false;  // the request in flight is a read, whose response must be a value
         int request = 0;
         int attempt = 0;
         std::string request_id;
-        bool written = false;  // the request is written, at least to the socket's buffer
-        double sent_at = 0;
-        double deadline = 0;  // of the attempt
-        double last_used = 0;
+        bool written = false;  // the request is written, at least to the output buffer of `socket`
+        double sent_at = 0;    // when the attempt was started
+        double deadline = 0;   // of the attempt
+        double last_used = 0;  // when it last became idle or received a part of a stream; 0: never
         TimerQueue::Handle attempt_timer;
         TimerQueue::Handle connect_timer;
         TimerQueue::Handle send_timer;
         TimerQueue::Handle idle_timer;
         std::uint64_t stream = 0;    // id of the response being streamed, or 0
-        StreamedValue remaining;     // the part of the streamed response not forwarded yet
-        bool writing_chunk = false;  // inside BodySink::write, which may call resume()
+        StreamedValue remaining;     // the part of the streamed response that is not yet forwarded
+        bool writing_chunk = false;  // BodySink::write is being called, which may call resume()
     };
     struct Server {
         std::string name, address;
         bool origin = false;
-        std::vector<Connection*> idle;  // the most recently used last
-        int open = 0;                   // connections, including idle ones
+        std::vector<Connection*> idle;  // in ascending order of last use
+        int open = 0;                   // number of open connections, including idle ones
     };
 
     Server& server_at(int server_id) { return servers_[static_cast<std::size_t>(server_id)]; }
@@ -155,7 +159,7 @@
     void write_command(Connection& connection, const Command& command);
     void write_health_check(Connection& connection);
     void on_event(Connection& connection, TcpConnection::Event event);
-    // `ended`: the peer has closed cleanly, so the input is all there is.
+    // `ended`: the peer has closed cleanly, so no more input follows.
     void read_response(Connection& connection, bool ended = false);
     void on_unexpected_input(Connection& connection);
     bool begin_stream(Connection& connection);
