--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -66,24 +66,24 @@
 }
 
 void UpstreamPool::add_server(int server_id, const std::string& name, const std::string& address,
-                              bool origin) {
+                              bool is_origin) {
     if (server_id >= static_cast<int>(servers_.size()))
         servers_.resize(static_cast<std::size_t>(server_id) + 1);
     Server& server = server_at(server_id);
     if (server.address != address) close_idle(server_id);  // the old address may now belong to another server
     server.name = name;
     server.address = address;
-    server.origin = origin;
+    server.is_origin = is_origin;
 }
 
 bool UpstreamPool::in_use(int server_id) const {
-    return servers_[static_cast<std::size_t>(server_id)].open > 0;
+    return servers_[static_cast<std::size_t>(server_id)].open_connections > 0;
 }
 
 void UpstreamPool::remove_server(int server_id) { server_at(server_id) = {}; }
 
 Topic UpstreamPool::topic(int server_id) const {
-    return servers_[static_cast<std::size_t>(server_id)].origin ? Topic::origin : Topic::cache;
+    return servers_[static_cast<std::size_t>(server_id)].is_origin ? Topic::origin : Topic::cache;
 }
 
 std::uint64_t UpstreamPool::attempt_key(int request, int attempt) {
@@ -100,7 +100,7 @@
         on_finished_({request, attempt, server_id, AttemptOutcome::not_sent, 0, {}, 0, 0, false});
         return;
     }
-    Connection* connection = connection_to(server_id);
+    Connection* connection = acquire_connection(server_id);
     if (connection == nullptr) {
         log_.line(topic(server_id), "no_connection_left",
                   server.name + ": attempt not sent: the connection budget is exhausted");
@@ -114,7 +114,7 @@
 }
 
 void UpstreamPool::check_health(int server_id, double timeout) {
-    Connection* connection = connection_to(server_id);
+    Connection* connection = acquire_connection(server_id);
     const int check_number = next_health_check_++;
     if (connection == nullptr) {
         on_finished_({kHealthCheck, check_number, server_id, AttemptOutcome::refused, 0, {}, 0, 0, false});
@@ -129,31 +129,31 @@
 // is called later.
 bool UpstreamPool::begin_attempt(Connection& connection, int request, int attempt, double timeout,
                                  double send_timeout) {
-    connection.busy = true;
-    connection.written = false;
+    connection.is_busy = true;
+    connection.is_written = false;
     connection.request = request;
     connection.attempt = attempt;
-    connection.sent_at = monotonic_now();
+    connection.started_at = monotonic_now();
     in_flight_.emplace(attempt_key(request, attempt), &connection);
-    connection.deadline = connection.sent_at + timeout;
+    connection.deadline = connection.started_at + timeout;
     connection.attempt_timer = timers_.schedule(connection.deadline, [this, &connection] {
         connection.attempt_timer = {};
-        on_broken(connection, AttemptOutcome::timed_out);
+        fail_connection(connection, AttemptOutcome::timed_out);
     });
     if (send_timeout > 0) {
-        connection.send_timer = timers_.schedule(connection.sent_at + send_timeout, [this, &connection] {
+        connection.send_timer = timers_.schedule(connection.started_at + send_timeout, [this, &connection] {
             connection.send_timer = {};
             if (!is_fully_sent(connection) || connection.socket->has_unacknowledged_output())
-                on_broken(connection, AttemptOutcome::timed_out);
+                fail_connection(connection, AttemptOutcome::timed_out);
         });
     }
     if (!connection.socket->is_connected()) return false;
     // A duplicate of the last response may arrive some milliseconds late. Waiting is better than opening a
     // new connection, because the number of connections per server is limited.
-    const double reusable_at = server_at(connection.server).origin && connection.last_used > 0
+    const double reusable_at = server_at(connection.server).is_origin && connection.last_used > 0
                                    ? connection.last_used + kHttpReuseDelaySeconds
                                    : 0;
-    if (reusable_at <= connection.sent_at) return true;
+    if (reusable_at <= connection.started_at) return true;
     connection.idle_timer = timers_.schedule(reusable_at, [this, &connection] {
         connection.idle_timer = {};
         on_ready(connection);
@@ -168,7 +168,7 @@
 
 // Moves an attempt to another connection with its remaining time. Called when its connection closes or
 // receives a duplicate response during the reuse delay, before anything of the attempt is sent.
-void UpstreamPool::continue_attempt(Connection& connection) {
+void UpstreamPool::reassign_attempt(Connection& connection) {
     log_.line(topic(connection.server), "second_answer",
               server_at(connection.server).name +
                   ": connection discarded: closed, or a second response received, during the reuse delay");
@@ -181,15 +181,15 @@
                                     : 0;
     std::string request_id = std::move(connection.request_id);
     in_flight_.erase(attempt_key(request, attempt));
-    connection.busy = false;
+    connection.is_busy = false;
     close(connection);
-    Connection* next = connection_to(server_id);
+    Connection* next = acquire_connection(server_id);
     if (next == nullptr)
         return on_finished_({request,
                              attempt,
                              server_id,
                              AttemptOutcome::refused,
-                             now - connection.sent_at,
+                             now - connection.started_at,
                              {},
                              0,
                              0,
@@ -207,25 +207,26 @@
     const Server& server = server_at(connection.server);
     const double time_left = connection.deadline - monotonic_now();
     on_write_(connection.request, connection.attempt, connection.server, time_left);
-    connection.written = true;
-    connection.socket->write(server.origin ? format_origin_request(command, time_left, server.address)
-                                           : format_command(command, time_left));
+    connection.is_written = true;
+    connection.socket->write(server.is_origin ? format_origin_request(command, time_left, server.address)
+                                              : format_command(command, time_left));
 }
 
 void UpstreamPool::write_health_check(Connection& connection) {
     const Server& server = server_at(connection.server);
-    connection.written = true;
-    connection.socket->write(server.origin ? format_http_request("GET", "/alive", server.address, {}, {})
-                                           : "mn\r\n");
+    connection.is_written = true;
+    connection.socket->write(server.is_origin ? format_http_request("GET", "/alive", server.address, {}, {})
+                                              : "mn\r\n");
 }
 
 void UpstreamPool::send(int request, int attempt, const Command& command) {
     const auto entry = in_flight_.find(attempt_key(request, attempt));
     if (entry == in_flight_.end()) return;  // the result is already reported
     Connection& connection = *entry->second;
-    const bool too_late = connection.send_timer.second != 0 && monotonic_now() >= connection.send_timer.first;
-    if (too_late || monotonic_now() >= connection.deadline)
-        return on_broken(connection, AttemptOutcome::timed_out);
+    const bool is_send_timed_out =
+        connection.send_timer.second != 0 && monotonic_now() >= connection.send_timer.first;
+    if (is_send_timed_out || monotonic_now() >= connection.deadline)
+        return fail_connection(connection, AttemptOutcome::timed_out);
     if (connection.socket->is_connected()) write_command(connection, command);
 }
 
@@ -241,25 +242,25 @@
 // limit: a new connection is only opened if it fits in addition to the idle ones.
 bool UpstreamPool::has_capacity(int server_id) {
     Server& server = server_at(server_id);
-    if (!server_connection_limit_ || server.origin) return true;
-    const int busy = server.open - static_cast<int>(server.idle.size());
+    if (!server_connection_limit_ || server.is_origin) return true;
+    const int busy = server.open_connections - static_cast<int>(server.idle.size());
     const int max_open = server_connection_limit_(server_id, busy + 1);
-    return busy < max_open && (!server.idle.empty() || server.open < max_open);
+    return busy < max_open && (!server.idle.empty() || server.open_connections < max_open);
 }
 
 void UpstreamPool::enforce_connection_limit() {
     for (std::size_t i = 0; server_connection_limit_ && i < servers_.size(); ++i) {
         Server& server = servers_[i];
-        if (server.origin || server.idle.empty()) continue;
+        if (server.is_origin || server.idle.empty()) continue;
         const int max_open = server_connection_limit_(static_cast<int>(i), 0);
-        while (!server.idle.empty() && server.open > max_open) close(*server.idle.front());
+        while (!server.idle.empty() && server.open_connections > max_open) close(*server.idle.front());
     }
 }
 
 // Returns the most recently used idle connection or a new one, or nullptr if all connections are in use. An
 // idle connection with unread input is closed: HTTP responses carry no request id, so a duplicate of the last
 // response would be taken for the response to the next request.
-UpstreamPool::Connection* UpstreamPool::connection_to(int server_id) {
+UpstreamPool::Connection* UpstreamPool::acquire_connection(int server_id) {
     auto& idle = server_at(server_id).idle;
     while (!idle.empty() && !idle.back()->socket->is_idle()) close(*idle.back());
     if (idle.empty() || monotonic_now() - idle.back()->last_used >= idle_timeout_) return open(server_id);
@@ -272,14 +273,14 @@
     if (open_count_ >= connection_limit_ && !evict_idle()) return nullptr;
     Connection& connection = connections_.emplace_back();
     ++open_count_;
-    ++server_at(server_id).open;
+    ++server_at(server_id).open_connections;
     connection.server = server_id;
     connection.socket = std::make_unique<TcpConnection>(
         server_at(server_id).address, kReadLimitBytes, budget_,
         [this, &connection](TcpConnection::Event event) { on_event(connection, event); });
     connection.connect_timer = timers_.schedule(monotonic_now() + connect_timeout_, [this, &connection] {
         connection.connect_timer = {};
-        on_broken(connection, AttemptOutcome::timed_out);
+        fail_connection(connection, AttemptOutcome::timed_out);
     });
     return &connection;
 }
@@ -309,10 +310,10 @@
     const auto entry = in_flight_.find(attempt_key(request, attempt));
     if (entry == in_flight_.end()) return;
     Connection& connection = *entry->second;
-    const bool begun = is_fully_sent(connection);
-    if (!connection.written) return;
-    if (begun && (!may_cancel || !connection.socket->has_unacknowledged_output())) return;
-    finish_attempt(connection, begun ? AttemptOutcome::cancelled : AttemptOutcome::not_sent);
+    const bool is_sent = is_fully_sent(connection);
+    if (!connection.is_written) return;
+    if (is_sent && (!may_cancel || !connection.socket->has_unacknowledged_output())) return;
+    finish_attempt(connection, is_sent ? AttemptOutcome::cancelled : AttemptOutcome::not_sent);
     close(connection);
 }
 
@@ -323,14 +324,14 @@
 
 void UpstreamPool::on_event(Connection& connection, TcpConnection::Event event) {
     if (connection.idle_timer.second != 0 && event != TcpConnection::Event::drained)
-        return continue_attempt(connection);
+        return reassign_attempt(connection);
     switch (event) {
         case TcpConnection::Event::connected:
             // If the main loop was delayed, this event may be dispatched before the expired connect timer.
             if (connection.connect_timer.first <= monotonic_now())
-                return on_broken(connection, AttemptOutcome::timed_out);
+                return fail_connection(connection, AttemptOutcome::timed_out);
             timers_.cancel(connection.connect_timer);
-            if (!connection.busy) break;
+            if (!connection.is_busy) break;
             on_ready(connection);
             break;
         case TcpConnection::Event::readable:
@@ -341,11 +342,11 @@
         case TcpConnection::Event::closed:
             if (connection.stream != 0) {
                 forward_chunks(connection);  // input received before the close may complete the body
-            } else if (connection.busy && connection.socket->ended_cleanly() &&
+            } else if (connection.is_busy && connection.socket->ended_cleanly() &&
                        !connection.socket->input().empty()) {
                 read_response(connection, true);
-            } else if (connection.busy) {
-                on_broken(connection, AttemptOutcome::reset);
+            } else if (connection.is_busy) {
+                fail_connection(connection, AttemptOutcome::reset);
             } else {
                 close(connection);
             }
@@ -353,9 +354,10 @@
     }
 }
 
-std::size_t UpstreamPool::parse(const Connection& connection, AttemptResponse& response, bool ended) {
+std::size_t UpstreamPool::parse_response(const Connection& connection, AttemptResponse& response,
+                                         bool ended) {
     const std::string_view input = connection.socket->input();
-    if (servers_[static_cast<std::size_t>(connection.server)].origin)
+    if (servers_[static_cast<std::size_t>(connection.server)].is_origin)
         return parse_origin_response(input, response, ended);
     Reply reply;
     const std::size_t parsed_bytes = parse_reply(input, reply);
@@ -392,11 +394,11 @@
 // Starts to stream a long value if its header is complete and valid. Once the header is forwarded, no other
 // response can replace this one. Returns whether streaming has started.
 bool UpstreamPool::begin_stream(Connection& connection) {
-    if (!connection.busy || !connection.is_read || !is_fully_sent(connection)) return false;
-    const bool origin = server_at(connection.server).origin;
-    StreamedValue value = origin ? parse_streamed_origin_response(connection.socket->input())
-                                 : parse_streamed_reply(connection.socket->input());
-    if (value.header_bytes == 0 || (!origin && value.id != connection.request_id)) return false;
+    if (!connection.is_busy || !connection.is_read || !is_fully_sent(connection)) return false;
+    const bool is_origin = server_at(connection.server).is_origin;
+    StreamedValue value = is_origin ? parse_streamed_origin_response(connection.socket->input())
+                                    : parse_streamed_reply(connection.socket->input());
+    if (value.header_bytes == 0 || (!is_origin && value.id != connection.request_id)) return false;
     connection.socket->consume(value.header_bytes);
     timers_.cancel(connection.attempt_timer);
     timers_.cancel(connection.send_timer);
@@ -410,7 +412,7 @@
                   connection.attempt,
                   connection.server,
                   AttemptOutcome::succeeded,
-                  connection.last_used - connection.sent_at,
+                  connection.last_used - connection.started_at,
                   {},
                   connection.stream,
                   connection.remaining.length,
@@ -419,7 +421,7 @@
 }
 
 void UpstreamPool::forward_chunks(Connection& connection) {
-    if (connection.writing_chunk) return;  // reentered through resume(): the outer call continues its loop
+    if (connection.is_writing_chunk) return;  // reentered through resume(): the outer call continues its loop
     while (connection.remaining.length > 0) {
         const std::string_view input = connection.socket->input();
         std::size_t bytes = std::min(input.size(), connection.remaining.length);
@@ -442,9 +444,9 @@
             if (!connection.socket->is_connected() && capacity > 0) end_stream(connection, false);
             return;
         }
-        connection.writing_chunk = true;
+        connection.is_writing_chunk = true;
         body_sink_.write(connection.stream, input.substr(0, bytes));
-        connection.writing_chunk = false;
+        connection.is_writing_chunk = false;
         if (connection.stream == 0) return;
         connection.remaining.length -= bytes;
         connection.socket->consume(bytes);
@@ -472,7 +474,7 @@
     timers_.cancel(connection.attempt_timer);
     const std::uint64_t stream = std::exchange(connection.stream, 0);
     streams_.erase(stream);
-    connection.busy = false;
+    connection.is_busy = false;
     keep_or_close(connection, complete && connection.remaining.reusable);
     body_sink_.end(stream, complete);
 }
@@ -488,7 +490,7 @@
     Connection& connection = *entry->second;
     streams_.erase(entry);
     connection.stream = 0;
-    connection.busy = false;
+    connection.is_busy = false;
     close(connection);
 }
 
@@ -497,8 +499,8 @@
         !connection.socket->input().empty())
         return close(connection);
     Server& server = server_at(connection.server);
-    if (server_connection_limit_ && !server.origin &&
-        server.open > server_connection_limit_(connection.server, 0))
+    if (server_connection_limit_ && !server.is_origin &&
+        server.open_connections > server_connection_limit_(connection.server, 0))
         return close(connection);  // the limit has been lowered since
     connection.last_used = monotonic_now();
     connection.socket->set_read_limit(kReadLimitBytes);
@@ -513,26 +515,26 @@
     if (begin_stream(connection)) return;
     AttemptResponse response;
     std::size_t parsed_bytes = 0;
-    if (connection.busy) parsed_bytes = parse(connection, response, ended);
-    if (connection.busy && parsed_bytes == 0 && ended)
-        return on_broken(connection, AttemptOutcome::reset);  // closed before the end of the response
+    if (connection.is_busy) parsed_bytes = parse_response(connection, response, ended);
+    if (connection.is_busy && parsed_bytes == 0 && ended)
+        return fail_connection(connection, AttemptOutcome::reset);  // closed before the end of the response
     if (parsed_bytes == 0 && connection.socket->is_read_buffer_full() && response.unknown_length)
         connection.socket->set_read_limit(kUnknownLengthReadLimitBytes);
-    if (connection.busy && parsed_bytes == 0 && !connection.socket->is_read_buffer_full()) {
+    if (connection.is_busy && parsed_bytes == 0 && !connection.socket->is_read_buffer_full()) {
         if (!budget_.exceeded() || connection.socket->input().size() <= kMaxLineBytes) return;
         log_.line(topic(connection.server), "no_memory",
                   server_at(connection.server).name + ": attempt failed: the byte budget is exceeded");
-        return on_broken(connection, AttemptOutcome::failed);
+        return fail_connection(connection, AttemptOutcome::failed);
     }
     // A response received before the request is fully sent cannot be the response to it.
-    if (connection.busy &&
+    if (connection.is_busy &&
         (response.outcome == AttemptOutcome::succeeded || response.outcome == AttemptOutcome::miss))
         response.valid = response.valid && is_fully_sent(connection);
     // A write receipt is copied into a line to the client and must not contain a line end or a blank.
-    if (connection.busy && response.outcome == AttemptOutcome::succeeded && !connection.is_read &&
+    if (connection.is_busy && response.outcome == AttemptOutcome::succeeded && !connection.is_read &&
         connection.request != kHealthCheck)
         response.valid = response.valid && is_printable_word(response.body);
-    if (!connection.busy || !response.valid) return on_unexpected_input(connection);
+    if (!connection.is_busy || !response.valid) return on_unexpected_input(connection);
     connection.socket->consume(parsed_bytes);
     finish_attempt(connection, response.outcome, std::move(response.body));
     keep_or_close(connection, response.reusable);
@@ -547,35 +549,35 @@
                   ": nonsense, connection closed: " + std::string(input.substr(0, kLoggedInputBytes)));
     // The server has responded, so it is neither down nor overloaded. Only this attempt fails, and its
     // request may have been executed.
-    if (connection.busy) return on_broken(connection, AttemptOutcome::failed);
+    if (connection.is_busy) return fail_connection(connection, AttemptOutcome::failed);
     close(connection);
 }
 
 // Called when a server starts draining. Attempts that are not sent by then must no longer be sent to it.
 void UpstreamPool::close_unstarted(int server_id) {
     close_idle(server_id);
-    if (server_at(server_id).open == 0) return;
+    if (server_at(server_id).open_connections == 0) return;
     searched_connections_ += connections_.size();
     for (Connection& connection : connections_) {
-        if (connection.server == server_id && connection.busy && !connection.written)
-            on_broken(connection, AttemptOutcome::refused);
+        if (connection.server == server_id && connection.is_busy && !connection.is_written)
+            fail_connection(connection, AttemptOutcome::refused);
     }
 }
 
 // Ends the attempt and closes the connection. Only a request whose last byte was written may have been
 // executed; any other ends as refused.
-void UpstreamPool::on_broken(Connection& connection, AttemptOutcome outcome_if_sent) {
+void UpstreamPool::fail_connection(Connection& connection, AttemptOutcome outcome_if_sent) {
     finish_attempt(connection, is_fully_sent(connection) ? outcome_if_sent : AttemptOutcome::refused);
     close(connection);
 }
 
 void UpstreamPool::finish_attempt(Connection& connection, AttemptOutcome outcome, std::string body) {
-    connection.busy = false;
+    connection.is_busy = false;
     timers_.cancel(connection.attempt_timer);
     timers_.cancel(connection.send_timer);
     timers_.cancel(connection.idle_timer);
     in_flight_.erase(attempt_key(connection.request, connection.attempt));
-    const double latency = monotonic_now() - connection.sent_at;
+    const double latency = monotonic_now() - connection.started_at;
     const char* failure = outcome == AttemptOutcome::refused     ? "refused"
                           : outcome == AttemptOutcome::reset     ? "reset"
                           : outcome == AttemptOutcome::timed_out ? "timed out"
@@ -586,7 +588,7 @@
         log_.line(topic(connection.server), "forward_failed", server_at(connection.server).name + text);
     }
     on_finished_({connection.request, connection.attempt, connection.server, outcome, latency,
-                  std::move(body), 0, 0, connection.written});
+                  std::move(body), 0, 0, connection.is_written});
 }
 
 void UpstreamPool::close(Connection& connection) {
@@ -598,13 +600,13 @@
     timers_.cancel(connection.idle_timer);
     connection.socket->has_unacknowledged_output() ? connection.socket->abort() : connection.socket->close();
     --open_count_;
-    --server_at(connection.server).open;
-    has_closed_ = true;
+    --server_at(connection.server).open_connections;
+    has_closed_connections_ = true;
 }
 
 void UpstreamPool::destroy_closed() {
-    if (!has_closed_) return;
-    has_closed_ = false;
+    if (!has_closed_connections_) return;
+    has_closed_connections_ = false;
     connections_.remove_if([](const Connection& connection) { return connection.socket->is_closed(); });
 }
 
--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -77,7 +77,7 @@
     /// Closes the idle connections that exceed the limit of their server.
     void enforce_connection_limit();
     /// Adds a server or changes its name and address. Idle connections to its old address are closed.
-    void add_server(int server_id, const std::string& name, const std::string& address, bool origin);
+    void add_server(int server_id, const std::string& name, const std::string& address, bool is_origin);
     /// Returns whether any connection to the server is open.
     bool in_use(int server_id) const;
     /// Removes a server that is not in use. Its id may then be given to another server.
@@ -122,39 +122,39 @@
     struct Connection {
         int server = 0;
         std::unique_ptr<TcpConnection> socket;
-        bool busy = false;
+        bool is_busy = false;
         bool is_read = false;  // the request in flight is a read, whose response must be a value
         int request = 0;
         int attempt = 0;
         std::string request_id;
-        bool written = false;  // the request is written, at least to the output buffer of `socket`
-        double sent_at = 0;    // when the attempt was started
-        double deadline = 0;   // of the attempt
-        double last_used = 0;  // when it last became idle or received a part of a stream; 0: never
+        bool is_written = false;  // the request is written, at least to the output buffer of `socket`
+        double started_at = 0;    // when the attempt was started
+        double deadline = 0;      // of the attempt
+        double last_used = 0;     // when it last became idle or received a part of a stream; 0: never
         TimerQueue::Handle attempt_timer;
         TimerQueue::Handle connect_timer;
         TimerQueue::Handle send_timer;
         TimerQueue::Handle idle_timer;
-        std::uint64_t stream = 0;    // id of the response being streamed, or 0
-        StreamedValue remaining;     // the part of the streamed response that is not yet forwarded
-        bool writing_chunk = false;  // BodySink::write is being called, which may call resume()
+        std::uint64_t stream = 0;       // id of the response being streamed, or 0
+        StreamedValue remaining;        // the part of the streamed response that is not yet forwarded
+        bool is_writing_chunk = false;  // BodySink::write is being called, which may call resume()
     };
     struct Server {
         std::string name, address;
-        bool origin = false;
+        bool is_origin = false;
         std::vector<Connection*> idle;  // in ascending order of last use
-        int open = 0;                   // number of open connections, including idle ones
+        int open_connections = 0;       // number of open connections, including idle ones
     };
 
     Server& server_at(int server_id) { return servers_[static_cast<std::size_t>(server_id)]; }
     Topic topic(int server_id) const;
     static std::uint64_t attempt_key(int request, int attempt);
-    Connection* connection_to(int server_id);
+    Connection* acquire_connection(int server_id);
     Connection* open(int server_id);
     bool has_capacity(int server_id);
     bool evict_idle();
     bool begin_attempt(Connection& connection, int request, int attempt, double timeout, double send_timeout);
-    void continue_attempt(Connection& connection);
+    void reassign_attempt(Connection& connection);
     void on_ready(Connection& connection);
     void write_command(Connection& connection, const Command& command);
     void write_health_check(Connection& connection);
@@ -168,10 +168,10 @@
     void end_stream(Connection& connection, bool complete);
     void keep_or_close(Connection& connection, bool reusable);
     static bool is_fully_sent(const Connection& connection) {
-        return connection.written && connection.socket->unwritten_bytes() == 0;
+        return connection.is_written && connection.socket->unwritten_bytes() == 0;
     }
-    std::size_t parse(const Connection& connection, AttemptResponse& response, bool ended);
-    void on_broken(Connection& connection, AttemptOutcome outcome_if_sent);
+    std::size_t parse_response(const Connection& connection, AttemptResponse& response, bool ended);
+    void fail_connection(Connection& connection, AttemptOutcome outcome_if_sent);
     void finish_attempt(Connection& connection, AttemptOutcome outcome, std::string body = {});
     void close(Connection& connection);
     void close_expired();
@@ -195,7 +195,7 @@
     std::list<Connection> connections_;
     std::size_t open_count_ = 0;
     std::uint64_t searched_connections_ = 0;
-    bool has_closed_ = false;
+    bool has_closed_connections_ = false;
     int next_health_check_ = 0;
     std::unordered_map<std::uint64_t, Connection*> in_flight_;
 };
