--- a/src/io/glib_handles.h
+++ b/src/io/glib_handles.h
@@ -1,4 +1,4 @@
-// Owning handles for GLib objects: unique_ptr with the deleters that GLib needs. Header only, no state.
+// Owning handles for GLib objects: std::unique_ptr with the deleters that GLib needs. Header only, no state.
 #pragma once
 
 #include <gio/gio.h>
@@ -25,8 +25,8 @@
         g_source_unref(source);
     }
 };
-/// Owns an event source: its callback is not called any more once the handle is reset, which is allowed from
-/// inside that callback.
+/// Owns an event source. Its callback is no longer called once the handle is reset, which is allowed inside
+/// that callback.
 using GSourceRef = std::unique_ptr<GSource, GSourceDestroy>;
 
 }  // namespace brookrelay
--- a/src/io/listener.cpp
+++ b/src/io/listener.cpp
@@ -9,8 +9,9 @@
 namespace brookrelay {
 namespace {
 
-// Connections in the backlog already count as accepted for the clients that write to them.
+// Clients see a connection in the backlog as established and may already send commands on it.
 constexpr int kListenBacklog = 1024;
+// Creating a socket is attempted this often in total, at intervals of kSocketRetryMicroseconds.
 constexpr int kSocketAttempts = 40;
 constexpr gulong kSocketRetryMicroseconds = 50'000;
 
@@ -23,7 +24,7 @@
         return nullptr;
     }
     SocketRef socket = create_socket(address.get());
-    // The machine may be short of descriptors or buffers for a moment.
+    // The system may be short of descriptors or buffers temporarily.
     for (int attempt = 1; socket == nullptr && attempt < kSocketAttempts; ++attempt) {
         g_usleep(kSocketRetryMicroseconds);
         socket = create_socket(address.get());
@@ -35,7 +36,8 @@
         if (g_socket_bind(socket.get(), address.get(), TRUE, &cause)) return socket;
     }
     const ErrorRef cause_owner(cause);
-    error = "cannot listen on " + text + ": " + (cause != nullptr ? cause->message : "no socket");
+    error =
+        "cannot listen on " + text + ": " + (cause != nullptr ? cause->message : "cannot create a socket");
     return nullptr;
 }
 
@@ -58,7 +60,7 @@
     socklen_t size = sizeof is_listening;
     GError* cause = nullptr;
     SocketRef socket;
-    // Checked first, because a GSocket would close a descriptor that is not ours to close.
+    // Checked first, because a failed adoption must leave the descriptor open and a GSocket would close it.
     if (getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) == 0 && is_listening != 0)
         socket.reset(g_socket_new_from_fd(descriptor, &cause));
     const ErrorRef cause_owner(cause);
--- a/src/io/listener.h
+++ b/src/io/listener.h
@@ -1,8 +1,9 @@
-// Listening sockets: binding or inheriting one, and accepting connections from GLib's main loop.
+// Listening sockets: creating or adopting one, and accepting connections on GLib's main loop.
 //
 // A Listener owns its socket, the event source that watches it and the timer of a pause; all are released in
-// close(). How many connections to accept, and when to pause, is its owner's decision. Times are seconds.
-// Everything runs on the thread of the main loop and nothing blocks.
+// close(). Its owner decides how many connections to accept and when to pause. Times are seconds. Everything
+// runs on the thread of the main loop. Only bind_to() and listen_on() may block, for up to two seconds, while
+// the system cannot create a socket.
 #pragma once
 
 #include <functional>
@@ -13,24 +14,25 @@
 
 namespace brookrelay {
 
-/// Binds to a numeric `HOST:PORT`. Nobody can connect before start_listening(). Returns nullptr on failure
-/// and describes it in `error`.
+/// Binds a socket to a numeric `HOST:PORT`. Peers cannot connect before start_listening(). Returns nullptr on
+/// failure and describes it in `error`.
 SocketRef bind_to(const std::string& address, std::string& error);
-/// Lets peers connect to a bound socket. Returns whether that worked, and else describes the failure.
+/// Lets peers connect to a bound socket. Returns false on failure and describes it in `error`.
 bool start_listening(GSocket* socket, std::string& error);
-/// Both of these in one step.
+/// Binds a socket and starts to listen on it. Returns nullptr on failure and describes it in `error`.
 SocketRef listen_on(const std::string& address, std::string& error);
-/// Takes over a listening socket inherited from another process, which may share it: it is neither bound nor
-/// shut down here. Returns nullptr and leaves the descriptor open if it is not a listening socket.
+/// Takes ownership of a listening socket inherited from another process, which may share it; it is neither
+/// bound nor shut down here. If it is not a listening socket, returns nullptr, leaves the descriptor open and
+/// describes the failure in `error`.
 SocketRef adopt_listener(int descriptor, std::string& error);
 
-/// Calls back when connections wait to be accepted on a listening socket.
+/// Watches a listening socket and calls back when connections are waiting to be accepted.
 class Listener {
   public:
     using OnReadable = std::function<void()>;
     struct AcceptResult {
         SocketRef socket;  // nullptr if no connection was accepted
-        ErrorRef error;    // and then the reason
+        ErrorRef error;    // set if `socket` is nullptr
         bool would_block() const {
             return g_error_matches(error.get(), G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != FALSE;
         }
@@ -42,13 +44,13 @@
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    /// Takes a listening socket and starts to watch it.
+    /// Takes ownership of a listening socket and starts to watch it.
     void open(SocketRef socket);
-    /// Closes this process's descriptor. A socket shared with another process stays open there.
+    /// Closes this process's descriptor. A socket that is shared with another process remains open there.
     void close();
     /// Accepts one connection without blocking. The listener must be open.
     AcceptResult accept();
-    /// Stops watching for `seconds`. Connections wait in the backlog meanwhile.
+    /// Stops watching for `seconds`. New connections wait in the backlog during that time.
     void pause(double seconds);
 
   private:
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -14,8 +14,8 @@
 constexpr std::array<const char*, static_cast<std::size_t>(Topic::count)> kTopics{
     "node", "client", "cache", "origin", "discovery", "policy", "guard", "request"};
 
-// The text may contain bytes from clients and servers, which must not be able to forge a line or break the
-// JSON.
+// Truncates the text and replaces control characters, and with `ascii` all others outside printable ASCII:
+// text from clients and servers must not be able to forge a log line or break the JSON.
 std::string sanitize(std::string_view text, bool ascii) {
     std::string out(text.substr(0, kMaxTextBytes));
     for (char& c : out) {
@@ -43,7 +43,7 @@
     if (second != rate.second) {
         const std::uint64_t suppressed = rate.suppressed;
         rate = {second, 0, 0};
-        if (suppressed > 0) write(topic, "held_back", std::to_string(suppressed) + " more lines held back");
+        if (suppressed > 0) write(topic, "held_back", std::to_string(suppressed) + " log lines suppressed");
     }
     return rate;
 }
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,8 +1,9 @@
 // The node's log: one line per event on standard error, as plain text or as one JSON object per line.
 //
-// The lines of each topic are limited per second, because a fault that affects every request would otherwise
-// slow the node down; the number of suppressed lines is logged in the next second with an event. Log owns its
-// counters and its spdlog logger. It reports no errors and is used from one thread.
+// The number of lines per topic and second is limited, because a fault that affects every request would
+// otherwise slow the node down. The number of suppressed lines is logged in the next second in which the
+// topic has an event. Log owns its counters and its spdlog logger. It reports no errors and is used from one
+// thread.
 #pragma once
 
 #include <array>
@@ -17,7 +18,7 @@
 
 namespace brookrelay {
 
-/// What a line is about; `count` is the number of topics.
+/// The topic of a log line; `count` is the number of topics.
 enum class Topic { node, client, cache, origin, discovery, policy, guard, request, count };
 
 /// Writes rate-limited log lines.
@@ -25,11 +26,11 @@
   public:
     static constexpr int kDefaultLinesPerSecond = 10;
     explicit Log(std::string name, bool json = false, int lines_per_second = kDefaultLinesPerSecond);
-    /// `event` is one word, listed in docs/oncall.md, the same for all lines of its kind. `text` is truncated
-    /// and its control characters are replaced.
+    /// Writes one line unless the topic's limit is reached. `event` is one word, listed in docs/oncall.md,
+    /// that identifies the kind of line. `text` is truncated and its control characters are replaced.
     void line(Topic topic, std::string_view event, std::string_view text);
-    /// Whether a line of the topic would be written now. If not, it counts as suppressed, and its text need
-    /// not be made.
+    /// Returns whether a line of the topic would be written now, so that the caller need not format the text
+    /// of a line that would not be. If false, the line is counted as suppressed.
     bool admits(Topic topic);
 
   private:
--- a/src/io/poll_clock.h
+++ b/src/io/poll_clock.h
@@ -1,5 +1,5 @@
-// When the main loop has last looked at its sockets. What has come since then, a byte or a close, is not
-// known yet, so the time since then bounds the age of all that is known of peers.
+// Records when the main loop last polled its sockets. Input and closes that arrived after that are not yet
+// known, so the time since the last poll is the maximum age of what the process knows of its peers.
 #pragma once
 
 #include "io/glib_handles.h"
@@ -7,7 +7,7 @@
 
 namespace brookrelay {
 
-/// Notes the times at which the default main context has polled. Times are seconds on the monotonic clock.
+/// Records when the default main context polled. Times are seconds on the monotonic clock.
 class PollClock {
   public:
     PollClock();
@@ -15,13 +15,13 @@
     PollClock(const PollClock&) = delete;
     PollClock& operator=(const PollClock&) = delete;
 
-    /// When the sockets were looked at last; before the first time, when the clock was made.
+    /// Returns when the sockets were last polled, or when this object was created if they never were.
     double last() const { return last_; }
-    /// The time before that: a signal that is handled now came no sooner.
+    /// Returns when the poll before the last one was: a signal that is being handled now arrived after it.
     double previous() const { return previous_; }
 
   private:
-    // Checked before all other sources, since those behind a ready one of a higher priority are left out.
+    // Above all other sources, because GLib does not check sources of a lower priority than a ready one.
     static constexpr int kPriority = G_PRIORITY_HIGH - 100;
     struct Source {
         GSource base;
--- a/src/io/socket_address.h
+++ b/src/io/socket_address.h
@@ -1,4 +1,5 @@
-// From the text of an address to GLib's sockets. Internal to src/io; no I/O besides creating the descriptor.
+// Creates GLib socket addresses and sockets from text. Internal to src/io. No I/O besides creating
+// descriptors.
 #pragma once
 
 #include <string>
@@ -7,10 +8,10 @@
 
 namespace brookrelay {
 
-/// The socket address of a numeric `HOST:PORT`; nullptr if the text is not one.
+/// Parses a numeric `HOST:PORT`. Returns nullptr if the text is not one.
 SocketAddressRef parse_socket_address(const std::string& text);
 
-/// A TCP socket of the address's family; nullptr if the system has none to give.
+/// Creates a TCP socket of the address's family. Returns nullptr if the system cannot create one.
 SocketRef create_socket(GSocketAddress* address);
 
 }  // namespace brookrelay
--- a/src/io/tcp_connection.cpp
+++ b/src/io/tcp_connection.cpp
@@ -18,16 +18,16 @@
 namespace {
 
 constexpr std::size_t kReadChunkBytes = std::size_t{64} * 1024;
-// A buffer that has become empty gives its memory back if it has more capacity than this.
+// A buffer that becomes empty releases its memory if its capacity exceeds this.
 constexpr std::size_t kKeptBufferBytes = kReadChunkBytes;
 
 void configure_socket(GSocket* socket) {
     g_socket_set_blocking(socket, FALSE);
-    // Small messages must not wait for the acknowledgement of the previous one.
+    // A small message must not wait for the acknowledgement of the previous one.
     g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
 }
 
-// 0 where the system does not tell.
+// Returns how long ago the socket last received data, or 0 if the system does not report it.
 double seconds_since_last_data(GSocket* socket) {
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -111,14 +111,14 @@
 }
 
 void TcpConnection::write(std::string_view bytes) {
-    // Usually the kernel takes everything, which saves a copy of a large value.
+    // The kernel usually accepts everything, which avoids copying a large value to the buffer.
     if (state_ == State::connected && output_.empty()) bytes.remove_prefix(send_some(bytes));
     output_.append(bytes);
     if (state_ == State::connected) return flush();
     update_budget();
 }
 
-// Returns how many bytes the kernel took; the connection may be broken afterwards.
+// Returns how many bytes the kernel accepted. The connection may be broken afterwards.
 std::size_t TcpConnection::send_some(std::string_view bytes) {
     std::size_t sent = 0;
     while (sent < bytes.size()) {
@@ -160,9 +160,10 @@
     while (has_more && reads_until_empty_ && input_source_ != nullptr) has_more = receive_chunk();
 }
 
-// Returns whether a chunk was received: more may follow it.
+// Returns whether a chunk was received, in which case more input may be available.
 bool TcpConnection::receive_chunk() {
-    // Read into the stack first: otherwise hundreds of idle connections would each keep a chunk of memory.
+    // Reads into a buffer on the stack, because otherwise hundreds of idle connections would each keep a
+    // chunk of memory.
     std::array<char, kReadChunkBytes> buffer;
     GError* error = nullptr;
     const gssize count = g_socket_receive(socket_.get(), buffer.data(), buffer.size(), nullptr, &error);
@@ -181,6 +182,9 @@
     return true;
 }
 
+// Returns when the chunk just received arrived. Input that may have waited while reading was paused is dated
+// from the start of the pause. The first input of an accepted connection may have waited in the backlog and
+// is dated by the kernel's time of the last data.
 double TcpConnection::arrival_of_received(bool all_received) {
     const double now = monotonic_now();
     const double arrival = reading_paused_at_ > 0 ? reading_paused_at_
@@ -202,7 +206,7 @@
     return is_connected() && input().empty() && g_socket_condition_check(socket_.get(), kAnyInput) == 0;
 }
 
-// Uses poll(), because GLib's conditions do not report a close behind unread input.
+// Uses poll(), because GLib's conditions do not report a close that follows unread input.
 bool TcpConnection::peer_has_closed() const {
     if (state_ != State::connected) return state_ != State::connecting;
     pollfd poll_entry{g_socket_get_fd(socket_.get()), POLLRDHUP, 0};
@@ -230,11 +234,11 @@
 void TcpConnection::set_read_limit(std::size_t bytes) {
     read_limit_ = bytes;
     if (!input_.empty())
-        input_.reserve(consumed_ + bytes);  // growing step by step would allocate up to twice as much
+        input_.reserve(consumed_ + bytes);  // incremental growth would allocate up to twice as much
     watch_input();
 }
 
-// The owner may be inside a call to this connection, so the event is deferred to the main loop.
+// Breaks the connection. The owner may be inside a call to it, so Event::closed is deferred to the main loop.
 void TcpConnection::on_error() {
     input_source_.reset();
     output_source_.reset();
@@ -260,8 +264,8 @@
     return socket_ != nullptr && ioctl(g_socket_get_fd(socket_.get()), SIOCOUTQ, &bytes) == 0 && bytes > 0;
 }
 
-// After an ordinary close the kernel retransmits unacknowledged data for minutes: after a network partition a
-// request could arrive long after its attempt timed out and was retried elsewhere.
+// After an ordinary close the kernel retransmits unacknowledged data for minutes. After a network partition a
+// request could then arrive long after its attempt timed out and was retried elsewhere.
 void TcpConnection::abort() {
     const linger reset_on_close{1, 0};
     if (socket_ != nullptr)
--- a/src/io/tcp_connection.h
+++ b/src/io/tcp_connection.h
@@ -1,8 +1,8 @@
 // A non-blocking TCP connection on GLib's main loop, with an input and an output buffer.
 //
 // TcpConnection owns its socket, its event sources and its buffers; all are released in close(). It stops
-// reading at its read limit, while the output buffer is bounded only by what the owner writes. Sizes are
-// bytes. Errors are reported as Event::closed, from the main loop and never from inside a call of the owner.
+// reading at its read limit, while the output buffer is limited only by what the owner writes. Sizes are
+// bytes. Errors are reported as Event::closed, from the main loop and never from inside a call by the owner.
 // Everything runs on the thread of the main loop.
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace brookrelay {
 
-/// Counts the bytes buffered by a group of connections. Each connection has its own limit, but many full
+/// Counts the bytes buffered by a group of connections. Each connection has its own read limit, but many full
 /// buffers together could exceed the node's memory. The owner checks exceeded() and closes connections;
 /// nothing is enforced here.
 struct ByteBudget {
@@ -25,60 +25,61 @@
     bool exceeded() const { return used > limit; }
 };
 
-/// One connection, accepted or connecting. It may be closed, but not destroyed, inside its event handler.
+/// One accepted or outgoing connection. It may be closed, but not destroyed, inside its event handler.
 class TcpConnection {
   public:
     /// connected: an outgoing connection is established. readable: input() has grown. drained: output that
-    /// could not be written at once is written. closed: the peer closed or the connection failed; input() is
-    /// still there.
+    /// had to be buffered is written. closed: the peer closed or the connection failed; input() is still
+    /// available.
     enum class Event { connected, readable, drained, closed };
     using EventHandler = std::function<void(Event)>;
 
-    /// Takes an accepted connection. `budget` must outlive it. `priority` is the GLib priority of its
-    /// sources.
+    /// Takes ownership of an accepted connection. `budget` must outlive it. `priority` is the GLib priority
+    /// of its sources.
     TcpConnection(SocketRef accepted, std::size_t read_limit, ByteBudget& budget, EventHandler on_event,
                   int priority = G_PRIORITY_DEFAULT);
-    /// Begins to connect to a numeric `HOST:PORT`. A failure, also of parsing it, is reported as
-    /// Event::closed. `priority` is the GLib priority of its sources.
+    /// Starts to connect to a numeric `HOST:PORT`. Any failure, including a malformed address, is reported as
+    /// Event::closed. `budget` must outlive the connection. `priority` is the GLib priority of its sources.
     TcpConnection(const std::string& address, std::size_t read_limit, ByteBudget& budget,
                   EventHandler on_event, int priority = G_PRIORITY_DEFAULT);
     ~TcpConnection() { close(); }
     TcpConnection(const TcpConnection&) = delete;
     TcpConnection& operator=(const TcpConnection&) = delete;
 
-    /// Writes as much as the kernel takes and buffers the rest, or all of it while connecting.
+    /// Writes as much as the kernel accepts and buffers the rest. While connecting, buffers everything.
     void write(std::string_view bytes);
     bool all_written() const { return output_.empty() && state_ == State::connected; }
     std::size_t unwritten_bytes() const { return output_.size(); }
-    /// What was received and not consumed; valid until the next call that changes the connection.
+    /// Returns what is received but not consumed. Valid until the next call that changes the connection.
     std::string_view input() const { return std::string_view(input_).substr(consumed_); }
     /// Removes bytes from the front of input().
     void consume(std::size_t bytes);
-    /// From now on all that the kernel holds is received at once, with an event for each chunk, in place of
-    /// one chunk an iteration of the main loop.
+    /// Receives everything that the kernel holds in one iteration of the main loop, with one event per chunk.
+    /// By default one chunk is received per iteration.
     void read_until_empty() { reads_until_empty_ = true; }
-    /// Bounds input() from now on; what is already received is kept.
+    /// Changes the read limit. Input that is already received is kept.
     void set_read_limit(std::size_t bytes);
     /// Releases the socket and the buffers. No event follows.
     void close();
-    /// Closes with a reset, so that output not yet delivered is not sent any more.
+    /// Closes with a reset, so that undelivered output is no longer sent.
     void abort();
     /// Shuts down the write side once all output is written. The owner must consume and ignore further input.
     void shutdown_write();
-    /// Whether input is buffered here or in the kernel.
+    /// Returns whether input is buffered here or in the kernel.
     bool has_unread_input() const;
-    /// Whether input waits in the kernel, because it is not received yet or reading is paused.
+    /// Returns whether input is buffered in the kernel, because it is not yet received or reading is paused.
     bool has_unreceived_input() const;
-    /// When the input received last had arrived, in seconds on the monotonic clock; the earliest possible
-    /// time where it waited in the kernel while reading was paused at the read limit.
+    /// Returns when the input received last arrived, in seconds on the monotonic clock. For input that may
+    /// have waited in the kernel while reading was paused at the read limit, this is the earliest possible
+    /// time.
     double received_at() const { return received_at_; }
-    /// Whether it is connected and neither input nor the peer's close has arrived.
+    /// Returns whether the connection is established and neither input nor the peer's close has arrived.
     bool is_idle() const;
-    /// Whether the peer closed after all its data was received; false after a reset.
+    /// Returns whether the peer closed and all its data was received. False after a reset.
     bool ended_cleanly() const { return ended_cleanly_; }
-    /// Whether the peer's host has not acknowledged all that was written to the kernel.
+    /// Returns whether the peer's host has not yet acknowledged all output that was written to the kernel.
     bool has_unacknowledged_output() const;
-    /// Whether the peer has closed or reset, even if its data is not read yet.
+    /// Returns whether the peer has closed or reset the connection, even if unread input precedes the close.
     bool peer_has_closed() const;
     bool is_read_buffer_full() const { return input_.size() - consumed_ >= read_limit_; }
     bool is_connected() const { return state_ == State::connected; }
@@ -103,7 +104,7 @@
     template <void (TcpConnection::*Method)()>
     static gboolean on_socket(GSocket*, GIOCondition, gpointer self) {
         (static_cast<TcpConnection*>(self)->*Method)();
-        return G_SOURCE_CONTINUE;  // a source no longer needed is already destroyed
+        return G_SOURCE_CONTINUE;  // a source that is no longer needed is already destroyed
     }
 
     SocketRef socket_;
@@ -112,14 +113,15 @@
     State state_ = State::connecting;
     std::size_t read_limit_;
     ByteBudget& budget_;
-    std::size_t budgeted_bytes_ = 0;  // what of both buffers is counted in budget_
+    std::size_t budgeted_bytes_ = 0;  // bytes of both buffers that are counted in budget_
     std::string input_;
-    std::size_t consumed_ = 0;
+    std::size_t consumed_ = 0;  // bytes at the front of input_ that are consumed but not yet erased
     std::string output_;
     bool shutting_down_write_ = false;
     bool ended_cleanly_ = false;
     double received_at_ = 0;
-    double reading_paused_at_ = 0;  // 0: all that the kernel held since the last pause is received
+    // When reading paused at the read limit; 0 once all input that arrived during the pause is received.
+    double reading_paused_at_ = 0;
     EventHandler on_event_;
     bool is_accepted_unread_ = false;  // accepted, and nothing is received yet
     bool reads_until_empty_ = false;
--- a/src/io/timer_queue.h
+++ b/src/io/timer_queue.h
@@ -1,8 +1,8 @@
-// Timers for the whole node: one queue ordered by time behind one GLib source.
+// The timers of the node: one queue, ordered by due time, on one GLib source.
 //
 // TimerQueue owns each action until it has run or is cancelled. Actions run on the thread of the GLib main
-// loop, in the order of their times and never early; those of the same time run in the order of their
-// scheduling.
+// loop, in the order of their due times and never early. Actions with the same due time run in the order in
+// which they were scheduled.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 
 namespace brookrelay {
 
-/// Seconds of the monotonic clock, the only clock used for timeouts and decisions.
+/// Returns the monotonic time in seconds. All timeouts and decisions use this clock.
 inline double monotonic_now() { return static_cast<double>(g_get_monotonic_time()) / 1e6; }
 
 /// Runs actions at given times. Actions may schedule and cancel others, but not destroy the queue.
 class TimerQueue {
   public:
     using Action = std::function<void()>;
-    /// The time an action is due and its number; value-initialised (number 0) it stands for no action.
+    /// The due time and the id of an action. A value-initialised handle (id 0) refers to no action.
     using Handle = std::pair<double, std::uint64_t>;
 
     TimerQueue();
@@ -29,10 +29,10 @@
     TimerQueue(const TimerQueue&) = delete;
     TimerQueue& operator=(const TimerQueue&) = delete;
 
-    /// Runs `action` once monotonic_now() has reached `due`. A past time means the next iteration of the
-    /// loop.
+    /// Runs `action` once monotonic_now() has reached `due`. If that has passed, `action` runs in the current
+    /// or next iteration of the main loop.
     Handle schedule(double due, Action action);
-    /// Removes the action, if it is still queued, and clears the handle.
+    /// Removes the action if it is still queued, and clears the handle.
     void cancel(Handle& handle);
 
   private:
--- a/src/io/wall_clock.cpp
+++ b/src/io/wall_clock.cpp
@@ -10,7 +10,8 @@
 namespace brookrelay {
 namespace {
 
-// Smaller differences are the slewing of a clock that is kept right, and the time between two readings.
+// Smaller differences result from the slewing of a synchronized clock and from the time between the readings
+// of the two clocks.
 constexpr double kMinStepSeconds = 0.5;
 
 }  // namespace
--- a/src/io/wall_clock.h
+++ b/src/io/wall_clock.h
@@ -1,5 +1,5 @@
-// The wall clock beside the monotonic one. Everything that is waited for or measured runs on the monotonic
-// clock; the wall clock only relates times that others tell, and may be stepped at any moment.
+// Relates the wall clock to the monotonic clock. All timeouts and measurements use the monotonic clock. The
+// wall clock only serves to interpret times from other processes, and may be stepped at any moment.
 //
 // Times are seconds. Used from one thread.
 #pragma once
@@ -8,23 +8,25 @@
 
 namespace brookrelay {
 
-/// The two clocks at one moment.
+/// Both clocks at the same moment.
 struct ClockReading {
-    double now = 0;          ///< monotonic
-    double wall_offset = 0;  ///< wall clock less monotonic clock, as it is now
+    double now = 0;          ///< monotonic time
+    double wall_offset = 0;  ///< wall clock time minus monotonic time
     double wall_now() const { return now + wall_offset; }
 };
 
-/// Identifies the machine's present boot, within which processes share the monotonic clock; empty: unknown.
+/// Returns the id of the machine's current boot, within which all processes share the monotonic clock. Empty
+/// if it is unknown.
 std::string boot_id();
 
-/// Reads both clocks and notices steps of the wall clock.
+/// Reads both clocks and detects steps of the wall clock.
 class WallClock {
   public:
     WallClock();
-    /// Both clocks now.
+    /// Returns the current time of both clocks.
     ClockReading read() const;
-    /// By how much the wall clock was stepped since the last call, or since the start; 0 where it was not.
+    /// Returns by how many seconds the wall clock was stepped since the last call that reported a step, or
+    /// since construction. Returns 0 if it was not stepped.
     double take_step();
 
   private:
