--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxTextBytes = 300;
-constexpr std::array<const char*, static_cast<std::size_t>(Topic::count)> kTopics{
+constexpr std::array<const char*, static_cast<std::size_t>(Topic::count)> kTopicNames{
     "node", "client", "cache", "origin", "discovery", "policy", "guard", "request"};
 
 // Truncates the text and replaces control characters, and with `ascii` all others outside printable ASCII:
@@ -66,7 +66,7 @@
 }
 
 void Log::write(Topic topic, std::string_view event, std::string_view text) {
-    const char* topic_name = kTopics[static_cast<std::size_t>(topic)];
+    const char* topic_name = kTopicNames[static_cast<std::size_t>(topic)];
     if (!json_) {
         out_->info("{} {}: {}", name_, topic_name, sanitize(text, false));
         return;
--- a/src/io/tcp_connection.cpp
+++ b/src/io/tcp_connection.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t kReadChunkBytes = std::size_t{64} * 1024;
 // A buffer that becomes empty releases its memory if its capacity exceeds this.
-constexpr std::size_t kKeptBufferBytes = kReadChunkBytes;
+constexpr std::size_t kMaxKeptBufferBytes = kReadChunkBytes;
 
 void configure_socket(GSocket* socket) {
     g_socket_set_blocking(socket, FALSE);
@@ -137,21 +137,21 @@
 
 void TcpConnection::flush() {
     output_.erase(0, send_some(output_));
-    if (output_.empty() && output_.capacity() > kKeptBufferBytes) output_.shrink_to_fit();
+    if (output_.empty() && output_.capacity() > kMaxKeptBufferBytes) output_.shrink_to_fit();
     update_budget();
     if (state_ != State::connected) return;
     if (!output_.empty()) {
         watch(output_source_, G_IO_OUT, &on_socket<&TcpConnection::flush>);
         return;
     }
-    const bool had_backlog = output_source_ != nullptr;
+    const bool had_unwritten_output = output_source_ != nullptr;
     output_source_.reset();
-    if (shutting_down_write_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
-    if (had_backlog) on_event_(Event::drained);
+    if (is_shutting_down_write_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
+    if (had_unwritten_output) on_event_(Event::drained);
 }
 
 void TcpConnection::shutdown_write() {
-    shutting_down_write_ = true;
+    is_shutting_down_write_ = true;
     if (state_ == State::connected) flush();
 }
 
@@ -174,7 +174,7 @@
         on_end();
         return false;
     }
-    received_at_ = arrival_of_received(static_cast<std::size_t>(count) < buffer.size());
+    received_at_ = arrival_time_of_input(static_cast<std::size_t>(count) < buffer.size());
     input_.append(buffer.data(), static_cast<std::size_t>(count));
     update_budget();
     on_event_(Event::readable);
@@ -185,7 +185,7 @@
 // Returns when the chunk just received arrived. Input that may have waited while reading was paused is dated
 // from the start of the pause. The first input of an accepted connection may have waited in the backlog and
 // is dated by the kernel's time of the last data.
-double TcpConnection::arrival_of_received(bool all_received) {
+double TcpConnection::arrival_time_of_input(bool all_received) {
     const double now = monotonic_now();
     const double arrival = reading_paused_at_ > 0 ? reading_paused_at_
                            : is_accepted_unread_  ? now - seconds_since_last_data(socket_.get())
@@ -221,7 +221,7 @@
     consumed_ += bytes;
     if (consumed_ == input_.size()) {
         input_.clear();
-        if (input_.capacity() > kKeptBufferBytes) input_.shrink_to_fit();
+        if (input_.capacity() > kMaxKeptBufferBytes) input_.shrink_to_fit();
         consumed_ = 0;
     } else if (consumed_ > kReadChunkBytes) {
         input_.erase(0, consumed_);
--- a/src/io/tcp_connection.h
+++ b/src/io/tcp_connection.h
@@ -99,7 +99,7 @@
     void receive();
     bool receive_chunk();
     void on_end();
-    double arrival_of_received(bool all_received);
+    double arrival_time_of_input(bool all_received);
 
     template <void (TcpConnection::*Method)()>
     static gboolean on_socket(GSocket*, GIOCondition, gpointer self) {
@@ -117,7 +117,7 @@
     std::string input_;
     std::size_t consumed_ = 0;  // bytes at the front of input_ that are consumed but not yet erased
     std::string output_;
-    bool shutting_down_write_ = false;
+    bool is_shutting_down_write_ = false;
     bool ended_cleanly_ = false;
     double received_at_ = 0;
     // When reading paused at the read limit; 0 once all input that arrived during the pause is received.
