--- a/src/protocol/attempt_response.h
+++ b/src/protocol/attempt_response.h
@@ -1,4 +1,4 @@
-// The parsed response to one attempt, the same for the memcache and the HTTP codec. No I/O.
+// The parsed response to one attempt, shared by the memcache and HTTP codecs. No I/O.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 
 namespace brookrelay {
 
-/// What a server answered to an attempt.
+/// A server's response to an attempt.
 struct AttemptResponse {
-    bool valid = false;  // false: malformed, which fails the attempt and its connection
+    bool valid = false;  // false: malformed, so the attempt fails and its connection is closed
     AttemptOutcome outcome = AttemptOutcome::reset;
     bool reusable = true;         // the connection may carry another attempt
-    bool unknown_length = false;  // the header does not give the length of the body
+    bool unknown_length = false;  // the header does not state the length of the body
     std::string body;             // the value of a read or the receipt of a write
 };
 
--- a/src/protocol/http1.cpp
+++ b/src/protocol/http1.cpp
@@ -13,6 +13,7 @@
 constexpr int kFirstFinalStatus = 200;
 constexpr std::string_view kLineEnd = "\r\n";
 
+// Converts ASCII only, independently of the locale.
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 std::string lowered(std::string_view text) {
@@ -30,7 +31,8 @@
 
 enum class ParseStatus { complete, incomplete, malformed };
 
-// The end of the line that starts at `position`; without one, the status says whether it may still come.
+// Returns the end of the line that starts at `position`, or npos if the line is incomplete. In that case sets
+// `status` to incomplete, or to malformed if the line is too long.
 std::size_t find_line_end(std::string_view input, std::size_t position, ParseStatus& status) {
     const std::size_t line_end = input.find(kLineEnd, position);
     if (line_end == std::string_view::npos)
@@ -50,7 +52,7 @@
     }
 }
 
-// Appends the chunks that start at `position` to `body` and moves `position` behind the trailers.
+// Appends the chunks that start at `position` to `body` and advances `position` past the trailers.
 ParseStatus read_chunks(std::string_view input, std::size_t& position, std::size_t max_body_bytes,
                         std::string& body) {
     ParseStatus status = ParseStatus::complete;
@@ -70,11 +72,11 @@
     }
 }
 
-// 204 No Content and 304 Not Modified have no body, whatever their headers say.
+// 204 No Content and 304 Not Modified have no body, regardless of their headers.
 bool has_no_body(int status) { return status == 204 || status == 304; }
 
-// Rejects blanks as well: a header name with a blank before its colon is interpreted differently by different
-// parsers.
+// Returns whether the name has only printable ASCII characters and no blank. Parsers disagree about a header
+// name with a blank before its colon.
 bool is_token(std::string_view name) {
     return !name.empty() &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > 0x20 && c < 0x7f; });
@@ -85,7 +87,8 @@
                        [name](const auto& header) { return header.first == name; });
 }
 
-// Parses the header lines after the first line of a head, which ends at `line_end`.
+// Parses the header lines of a head after its first line, which ends at `line_end`. Returns false if a line
+// is malformed or framing headers conflict.
 bool read_headers(std::string_view head, std::size_t line_end, HttpResponse& response) {
     for (std::size_t position = line_end + kLineEnd.size(); position < head.size();
          position = line_end + kLineEnd.size()) {
@@ -103,7 +106,7 @@
     return true;
 }
 
-// Parses a status line (`HTTP/1.x NNN reason`) and the headers after it.
+// Parses a status line (`HTTP/1.x NNN reason`) and the headers after it. Returns false if they are malformed.
 bool read_head(std::string_view head, HttpResponse& response) {
     const std::size_t line_end = std::min(head.find(kLineEnd), head.size());
     const std::string_view status_line = head.substr(0, line_end);
@@ -199,13 +202,14 @@
         if (!read_head(input.substr(start, end - start), response)) return input.size();
         start = end + kHeadEnd.size();
         if (response.status >= kFirstFinalStatus) break;
-        // Interim responses are skipped up to the size limit; a protocol switch was not requested.
+        // Interim responses are skipped up to the size limit. A protocol switch is an error, because none is
+        // requested.
         if (response.status == kSwitchingProtocols || start > kMaxHeadBytes) return input.size();
     }
     if (has_no_body(response.status)) {
         response.valid = true;
     } else if (has_header(response, "transfer-encoding")) {
-        // Together with a length or with another coding the end of the body is ambiguous.
+        // In combination with a length or another coding the end of the body is ambiguous.
         response.valid = !has_header(response, "content-length") &&
                          lowered(response.header("transfer-encoding")) == "chunked";
     } else if (has_header(response, "content-length")) {
--- a/src/protocol/memcache_text.cpp
+++ b/src/protocol/memcache_text.cpp
@@ -8,10 +8,12 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::size_t kMaxKeyBytes = 250;            // as in memcached
+constexpr std::size_t kMaxKeyBytes = 250;            // the limit of memcached
 constexpr std::size_t kMaxRemainingMs = 86'400'000;  // one day
 constexpr std::string_view kLineEnd = "\r\n";
 
+// Removes the first word of `line` and the blanks before it, and returns the word; empty at the end of the
+// line.
 std::string_view next_word(std::string_view& line) {
     line.remove_prefix(std::min(line.find_first_not_of(' '), line.size()));
     const std::string_view word = line.substr(0, line.find(' '));
@@ -19,7 +21,7 @@
     return word;
 }
 
-// Returns the error or nullptr.
+// Parses the properties of a command. Returns the error, or nullptr if there is none.
 const char* parse_attributes(std::string_view text, RequestAttributes& attributes) {
     attributes = {};
     attributes.text = text;
@@ -51,8 +53,9 @@
     return has_time ? nullptr : "no property d";
 }
 
-// Parses the flags after the key or the length: `v` on a read, `O` and `P` on both. Other flags are rejected,
-// because they would ask for something that the response does not contain. Returns the error or nullptr.
+// Parses the flags after the key or the length: `v` on a read, `O` and `P` on reads and writes. Other flags
+// are rejected, because they request something that the response does not contain. Returns the error, or
+// nullptr if there is none.
 const char* parse_flags(std::string_view line, Command& command) {
     bool has_value_flag = false, has_attributes = false;
     while (true) {
@@ -74,7 +77,8 @@
     return command.kind == Command::Kind::read && !has_value_flag ? "no flag v" : nullptr;
 }
 
-// Returns the first line without its end; `line_bytes` is its size with it, or 0 if it is incomplete.
+// Returns the first line without its line end. Sets `line_bytes` to its size including the line end, or to 0
+// if the line is incomplete.
 std::string_view first_line(std::string_view input, std::size_t& line_bytes) {
     const std::size_t end = input.substr(0, kMaxLineBytes).find('\n');
     line_bytes = end == std::string_view::npos ? 0 : end + 1;
@@ -83,6 +87,7 @@
     return line;
 }
 
+// Marks the command as malformed and returns `parsed_bytes`.
 std::size_t malformed(Command& command, const char* error, std::size_t parsed_bytes,
                       bool framing_lost = false) {
     command.kind = Command::Kind::malformed;
@@ -93,11 +98,12 @@
 
 enum class ParseStatus { complete, incomplete, malformed };
 
-// Parses the length at the start of `line` and the data block after the line, by which `parsed_bytes` grows.
+// Parses the length at the start of `line` and the data block after the line, and adds the size of the data
+// block to `parsed_bytes`.
 ParseStatus parse_value(std::string_view input, std::string_view& line, Command& command,
                         std::size_t& parsed_bytes) {
     const auto fail = [&](const char* error) {
-        malformed(command, error, parsed_bytes, true);  // the start of the next command is unknown
+        malformed(command, error, parsed_bytes, true);  // the start of the next command cannot be determined
         return ParseStatus::malformed;
     };
     std::size_t length = 0;
@@ -116,6 +122,7 @@
     return ParseStatus::complete;
 }
 
+// Returns the request id from the `O` flag, or an empty string if there is none.
 std::string parse_id(std::string_view flags) {
     while (true) {
         const std::string_view flag = next_word(flags);
--- a/src/protocol/memcache_text.h
+++ b/src/protocol/memcache_text.h
@@ -1,7 +1,7 @@
 // Codec for the meta commands of the memcache text protocol. No I/O and no state.
 //
-// Parsers look at all input received so far and return how many bytes form a message, or 0 if it is
-// incomplete. Malformed input gives a message of kind `malformed`, never an exception. Sizes are bytes, times
+// Parsers take all input received so far and return the size of the first message, or 0 if it is incomplete.
+// Malformed input yields a message of kind `malformed`, never an exception. Sizes are bytes, times are
 // seconds.
 #pragma once
 
@@ -12,16 +12,16 @@
 namespace brookrelay {
 
 constexpr std::size_t kMaxValueBytes = std::size_t{4} * 1024 * 1024;
-// Longer values are streamed; others are buffered whole before they are forwarded.
+// Values up to this length are buffered completely before they are forwarded; longer values are streamed.
 constexpr std::size_t kMaxBufferedValueBytes = std::size_t{64} * 1024;
 constexpr std::size_t kMaxLineBytes = 2048;
 
-/// The properties (names and values) of a command. They are forwarded unchanged except for the remaining
+/// The properties (name=value pairs) of a command. They are forwarded unchanged except for the remaining
 /// time.
 struct RequestAttributes {
     std::string text;
-    std::size_t time_offset = 0;  // position of the digits of the remaining time in `text`
-    std::size_t time_length = 0;
+    std::size_t time_offset = 0;  // position in `text` of the digits of the remaining time
+    std::size_t time_length = 0;  // number of those digits
     std::string operation, tenant;
     double time_remaining = 0;  // seconds
     bool is_client_retry = false;
@@ -33,8 +33,8 @@
     Kind kind = Kind::malformed;
     std::string key, id, value;
     RequestAttributes attributes;
-    const char* error = "";     // of a malformed command; empty: unknown verb
-    bool framing_lost = false;  // the start of the next command is unknown
+    const char* error = "";     // reason why the command is malformed; empty: unknown verb
+    bool framing_lost = false;  // the start of the next command cannot be determined
 };
 
 /// A server's reply; `body` is the value or the write receipt.
@@ -46,33 +46,35 @@
 
 /// The header of a value that is too long to be buffered.
 struct StreamedValue {
-    std::size_t header_bytes = 0;   // bytes before the value; 0: not such a header, or incomplete
+    std::size_t header_bytes = 0;   // bytes before the value; 0: no header of a long value, or incomplete
     std::size_t length = 0;         // bytes of the value
     std::size_t trailer_bytes = 0;  // bytes after the value
-    std::string id;                 // empty if the protocol has none
-    bool reusable = true;           // the connection may carry another attempt afterwards
+    std::string id;                 // request id; empty if the protocol has none
+    bool reusable = true;           // the connection may carry another attempt after the value
 };
 
 /// Parses the header of a reply with a long value.
 StreamedValue parse_streamed_reply(std::string_view input);
-/// The length of the long value that the first command writes; 0 if it writes none.
+/// Returns the length of the long value that the first command writes, or 0 if it writes none.
 std::size_t streamed_write_length(std::string_view input);
 
-/// Parse the first message; return its size, or 0 if it is incomplete.
+/// Parses the first command. Returns its size, or 0 if it is incomplete.
 std::size_t parse_command(std::string_view input, Command& command);
+/// Parses the first reply. Returns its size, or 0 if it is incomplete.
 std::size_t parse_reply(std::string_view input, Reply& reply);
 
-/// Whether the text is one word without blanks and control characters, safe inside a line or an HTTP header.
+/// Returns whether the text is not empty and has no blanks or control characters, so that it is safe inside a
+/// line or an HTTP header.
 bool is_printable_word(std::string_view text);
 
-/// The attributes with the remaining time (at least 1 ms) replaced.
+/// Formats the attributes with `time_left`, but at least 1 ms, as the remaining time.
 std::string format_attributes(const RequestAttributes& attributes, double time_left);
-/// The command as it is sent to a server, with `time_left` as its remaining time.
+/// Formats the command for a cache server, with `time_left` as its remaining time.
 std::string format_command(const Command& command, double time_left);
 std::string format_value_header(std::string_view id, std::size_t length);
 std::string format_value(std::string_view id, std::string_view value);
 std::string format_receipt(std::string_view id, std::string_view receipt);
-/// The reply to a rejected request; a `retry_after` of 0 is left out.
+/// Formats the reply to a rejected request. A `retry_after` of 0 is omitted.
 std::string format_busy(double retry_after);
 
 }  // namespace brookrelay
--- a/src/protocol/origin_http.cpp
+++ b/src/protocol/origin_http.cpp
@@ -28,7 +28,7 @@
     HttpResponse response;
     std::size_t parsed_bytes =
         parse_http_response(input, {kMaxBufferedValueBytes, kMaxValueBytes}, response, ended);
-    // The body of an error is ignored, so its end is not waited for.
+    // The body of an error response is ignored, so the parser does not wait for its end.
     if (parsed_bytes == 0 && response.body_until_close && response.status != 200) parsed_bytes = input.size();
     result.unknown_length = response.has_unknown_length();
     if (parsed_bytes == 0) return 0;
--- a/src/protocol/origin_http.h
+++ b/src/protocol/origin_http.h
@@ -1,7 +1,7 @@
 // Translates commands to HTTP/1.1 requests for the origin, and its responses to attempt outcomes. No I/O and
-// no state. A response only counts as "not executed" (busy) if it says so, because other requests must not be
-// retried as if they had not run. Malformed input is reported by `valid` == false. Sizes are bytes, times
-// seconds.
+// no state. A request counts as not executed (busy) only if the response states so, because all others must
+// not be retried as if they had not run. Malformed input is reported by `valid` == false. Sizes are bytes,
+// times are seconds.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,12 @@
 
 namespace brookrelay {
 
-/// The command as a GET or PUT request, with `time_left` as its remaining time.
+/// Formats the command as a GET or PUT request, with `time_left` as its remaining time.
 std::string format_origin_request(const Command& command, double time_left, std::string_view host);
 /// Parses the head of a successful response with a long value.
 StreamedValue parse_streamed_origin_response(std::string_view input);
-/// Parses a response; returns its size, or 0 if it is incomplete, in which case `unknown_length` of the
-/// response is already set. `ended`: the peer has closed cleanly, so no input follows.
+/// Parses a response. Returns its size, or 0 if it is incomplete; `unknown_length` of the response is set
+/// even then. `ended`: the peer has closed cleanly, so no input follows.
 std::size_t parse_origin_response(std::string_view input, AttemptResponse& result, bool ended = false);
 
 }  // namespace brookrelay
