--- a/src/protocol/http1.cpp
+++ b/src/protocol/http1.cpp
@@ -14,15 +14,15 @@
 constexpr std::string_view kLineEnd = "\r\n";
 
 // Converts ASCII only, independently of the locale.
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-std::string lowered(std::string_view text) {
+std::string to_lower_case(std::string_view text) {
     std::string out(text);
-    std::transform(out.begin(), out.end(), out.begin(), lower);
+    std::transform(out.begin(), out.end(), out.begin(), to_lower);
     return out;
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
     constexpr std::string_view kBlanks = " \t";
     const std::size_t first = text.find_first_not_of(kBlanks);
     if (first == std::string_view::npos) return {};
@@ -53,15 +53,15 @@
 }
 
 // Appends the chunks that start at `position` to `body` and advances `position` past the trailers.
-ParseStatus read_chunks(std::string_view input, std::size_t& position, std::size_t max_body_bytes,
-                        std::string& body) {
+ParseStatus parse_chunks(std::string_view input, std::size_t& position, std::size_t max_body_bytes,
+                         std::string& body) {
     ParseStatus status = ParseStatus::complete;
     while (true) {
         const std::size_t line_end = find_line_end(input, position, status);
         if (line_end == std::string_view::npos) return status;
         const std::string_view line = input.substr(position, line_end - position);
         std::size_t size = 0;
-        if (!parse_number(trimmed(line.substr(0, line.find(';'))), size, 16)) return ParseStatus::malformed;
+        if (!parse_number(trim(line.substr(0, line.find(';'))), size, 16)) return ParseStatus::malformed;
         if (size > max_body_bytes - body.size()) return ParseStatus::malformed;
         position = line_end + kLineEnd.size();
         if (size == 0) return skip_trailers(input, position);
@@ -89,15 +89,15 @@
 
 // Parses the header lines of a head after its first line, which ends at `line_end`. Returns false if a line
 // is malformed or framing headers conflict.
-bool read_headers(std::string_view head, std::size_t line_end, HttpResponse& response) {
+bool parse_headers(std::string_view head, std::size_t line_end, HttpResponse& response) {
     for (std::size_t position = line_end + kLineEnd.size(); position < head.size();
          position = line_end + kLineEnd.size()) {
         line_end = std::min(head.find(kLineEnd, position), head.size());
         const std::string_view line = head.substr(position, line_end - position);
         const std::size_t colon = line.find(':');
-        const std::string name = lowered(line.substr(0, colon));
+        const std::string name = to_lower_case(line.substr(0, colon));
         if (colon == std::string_view::npos || !is_token(name)) return false;
-        const std::string_view value = trimmed(line.substr(colon + 1));
+        const std::string_view value = trim(line.substr(colon + 1));
         // Conflicting framing headers make the end of the body ambiguous.
         const bool is_framing = name == "content-length" || name == "transfer-encoding";
         if (is_framing && has_header(response, name) && response.header(name) != value) return false;
@@ -107,7 +107,7 @@
 }
 
 // Parses a status line (`HTTP/1.x NNN reason`) and the headers after it. Returns false if they are malformed.
-bool read_head(std::string_view head, HttpResponse& response) {
+bool parse_head(std::string_view head, HttpResponse& response) {
     const std::size_t line_end = std::min(head.find(kLineEnd), head.size());
     const std::string_view status_line = head.substr(0, line_end);
     std::size_t status = 0;
@@ -115,8 +115,8 @@
     if (!parse_number(status_line.substr(9, 3), status) || status < 100) return false;
     response.status = static_cast<int>(status);
     response.keep_alive = status_line[7] != '0';
-    if (!read_headers(head, line_end, response)) return false;
-    const std::string connection = lowered(response.header("connection"));
+    if (!parse_headers(head, line_end, response)) return false;
+    const std::string connection = to_lower_case(response.header("connection"));
     if (connection.find("close") != std::string::npos) response.keep_alive = false;
     if (connection.find("keep-alive") != std::string::npos) response.keep_alive = true;
     return true;
@@ -177,7 +177,7 @@
     const std::size_t end = input.find(kHeadEnd, line_end);
     if (end == std::string_view::npos) return input.size() > kMaxHeadBytes ? input.size() : 0;
     HttpResponse headers;
-    if (!read_headers(input.substr(0, end), line_end, headers)) return input.size();
+    if (!parse_headers(input.substr(0, end), line_end, headers)) return input.size();
     request.valid = true;
     request.method = method;
     request.target = target;
@@ -199,7 +199,7 @@
                 input.size() - start > kMaxHeadBytes || !kExpectedStart.starts_with(received_start);
             return is_malformed ? input.size() : 0;
         }
-        if (!read_head(input.substr(start, end - start), response)) return input.size();
+        if (!parse_head(input.substr(start, end - start), response)) return input.size();
         start = end + kHeadEnd.size();
         if (response.status >= kFirstFinalStatus) break;
         // Interim responses are skipped up to the size limit. A protocol switch is an error, because none is
@@ -211,7 +211,7 @@
     } else if (has_header(response, "transfer-encoding")) {
         // In combination with a length or another coding the end of the body is ambiguous.
         response.valid = !has_header(response, "content-length") &&
-                         lowered(response.header("transfer-encoding")) == "chunked";
+                         to_lower_case(response.header("transfer-encoding")) == "chunked";
     } else if (has_header(response, "content-length")) {
         response.valid = parse_number(response.header("content-length"), length) && length <= max_body_bytes;
     } else {
@@ -227,7 +227,7 @@
     std::size_t start = parse_http_response_head(input, limits.with_length, response, length);
     if (start == 0 || !response.valid) return start;
     if (has_header(response, "transfer-encoding") && !has_no_body(response.status)) {
-        const ParseStatus parsed = read_chunks(input, start, limits.without_length, response.body);
+        const ParseStatus parsed = parse_chunks(input, start, limits.without_length, response.body);
         if (parsed == ParseStatus::incomplete) return 0;
         response.valid = parsed == ParseStatus::complete;
         return response.valid ? start : input.size();
--- a/src/protocol/memcache_text.cpp
+++ b/src/protocol/memcache_text.cpp
@@ -88,8 +88,8 @@
 }
 
 // Marks the command as malformed and returns `parsed_bytes`.
-std::size_t malformed(Command& command, const char* error, std::size_t parsed_bytes,
-                      bool framing_lost = false) {
+std::size_t mark_malformed(Command& command, const char* error, std::size_t parsed_bytes,
+                           bool framing_lost = false) {
     command.kind = Command::Kind::malformed;
     command.error = error;
     command.framing_lost = framing_lost;
@@ -103,7 +103,8 @@
 ParseStatus parse_value(std::string_view input, std::string_view& line, Command& command,
                         std::size_t& parsed_bytes) {
     const auto fail = [&](const char* error) {
-        malformed(command, error, parsed_bytes, true);  // the start of the next command cannot be determined
+        // The start of the next command cannot be determined.
+        mark_malformed(command, error, parsed_bytes, true);
         return ParseStatus::malformed;
     };
     std::size_t length = 0;
@@ -145,13 +146,14 @@
     std::size_t parsed_bytes = 0;
     std::string_view line = first_line(input, parsed_bytes);
     if (parsed_bytes == 0)
-        return input.size() < kMaxLineBytes ? 0 : malformed(command, "line too long", input.size(), true);
+        return input.size() < kMaxLineBytes ? 0
+                                            : mark_malformed(command, "line too long", input.size(), true);
     const std::string_view verb = next_word(line);
     if (verb == "mn") {
         command.kind = Command::Kind::hello;
         return parsed_bytes;
     }
-    if (verb != "mg" && verb != "ms") return malformed(command, "", parsed_bytes);
+    if (verb != "mg" && verb != "ms") return mark_malformed(command, "", parsed_bytes);
     command.kind = verb == "mg" ? Command::Kind::read : Command::Kind::write;
     command.key = next_word(line);
     if (command.kind == Command::Kind::write) {
@@ -160,9 +162,9 @@
         if (status == ParseStatus::malformed) return parsed_bytes;
     }
     if (!is_printable_word(command.key) || command.key.size() > kMaxKeyBytes)
-        return malformed(command, "bad key", parsed_bytes);
+        return mark_malformed(command, "bad key", parsed_bytes);
     const char* error = parse_flags(line, command);
-    return error == nullptr ? parsed_bytes : malformed(command, error, parsed_bytes);
+    return error == nullptr ? parsed_bytes : mark_malformed(command, error, parsed_bytes);
 }
 
 std::size_t parse_reply(std::string_view input, Reply& reply) {
--- a/src/protocol/origin_http.cpp
+++ b/src/protocol/origin_http.cpp
@@ -38,8 +38,8 @@
         result.outcome = AttemptOutcome::succeeded;
         result.body = std::move(response.body);
     } else {
-        const bool never_ran = response.header("x-never-ran") == "1";
-        result.outcome = never_ran && (response.status == 503 || response.status == 504)
+        const bool is_not_executed = response.header("x-never-ran") == "1";
+        result.outcome = is_not_executed && (response.status == 503 || response.status == 504)
                              ? AttemptOutcome::busy
                              : AttemptOutcome::failed;
     }
