--- a/src/util/exit_codes.h
+++ b/src/util/exit_codes.h
@@ -1,10 +1,10 @@
-// What the program's exit code says, the same for each of its commands.
+// The exit codes of the program, shared by all its commands.
 #pragma once
 
 namespace brookrelay {
 
-constexpr int kDone = 0;
-constexpr int kBroken = 1;    // a rule was broken, a check failed, or serving could not go on
-constexpr int kWrongUse = 2;  // wrong usage, or a wrong file
+constexpr int kDone = 0;      // success
+constexpr int kBroken = 1;    // a rule was violated, a check failed, or serving could not continue
+constexpr int kWrongUse = 2;  // invalid usage or an invalid file
 
 }  // namespace brookrelay
--- a/src/util/file_descriptor.h
+++ b/src/util/file_descriptor.h
@@ -1,4 +1,4 @@
-// Owners for the system's file and directory handles, each closed exactly once.
+// Owning handles for file descriptors and directory streams; each is closed exactly once.
 #pragma once
 
 #include <dirent.h>
@@ -35,7 +35,7 @@
     void operator()(DIR* directory) const { closedir(directory); }
 };
 
-// A directory stream from opendir(); null if it could not be opened.
+// Owns a directory stream from opendir(). Null if the directory could not be opened.
 using DirectoryHandle = std::unique_ptr<DIR, DirectoryDeleter>;
 
 }  // namespace brookrelay
--- a/src/util/key_counter.h
+++ b/src/util/key_counter.h
@@ -1,4 +1,4 @@
-// How often each key came lately.
+// Counts how often each key occurred recently.
 #pragma once
 
 #include <array>
@@ -8,12 +8,13 @@
 
 namespace brookrelay {
 
-// Counts in two generations of `sample_size` keys each; the older is forgotten when the newer is full.
+// Counts keys in two generations of up to `sample_size` keys each. When the newer one is full, the older one
+// is discarded and a new one begins.
 class KeyCounter {
   public:
     explicit KeyCounter(int sample_size) : sample_size_(sample_size) {}
 
-    // Counts the key once more and returns its count over both generations.
+    // Adds one occurrence of the key and returns its count over both generations.
     int add(std::uint64_t key) {
         if (++totals_[0] > sample_size_) {
             std::swap(counts_[0], counts_[1]);
@@ -23,7 +24,7 @@
         const auto older = counts_[1].find(key);
         return ++counts_[0][key] + (older == counts_[1].end() ? 0 : older->second);
     }
-    // Keys counted in both generations.
+    // Returns the number of occurrences of all keys over both generations.
     int total() const { return totals_[0] + totals_[1]; }
 
   private:
--- a/src/util/parse_number.h
+++ b/src/util/parse_number.h
@@ -1,4 +1,4 @@
-// A text that is nothing but one unsigned number. No I/O.
+// Parses text that consists of exactly one number. No I/O.
 #pragma once
 
 #include <charconv>
@@ -6,6 +6,7 @@
 
 namespace brookrelay {
 
+// Parses `digits` into `out`. Returns false if they are empty, contain anything else or do not fit the type.
 template <typename Number>
 bool parse_number(std::string_view digits, Number& out, int base = 10) {
     const char* end = digits.data() + digits.size();
--- a/src/util/sliding_window.h
+++ b/src/util/sliding_window.h
@@ -1,4 +1,4 @@
-// Sums and counts of samples over the last few seconds.
+// Sums, counts and means of samples over a sliding time window.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace brookrelay {
 
-// A window of fixed length over a stream of samples, in eight buckets of time that are reused as a ring. A
-// sample leaves the window when its whole bucket does. Times are seconds of any clock that never goes back.
+// Aggregates a stream of samples in eight time buckets that are reused as a circular buffer. Samples leave
+// the window one bucket at a time. Times are seconds of any clock that never goes backwards.
 class SlidingWindow {
   public:
     explicit SlidingWindow(double length) : bucket_seconds_(length / kBuckets) {}
@@ -28,9 +28,9 @@
         advance(now);
         return std::accumulate(counts_.begin(), counts_.end(), 0);
     }
-    // 0 if the window holds no sample.
+    // Returns the mean, or 0 if the window contains no sample.
     double mean(double now) { return count(now) > 0 ? sum(now) / count(now) : 0; }
-    // Another length, at least 0.1 s; samples stay in their buckets.
+    // Changes the length, to at least 0.1 s. Samples stay in their buckets.
     void set_length(double length) { bucket_seconds_ = std::max(length, kMinLength) / kBuckets; }
     void clear() {
         sums_.fill(0);
@@ -41,7 +41,7 @@
     static constexpr int kBuckets = 8;
     static constexpr double kMinLength = 0.1;  // s
 
-    // Empties the buckets that have passed since the last call.
+    // Clears the buckets that have expired since the last call.
     void advance(double now) {
         const auto bucket = static_cast<std::int64_t>(now / bucket_seconds_);
         const std::int64_t steps = std::min<std::int64_t>(bucket - bucket_number_, kBuckets);
--- a/src/util/splitmix64.h
+++ b/src/util/splitmix64.h
@@ -1,4 +1,4 @@
-// Hashing of numbers for choices that have to come out the same at every node.
+// Hash functions for decisions that must be identical on every node.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
     return x ^ (x >> 31);
 }
 
-// The upper 53 bits of a hash as a fraction in [0, 1).
+// Maps the upper 53 bits of a hash to a fraction in [0, 1).
 inline double unit_interval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1.0p-53; }
 
-// FNV-1a from a given start, mixed once more.
+// Returns the FNV-1a hash of `text` with `start` as its initial value, followed by mix().
 inline std::uint64_t hash_text(std::string_view text, std::uint64_t start) {
     constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
     for (const unsigned char byte : text) start = (start ^ byte) * kFnvPrime;
