--- a/src/util/parse_number.h
+++ b/src/util/parse_number.h
@@ -10,8 +10,8 @@
 template <typename Number>
 bool parse_number(std::string_view digits, Number& out, int base = 10) {
     const char* end = digits.data() + digits.size();
-    const auto [at, error] = std::from_chars(digits.data(), end, out, base);
-    return error == std::errc() && at == end;
+    const auto [parsed_end, error] = std::from_chars(digits.data(), end, out, base);
+    return error == std::errc() && parsed_end == end;
 }
 
 }  // namespace brookrelay
--- a/src/util/splitmix64.h
+++ b/src/util/splitmix64.h
@@ -18,11 +18,11 @@
 // Maps the upper 53 bits of a hash to a fraction in [0, 1).
 inline double unit_interval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1.0p-53; }
 
-// Returns the FNV-1a hash of `text` with `start` as its initial value, followed by mix().
-inline std::uint64_t hash_text(std::string_view text, std::uint64_t start) {
+// Returns the FNV-1a hash of `text` with `initial_value` as its initial value, followed by mix().
+inline std::uint64_t hash_text(std::string_view text, std::uint64_t initial_value) {
     constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
-    for (const unsigned char byte : text) start = (start ^ byte) * kFnvPrime;
-    return mix(start);
+    for (const unsigned char byte : text) initial_value = (initial_value ^ byte) * kFnvPrime;
+    return mix(initial_value);
 }
 
 }  // namespace brookrelay
