--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -128,7 +128,7 @@
         int attempt = 0;
         std::string request_id;
         bool is_written = false;  // the request is written, at least to the output buffer of `socket`
-        double started_at = 0;    // when the attempt was started
+        double sent_at = 0;       // when the attempt was started
         double deadline = 0;      // of the attempt
         double last_used = 0;     // when it last became idle or received a part of a stream; 0: never
         TimerQueue::Handle attempt_timer;
