--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -1,5 +1,5 @@
-// The program's side towards its clients, over real connections: commands that wait for others, commands that
-// stop halfway, and responses that break off in front of others.
+// Tests the program's client connections over real sockets: commands that wait while reading is paused,
+// incomplete commands, and streamed responses that break off before other responses.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -16,12 +16,13 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// ---- commands that are not read yet ----------------------------------------------------------------------
+// ---- paused reading --------------------------------------------------------------------------------------
 
-// While all clients together have many unanswered commands, further pipelined ones wait unread. Once the
-// others are answered they are read on, and their client has not been silent meanwhile.
-TEST(HeldBack, CommandsAreReadOnOnceOtherClientsAreAnswered) {
-    constexpr int kOtherClients = 9;  // with one command each: more than 64 descriptors let be pipelined
+// When the total of unanswered commands is at its limit, further pipelined commands remain unread. They must
+// be read once other clients are answered, and the waiting client must not be closed as silent.
+TEST(PausedReading, ResumesOnceOtherClientsAreAnswered) {
+    // With one command each, these clients exceed the limit on pipelined commands for 64 descriptors.
+    constexpr int kOtherClients = 9;
     constexpr int kPipelined = 6;
     Around around;
     around.descriptors = 64;
@@ -46,28 +47,29 @@
     std::this_thread::sleep_for(200 * kMillisecond);
     answers_others = true;
     for (Line& other : others) EXPECT_TRUE(other.until("hello\r\n").ends_with("hello\r\n"));
-    std::this_thread::sleep_for(3200 * kMillisecond);  // longer than a silent client is kept
+    std::this_thread::sleep_for(3200 * kMillisecond);  // longer than the timeout of a silent client
     answers_first = true;
     for (int n = 0; n < kPipelined; ++n)
         EXPECT_EQ(held.until("hello\r\n"), "VA 5 Oheld" + std::to_string(n) + "\r\nhello\r\n");
     EXPECT_FALSE(fleet.logged("incomplete command"));
 }
 
-// ---- commands that stop halfway --------------------------------------------------------------------------
+// ---- incomplete commands ---------------------------------------------------------------------------------
 
-constexpr double kBadClientSeconds = 3;  // within which a client that stops inside a command has its error
+// A client that stops inside a command must receive its error within this time.
+constexpr double kIncompleteCommandLimitSeconds = 3;
 
-TEST(HalfCommand, InsideALongValueIsEndedInTime) {
+TEST(IncompleteCommand, InsideALongValueIsRejectedInTime) {
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
     line.send("ms k 300000 Ow1 Pc=put,d=60000,k=w1\r\n" + std::string(100000, 'v'));
     const double stopped = seconds();
     (void)line.until("\r\n");
-    EXPECT_LT(seconds() - stopped, kBadClientSeconds);
+    EXPECT_LT(seconds() - stopped, kIncompleteCommandLimitSeconds);
 }
 
-// The answer to the command before it is no sign of life of the client.
-TEST(HalfCommand, BehindARequestThatIsAnsweredMeanwhileIsEndedInTime) {
+// Writing the response to an earlier command must not restart the timeout of the incomplete one.
+TEST(IncompleteCommand, AfterARequestThatIsAnsweredLaterIsRejectedInTime) {
     Fleet fleet(1);
     fleet.caches.front().plays([](const std::string& m) {
         std::this_thread::sleep_for(1500 * kMillisecond);
@@ -78,11 +80,11 @@
     const double stopped = seconds();
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Or1\r\nhello\r\n");
     EXPECT_EQ(line.until("\r\n"), "CLIENT_ERROR incomplete command\r\n");
-    EXPECT_LT(seconds() - stopped, kBadClientSeconds);
+    EXPECT_LT(seconds() - stopped, kIncompleteCommandLimitSeconds);
 }
 
-// Its answer fills all buffers between here and there, and its next command never ends.
-TEST(HalfCommand, OfAClientThatReadsNothingIsEndedInTime) {
+// The response fills all buffers between the node and the client, and the client's next command never ends.
+TEST(IncompleteCommand, OfAClientThatReadsNothingIsClosedInTime) {
     constexpr std::size_t kLength = 4 * 1000 * 1000;
     Fleet fleet(1);
     fleet.caches.front().plays([](const std::string& m) {
@@ -94,16 +96,16 @@
     std::this_thread::sleep_for(500 * kMillisecond);
     line.send("mg 7f3a v Oha");
     const double stopped = seconds();
-    wait_for(
-        [&] { return fleet.caches.front().ended >= 1; });  // the rest of the value is not wanted any more
-    EXPECT_LT(seconds() - stopped, kBadClientSeconds);
+    // The node abandons the rest of the value, which closes its connection to the cache.
+    wait_for([&] { return fleet.caches.front().ended >= 1; });
+    EXPECT_LT(seconds() - stopped, kIncompleteCommandLimitSeconds);
 }
 
-// ---- responses that break off ----------------------------------------------------------------------------
+// ---- streamed responses that break off -------------------------------------------------------------------
 
-// A long value that breaks off ends its client's connection, and with it whatever was read behind it. So what
-// was read behind it has to have its answer too.
-TEST(BrokenOffValue, TakesNoCommandBehindItAlong) {
+// A streamed value that breaks off after a part of it was written closes the client connection. Commands that
+// were read after it must be answered nevertheless.
+TEST(TruncatedValue, DoesNotLoseTheNextCommand) {
     constexpr std::size_t kLength = 300 * 1000;
     Fleet fleet(1);
     fleet.caches.front().plays([](const std::string& m) {
@@ -121,9 +123,9 @@
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Obehind\r\nhello\r\n");
 }
 
-// One that stalls may still break off, so nothing of it is passed on while it does; in its time it has
-// failed.
-TEST(BrokenOffValue, ThatStallsTakesNoCommandBehindItAlong) {
+// A value that stalls may still break off, so none of it is written while it stalls. It must fail within its
+// deadline, and the next command must be answered.
+TEST(TruncatedValue, ThatStallsDoesNotLoseTheNextCommand) {
     constexpr std::size_t kLength = 300 * 1000;
     Fleet fleet(1);
     fleet.caches.front().plays([](const std::string& m) {
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -1,4 +1,5 @@
-// The program's side towards its servers, over real connections: what is sent, when, and for whom.
+// Tests the program's server connections over real sockets: deadlines sent to servers, failing system calls,
+// and requests of clients that disconnect.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -10,22 +11,23 @@
 using namespace brookrelay::testkit;
 
 constexpr auto kMillisecond = std::chrono::milliseconds(1);
-constexpr double kDeadlineSlack = 0.15;  // s that a server may be told more than the client has left
+// A deadline sent to a server may exceed the client's remaining time by this much.
+constexpr double kDeadlineSlackSeconds = 0.15;
 
 double seconds() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// The deadline that a message tells its server, in seconds from when it is sent.
+// Returns the deadline that a message states, in seconds from when it is sent, or 1e9 if it states none.
 double told_deadline(const std::string& message) {
     const std::size_t at = message.find(",d=");
     return at == std::string::npos ? 1e9 : std::stoi(message.substr(at + 3)) / 1e3;
 }
 
-// ---- the deadline that a server is told ------------------------------------------------------------------
+// ---- deadlines sent to servers ---------------------------------------------------------------------------
 
-// A connection that comes up late has used up a part of the client's time.
-TEST(ToldDeadline, IsWhatTheClientHasLeftWhenItsConnectionComesUpLate) {
+// Waiting for a connection that is established late uses a part of the client's time.
+TEST(SentDeadline, ExcludesTimeSpentWaitingForAConnection) {
     constexpr double kClientTimeout = 4;
     for (const bool write : {false, true}) {
         Around around;
@@ -40,12 +42,13 @@
         late.come_up();
         wait_for([&] { return !server.heard().empty(); });
         const double left = kClientTimeout - (seconds() - asked);
-        EXPECT_LE(told_deadline(server.heard().front()), left + kDeadlineSlack);
+        EXPECT_LE(told_deadline(server.heard().front()), left + kDeadlineSlackSeconds);
     }
 }
 
-// An answer over HTTP is waited for some milliseconds more before its connection carries the next request.
-TEST(ToldDeadline, IsWhatTheClientHasLeftAfterThePauseOfAConnection) {
+// An HTTP connection is not reused until some milliseconds after a response. That delay uses a part of the
+// time of the next request.
+TEST(SentDeadline, ExcludesTheReuseDelayOfAConnection) {
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
     for (int n = 0; n < 20; ++n) {
@@ -53,12 +56,13 @@
         const double asked = seconds();
         line.send("ms k 1 O" + id + " Pc=put,t=acme,d=1000,k=" + id + "\r\nx\r\n");
         EXPECT_EQ(line.until("\r\n"), "HD O" + id + " cmade\r\n");
-        EXPECT_LE(told_deadline(fleet.origin.heard().back()), 1.0 - (seconds() - asked) + kDeadlineSlack);
+        EXPECT_LE(told_deadline(fleet.origin.heard().back()),
+                  1.0 - (seconds() - asked) + kDeadlineSlackSeconds);
     }
 }
 
-// A process that is held up for less than a pause that it notices as one.
-TEST(ToldDeadline, IsWhatTheClientHasLeftAfterAShortHoldUp) {
+// The process is stopped for less time than it detects as a pause, while a command waits in its socket.
+TEST(SentDeadline, ExcludesAShortStopOfTheProcess) {
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
     line.send("mn\r\n");
@@ -73,20 +77,20 @@
         fleet.signal(SIGCONT);
         EXPECT_EQ(line.until("hello\r\n"), "VA 5 O" + id + "\r\nhello\r\n");
         EXPECT_LE(told_deadline(fleet.caches.front().heard().back()),
-                  2.0 - (seconds() - asked) + kDeadlineSlack);
+                  2.0 - (seconds() - asked) + kDeadlineSlackSeconds);
     }
 }
 
-// A client whose connection waits to be accepted has sent its command already.
-TEST(ToldDeadline, IsWhatTheClientHasLeftWhenItsConnectionIsAcceptedLate) {
-    constexpr int kOthers = 24;  // as many as 64 descriptors leave for clients
+// A client whose connection waits in the backlog has already sent its command.
+TEST(SentDeadline, ExcludesTimeSpentInTheBacklog) {
+    constexpr int kOthers = 24;  // all the client connections that 64 descriptors allow
     Around around;
     around.descriptors = 64;
     Fleet fleet(1, around);
     std::list<Line> others;
     for (int n = 0; n < kOthers; ++n) {
         others.emplace_back(own_loopback(), fleet.port());
-        others.back().send("mg 7f3a v Oha");  // half a command: its connection is not closed for another
+        others.back().send("mg 7f3a v Oha");  // an incomplete command prevents eviction of the connection
     }
     wait_for([&] { return fleet.logged("all client connections are in use"); });
     Line late(own_loopback(), fleet.port());
@@ -97,13 +101,13 @@
     EXPECT_EQ(late.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
     const double left = 3.0 - (seconds() - asked);
     const double told = told_deadline(fleet.caches.front().heard().back());
-    EXPECT_LE(told, left + kDeadlineSlack);
+    EXPECT_LE(told, left + kDeadlineSlackSeconds);
 }
 
-// ---- system calls that fail for a moment -----------------------------------------------------------------
+// ---- system calls that fail temporarily ------------------------------------------------------------------
 
-// Its first socket may be one of those that fail.
-TEST(SystemCalls, ThatFailWhileItStartsKeepNobodyFromServing) {
+// All network calls fail in the first 0.6 s, possibly including the creation of the listening socket.
+TEST(SystemCalls, ThatFailDuringStartDoNotPreventServing) {
     Around around;
     around.environment = {"LD_PRELOAD=" FAULT_SHIM_LIBRARY, "FAULT_SHIM_CALLS=0:0.6:1"};
     const double started = seconds();
@@ -113,10 +117,11 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// ---- clients that leave while their request is being sent ------------------------------------------------
+// ---- clients that disconnect while their request is being sent -------------------------------------------
 
-// A request begins with its last byte. One whose client leaves before that must not begin any more.
-TEST(ClientGoneWhileSending, ItsRequestDoesNotBegin) {
+// A server starts to execute a request when its last byte arrives. If the client disconnects before that, the
+// request must not be executed.
+TEST(ClientDisconnect, WhileSendingCancelsTheRequest) {
     Fleet fleet(1);
     const std::string value(3 * 1000 * 1000, 'v');
     std::atomic<int> whole{0};
@@ -129,7 +134,7 @@
     {
         Line line(own_loopback(), fleet.port());
         line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=60000,k=w1\r\n" + value + "\r\n");
-        std::this_thread::sleep_for(400 * kMillisecond);  // a part of it is with the origin by now
+        std::this_thread::sleep_for(400 * kMillisecond);  // the origin has received a part of the request
     }
     std::this_thread::sleep_for(1500 * kMillisecond);
     EXPECT_EQ(whole, 0);
