--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto kMillisecond = std::chrono::milliseconds(1);
 
-double seconds() {
+double now_seconds() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
@@ -24,14 +24,14 @@
     // With one command each, these clients exceed the limit on pipelined commands for 64 descriptors.
     constexpr int kOtherClients = 9;
     constexpr int kPipelined = 6;
-    Around around;
-    around.descriptors = 64;
-    Fleet fleet(1, around);
-    std::atomic<bool> answers_others{false}, answers_first{false};
+    Around options;
+    options.descriptors = 64;
+    Fleet fleet(1, options);
+    std::atomic<bool> answer_others{false}, answer_first{false};
     fleet.caches.front().plays([&](const std::string& command) {
         const std::string id = id_in(command);
-        while (id.starts_with("other") && !answers_others) std::this_thread::sleep_for(kMillisecond);
-        while (id == "held0" && !answers_first) std::this_thread::sleep_for(kMillisecond);
+        while (id.starts_with("other") && !answer_others) std::this_thread::sleep_for(kMillisecond);
+        while (id == "held0" && !answer_first) std::this_thread::sleep_for(kMillisecond);
         return hit(command);
     });
     std::list<Line> others;
@@ -40,17 +40,17 @@
         others.back().send(read_of("k" + std::to_string(n), "other" + std::to_string(n), 60000));
     }
     wait_for([&] { return fleet.caches.front().heard().size() >= 8; });
-    Line held(own_loopback(), fleet.port());
+    Line paused_client(own_loopback(), fleet.port());
     std::string commands;
     for (int n = 0; n < kPipelined; ++n) commands += read_of("7f3a", "held" + std::to_string(n), 60000);
-    held.send(commands);
+    paused_client.send(commands);
     std::this_thread::sleep_for(200 * kMillisecond);
-    answers_others = true;
+    answer_others = true;
     for (Line& other : others) EXPECT_TRUE(other.until("hello\r\n").ends_with("hello\r\n"));
     std::this_thread::sleep_for(3200 * kMillisecond);  // longer than the timeout of a silent client
-    answers_first = true;
+    answer_first = true;
     for (int n = 0; n < kPipelined; ++n)
-        EXPECT_EQ(held.until("hello\r\n"), "VA 5 Oheld" + std::to_string(n) + "\r\nhello\r\n");
+        EXPECT_EQ(paused_client.until("hello\r\n"), "VA 5 Oheld" + std::to_string(n) + "\r\nhello\r\n");
     EXPECT_FALSE(fleet.logged("incomplete command"));
 }
 
@@ -63,42 +63,42 @@
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
     line.send("ms k 300000 Ow1 Pc=put,d=60000,k=w1\r\n" + std::string(100000, 'v'));
-    const double stopped = seconds();
+    const double stopped_at = now_seconds();
     (void)line.until("\r\n");
-    EXPECT_LT(seconds() - stopped, kIncompleteCommandLimitSeconds);
+    EXPECT_LT(now_seconds() - stopped_at, kIncompleteCommandLimitSeconds);
 }
 
 // Writing the response to an earlier command must not restart the timeout of the incomplete one.
 TEST(IncompleteCommand, AfterARequestThatIsAnsweredLaterIsRejectedInTime) {
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& m) {
+    fleet.caches.front().plays([](const std::string& message) {
         std::this_thread::sleep_for(1500 * kMillisecond);
-        return hit(m);
+        return hit(message);
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "r1", 60000) + "mg 7f3a v Oha");
-    const double stopped = seconds();
+    const double stopped_at = now_seconds();
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Or1\r\nhello\r\n");
     EXPECT_EQ(line.until("\r\n"), "CLIENT_ERROR incomplete command\r\n");
-    EXPECT_LT(seconds() - stopped, kIncompleteCommandLimitSeconds);
+    EXPECT_LT(now_seconds() - stopped_at, kIncompleteCommandLimitSeconds);
 }
 
 // The response fills all buffers between the node and the client, and the client's next command never ends.
 TEST(IncompleteCommand, OfAClientThatReadsNothingIsClosedInTime) {
     constexpr std::size_t kLength = 4 * 1000 * 1000;
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& m) {
-        return Act{"VA " + std::to_string(kLength) + " O" + id_in(m) + " h1\r\n" + std::string(kLength, 'x') +
-                   "\r\n"};
+    fleet.caches.front().plays([](const std::string& message) {
+        return Act{"VA " + std::to_string(kLength) + " O" + id_in(message) + " h1\r\n" +
+                   std::string(kLength, 'x') + "\r\n"};
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "r1", 60000));
     std::this_thread::sleep_for(500 * kMillisecond);
     line.send("mg 7f3a v Oha");
-    const double stopped = seconds();
+    const double stopped_at = now_seconds();
     // The node abandons the rest of the value, which closes its connection to the cache.
     wait_for([&] { return fleet.caches.front().ended >= 1; });
-    EXPECT_LT(seconds() - stopped, kIncompleteCommandLimitSeconds);
+    EXPECT_LT(now_seconds() - stopped_at, kIncompleteCommandLimitSeconds);
 }
 
 // ---- streamed responses that break off -------------------------------------------------------------------
@@ -108,8 +108,8 @@
 TEST(TruncatedValue, DoesNotLoseTheNextCommand) {
     constexpr std::size_t kLength = 300 * 1000;
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& m) {
-        if (id_in(m) != "long") return hit(m);
+    fleet.caches.front().plays([](const std::string& message) {
+        if (id_in(message) != "long") return hit(message);
         Act act{"VA " + std::to_string(kLength) + " Olong h1\r\n" + std::string(kLength / 2, 'x')};
         act.close = true;
         act.wait = [] { std::this_thread::sleep_for(100 * kMillisecond); };
@@ -128,18 +128,18 @@
 TEST(TruncatedValue, ThatStallsDoesNotLoseTheNextCommand) {
     constexpr std::size_t kLength = 300 * 1000;
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& m) {
-        if (id_in(m) != "long") return hit(m);
+    fleet.caches.front().plays([](const std::string& message) {
+        if (id_in(message) != "long") return hit(message);
         Act act{"VA " + std::to_string(kLength) + " Olong h1\r\n" + std::string(kLength / 2, 'x')};
         act.close = true;
         act.wait = [] { std::this_thread::sleep_for(3000 * kMillisecond); };
         return act;
     });
     Line line(own_loopback(), fleet.port());
-    const double asked = seconds();
+    const double asked_at = now_seconds();
     line.send(read_of("7f3a", "long", 2000) + read_of("7f3a", "behind", 5000));
     EXPECT_EQ(line.until("\r\n"), "SERVER_ERROR failed\r\n");
-    EXPECT_LT(seconds() - asked, 2.0);
+    EXPECT_LT(now_seconds() - asked_at, 2.0);
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Obehind\r\nhello\r\n");
 }
 
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -14,12 +14,12 @@
 // A deadline sent to a server may exceed the client's remaining time by this much.
 constexpr double kDeadlineSlackSeconds = 0.15;
 
-double seconds() {
+double now_seconds() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
 // Returns the deadline that a message states, in seconds from when it is sent, or 1e9 if it states none.
-double told_deadline(const std::string& message) {
+double sent_deadline(const std::string& message) {
     const std::size_t at = message.find(",d=");
     return at == std::string::npos ? 1e9 : std::stoi(message.substr(at + 3)) / 1e3;
 }
@@ -29,20 +29,20 @@
 // Waiting for a connection that is established late uses a part of the client's time.
 TEST(SentDeadline, ExcludesTimeSpentWaitingForAConnection) {
     constexpr double kClientTimeout = 4;
-    for (const bool write : {false, true}) {
-        Around around;
-        around.connect_timeout_ms = 60000;
-        Fleet fleet(1, around);
-        ScriptedPeer& server = write ? fleet.origin : fleet.caches.front();
-        Late late(server);
+    for (const bool is_write : {false, true}) {
+        Around options;
+        options.connect_timeout_ms = 60000;
+        Fleet fleet(1, options);
+        ScriptedPeer& server = is_write ? fleet.origin : fleet.caches.front();
+        Late delayed_server(server);
         Line line(own_loopback(), fleet.port());
-        const double asked = seconds();
-        line.send(write ? "ms k 1 Ow1 Pc=put,t=acme,d=4000,k=w1\r\nx\r\n" : read_of("7f3a", "r1", 4000));
+        const double asked_at = now_seconds();
+        line.send(is_write ? "ms k 1 Ow1 Pc=put,t=acme,d=4000,k=w1\r\nx\r\n" : read_of("7f3a", "r1", 4000));
         std::this_thread::sleep_for(500 * kMillisecond);
-        late.come_up();
+        delayed_server.come_up();
         wait_for([&] { return !server.heard().empty(); });
-        const double left = kClientTimeout - (seconds() - asked);
-        EXPECT_LE(told_deadline(server.heard().front()), left + kDeadlineSlackSeconds);
+        const double left = kClientTimeout - (now_seconds() - asked_at);
+        EXPECT_LE(sent_deadline(server.heard().front()), left + kDeadlineSlackSeconds);
     }
 }
 
@@ -53,15 +53,15 @@
     Line line(own_loopback(), fleet.port());
     for (int n = 0; n < 20; ++n) {
         const std::string id = "w" + std::to_string(n);
-        const double asked = seconds();
+        const double asked_at = now_seconds();
         line.send("ms k 1 O" + id + " Pc=put,t=acme,d=1000,k=" + id + "\r\nx\r\n");
         EXPECT_EQ(line.until("\r\n"), "HD O" + id + " cmade\r\n");
-        EXPECT_LE(told_deadline(fleet.origin.heard().back()),
-                  1.0 - (seconds() - asked) + kDeadlineSlackSeconds);
+        EXPECT_LE(sent_deadline(fleet.origin.heard().back()),
+                  1.0 - (now_seconds() - asked_at) + kDeadlineSlackSeconds);
     }
 }
 
-// The process is stopped for less time than it detects as a pause, while a command waits in its socket.
+// The process is stopped_at for less time than it detects as a pause, while a command waits in its socket.
 TEST(SentDeadline, ExcludesAShortStopOfTheProcess) {
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
@@ -71,49 +71,49 @@
         std::this_thread::sleep_for(400 * kMillisecond);
         fleet.signal(SIGSTOP);
         const std::string id = "h" + std::to_string(n);
-        const double asked = seconds();
+        const double asked_at = now_seconds();
         line.send(read_of("7f3a", id, 2000));
         std::this_thread::sleep_for(190 * kMillisecond);
         fleet.signal(SIGCONT);
         EXPECT_EQ(line.until("hello\r\n"), "VA 5 O" + id + "\r\nhello\r\n");
-        EXPECT_LE(told_deadline(fleet.caches.front().heard().back()),
-                  2.0 - (seconds() - asked) + kDeadlineSlackSeconds);
+        EXPECT_LE(sent_deadline(fleet.caches.front().heard().back()),
+                  2.0 - (now_seconds() - asked_at) + kDeadlineSlackSeconds);
     }
 }
 
 // A client whose connection waits in the backlog has already sent its command.
 TEST(SentDeadline, ExcludesTimeSpentInTheBacklog) {
-    constexpr int kOthers = 24;  // all the client connections that 64 descriptors allow
-    Around around;
-    around.descriptors = 64;
-    Fleet fleet(1, around);
+    constexpr int kOtherClients = 24;  // all the client connections that 64 descriptors allow
+    Around options;
+    options.descriptors = 64;
+    Fleet fleet(1, options);
     std::list<Line> others;
-    for (int n = 0; n < kOthers; ++n) {
+    for (int n = 0; n < kOtherClients; ++n) {
         others.emplace_back(own_loopback(), fleet.port());
         others.back().send("mg 7f3a v Oha");  // an incomplete command prevents eviction of the connection
     }
     wait_for([&] { return fleet.logged("all client connections are in use"); });
-    Line late(own_loopback(), fleet.port());
-    const double asked = seconds();
-    late.send(read_of("7f3a", "late", 3000));
+    Line late_client(own_loopback(), fleet.port());
+    const double asked_at = now_seconds();
+    late_client.send(read_of("7f3a", "late", 3000));
     std::this_thread::sleep_for(1000 * kMillisecond);
     others.clear();
-    EXPECT_EQ(late.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
-    const double left = 3.0 - (seconds() - asked);
-    const double told = told_deadline(fleet.caches.front().heard().back());
-    EXPECT_LE(told, left + kDeadlineSlackSeconds);
+    EXPECT_EQ(late_client.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
+    const double left = 3.0 - (now_seconds() - asked_at);
+    const double deadline = sent_deadline(fleet.caches.front().heard().back());
+    EXPECT_LE(deadline, left + kDeadlineSlackSeconds);
 }
 
 // ---- system calls that fail temporarily ------------------------------------------------------------------
 
 // All network calls fail in the first 0.6 s, possibly including the creation of the listening socket.
 TEST(SystemCalls, ThatFailDuringStartDoNotPreventServing) {
-    Around around;
-    around.environment = {"LD_PRELOAD=" FAULT_SHIM_LIBRARY, "FAULT_SHIM_CALLS=0:0.6:1"};
-    const double started = seconds();
-    Fleet fleet(1, around);
+    Around options;
+    options.environment = {"LD_PRELOAD=" FAULT_SHIM_LIBRARY, "FAULT_SHIM_CALLS=0:0.6:1"};
+    const double started_at = now_seconds();
+    Fleet fleet(1, options);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "s1")), "VA 5 Os1\r\n");
-    EXPECT_LT(seconds() - started, 5.0);
+    EXPECT_LT(now_seconds() - started_at, 5.0);
     EXPECT_TRUE(fleet.alive());
 }
 
@@ -124,9 +124,9 @@
 TEST(ClientDisconnect, WhileSendingCancelsTheRequest) {
     Fleet fleet(1);
     const std::string value(3 * 1000 * 1000, 'v');
-    std::atomic<int> whole{0};
+    std::atomic<int> complete_requests{0};
     fleet.origin.plays([&](const std::string& message) {
-        whole += message.size() >= value.size() ? 1 : 0;
+        complete_requests += message.size() >= value.size() ? 1 : 0;
         return Act{http("made")};
     });
     fleet.origin.takes_at_most(16 * 1024);
@@ -137,7 +137,7 @@
         std::this_thread::sleep_for(400 * kMillisecond);  // the origin has received a part of the request
     }
     std::this_thread::sleep_for(1500 * kMillisecond);
-    EXPECT_EQ(whole, 0);
+    EXPECT_EQ(complete_requests, 0);
 }
 
 }  // namespace
