--- a/tests/text_test.cpp
+++ b/tests/text_test.cpp
@@ -1,4 +1,5 @@
-// The parsers, each case whole and at every split: what is not whole must never pass for a message.
+// Tests the protocol parsers. Each case is parsed complete and truncated at every position, because an
+// incomplete message must never be accepted.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -15,7 +16,7 @@
 
 constexpr std::string_view kList = "Pc=put,t=acme,d=480,k=5c0f,size=12.5";
 
-TEST(MemcacheText, CommandsAreReadOnlyWhenWhole) {
+TEST(MemcacheText, CommandsAreParsedOnlyWhenComplete) {
     using Kind = Command::Kind;
     struct Case {
         std::string in;
@@ -69,7 +70,7 @@
     }
 }
 
-TEST(MemcacheText, ACommandIsPassedOnUnchangedExceptForItsTimeout) {
+TEST(MemcacheText, CommandsAreForwardedUnchangedExceptForTheRemainingTime) {
     struct Case {
         std::string in, out;
     };
@@ -89,10 +90,10 @@
     EXPECT_EQ(p.tenant, "acme");
     EXPECT_TRUE(p.is_client_retry);
     EXPECT_LT(std::abs(p.time_remaining - 0.48), 1e-9);
-    EXPECT_NE(format_attributes(p, 0).find("d=1"), std::string::npos);  // never "no time at all"
+    EXPECT_NE(format_attributes(p, 0).find("d=1"), std::string::npos);  // the minimum, never d=0
 }
 
-TEST(MemcacheText, RepliesAreReadOnlyWhenWhole) {
+TEST(MemcacheText, RepliesAreParsedOnlyWhenComplete) {
     using Kind = Reply::Kind;
     struct Case {
         std::string in;
@@ -125,7 +126,7 @@
     EXPECT_EQ(format_busy(0.25), "SERVER_ERROR busy 250\r\n");
 }
 
-TEST(HttpResponses, AreReadOnlyWhenWhole) {
+TEST(HttpResponses, AreParsedOnlyWhenComplete) {
     struct Case {
         std::string in;
         bool sound;
@@ -146,7 +147,7 @@
           Case{ok + "Content-Length: five\r\n\r\n", false, 200, "", true},
           Case{ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", false, 200, "", true},
           Case{ok + "no colon\r\n\r\n", false, 200, "", true},
-          // AttemptHealth on the bench: a client was served the first three bytes of a value.
+          // Conflicting lengths: in a test run a client was served only the first three bytes of a value.
           Case{ok + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nhello", false, 200, "", true},
           Case{ok + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", true, 200, "hello", true},
           Case{ok + "Content-Length: -1\r\n\r\n", false, 200, "", true},
@@ -168,7 +169,7 @@
         }
     }
     HttpResponse r;
-    // Without a length a body is whole at the orderly end of its connection, and never before.
+    // A body without a length is complete only when its connection ends cleanly.
     for (const std::string body : {"", "h", "hello\r\n\r\n"}) {
         SCOPED_TRACE(body);
         const std::string in = ok + "A: b\r\n\r\n" + body;
@@ -205,7 +206,7 @@
           Case{"HTTP/1.1 500 E\r\n", AttemptOutcome::failed},
           Case{"HTTP/1.1 503 B\r\nX-Never-Ran: 1\r\n", AttemptOutcome::busy},
           Case{"HTTP/1.1 504 L\r\nx-never-ran: 1\r\n", AttemptOutcome::busy},
-          Case{"HTTP/1.1 503 B\r\n", AttemptOutcome::failed},  // it does not say that it never ran
+          Case{"HTTP/1.1 503 B\r\n", AttemptOutcome::failed},  // without X-Never-Ran it may have run
           Case{"HTTP/1.1 500 E\r\nX-Never-Ran: 1\r\n", AttemptOutcome::failed},
           Case{"HTTP/1.1 404 N\r\n", AttemptOutcome::failed}}) {
         SCOPED_TRACE(c.head);
@@ -213,7 +214,8 @@
         EXPECT_GT(parse_origin_response(std::string(c.head) + "Content-Length: 1\r\n\r\nx", answer), 0U);
         EXPECT_TRUE(answer.valid);
         EXPECT_EQ(answer.outcome, c.ending);
-        // No length: a success waits for the end, of the others the head says all.
+        // Without a length, a successful response is complete at the end of the connection; for any other the
+        // head is sufficient.
         const std::string open = std::string(c.head) + "\r\nx";
         const bool success = c.ending == AttemptOutcome::succeeded;
         EXPECT_EQ(parse_origin_response(open, answer) == 0, success);
