--- a/tests/text_test.cpp
+++ b/tests/text_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::string_view kList = "Pc=put,t=acme,d=480,k=5c0f,size=12.5";
+constexpr std::string_view kProperties = "Pc=put,t=acme,d=480,k=5c0f,size=12.5";
 
 TEST(MemcacheText, CommandsAreParsedOnlyWhenComplete) {
     using Kind = Command::Kind;
@@ -25,13 +25,13 @@
         const char* value;
         bool framing_lost;
     };
-    const std::string list(kList);
+    const std::string properties(kProperties);
     const Case cases[] = {
         {"mg 7f3a v O9b Pc=read,t=acme,d=480\r\n", Kind::read, "7f3a", "", false},
         {"mg 7f3a v O9b Pc=read,d=480,r=1\n", Kind::read, "7f3a", "", false},
-        {"ms 7f3a 5 O9b " + list + "\r\nhello\r\n", Kind::write, "7f3a", "hello", false},
-        {"ms 7f3a 4 O9b " + list + "\r\n\r\n\r\n\r\n", Kind::write, "7f3a", "\r\n\r\n", false},
-        {"ms 7f3a 0 O9b " + list + "\r\n\r\n", Kind::write, "7f3a", "", false},
+        {"ms 7f3a 5 O9b " + properties + "\r\nhello\r\n", Kind::write, "7f3a", "hello", false},
+        {"ms 7f3a 4 O9b " + properties + "\r\n\r\n\r\n\r\n", Kind::write, "7f3a", "\r\n\r\n", false},
+        {"ms 7f3a 0 O9b " + properties + "\r\n\r\n", Kind::write, "7f3a", "", false},
         {"mn\r\n", Kind::hello, "", "", false},
         {"get a\r\n", Kind::malformed, "", "", false},
         {"mg a v O9b\r\n", Kind::malformed, "", "", false},
@@ -45,22 +45,22 @@
         {"mg a\x01 v O9b Pc=read,d=1\r\n", Kind::malformed, "", "", false},
         {"mg " + std::string(251, 'k') + " v O9b Pc=read,d=1\r\n", Kind::malformed, "", "", false},
         {"ms a 5 O9b\r\nhello\r\n", Kind::malformed, "", "", false},
-        {"ms a -1 O9b " + list + "\r\n", Kind::malformed, "", "", true},
-        {"ms a 4194305 O9b " + list + "\r\n", Kind::malformed, "", "", true},
-        {"ms a 3 O9b " + list + "\r\nhello\r\n", Kind::malformed, "", "", true},
+        {"ms a -1 O9b " + properties + "\r\n", Kind::malformed, "", "", true},
+        {"ms a 4194305 O9b " + properties + "\r\n", Kind::malformed, "", "", true},
+        {"ms a 3 O9b " + properties + "\r\nhello\r\n", Kind::malformed, "", "", true},
         {std::string(kMaxLineBytes, 'x'), Kind::malformed, "", "", true},
     };
     for (const Case& c : cases) {
         SCOPED_TRACE(c.in);
         Command command;
-        const bool closes = c.framing_lost;
-        for (std::size_t n = 0; !closes && n < c.in.size(); ++n)
+        const bool is_framing_lost = c.framing_lost;
+        for (std::size_t n = 0; !is_framing_lost && n < c.in.size(); ++n)
             EXPECT_EQ(parse_command(std::string_view(c.in).substr(0, n), command), 0U);
-        const std::size_t taken = parse_command(c.in + (closes ? "" : "mn\r\n"), command);
-        if (closes) {
-            EXPECT_GT(taken, 0U);
+        const std::size_t parsed_bytes = parse_command(c.in + (is_framing_lost ? "" : "mn\r\n"), command);
+        if (is_framing_lost) {
+            EXPECT_GT(parsed_bytes, 0U);
         } else {
-            EXPECT_EQ(taken, c.in.size());
+            EXPECT_EQ(parsed_bytes, c.in.size());
         }
         EXPECT_EQ(command.kind, c.kind);
         EXPECT_EQ(command.framing_lost, c.framing_lost);
@@ -85,12 +85,12 @@
     }
     Command command;
     parse_command("ms a 3 O1 Pc=w,t=acme,r=1,d=480\r\nxyz\r\n", command);
-    const RequestAttributes& p = command.attributes;
-    EXPECT_EQ(p.operation, "w");
-    EXPECT_EQ(p.tenant, "acme");
-    EXPECT_TRUE(p.is_client_retry);
-    EXPECT_LT(std::abs(p.time_remaining - 0.48), 1e-9);
-    EXPECT_NE(format_attributes(p, 0).find("d=1"), std::string::npos);  // the minimum, never d=0
+    const RequestAttributes& attributes = command.attributes;
+    EXPECT_EQ(attributes.operation, "w");
+    EXPECT_EQ(attributes.tenant, "acme");
+    EXPECT_TRUE(attributes.is_client_retry);
+    EXPECT_LT(std::abs(attributes.time_remaining - 0.48), 1e-9);
+    EXPECT_NE(format_attributes(attributes, 0).find("d=1"), std::string::npos);  // the minimum, never d=0
 }
 
 TEST(MemcacheText, RepliesAreParsedOnlyWhenComplete) {
@@ -119,9 +119,9 @@
         EXPECT_EQ(reply.id, c.id);
         EXPECT_EQ(reply.body, c.body);
     }
-    Reply wrong;
-    EXPECT_GT(parse_reply("VA 3 O9b\r\nhello\r\n", wrong), 0U);
-    EXPECT_EQ(wrong.kind, Kind::malformed);
+    Reply malformed_reply;
+    EXPECT_GT(parse_reply("VA 3 O9b\r\nhello\r\n", malformed_reply), 0U);
+    EXPECT_EQ(malformed_reply.kind, Kind::malformed);
     EXPECT_EQ(format_busy(0), "SERVER_ERROR busy\r\n");
     EXPECT_EQ(format_busy(0.25), "SERVER_ERROR busy 250\r\n");
 }
@@ -129,10 +129,10 @@
 TEST(HttpResponses, AreParsedOnlyWhenComplete) {
     struct Case {
         std::string in;
-        bool sound;
+        bool is_valid;
         int status;
         const char* body;
-        bool keep_open;
+        bool keep_alive;
     };
     const std::string ok = "HTTP/1.1 200 OK\r\n";
     for (const Case& c :
@@ -156,50 +156,54 @@
           Case{ok + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", false, 200, "", true},
           Case{"HTTP/1.1 101 Switching\r\n\r\n" + ok + "Content-Length: 0\r\n\r\n", false, 101, "", true}}) {
         SCOPED_TRACE(c.in);
-        HttpResponse r;
-        for (std::size_t n = 0; c.sound && n < c.in.size(); ++n)
-            EXPECT_EQ(parse_http_response(std::string_view(c.in).substr(0, n), kMaxBufferedValueBytes, r),
-                      0U);
-        EXPECT_EQ(parse_http_response(c.in, kMaxBufferedValueBytes, r), c.in.size());
-        EXPECT_EQ(r.valid, c.sound);
-        EXPECT_EQ(r.status, c.status);
-        if (c.sound) {
-            EXPECT_EQ(r.body, c.body);
-            EXPECT_EQ(r.keep_alive, c.keep_open);
+        HttpResponse response;
+        for (std::size_t n = 0; c.is_valid && n < c.in.size(); ++n)
+            EXPECT_EQ(
+                parse_http_response(std::string_view(c.in).substr(0, n), kMaxBufferedValueBytes, response),
+                0U);
+        EXPECT_EQ(parse_http_response(c.in, kMaxBufferedValueBytes, response), c.in.size());
+        EXPECT_EQ(response.valid, c.is_valid);
+        EXPECT_EQ(response.status, c.status);
+        if (c.is_valid) {
+            EXPECT_EQ(response.body, c.body);
+            EXPECT_EQ(response.keep_alive, c.keep_alive);
         }
     }
-    HttpResponse r;
+    HttpResponse response;
     // A body without a length is complete only when its connection ends cleanly.
     for (const std::string body : {"", "h", "hello\r\n\r\n"}) {
         SCOPED_TRACE(body);
         const std::string in = ok + "A: b\r\n\r\n" + body;
         for (std::size_t n = 0; n <= in.size(); ++n)
-            EXPECT_EQ(parse_http_response(std::string_view(in).substr(0, n), kMaxBufferedValueBytes, r), 0U);
-        EXPECT_EQ(parse_http_response(in, kMaxBufferedValueBytes, r, true), in.size());
-        EXPECT_TRUE(r.valid);
-        EXPECT_EQ(r.body, body);
-        EXPECT_FALSE(r.keep_alive);
-        EXPECT_TRUE(r.has_unknown_length());
+            EXPECT_EQ(
+                parse_http_response(std::string_view(in).substr(0, n), kMaxBufferedValueBytes, response), 0U);
+        EXPECT_EQ(parse_http_response(in, kMaxBufferedValueBytes, response, true), in.size());
+        EXPECT_TRUE(response.valid);
+        EXPECT_EQ(response.body, body);
+        EXPECT_FALSE(response.keep_alive);
+        EXPECT_TRUE(response.has_unknown_length());
     }
-    EXPECT_EQ(parse_http_response(ok + "Content-Length: 5\r\n\r\nhell", kMaxBufferedValueBytes, r, true), 0U);
+    EXPECT_EQ(
+        parse_http_response(ok + "Content-Length: 5\r\n\r\nhell", kMaxBufferedValueBytes, response, true),
+        0U);
     EXPECT_EQ(parse_http_response(ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n",
-                                  kMaxBufferedValueBytes, r, true),
+                                  kMaxBufferedValueBytes, response, true),
               0U);
-    EXPECT_EQ(parse_http_response(ok + "A: b", kMaxBufferedValueBytes, r, true), 0U);
-    EXPECT_GT(parse_http_response(ok + "\r\n" + std::string(9, 'x'), {99, 8}, r), 0U);
-    EXPECT_FALSE(r.valid);
-    EXPECT_GT(parse_http_response("SSH-2.0", kMaxBufferedValueBytes, r), 0U);
-    EXPECT_FALSE(r.valid);
-    std::string endless;
-    for (int n = 0; n < 400; ++n) endless += "HTTP/1.1 102 Processing\r\n\r\n";
-    EXPECT_GT(parse_http_response(endless, kMaxBufferedValueBytes, r), 0U);
-    EXPECT_FALSE(r.valid);
+    EXPECT_EQ(parse_http_response(ok + "A: b", kMaxBufferedValueBytes, response, true), 0U);
+    EXPECT_GT(parse_http_response(ok + "\r\n" + std::string(9, 'x'), {99, 8}, response), 0U);
+    EXPECT_FALSE(response.valid);
+    EXPECT_GT(parse_http_response("SSH-2.0", kMaxBufferedValueBytes, response), 0U);
+    EXPECT_FALSE(response.valid);
+    std::string interim_responses;
+    for (int n = 0; n < 400; ++n) interim_responses += "HTTP/1.1 102 Processing\r\n\r\n";
+    EXPECT_GT(parse_http_response(interim_responses, kMaxBufferedValueBytes, response), 0U);
+    EXPECT_FALSE(response.valid);
 }
 
 TEST(OriginProtocol, MapsResponsesToOutcomesAndCommandsToRequests) {
     struct Case {
         const char* head;
-        AttemptOutcome ending;
+        AttemptOutcome outcome;
     };
     for (const Case& c :
          {Case{"HTTP/1.1 200 OK\r\n", AttemptOutcome::succeeded},
@@ -210,20 +214,20 @@
           Case{"HTTP/1.1 500 E\r\nX-Never-Ran: 1\r\n", AttemptOutcome::failed},
           Case{"HTTP/1.1 404 N\r\n", AttemptOutcome::failed}}) {
         SCOPED_TRACE(c.head);
-        AttemptResponse answer;
-        EXPECT_GT(parse_origin_response(std::string(c.head) + "Content-Length: 1\r\n\r\nx", answer), 0U);
-        EXPECT_TRUE(answer.valid);
-        EXPECT_EQ(answer.outcome, c.ending);
+        AttemptResponse response;
+        EXPECT_GT(parse_origin_response(std::string(c.head) + "Content-Length: 1\r\n\r\nx", response), 0U);
+        EXPECT_TRUE(response.valid);
+        EXPECT_EQ(response.outcome, c.outcome);
         // Without a length, a successful response is complete at the end of the connection; for any other the
         // head is sufficient.
-        const std::string open = std::string(c.head) + "\r\nx";
-        const bool success = c.ending == AttemptOutcome::succeeded;
-        EXPECT_EQ(parse_origin_response(open, answer) == 0, success);
-        EXPECT_GT(parse_origin_response(open, answer, true), 0U);
-        EXPECT_TRUE(answer.valid);
-        EXPECT_EQ(answer.outcome, c.ending);
-        EXPECT_FALSE(answer.reusable);
-        EXPECT_EQ(answer.body, success ? "x" : "");
+        const std::string message = std::string(c.head) + "\r\nx";
+        const bool is_success = c.outcome == AttemptOutcome::succeeded;
+        EXPECT_EQ(parse_origin_response(message, response) == 0, is_success);
+        EXPECT_GT(parse_origin_response(message, response, true), 0U);
+        EXPECT_TRUE(response.valid);
+        EXPECT_EQ(response.outcome, c.outcome);
+        EXPECT_FALSE(response.reusable);
+        EXPECT_EQ(response.body, is_success ? "x" : "");
     }
     Command command;
     parse_command("ms a/b? 3 O9b Pc=w,d=480\r\nxyz\r\n", command);
