--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -1,5 +1,5 @@
-// The program over real connections, each time with the bad order of events brought about: an answer, a
-// close, a signal or a connection that comes between two steps of the node.
+// Tests race conditions of the program over real sockets. Each test forces an unfavorable order of events: a
+// response, a close, a signal or a connection that arrives between two steps of the node.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -20,7 +20,7 @@
     return first == head ? line.bytes(length + 2) : first;
 }
 
-// ---- answers over HTTP whose end is the connection's ----------------------------------------------------
+// ---- HTTP responses that end with their connection ------------------------------------------------------
 
 struct Untold {
     const char* name;
@@ -32,7 +32,7 @@
 
 class OriginWithoutLength : public testing::TestWithParam<Untold> {};
 
-TEST_P(OriginWithoutLength, IsServedAfterAnOrderlyEndAlone) {
+TEST_P(OriginWithoutLength, IsServedOnlyAfterACleanClose) {
     const Untold& c = GetParam();
     Fleet fleet(1);
     fleet.caches.front().plays(miss);
@@ -43,8 +43,8 @@
         Act act{c.head + "\r\n" + body};
         act.close = !c.reset;
         act.reset = c.reset;
-        // The bytes are there before the end is: an end that came with them would prove nothing about a
-        // reset.
+        // The bytes are delivered before the close: a reset that arrived with them could discard them, and
+        // the test would not show that the reset itself is detected.
         act.wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
         return act;
     });
@@ -64,15 +64,15 @@
 INSTANTIATE_TEST_SUITE_P(
     Answers, OriginWithoutLength,
     testing::Values(Untold{"empty", kOk, 0, false, true}, Untold{"short", kOk, 5, false, true},
-                    Untold{"longer_than_is_held_whole", kOk, 900 * 1000, false, true},
+                    Untold{"longer_than_the_buffer_limit", kOk, 900 * 1000, false, true},
                     Untold{"old_protocol", "HTTP/1.0 200 OK\r\n", 5, false, true},
                     Untold{"reset", kOk, 5, true, false}, Untold{"long_reset", kOk, 900 * 1000, true, false},
-                    Untold{"beyond_all_bounds", kOk, 5 * 1000 * 1000, false, false},
-                    Untold{"ended_within_its_length", kOk + "Content-Length: 9\r\n", 5, false, false},
-                    Untold{"ended_within_a_chunk", kOk + "Transfer-Encoding: chunked\r\n", 5, false, false}),
+                    Untold{"over_the_value_limit", kOk, 5 * 1000 * 1000, false, false},
+                    Untold{"closed_before_its_length", kOk + "Content-Length: 9\r\n", 5, false, false},
+                    Untold{"closed_inside_a_chunk", kOk + "Transfer-Encoding: chunked\r\n", 5, false, false}),
     [](const auto& c) { return c.param.name; });
 
-TEST(OriginWithoutLength, ThatNeverEndsIsGivenUpInTime) {
+TEST(OriginWithoutLength, ThatNeverEndsFailsInTime) {
     Fleet fleet(1);
     fleet.caches.front().plays(miss);
     fleet.origin.plays([](const std::string&) { return Act{kOk + "\r\nhello"}; });
@@ -81,9 +81,9 @@
     EXPECT_LT(seconds() - asked, 0.65);
 }
 
-// What its head says is all there is to know: the write never ran, and whoever asked is told to come again,
-// not that it may have.
-TEST(OriginWithoutLength, ARefusalCountsFromItsHead) {
+// The head states that the write was not executed. The client must be told to retry, not that the write may
+// have been executed, although the response has no end.
+TEST(OriginWithoutLength, RejectionTakesEffectWithItsHead) {
     Around around;
     around.put = R"("at_most_once")";
     Fleet fleet(1, around);
@@ -91,7 +91,7 @@
     EXPECT_EQ(fleet.ask("ms k 1 Ow1 Pc=put,d=1500\r\nx\r\n"), "SERVER_ERROR busy\r\n");
 }
 
-TEST(DiscoveryWithoutLength, ListCountsAfterAnOrderlyEndAlone) {
+TEST(DiscoveryWithoutLength, ListIsAppliedOnlyAfterACleanClose) {
     for (const bool reset : {false, true}) {
         std::string news;
         std::atomic<bool> tell{false};
@@ -108,12 +108,12 @@
         };
         Fleet fleet(2, {256, 250, watch});
         ScriptedPeer& kept = fleet.caches.back();
-        // Indented, as some write it.
+        // Indented JSON, which some discovery servers send.
         news = "{\n  \"seq\": 8,\n  \"whole\": true,\n  \"hosts\": [\n    " +
                Fleet::entry(Fleet::name(kept), kept, "SERVING") + "\n  ]\n}\n";
         tell = true;
         if (reset) {
-            wait_for([&] { return told >= 3; });  // it is asked again and again, and the list held stays
+            wait_for([&] { return told >= 3; });  // the node repeats the call and keeps its current list
             EXPECT_FALSE(fleet.logged("version 8"));
         } else {
             wait_for([&] { return fleet.logged("version 8"); });
@@ -123,18 +123,19 @@
     }
 }
 
-// ---- clients that have gone, and connections that come up late ------------------------------------------
+// ---- clients that disconnect, and server connections that are established late --------------------------
 
 struct Gone {
     const char* name;
-    bool write;  // to the origin; else a read at a cache
+    bool write;  // a write to the origin; otherwise a read from a cache
     bool may_cancel;
-    bool stopped;  // the process stands still, and finds the end and the connection in one turn of its loop
+    // Stops the process, so that it handles the client's close and the new connection in one loop iteration.
+    bool stopped;
 };
 
 class ClientGoneBeforeItsConnection : public testing::TestWithParam<Gone> {};
 
-TEST_P(ClientGoneBeforeItsConnection, IsNotForwarded) {
+TEST_P(ClientGoneBeforeItsConnection, RequestIsNotSent) {
     const Gone& c = GetParam();
     Around around;
     around.connect_timeout_ms = 60000;
@@ -150,13 +151,13 @@
     line->send("mn\r\n");
     ASSERT_EQ(line->until("\r\n"), "MN\r\n");
     line->send(command("left"));
-    std::this_thread::sleep_for(std::chrono::milliseconds(100));  // the forward waits by now
+    std::this_thread::sleep_for(std::chrono::milliseconds(100));  // the attempt now waits for its connection
     if (c.stopped) fleet.signal(SIGSTOP);
     line.reset();
     late.come_up();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     if (c.stopped) fleet.signal(SIGCONT);
-    // The connection that came up late rests, and carries who asks next.
+    // The connection that was established late is idle and carries the next request.
     Line next(own_loopback(), fleet.port());
     next.send(command("next"));
     EXPECT_EQ(next.until("\r\n"), c.write ? "HD Onext cmade\r\n" : "VA 5 Onext\r\n");
@@ -167,12 +168,13 @@
 
 INSTANTIATE_TEST_SUITE_P(Late, ClientGoneBeforeItsConnection,
                          testing::Values(Gone{"read", false, false, false}, Gone{"write", true, true, false},
-                                         Gone{"read_in_one_turn", false, false, true},
-                                         Gone{"write_in_one_turn", true, true, true}),
+                                         Gone{"read_in_one_iteration", false, false, true},
+                                         Gone{"write_in_one_iteration", true, true, true}),
                          [](const auto& c) { return c.param.name; });
 
-// What a client has pipelined beyond what is read of it hides its end, and is not sent on for nobody.
-TEST(ClientGone, BehindUnreadCommandsIsSeen) {
+// Unread pipelined commands precede the client's close in the input. The node must detect the close
+// nevertheless and must not send the remaining commands to servers.
+TEST(ClientDisconnect, IsDetectedBehindUnreadCommands) {
     Fleet fleet(1);
     std::atomic<bool> go{false};
     fleet.caches.front().plays([&go](const std::string& m) {
@@ -198,10 +200,10 @@
         static_cast<std::ptrdiff_t>(before));
 }
 
-// ---- discovery that falls silent, comes late or tells of older times -------------------------------------
+// ---- discovery that is silent, late or sends older lists -------------------------------------------------
 
-// Discovery as the test lets it be: silent with its connections open, resetting, or answering a watch with
-// what is new.
+// A scripted discovery server that answers watches with the current list, leaves calls unanswered, resets
+// their connections, or rejects them.
 class Agent {
   public:
     enum class Way { answers, silent, resets, refuses };
@@ -217,7 +219,7 @@
             while (seconds() < until && version_ <= held && way_ == Way::answers)
                 std::this_thread::sleep_for(std::chrono::milliseconds(1));
             const Way way = way_;
-            if (way == Way::silent) return Act{};  // to this call for good, whatever discovery does later
+            if (way == Way::silent) return Act{};  // never answers this call, even after the mode changes
             if (way == Way::resets) return Act{"", false, {}, {}, true};
             if (way == Way::refuses) return Act{http("", "503 Later")};
             const std::lock_guard lock(mutex_);
@@ -256,8 +258,8 @@
 
 class ChangeAfterAnOutage : public testing::TestWithParam<Outage> {};
 
-// A change counts as told 6 s after discovery has it and can be reached.
-TEST_P(ChangeAfterAnOutage, IsActedOnInTime) {
+// A change must take effect within 6 s of the moment when discovery has it and can be reached.
+TEST_P(ChangeAfterAnOutage, IsAppliedInTime) {
     const Outage& c = GetParam();
     Agent agent;
     Around around;
@@ -265,7 +267,7 @@
     around.asked = c.asked;
     Fleet fleet(2, around);
     wait_for([&] { return agent.calls() > 0; });
-    std::this_thread::sleep_for(std::chrono::milliseconds(300));  // within the watch's wait
+    std::this_thread::sleep_for(std::chrono::milliseconds(300));  // the watch is still waiting
     agent.goes(c.way);
     std::this_thread::sleep_for(std::chrono::duration<double>(c.lasts));
     ScriptedPeer& drained = fleet.caches.front();
@@ -278,25 +280,25 @@
     const double took = seconds() - there;
     agent.goes(Agent::Way::silent);
     RecordProperty("took_ms", static_cast<int>(took * 1e3));
-    std::printf("acted on after %.2f s\n", took);
+    std::printf("applied after %.2f s\n", took);
     EXPECT_LT(took, 6.0);
     EXPECT_LE(agent.longest_wait(), 4000);
 }
 
 INSTANTIATE_TEST_SUITE_P(Outages, ChangeAfterAnOutage,
-                         testing::Values(Outage{"watch_falls_silent", Agent::Way::silent, 0.1, false},
-                                         Outage{"silent_call_of_its_time", Agent::Way::silent, 5.3, false},
+                         testing::Values(Outage{"watch_unanswered", Agent::Way::silent, 0.1, false},
+                                         Outage{"silent_for_one_call", Agent::Way::silent, 5.3, false},
                                          Outage{"long_silence", Agent::Way::silent, 9, false},
                                          Outage{"resets", Agent::Way::resets, 4, false},
-                                         Outage{"refusals", Agent::Way::refuses, 4, false},
-                                         Outage{"asked_watch_falls_silent", Agent::Way::silent, 0.1, true},
-                                         Outage{"asked_long_silence", Agent::Way::silent, 9, true},
-                                         Outage{"asked_refusals", Agent::Way::refuses, 6, true}),
+                                         Outage{"rejections", Agent::Way::refuses, 4, false},
+                                         Outage{"on_request_unanswered", Agent::Way::silent, 0.1, true},
+                                         Outage{"on_request_long_silence", Agent::Way::silent, 9, true},
+                                         Outage{"on_request_rejections", Agent::Way::refuses, 6, true}),
                          [](const auto& c) { return c.param.name; });
 
-// A list from before the one held would bring back servers that drain; only as the answer to a call for all
-// that there is does it count, since discovery may have lost its versions.
-TEST(OlderList, DoesNotBringBackWhatDrains) {
+// A list older than the current one would bring back draining servers. An older list is accepted only in
+// response to a call for the full list, because discovery may have lost its versions.
+TEST(OlderList, DoesNotRestoreDrainingServers) {
     std::atomic<int> step{0};
     std::string drain, old;
     const auto watch = [&](const std::string& request) {
@@ -305,7 +307,7 @@
             return Act{http(R"({"seq":8,"whole":false,"hosts":[)" + drain + "]}")};
         if (request.find("index=8&") != std::string::npos && step++ == 1)
             return Act{http(R"({"seq":5,"whole":true,"hosts":[)" + old + "]}")};
-        return Act{};  // the call for the whole list among them
+        return Act{};  // leaves all other calls unanswered, including the call for the full list
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
@@ -322,10 +324,11 @@
     wait_for([&] { return fleet.discovery.heard().back().starts_with("GET /discovery/hosts HTTP"); });
 }
 
-// ---- answers that come twice, repeats that come late ----------------------------------------------------
+// ---- duplicate responses and late repeats ---------------------------------------------------------------
 
-// HTTP names no request in its answers: a second copy must not answer the next one on that connection.
-TEST(SecondAnswer, SomeMillisecondsLateAnswersNobody) {
+// HTTP responses carry no request id. A duplicate response must not be taken for the response to the next
+// request on its connection.
+TEST(DuplicateResponse, SomeMillisecondsLateIsDiscarded) {
     for (const int late_ms : {0, 2, 10, 30}) {
         Fleet fleet(1);
         fleet.caches.front().plays(miss);
@@ -346,19 +349,20 @@
     }
 }
 
-// The repeat of a deduplicated write has to begin while the first is remembered. A long one begins with its
-// last byte: one that the origin does not take in for so long is taken back, since it has not run.
-TEST(Idempotency, DoesNotBeginAfterItsWindow) {
+// A server starts to execute a request when its last byte arrives. The repeat of a deduplicated write must
+// start while the origin remembers the first one. A repeat that the origin has not read completely by then
+// has not run and must be cancelled.
+TEST(Deduplication, RepeatDoesNotBeginAfterTheWindow) {
     Around around;
     around.put = R"("deduplicated","group":"all","key_ttl_us":1000000)";
     Fleet fleet(1, around);
     const std::string value(2 * 1000 * 1000, 'v');
     std::atomic<int> whole{0};
     std::atomic<double> first_at{0}, last_at{0};
-    // The first forward is read whole and errs; the next is read late: its connection is up, its bytes are
-    // not taken.
+    // The first attempt is read completely and fails. The next one is read late: its connection is
+    // established, but the origin does not read its bytes.
     fleet.origin.plays([&](const std::string& m) {
-        if (m.size() < value.size()) return Act{};  // taken back
+        if (m.size() < value.size()) return Act{};  // cancelled before its end
         if (whole++ == 0) first_at = seconds();
         last_at = seconds();
         return Act{http("", "500 E")};
@@ -368,14 +372,14 @@
     Line line(own_loopback(), fleet.port());
     line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=5000,k=w1\r\n" + value + "\r\n");
     EXPECT_TRUE(line.until("\r\n").starts_with("SERVER_ERROR "));
-    std::this_thread::sleep_for(std::chrono::milliseconds(1800));  // for what may still be read at the origin
+    std::this_thread::sleep_for(std::chrono::milliseconds(1800));  // the origin may still read bytes
     EXPECT_GE(whole, 1);
     EXPECT_LT(last_at - first_at, 1.0);
 }
 
 // ---- closing ---------------------------------------------------------------------------------------------
 
-// Asks for much and takes it late; its next command crosses the close.
+// A client that requests a long value, reads it late, and sends its next command while the node closes.
 class Slow {
   public:
     static constexpr std::size_t kLength = 600 * 1000;
@@ -398,14 +402,14 @@
     Line line_;
 };
 
-// Closed outright, its connection was reset by the command that crossed, and the rest of the answer went with
-// it.
-TEST(Closing, AtShutdownTakesNoAnswerAlong) {
+// If the node closed the connection without lingering, the command that is in transit would reset it and the
+// rest of the response would be lost.
+TEST(Closing, AtShutdownLosesNoResponse) {
     Fleet fleet(1);
     Slow slow(fleet);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     fleet.signal(SIGTERM);
-    std::this_thread::sleep_for(std::chrono::milliseconds(1250));  // its connection is closed at 1 s
+    std::this_thread::sleep_for(std::chrono::milliseconds(1250));  // closing begins 1 s after the signal
     slow.crosses();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     slow.expect_whole();
@@ -415,9 +419,10 @@
     EXPECT_EQ(fleet.exit_code(), 0);
 }
 
-TEST(Closing, OfThoseIdleForLongestTakesNoAnswerAlong) {
+// The longest idle connections are closed when too many are idle, which must not lose a response either.
+TEST(Closing, OfTheLongestIdleLosesNoResponse) {
     Around around;
-    around.descriptors = 64;  // room for 28 clients, of whom two may rest
+    around.descriptors = 64;  // allows 24 client connections, of which two may be idle
     Fleet fleet(1, around);
     Slow slow(fleet);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -433,9 +438,9 @@
     slow.expect_whole();
 }
 
-// Half a command at the signal, its rest after the connections that rest are closed: taken, and so answered.
-// A second signal and a new configuration change nothing of it.
-TEST(Closing, WaitsForACommandThatIsHalfHere) {
+// A command is incomplete when the shutdown signal arrives, and completed after the idle connections are
+// closed. It has been accepted, so it must be answered, regardless of a second signal or a reload.
+TEST(Closing, WaitsForAnIncompleteCommand) {
     for (const int again : {0, SIGTERM, SIGHUP}) {
         Fleet fleet(1);
         Line half(own_loopback(), fleet.port());
@@ -457,9 +462,9 @@
     }
 }
 
-// Clients that send on each connection for as long as it stays open: each command is answered, or its
-// connection is closed before it was read; none is sent on after the node ended its sending.
-TEST(Closing, OfClientsThatGoOnSendingLosesNothing) {
+// Clients send commands for as long as their connections are open. Each command must be answered, or its
+// connection closed before the command is read; the cache must not receive a request that is not answered.
+TEST(Closing, OfClientsThatKeepSendingLosesNoCommand) {
     Fleet fleet(1);
     std::atomic<bool> told{false};
     std::atomic<int> answered{0}, cut{0};
@@ -489,11 +494,11 @@
     EXPECT_EQ(static_cast<int>(fleet.caches.front().heard().size()), answered);
 }
 
-// ---- starting, and descriptors ---------------------------------------------------------------------------
+// ---- start and file descriptors --------------------------------------------------------------------------
 
-// Idle clients hold all descriptors that they may while discovery is down; it is heard all the same once it
-// is back, and so are operators and who comes to ask.
-TEST(Descriptors, HeldByIdleClientsLeaveDiscoveryItsOwn) {
+// Idle clients occupy all descriptors allowed to clients while discovery is down. The node must still reach
+// discovery once it is back, and serve operators and new clients.
+TEST(Descriptors, HeldByIdleClientsDoNotBlockDiscovery) {
     Agent agent;
     Around around;
     around.watch = agent.script();
@@ -533,8 +538,8 @@
     for (std::thread& f : floods) f.join();
 }
 
-// Clients wait in the backlog before the process is there, say nothing, and discovery is down: it is ready
-// all the same.
+// Silent clients wait in the backlog before the process starts, and discovery is down. The process must
+// become ready nevertheless.
 TEST(Start, WithABacklogOfIdleClientsAndNoDiscoveryIsReadyInTime) {
     Around around;
     around.descriptors = 256;
