--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -11,35 +11,35 @@
 
 using namespace brookrelay::testkit;
 
-double seconds() {
+double now_seconds() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-std::string read_whole(Line& line, const std::string& head, std::size_t length) {
+std::string read_value(Line& line, const std::string& head, std::size_t length) {
     const std::string first = line.until("\r\n");
     return first == head ? line.bytes(length + 2) : first;
 }
 
 // ---- HTTP responses that end with their connection ------------------------------------------------------
 
-struct Untold {
+struct UnknownLengthCase {
     const char* name;
     std::string head;
     std::size_t length;
     bool reset;
-    bool served;
+    bool is_served;
 };
 
-class OriginWithoutLength : public testing::TestWithParam<Untold> {};
+class OriginWithoutLength : public testing::TestWithParam<UnknownLengthCase> {};
 
 TEST_P(OriginWithoutLength, IsServedOnlyAfterACleanClose) {
-    const Untold& c = GetParam();
+    const UnknownLengthCase& c = GetParam();
     Fleet fleet(1);
     fleet.caches.front().plays(miss);
     const std::string body(c.length, 'v');
-    std::atomic<int> asked{0};
+    std::atomic<int> requests{0};
     fleet.origin.plays([&](const std::string&) {
-        ++asked;
+        ++requests;
         Act act{c.head + "\r\n" + body};
         act.close = !c.reset;
         act.reset = c.reset;
@@ -50,74 +50,76 @@
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "u1", 1500));
-    const std::string answer = read_whole(line, "VA " + std::to_string(c.length) + " Ou1\r\n", c.length);
-    if (c.served) {
+    const std::string answer = read_value(line, "VA " + std::to_string(c.length) + " Ou1\r\n", c.length);
+    if (c.is_served) {
         EXPECT_EQ(answer, body + "\r\n");
-        EXPECT_EQ(asked, 1);
+        EXPECT_EQ(requests, 1);
     } else {
         EXPECT_TRUE(answer.starts_with("SERVER_ERROR ")) << answer.substr(0, 40);
-        EXPECT_GE(asked, 1);
+        EXPECT_GE(requests, 1);
     }
 }
 
 const std::string kOk = "HTTP/1.1 200 OK\r\n";
 INSTANTIATE_TEST_SUITE_P(
     Answers, OriginWithoutLength,
-    testing::Values(Untold{"empty", kOk, 0, false, true}, Untold{"short", kOk, 5, false, true},
-                    Untold{"longer_than_the_buffer_limit", kOk, 900 * 1000, false, true},
-                    Untold{"old_protocol", "HTTP/1.0 200 OK\r\n", 5, false, true},
-                    Untold{"reset", kOk, 5, true, false}, Untold{"long_reset", kOk, 900 * 1000, true, false},
-                    Untold{"over_the_value_limit", kOk, 5 * 1000 * 1000, false, false},
-                    Untold{"closed_before_its_length", kOk + "Content-Length: 9\r\n", 5, false, false},
-                    Untold{"closed_inside_a_chunk", kOk + "Transfer-Encoding: chunked\r\n", 5, false, false}),
+    testing::Values(
+        UnknownLengthCase{"empty", kOk, 0, false, true}, UnknownLengthCase{"short", kOk, 5, false, true},
+        UnknownLengthCase{"longer_than_the_buffer_limit", kOk, 900 * 1000, false, true},
+        UnknownLengthCase{"old_protocol", "HTTP/1.0 200 OK\r\n", 5, false, true},
+        UnknownLengthCase{"reset", kOk, 5, true, false},
+        UnknownLengthCase{"long_reset", kOk, 900 * 1000, true, false},
+        UnknownLengthCase{"over_the_value_limit", kOk, 5 * 1000 * 1000, false, false},
+        UnknownLengthCase{"closed_before_its_length", kOk + "Content-Length: 9\r\n", 5, false, false},
+        UnknownLengthCase{"closed_inside_a_chunk", kOk + "Transfer-Encoding: chunked\r\n", 5, false, false}),
     [](const auto& c) { return c.param.name; });
 
 TEST(OriginWithoutLength, ThatNeverEndsFailsInTime) {
     Fleet fleet(1);
     fleet.caches.front().plays(miss);
     fleet.origin.plays([](const std::string&) { return Act{kOk + "\r\nhello"}; });
-    const double asked = seconds();
+    const double asked_at = now_seconds();
     EXPECT_EQ(fleet.ask(read_of("7f3a", "u1", 600)), "SERVER_ERROR busy\r\n");
-    EXPECT_LT(seconds() - asked, 0.65);
+    EXPECT_LT(now_seconds() - asked_at, 0.65);
 }
 
 // The head states that the write was not executed. The client must be told to retry, not that the write may
 // have been executed, although the response has no end.
 TEST(OriginWithoutLength, RejectionTakesEffectWithItsHead) {
-    Around around;
-    around.put = R"("at_most_once")";
-    Fleet fleet(1, around);
+    Around options;
+    options.put = R"("at_most_once")";
+    Fleet fleet(1, options);
     fleet.origin.plays([](const std::string&) { return Act{"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n\r\n"}; });
     EXPECT_EQ(fleet.ask("ms k 1 Ow1 Pc=put,d=1500\r\nx\r\n"), "SERVER_ERROR busy\r\n");
 }
 
 TEST(DiscoveryWithoutLength, ListIsAppliedOnlyAfterACleanClose) {
     for (const bool reset : {false, true}) {
-        std::string news;
-        std::atomic<bool> tell{false};
-        std::atomic<int> told{0};
+        std::string list;
+        std::atomic<bool> may_publish{false};
+        std::atomic<int> responses{0};
         const auto watch = [&](const std::string& request) {
-            while (!tell) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+            while (!may_publish) std::this_thread::sleep_for(std::chrono::milliseconds(1));
             if (request.find("index=8&") != std::string::npos) return Act{};
-            ++told;
-            Act act{"HTTP/1.1 200 OK\r\n\r\n" + news};
+            ++responses;
+            Act act{"HTTP/1.1 200 OK\r\n\r\n" + list};
             act.close = !reset;
             act.reset = reset;
             act.wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
             return act;
         };
         Fleet fleet(2, {256, 250, watch});
-        ScriptedPeer& kept = fleet.caches.back();
+        ScriptedPeer& remaining = fleet.caches.back();
         // Indented JSON, which some discovery servers send.
-        news = "{\n  \"seq\": 8,\n  \"whole\": true,\n  \"hosts\": [\n    " +
-               Fleet::entry(Fleet::name(kept), kept, "SERVING") + "\n  ]\n}\n";
-        tell = true;
+        list = "{\n  \"seq\": 8,\n  \"whole\": true,\n  \"hosts\": [\n    " +
+               Fleet::entry(Fleet::name(remaining), remaining, "SERVING") + "\n  ]\n}\n";
+        may_publish = true;
         if (reset) {
-            wait_for([&] { return told >= 3; });  // the node repeats the call and keeps its current list
+            wait_for([&] { return responses >= 3; });  // the node repeats the call and keeps its current list
             EXPECT_FALSE(fleet.logged("version 8"));
         } else {
             wait_for([&] { return fleet.logged("version 8"); });
-            EXPECT_EQ(told, 1);
+            EXPECT_EQ(responses, 1);
         }
         EXPECT_TRUE(fleet.alive());
     }
@@ -125,74 +127,75 @@
 
 // ---- clients that disconnect, and server connections that are established late --------------------------
 
-struct Gone {
+struct DisconnectCase {
     const char* name;
-    bool write;  // a write to the origin; otherwise a read from a cache
+    bool is_write;  // a write to the origin; otherwise a read from a cache
     bool may_cancel;
     // Stops the process, so that it handles the client's close and the new connection in one loop iteration.
-    bool stopped;
+    bool stops_process;
 };
 
-class ClientGoneBeforeItsConnection : public testing::TestWithParam<Gone> {};
+class ClientDisconnectBeforeConnect : public testing::TestWithParam<DisconnectCase> {};
 
-TEST_P(ClientGoneBeforeItsConnection, RequestIsNotSent) {
-    const Gone& c = GetParam();
-    Around around;
-    around.connect_timeout_ms = 60000;
-    around.may_cancel = c.may_cancel;
-    Fleet fleet(1, around);
-    ScriptedPeer& server = c.write ? fleet.origin : fleet.caches.front();
-    Late late(server);
+TEST_P(ClientDisconnectBeforeConnect, RequestIsNotSent) {
+    const DisconnectCase& c = GetParam();
+    Around options;
+    options.connect_timeout_ms = 60000;
+    options.may_cancel = c.may_cancel;
+    Fleet fleet(1, options);
+    ScriptedPeer& server = c.is_write ? fleet.origin : fleet.caches.front();
+    Late delayed_server(server);
     const auto command = [&c](const std::string& id) {
-        return c.write ? "ms k 1 O" + id + " Pc=put,d=60000,k=" + id + "\r\nx\r\n"
-                       : read_of("7f3a", id, 60000);
+        return c.is_write ? "ms k 1 O" + id + " Pc=put,d=60000,k=" + id + "\r\nx\r\n"
+                          : read_of("7f3a", id, 60000);
     };
     auto line = std::make_unique<Line>(own_loopback(), fleet.port());
     line->send("mn\r\n");
     ASSERT_EQ(line->until("\r\n"), "MN\r\n");
     line->send(command("left"));
     std::this_thread::sleep_for(std::chrono::milliseconds(100));  // the attempt now waits for its connection
-    if (c.stopped) fleet.signal(SIGSTOP);
+    if (c.stops_process) fleet.signal(SIGSTOP);
     line.reset();
-    late.come_up();
+    delayed_server.come_up();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    if (c.stopped) fleet.signal(SIGCONT);
+    if (c.stops_process) fleet.signal(SIGCONT);
     // The connection that was established late is idle and carries the next request.
     Line next(own_loopback(), fleet.port());
     next.send(command("next"));
-    EXPECT_EQ(next.until("\r\n"), c.write ? "HD Onext cmade\r\n" : "VA 5 Onext\r\n");
+    EXPECT_EQ(next.until("\r\n"), c.is_write ? "HD Onext cmade\r\n" : "VA 5 Onext\r\n");
     const auto heard = server.heard();
     ASSERT_EQ(heard.size(), 1U);
     EXPECT_NE(heard[0].find("next"), std::string::npos);
 }
 
-INSTANTIATE_TEST_SUITE_P(Late, ClientGoneBeforeItsConnection,
-                         testing::Values(Gone{"read", false, false, false}, Gone{"write", true, true, false},
-                                         Gone{"read_in_one_iteration", false, false, true},
-                                         Gone{"write_in_one_iteration", true, true, true}),
+INSTANTIATE_TEST_SUITE_P(Late, ClientDisconnectBeforeConnect,
+                         testing::Values(DisconnectCase{"read", false, false, false},
+                                         DisconnectCase{"write", true, true, false},
+                                         DisconnectCase{"read_in_one_iteration", false, false, true},
+                                         DisconnectCase{"write_in_one_iteration", true, true, true}),
                          [](const auto& c) { return c.param.name; });
 
 // Unread pipelined commands precede the client's close in the input. The node must detect the close
 // nevertheless and must not send the remaining commands to servers.
 TEST(ClientDisconnect, IsDetectedBehindUnreadCommands) {
     Fleet fleet(1);
-    std::atomic<bool> go{false};
-    fleet.caches.front().plays([&go](const std::string& m) {
-        while (!go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    std::atomic<bool> may_answer{false};
+    fleet.caches.front().plays([&may_answer](const std::string& m) {
+        while (!may_answer) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
     {
         Line line(own_loopback(), fleet.port());
-        std::string many;
+        std::string commands;
         for (int n = 0; n < 8000; ++n)
-            many += read_of("k" + std::to_string(n), "p" + std::to_string(n), 60000);
-        line.send(many);
+            commands += read_of("k" + std::to_string(n), "p" + std::to_string(n), 60000);
+        line.send(commands);
         wait_for([&] { return fleet.caches.front().heard().size() >= 8; });
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(150));
     const std::size_t before = fleet.caches.front().heard().size();
-    go = true;
+    may_answer = true;
     wait_for([&] { return fleet.ask(read_of("1", "after")) == "VA 5 Oafter\r\n"; });
     const auto heard = fleet.caches.front().heard();
     EXPECT_EQ(
@@ -204,56 +207,56 @@
 
 // A scripted discovery server that answers watches with the current list, leaves calls unanswered, resets
 // their connections, or rejects them.
-class Agent {
+class ScriptedDiscovery {
   public:
-    enum class Way { answers, silent, resets, refuses };
+    enum class Mode { answers, silent, resets, rejects };
     ScriptedPeer::Script script() {
         return [this](const std::string& request) {
             const std::size_t at = request.find("index=");
-            const int held = at == std::string::npos ? 0 : std::stoi(request.substr(at + 6));
-            const std::size_t w = request.find("wait=");
-            const int wait = w == std::string::npos ? 0 : std::stoi(request.substr(w + 5));
-            longest_wait_ = std::max(longest_wait_.load(), wait);
+            const int known_version = at == std::string::npos ? 0 : std::stoi(request.substr(at + 6));
+            const std::size_t wait_at = request.find("wait=");
+            const int wait_ms = wait_at == std::string::npos ? 0 : std::stoi(request.substr(wait_at + 5));
+            longest_wait_ms_ = std::max(longest_wait_ms_.load(), wait_ms);
             ++calls_;
-            const double until = seconds() + wait / 1e3;
-            while (seconds() < until && version_ <= held && way_ == Way::answers)
+            const double until = now_seconds() + wait_ms / 1e3;
+            while (now_seconds() < until && version_ <= known_version && mode_ == Mode::answers)
                 std::this_thread::sleep_for(std::chrono::milliseconds(1));
-            const Way way = way_;
-            if (way == Way::silent) return Act{};  // never answers this call, even after the mode changes
-            if (way == Way::resets) return Act{"", false, {}, {}, true};
-            if (way == Way::refuses) return Act{http("", "503 Later")};
+            const Mode mode = mode_;
+            if (mode == Mode::silent) return Act{};  // never answers this call, even after the mode changes
+            if (mode == Mode::resets) return Act{"", false, {}, {}, true};
+            if (mode == Mode::rejects) return Act{http("", "503 Later")};
             const std::lock_guard lock(mutex_);
-            const bool whole = held == 0;
+            const bool is_full = known_version == 0;
             return Act{http(R"({"seq":)" + std::to_string(version_) + R"(,"whole":)" +
-                            (whole ? "true" : "false") + R"(,"hosts":[)" +
-                            (whole             ? all_
-                             : version_ > held ? news_
-                                               : "") +
+                            (is_full ? "true" : "false") + R"(,"hosts":[)" +
+                            (is_full                    ? full_list_
+                             : version_ > known_version ? update_
+                                                        : "") +
                             "]}")};
         };
     }
-    void has(const std::string& news, const std::string& all) {
+    void publish(const std::string& update, const std::string& full_list) {
         const std::lock_guard lock(mutex_);
-        news_ = news;
-        all_ = all;
+        update_ = update;
+        full_list_ = full_list;
         ++version_;
     }
-    void goes(Way way) { way_ = way; }
+    void set_mode(Mode mode) { mode_ = mode; }
     int calls() const { return calls_; }
-    int longest_wait() const { return longest_wait_; }
+    int longest_wait_ms() const { return longest_wait_ms_; }
 
   private:
-    std::atomic<int> version_{7}, calls_{0}, longest_wait_{0};
-    std::atomic<Way> way_{Way::answers};
+    std::atomic<int> version_{7}, calls_{0}, longest_wait_ms_{0};
+    std::atomic<Mode> mode_{Mode::answers};
     std::mutex mutex_;
-    std::string news_, all_;
+    std::string update_, full_list_;
 };
 
 struct Outage {
     const char* name;
-    Agent::Way way;
-    double lasts;  // s
-    bool asked;
+    ScriptedDiscovery::Mode mode;
+    double duration_seconds;
+    bool is_on_request;
 };
 
 class ChangeAfterAnOutage : public testing::TestWithParam<Outage> {};
@@ -261,59 +264,61 @@
 // A change must take effect within 6 s of the moment when discovery has it and can be reached.
 TEST_P(ChangeAfterAnOutage, IsAppliedInTime) {
     const Outage& c = GetParam();
-    Agent agent;
-    Around around;
-    around.watch = agent.script();
-    around.asked = c.asked;
-    Fleet fleet(2, around);
-    wait_for([&] { return agent.calls() > 0; });
+    ScriptedDiscovery discovery;
+    Around options;
+    options.watch = discovery.script();
+    options.asked = c.is_on_request;
+    Fleet fleet(2, options);
+    wait_for([&] { return discovery.calls() > 0; });
     std::this_thread::sleep_for(std::chrono::milliseconds(300));  // the watch is still waiting
-    agent.goes(c.way);
-    std::this_thread::sleep_for(std::chrono::duration<double>(c.lasts));
+    discovery.set_mode(c.mode);
+    std::this_thread::sleep_for(std::chrono::duration<double>(c.duration_seconds));
     ScriptedPeer& drained = fleet.caches.front();
-    const std::string news = Fleet::entry(Fleet::name(drained), drained, "DRAINING");
-    agent.has(news, Fleet::entry("origin", fleet.origin, "SERVING") + "," + news + "," +
-                        Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING"));
-    const double there = seconds();
-    agent.goes(Agent::Way::answers);
+    const std::string draining_entry = Fleet::entry(Fleet::name(drained), drained, "DRAINING");
+    discovery.publish(draining_entry,
+                      Fleet::entry("origin", fleet.origin, "SERVING") + "," + draining_entry + "," +
+                          Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING"));
+    const double published_at = now_seconds();
+    discovery.set_mode(ScriptedDiscovery::Mode::answers);
     wait_for([&] { return fleet.logged("version 8"); });
-    const double took = seconds() - there;
-    agent.goes(Agent::Way::silent);
-    RecordProperty("took_ms", static_cast<int>(took * 1e3));
-    std::printf("applied after %.2f s\n", took);
-    EXPECT_LT(took, 6.0);
-    EXPECT_LE(agent.longest_wait(), 4000);
+    const double elapsed = now_seconds() - published_at;
+    discovery.set_mode(ScriptedDiscovery::Mode::silent);
+    RecordProperty("took_ms", static_cast<int>(elapsed * 1e3));
+    std::printf("applied after %.2f s\n", elapsed);
+    EXPECT_LT(elapsed, 6.0);
+    EXPECT_LE(discovery.longest_wait_ms(), 4000);
 }
 
-INSTANTIATE_TEST_SUITE_P(Outages, ChangeAfterAnOutage,
-                         testing::Values(Outage{"watch_unanswered", Agent::Way::silent, 0.1, false},
-                                         Outage{"silent_for_one_call", Agent::Way::silent, 5.3, false},
-                                         Outage{"long_silence", Agent::Way::silent, 9, false},
-                                         Outage{"resets", Agent::Way::resets, 4, false},
-                                         Outage{"rejections", Agent::Way::refuses, 4, false},
-                                         Outage{"on_request_unanswered", Agent::Way::silent, 0.1, true},
-                                         Outage{"on_request_long_silence", Agent::Way::silent, 9, true},
-                                         Outage{"on_request_rejections", Agent::Way::refuses, 6, true}),
-                         [](const auto& c) { return c.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Outages, ChangeAfterAnOutage,
+    testing::Values(Outage{"watch_unanswered", ScriptedDiscovery::Mode::silent, 0.1, false},
+                    Outage{"silent_for_one_call", ScriptedDiscovery::Mode::silent, 5.3, false},
+                    Outage{"long_silence", ScriptedDiscovery::Mode::silent, 9, false},
+                    Outage{"resets", ScriptedDiscovery::Mode::resets, 4, false},
+                    Outage{"rejections", ScriptedDiscovery::Mode::rejects, 4, false},
+                    Outage{"on_request_unanswered", ScriptedDiscovery::Mode::silent, 0.1, true},
+                    Outage{"on_request_long_silence", ScriptedDiscovery::Mode::silent, 9, true},
+                    Outage{"on_request_rejections", ScriptedDiscovery::Mode::rejects, 6, true}),
+    [](const auto& c) { return c.param.name; });
 
 // A list older than the current one would bring back draining servers. An older list is accepted only in
 // response to a call for the full list, because discovery may have lost its versions.
 TEST(OlderList, DoesNotRestoreDrainingServers) {
     std::atomic<int> step{0};
-    std::string drain, old;
+    std::string draining_entry, old_list;
     const auto watch = [&](const std::string& request) {
         while (step == 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         if (request.find("index=7&") != std::string::npos)
-            return Act{http(R"({"seq":8,"whole":false,"hosts":[)" + drain + "]}")};
+            return Act{http(R"({"seq":8,"whole":false,"hosts":[)" + draining_entry + "]}")};
         if (request.find("index=8&") != std::string::npos && step++ == 1)
-            return Act{http(R"({"seq":5,"whole":true,"hosts":[)" + old + "]}")};
+            return Act{http(R"({"seq":5,"whole":true,"hosts":[)" + old_list + "]}")};
         return Act{};  // leaves all other calls unanswered, including the call for the full list
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
-    drain = Fleet::entry(Fleet::name(drained), drained, "DRAINING");
-    old = Fleet::entry("origin", fleet.origin, "SERVING");
-    for (ScriptedPeer& c : fleet.caches) old += "," + Fleet::entry(Fleet::name(c), c, "SERVING");
+    draining_entry = Fleet::entry(Fleet::name(drained), drained, "DRAINING");
+    old_list = Fleet::entry("origin", fleet.origin, "SERVING");
+    for (ScriptedPeer& c : fleet.caches) old_list += "," + Fleet::entry(Fleet::name(c), c, "SERVING");
     step = 1;
     wait_for([&] { return fleet.logged("a list older than the one held"); });
     for (int k = 0; k < 20; ++k) {
@@ -353,37 +358,37 @@
 // start while the origin remembers the first one. A repeat that the origin has not read completely by then
 // has not run and must be cancelled.
 TEST(Deduplication, RepeatDoesNotBeginAfterTheWindow) {
-    Around around;
-    around.put = R"("deduplicated","group":"all","key_ttl_us":1000000)";
-    Fleet fleet(1, around);
+    Around options;
+    options.put = R"("deduplicated","group":"all","key_ttl_us":1000000)";
+    Fleet fleet(1, options);
     const std::string value(2 * 1000 * 1000, 'v');
-    std::atomic<int> whole{0};
+    std::atomic<int> complete_requests{0};
     std::atomic<double> first_at{0}, last_at{0};
     // The first attempt is read completely and fails. The next one is read late: its connection is
     // established, but the origin does not read its bytes.
     fleet.origin.plays([&](const std::string& m) {
         if (m.size() < value.size()) return Act{};  // cancelled before its end
-        if (whole++ == 0) first_at = seconds();
-        last_at = seconds();
+        if (complete_requests++ == 0) first_at = now_seconds();
+        last_at = now_seconds();
         return Act{http("", "500 E")};
     });
     fleet.origin.takes_at_most(16 * 1024);
-    fleet.origin.reads_bodies_after([&] { return whole > 0 ? 1.5 : 0.0; });
+    fleet.origin.reads_bodies_after([&] { return complete_requests > 0 ? 1.5 : 0.0; });
     Line line(own_loopback(), fleet.port());
     line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=5000,k=w1\r\n" + value + "\r\n");
     EXPECT_TRUE(line.until("\r\n").starts_with("SERVER_ERROR "));
     std::this_thread::sleep_for(std::chrono::milliseconds(1800));  // the origin may still read bytes
-    EXPECT_GE(whole, 1);
+    EXPECT_GE(complete_requests, 1);
     EXPECT_LT(last_at - first_at, 1.0);
 }
 
 // ---- closing ---------------------------------------------------------------------------------------------
 
 // A client that requests a long value, reads it late, and sends its next command while the node closes.
-class Slow {
+class SlowClient {
   public:
     static constexpr std::size_t kLength = 600 * 1000;
-    explicit Slow(Fleet& fleet) : line_(own_loopback(), fleet.port()) {
+    explicit SlowClient(Fleet& fleet) : line_(own_loopback(), fleet.port()) {
         fleet.caches.front().plays([](const std::string& m) {
             if (id_in(m) != "slow") return hit(m);
             return Act{"VA " + std::to_string(kLength) + " Oslow h1\r\n" + std::string(kLength, 'x') +
@@ -391,8 +396,8 @@
         });
         line_.send(read_of("7f3a", "slow"));
     }
-    void crosses() { line_.send(read_of("7f3a", "crossing")); }
-    void expect_whole() {
+    void send_next() { line_.send(read_of("7f3a", "crossing")); }
+    void expect_complete_response() {
         EXPECT_EQ(line_.until("\r\n"), "VA " + std::to_string(kLength) + " Oslow\r\n");
         EXPECT_EQ(line_.bytes(kLength + 2).size(), kLength + 2);
         EXPECT_TRUE(line_.closed_by_peer());
@@ -406,13 +411,13 @@
 // rest of the response would be lost.
 TEST(Closing, AtShutdownLosesNoResponse) {
     Fleet fleet(1);
-    Slow slow(fleet);
+    SlowClient slow_client(fleet);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     fleet.signal(SIGTERM);
     std::this_thread::sleep_for(std::chrono::milliseconds(1250));  // closing begins 1 s after the signal
-    slow.crosses();
+    slow_client.send_next();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    slow.expect_whole();
+    slow_client.expect_complete_response();
     const auto heard = fleet.caches.front().heard();
     EXPECT_TRUE(std::none_of(heard.begin(), heard.end(),
                              [](const std::string& m) { return id_in(m) == "crossing"; }));
@@ -421,10 +426,10 @@
 
 // The longest idle connections are closed when too many are idle, which must not lose a response either.
 TEST(Closing, OfTheLongestIdleLosesNoResponse) {
-    Around around;
-    around.descriptors = 64;  // allows 24 client connections, of which two may be idle
-    Fleet fleet(1, around);
-    Slow slow(fleet);
+    Around options;
+    options.descriptors = 64;  // allows 24 client connections, of which two may be idle
+    Fleet fleet(1, options);
+    SlowClient slow_client(fleet);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     std::list<Line> others;
     for (int n = 0; n < 6; ++n) {
@@ -433,31 +438,31 @@
         EXPECT_TRUE(others.back().until("hello\r\n").ends_with("hello\r\n"));
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    slow.crosses();
+    slow_client.send_next();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    slow.expect_whole();
+    slow_client.expect_complete_response();
 }
 
 // A command is incomplete when the shutdown signal arrives, and completed after the idle connections are
 // closed. It has been accepted, so it must be answered, regardless of a second signal or a reload.
 TEST(Closing, WaitsForAnIncompleteCommand) {
-    for (const int again : {0, SIGTERM, SIGHUP}) {
+    for (const int second_signal : {0, SIGTERM, SIGHUP}) {
         Fleet fleet(1);
-        Line half(own_loopback(), fleet.port());
-        Line rests(own_loopback(), fleet.port());
-        rests.send("mn\r\n");
-        ASSERT_EQ(rests.until("\r\n"), "MN\r\n");
-        half.send("mg 7f3a v Oha");
+        Line incomplete_client(own_loopback(), fleet.port());
+        Line idle_client(own_loopback(), fleet.port());
+        idle_client.send("mn\r\n");
+        ASSERT_EQ(idle_client.until("\r\n"), "MN\r\n");
+        incomplete_client.send("mg 7f3a v Oha");
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
         fleet.signal(SIGTERM);
-        if (again != 0) {
+        if (second_signal != 0) {
             std::this_thread::sleep_for(std::chrono::milliseconds(200));
-            fleet.signal(again);
+            fleet.signal(second_signal);
         }
-        EXPECT_TRUE(rests.closed_by_peer());
-        half.send("lf Pc=read,t=acme,d=1000\r\n");
-        EXPECT_EQ(half.until("hello\r\n"), "VA 5 Ohalf\r\nhello\r\n") << again;
-        EXPECT_TRUE(half.closed_by_peer());
+        EXPECT_TRUE(idle_client.closed_by_peer());
+        incomplete_client.send("lf Pc=read,t=acme,d=1000\r\n");
+        EXPECT_EQ(incomplete_client.until("hello\r\n"), "VA 5 Ohalf\r\nhello\r\n") << second_signal;
+        EXPECT_TRUE(incomplete_client.closed_by_peer());
         EXPECT_EQ(fleet.exit_code(), 0);
     }
 }
@@ -466,8 +471,8 @@
 // connection closed before the command is read; the cache must not receive a request that is not answered.
 TEST(Closing, OfClientsThatKeepSendingLosesNoCommand) {
     Fleet fleet(1);
-    std::atomic<bool> told{false};
-    std::atomic<int> answered{0}, cut{0};
+    std::atomic<bool> is_signalled{false};
+    std::atomic<int> answered{0}, truncated{0};
     std::vector<std::thread> clients;
     for (int t = 0; t < 8; ++t) {
         clients.emplace_back([&, t] {
@@ -480,17 +485,17 @@
                 if (answer == "VA 5 O" + id + "\r\nhello\r\n") {
                     ++answered;
                 } else {
-                    ++cut;
+                    ++truncated;
                 }
             }
         });
     }
     wait_for([&] { return answered > 50; });
     fleet.signal(SIGTERM);
-    told = true;
+    is_signalled = true;
     EXPECT_EQ(fleet.exit_code(), 0);
-    for (std::thread& c : clients) c.join();
-    EXPECT_EQ(cut, 0);
+    for (std::thread& thread : clients) thread.join();
+    EXPECT_EQ(truncated, 0);
     EXPECT_EQ(static_cast<int>(fleet.caches.front().heard().size()), answered);
 }
 
@@ -499,20 +504,20 @@
 // Idle clients occupy all descriptors allowed to clients while discovery is down. The node must still reach
 // discovery once it is back, and serve operators and new clients.
 TEST(Descriptors, HeldByIdleClientsDoNotBlockDiscovery) {
-    Agent agent;
-    Around around;
-    around.watch = agent.script();
-    around.descriptors = 64;
-    around.managed = true;
-    Fleet fleet(2, around);
-    const rlimit bound{64, 64};
-    ASSERT_EQ(prlimit(fleet.daemon().pid(), RLIMIT_NOFILE, &bound, nullptr), 0);
-    wait_for([&] { return agent.calls() > 0; });
-    agent.goes(Agent::Way::resets);
+    ScriptedDiscovery discovery;
+    Around options;
+    options.watch = discovery.script();
+    options.descriptors = 64;
+    options.managed = true;
+    Fleet fleet(2, options);
+    const rlimit limit{64, 64};
+    ASSERT_EQ(prlimit(fleet.daemon().pid(), RLIMIT_NOFILE, &limit, nullptr), 0);
+    wait_for([&] { return discovery.calls() > 0; });
+    discovery.set_mode(ScriptedDiscovery::Mode::resets);
     std::atomic<bool> stop{false};
-    std::vector<std::thread> floods;
+    std::vector<std::thread> client_threads;
     for (int t = 0; t < 4; ++t) {
-        floods.emplace_back([&, t] {
+        client_threads.emplace_back([&, t] {
             std::list<Line> idle;
             for (int n = 0; !stop; ++n) {
                 idle.emplace_back(own_loopback(), fleet.port());
@@ -524,38 +529,38 @@
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));
     ScriptedPeer& drained = fleet.caches.front();
-    agent.has(Fleet::entry(Fleet::name(drained), drained, "DRAINING"), "");
-    const double there = seconds();
-    agent.goes(Agent::Way::answers);
+    discovery.publish(Fleet::entry(Fleet::name(drained), drained, "DRAINING"), "");
+    const double published_at = now_seconds();
+    discovery.set_mode(ScriptedDiscovery::Mode::answers);
     wait_for([&] { return fleet.logged("version 8"); });
-    EXPECT_LT(seconds() - there, 6.0);
-    agent.goes(Agent::Way::silent);
+    EXPECT_LT(now_seconds() - published_at, 6.0);
+    discovery.set_mode(ScriptedDiscovery::Mode::silent);
     EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 200);
-    const double asked = seconds();
+    const double asked_at = now_seconds();
     EXPECT_EQ(fleet.ask(read_of("7f3a", "d1")), "VA 5 Od1\r\n");
-    EXPECT_LT(seconds() - asked, 5.0);
+    EXPECT_LT(now_seconds() - asked_at, 5.0);
     stop = true;
-    for (std::thread& f : floods) f.join();
+    for (std::thread& thread : client_threads) thread.join();
 }
 
 // Silent clients wait in the backlog before the process starts, and discovery is down. The process must
 // become ready nevertheless.
 TEST(Start, WithABacklogOfIdleClientsAndNoDiscoveryIsReadyInTime) {
-    Around around;
-    around.descriptors = 256;
-    around.managed = true;
-    around.inherited = true;  // the test holds the listener, and its backlog with it
-    Fleet fleet(1, around);
+    Around options;
+    options.descriptors = 256;
+    options.managed = true;
+    options.inherited = true;  // the test holds the listener, and its backlog with it
+    Fleet fleet(1, options);
     fleet.daemon().kill();
     std::list<Line> idle;
     for (int n = 0; n < 900; ++n) idle.emplace_back(own_loopback(), fleet.port());
-    const double from = seconds();
+    const double started_at = now_seconds();
     const Process next = fleet.second();
     Line line(own_loopback(), fleet.port());
     line.send("mn\r\n");
     EXPECT_EQ(line.until("\r\n"), "MN\r\n");
-    std::printf("ready after %.2f s behind 900 idle clients\n", seconds() - from);
-    EXPECT_LT(seconds() - from, 10.0);
+    std::printf("ready after %.2f s behind 900 idle clients\n", now_seconds() - started_at);
+    EXPECT_LT(now_seconds() - started_at, 10.0);
 }
 
 }  // namespace
