--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -6,6 +6,7 @@
 namespace brookrelay {
 namespace {
 
+// Read limit of a connection except while it receives a long value.
 constexpr std::size_t kReadLimitBytes = kMaxBufferedValueBytes + 2 * kMaxLineBytes;
 // Limits the bytes of a stream that are written to its connection but not yet taken by the kernel.
 constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;
@@ -26,7 +27,7 @@
 // inside any command are closed. The time runs from the last byte received, so a slow client that makes
 // progress is served.
 constexpr double kSilenceTimeoutSeconds = 2.5;
-// A client that sends nothing for this time between two commands is closed.
+// A connection that is idle for this time between two commands is closed.
 constexpr double kIdleTimeoutSeconds = 30.0;
 // Clients that send one command and stay connected could occupy all connections. When the idle connections
 // exceed this fraction of the connection limit, the longest idle ones are closed.
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -113,7 +113,7 @@
 
   private:
     struct PendingResponse {
-        bool is_ready = false;
+        bool is_ready = false;  // `text` is complete, or holds the end of a streamed response
         int request = kNoRequest;
         std::string text;
         std::uint64_t stream = 0;  // id of the streamed response, or 0
