--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -6,30 +6,41 @@
 namespace brookrelay {
 namespace {
 
+// Read limit of a connection except while it receives a long value.
 constexpr std::size_t kReadLimitBytes = kMaxBufferedValueBytes + 2 * kMaxLineBytes;
-constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;  // written but not yet sent to the client
+// Limits the bytes of a stream that are written to its connection but not yet taken by the kernel.
+constexpr std::size_t kStreamWindowBytes = std::size_t{64} * 1024;
 constexpr std::size_t kLineEndBytes = 2;
-constexpr std::size_t kReservedShareDivisor = 2;  // half of the bytes may be reserved for long written values
+// Half of the byte budget may be reserved for the long values that clients write.
+constexpr std::size_t kReservedShareDivisor = 2;
+// Limits the unanswered commands of one client.
 constexpr std::size_t kMaxPipelinedCommands = 32;
-// Pipelining is allowed while the unanswered commands are fewer than this fraction of the connections.
+// Clients may pipeline while the unanswered commands of all clients are fewer than this fraction of the
+// connection limit.
 constexpr double kPipelinedCommandsFraction = 0.25;
 constexpr int kMaxAcceptsPerIteration = 64;
+// Pause of the listener after a failed accept or while no connection is available.
 constexpr double kAcceptRetrySeconds = 0.05;
-constexpr double kFirstCommandGraceSeconds = 0.5;  // a new client is not evicted before it had time to write
-// Descriptors are scarce, so clients that are silent or stop inside a command are closed. The timeouts run
-// from the last byte received: a slow client that makes progress is served.
-constexpr double kSilenceTimeoutSeconds = 2.5;  // before the first command, and inside any command
-constexpr double kIdleTimeoutSeconds = 30.0;    // between two commands
-// Clients that send one command and stay connected could hold all connections. So beyond this fraction of the
-// connections the longest idle ones are closed, unless their next command may already be on its way.
+// A new client is not evicted before it has had this time to send its first command.
+constexpr double kFirstCommandGraceSeconds = 0.5;
+// File descriptors are scarce, so clients that send nothing for this time before their first command or
+// inside any command are closed. The time runs from the last byte received, so a slow client that makes
+// progress is served.
+constexpr double kSilenceTimeoutSeconds = 2.5;
+// A connection that is idle for this time between two commands is closed.
+constexpr double kIdleTimeoutSeconds = 30.0;
+// Clients that send one command and stay connected could occupy all connections. When the idle connections
+// exceed this fraction of the connection limit, the longest idle ones are closed.
 constexpr double kMaxIdleFraction = 0.1;
+// A connection that has been idle for less is not closed, because its next command may be on its way.
 constexpr double kMinIdleSeconds = 0.05;
-constexpr double kUnreadResponseTimeoutSeconds = 10.0;  // without a client reading any of its responses
+// A client that reads none of its pending responses for this time is closed.
+constexpr double kUnreadResponseTimeoutSeconds = 10.0;
 constexpr double kTimeoutCheckIntervalSeconds = 0.05;
 constexpr const char* kFailedLine = "SERVER_ERROR failed\r\n";
 constexpr const char* kOutOfMemoryLine = "SERVER_ERROR out of memory";
-// Closing a socket with unread input resets the connection, and responses not delivered yet are lost. So the
-// write side is shut down first, and for this time further input is read and discarded.
+// Closing a socket with unread input resets the connection and loses responses that are not yet delivered.
+// Therefore the write side is shut down first, and further input is read and discarded for this time.
 constexpr double kLingerSeconds = 1.0;
 
 }  // namespace
@@ -47,7 +58,7 @@
       on_command_(std::move(on_command)),
       on_client_closed_(std::move(on_client_closed)),
       stream_callbacks_(std::move(stream_callbacks)),
-      reserved_limit_(max_bytes / kReservedShareDivisor),
+      reserved_bytes_limit_(max_bytes / kReservedShareDivisor),
       listener_(timers, G_PRIORITY_DEFAULT, [this] { accept_connections(); }) {
     check_clients();
 }
@@ -57,7 +68,7 @@
 void ClientConnections::set_budget_share(double share) {
     connection_limit_ = static_cast<std::size_t>(share * static_cast<double>(max_connections_));
     budget_.limit = static_cast<std::size_t>(share * static_cast<double>(max_bytes_));
-    reserved_limit_ = budget_.limit / kReservedShareDivisor;
+    reserved_bytes_limit_ = budget_.limit / kReservedShareDivisor;
 }
 
 void ClientConnections::stop_accepting() { listener_.close(); }
@@ -69,7 +80,7 @@
         if (result.socket == nullptr) {
             if (has_capacity && result.would_block()) return;
             log_.line(Topic::client, "accepting_waits",
-                      std::string("accepting waits: ") +
+                      std::string("accepting connections is paused: ") +
                           (has_capacity ? result.error->message : "all client connections are in use"));
             return listener_.pause(kAcceptRetrySeconds);
         }
@@ -83,25 +94,25 @@
     }
 }
 
-// A client may only be closed between commands: a command written to an accepted connection counts as
-// accepted even while it is unread, and a client that has just connected is about to write.
-bool ClientConnections::between_commands(const Client& client) {
+// Returns whether the client can be closed without losing a command. A command sent on an accepted connection
+// counts as accepted even while it is unread, and a client that has just connected is about to send one.
+bool ClientConnections::is_between_commands(const Client& client) {
     const bool just_connected =
         client.first_command == 0 && monotonic_now() - client.last_used < kFirstCommandGraceSeconds;
     return !client.connection->is_closed() && client.pending.empty() && !just_connected &&
            !client.connection->has_unread_input();
 }
 
-// Closes the connection that has been idle for longest; returns false if none may be closed.
+// Closes the connection that has been idle the longest. Returns false if none can be closed.
 bool ClientConnections::evict_idle() {
     Client* oldest = nullptr;
     std::uint64_t oldest_id = 0;
     for (auto& [id, client] : clients_) {
-        const bool is_closing = client.closing && !client.connection->is_closed();
+        const bool is_lingering = client.is_closing && !client.connection->is_closed();
         if ((oldest != nullptr && client.last_used >= oldest->last_used) ||
             client.connection->unwritten_bytes() > 0)
             continue;
-        if (!is_closing && !between_commands(client)) continue;
+        if (!is_lingering && !is_between_commands(client)) continue;
         oldest = &client;
         oldest_id = id;
     }
@@ -114,14 +125,14 @@
     if (event == TcpConnection::Event::readable) {
         client.arrival_times.on_received(client.connection->input().size(), client.connection->received_at());
         client.last_received = monotonic_now();
-        if (!client.closing) client.last_used = client.last_received;
+        if (!client.is_closing) client.last_used = client.last_received;
     }
-    if (event == TcpConnection::Event::drained && client.closing) start_lingering_close(id, client);
+    if (event == TcpConnection::Event::drained && client.is_closing) start_lingering_close(id, client);
     read_commands(id, client);
     if (event == TcpConnection::Event::drained && !client.pending.empty() &&
         client.pending.front().stream != 0)
         stream_callbacks_.on_writable(client.pending.front().stream);
-    if (budget_.exceeded() && client.reserved == 0 && client.connection->input().size() > kMaxLineBytes)
+    if (budget_.exceeded() && client.reserved_bytes == 0 && client.connection->input().size() > kMaxLineBytes)
         return shed_input(id, client);
     close_if_done(id, client);
 }
@@ -139,12 +150,12 @@
     client.held_back = HoldReason::none;
     while (!client.reading_stopped) {
         if (client.connection->input().empty()) return;
-        const HoldReason reason = why_held_back(client);
-        if (reason != HoldReason::none) return hold_back(id, client, reason);
+        const HoldReason reason = find_pause_reason(client);
+        if (reason != HoldReason::none) return pause_reading(id, client, reason);
         Command command;
         const std::size_t parsed_bytes = parse_command(client.connection->input(), command);
         if (parsed_bytes == 0) {
-            if (!reserve_long_value(client)) client.held_back = HoldReason::memory_of_all;
+            if (!reserve_long_value(client)) client.held_back = HoldReason::value_memory_limit;
             return;
         }
         handle_command(id, client, std::move(command), consume(client, parsed_bytes));
@@ -156,8 +167,8 @@
                                        double received_at) {
     last_command_at_ = monotonic_now();
     PendingResponse& response = client.pending.emplace_back();
-    if (client.reserved > 0) client.connection->set_read_limit(kReadLimitBytes);
-    response.reserved = std::exchange(client.reserved, 0);
+    if (client.reserved_bytes > 0) client.connection->set_read_limit(kReadLimitBytes);
+    response.reserved_bytes = std::exchange(client.reserved_bytes, 0);
     ++unanswered_commands_;
     if (command.kind != Command::Kind::hello && command.kind != Command::Kind::malformed) {
         response.request = on_command_({id, client.first_command + client.pending.size() - 1},
@@ -176,68 +187,70 @@
     write_responses(client);
 }
 
-// A long value is only read once memory for all of it is reserved. Other clients with long values wait, so
-// that none has to be closed inside its value. Returns false if this one has to wait.
+// Reserves memory for the whole long value at the start of the input, before more of it is received. Other
+// clients with long values wait, so that no client has to be closed in the middle of its value. Returns false
+// if this client has to wait.
 bool ClientConnections::reserve_long_value(Client& client) {
-    if (client.reserved > 0) return true;
+    if (client.reserved_bytes > 0) return true;
     const std::size_t length = streamed_write_length(client.connection->input());
     if (length == 0) return true;
-    if (reserved_ > 0 && reserved_ + length > reserved_limit_) return false;
-    client.reserved = length;
-    reserved_ += length;
+    if (reserved_bytes_ > 0 && reserved_bytes_ + length > reserved_bytes_limit_) return false;
+    client.reserved_bytes = length;
+    reserved_bytes_ += length;
     client.connection->set_read_limit(length + 2 * kMaxLineBytes);
     return true;
 }
 
-// A command and its response may each hold a value of the greatest size, so the commands pipelined by all
-// clients together are bounded. Each client may always have one.
-bool ClientConnections::too_many_commands_of_all() const {
+// A command and its response can each hold a value of the maximum size, so the number of commands pipelined
+// by all clients is limited. The limit does not apply to the first unanswered command of a client.
+bool ClientConnections::is_total_command_limit_reached() const {
     return static_cast<double>(unanswered_commands_) >=
            kPipelinedCommandsFraction * static_cast<double>(connection_limit_);
 }
 
-ClientConnections::HoldReason ClientConnections::why_held_back(const Client& client) const {
-    // No commands are read from a client that does not read its responses.
+ClientConnections::HoldReason ClientConnections::find_pause_reason(const Client& client) const {
+    // Commands are not read from a client that does not read its responses.
     if (client.connection->unwritten_bytes() > 0) return HoldReason::unread_responses;
-    if (client.pending.size() >= kMaxPipelinedCommands) return HoldReason::own_commands;
-    // A streamed response that breaks off ends the connection, and what was read behind it would be lost.
-    const bool streams = std::any_of(client.pending.begin(), client.pending.end(),
-                                     [](const PendingResponse& response) { return response.stream != 0; });
-    if (streams) return HoldReason::own_commands;
-    return !client.pending.empty() && too_many_commands_of_all() ? HoldReason::commands_of_all
-                                                                 : HoldReason::none;
-}
-
-// Only a client whose next command is there, or would be if it were read on, is held back. One that stopped
-// inside a command is silent, whatever it would have to wait for.
-void ClientConnections::hold_back(std::uint64_t id, Client& client, HoldReason reason) {
+    if (client.pending.size() >= kMaxPipelinedCommands) return HoldReason::client_command_limit;
+    // A streamed response that breaks off closes the connection, and commands read after it would be lost.
+    const bool has_stream = std::any_of(client.pending.begin(), client.pending.end(),
+                                        [](const PendingResponse& response) { return response.stream != 0; });
+    if (has_stream) return HoldReason::client_command_limit;
+    return !client.pending.empty() && is_total_command_limit_reached() ? HoldReason::total_command_limit
+                                                                       : HoldReason::none;
+}
+
+// Marks the client as paused only if its next command is complete or only waits for memory. A client that has
+// stopped inside a command counts as silent even if another reason to pause applies.
+void ClientConnections::pause_reading(std::uint64_t id, Client& client, HoldReason reason) {
     const std::string_view input = client.connection->input();
     Command command;
-    const bool waits_for_us =
-        (client.reserved == 0 && streamed_write_length(input) > 0) || parse_command(input, command) > 0;
-    if (!waits_for_us) return;
+    const bool is_command_available =
+        (client.reserved_bytes == 0 && streamed_write_length(input) > 0) || parse_command(input, command) > 0;
+    if (!is_command_available) return;
     client.held_back = reason;
-    if (reason != HoldReason::commands_of_all) return;
+    if (reason != HoldReason::total_command_limit) return;
     if (std::find(held_back_.begin(), held_back_.end(), id) == held_back_.end()) held_back_.push_back(id);
 }
 
-// Called wherever commands are answered. Reading on starts requests, so it waits for the next iteration.
+// Called wherever commands are answered. Reading starts new requests, so it is deferred to the next iteration
+// of the main loop.
 void ClientConnections::schedule_resume() {
     if (held_back_.empty() || resume_timer_.second != 0) return;
     resume_timer_ = timers_.schedule(monotonic_now(), [this] {
         resume_timer_ = {};
-        resume_held_back();
+        resume_paused_clients();
     });
 }
 
-void ClientConnections::resume_held_back() {
-    for (std::size_t left = held_back_.size(); left > 0 && !too_many_commands_of_all(); --left) {
+void ClientConnections::resume_paused_clients() {
+    for (std::size_t left = held_back_.size(); left > 0 && !is_total_command_limit_reached(); --left) {
         const std::uint64_t id = held_back_.front();
         held_back_.pop_front();
         const auto entry = clients_.find(id);
         if (entry == clients_.end() || entry->second.connection->is_closed()) continue;
         Client& client = entry->second;
-        if (client.held_back != HoldReason::commands_of_all) continue;  // read on meanwhile
+        if (client.held_back != HoldReason::total_command_limit) continue;  // reading has already resumed
         client.last_used = client.last_received = monotonic_now();
         read_commands(id, client);
         close_if_done(id, client);
@@ -246,13 +259,13 @@
 
 void ClientConnections::finish_response(PendingResponse& response, std::string text) {
     budget_.used += text.size();
-    response.ready = true;
+    response.is_ready = true;
     response.text = std::move(text);
 }
 
 // Sends an error line after the pending responses and discards all further input.
 void ClientConnections::reject_connection(std::uint64_t id, Client& client, const char* line) {
-    log_.line(Topic::client, "turned_away", std::string("turned away: ") + line);
+    log_.line(Topic::client, "turned_away", std::string("client connection rejected: ") + line);
     finish_response(client.pending.emplace_back(), std::string(line) + "\r\n");
     ++unanswered_commands_;
     stop_reading(client, CloseReason::rejected);
@@ -261,8 +274,8 @@
     close_if_done(id, client);
 }
 
-// Frees the memory of buffered input: each whole command in it is answered with an error, since it is read
-// and must not be lost; a command that is still incomplete is rejected together with its connection.
+// Frees the memory of buffered input. Each complete command in it is answered with an error, because it is
+// already read and must not be lost. A long incomplete command is rejected together with its connection.
 void ClientConnections::shed_input(std::uint64_t id, Client& client) {
     Command command;
     std::size_t parsed_bytes = 0;
@@ -282,12 +295,12 @@
 void ClientConnections::check_clients() {
     const double now = monotonic_now();
     for (auto& [id, client] : clients_) {
-        if (!client.connection->is_closed() && client.held_back == HoldReason::memory_of_all) {
+        if (!client.connection->is_closed() && client.held_back == HoldReason::value_memory_limit) {
             client.last_used = client.last_received = now;
             read_commands(id, client);
         }
         if (!client.connection->is_closed()) check_timeouts(id, client, now);
-        if (shutting_down_ && !client.connection->is_closed()) close_if_done(id, client);
+        if (is_shutting_down_ && !client.connection->is_closed()) close_if_done(id, client);
     }
     close_longest_idle(now);
     timers_.schedule(now + kTimeoutCheckIntervalSeconds, [this] { check_clients(); });
@@ -295,12 +308,12 @@
 
 void ClientConnections::close_longest_idle(double now) {
     const auto max_idle = static_cast<std::size_t>(kMaxIdleFraction * static_cast<double>(connection_limit_));
-    if (open_count_ <= max_idle) return;  // the loop below makes a system call for each client
+    if (open_count_ <= max_idle) return;  // avoids the loop below, which makes a system call for each client
     std::vector<std::pair<double, std::uint64_t>> idle;
     for (const auto& [id, client] : clients_) {
-        const bool answered =
+        const bool is_answered =
             client.first_command > 0 && client.connection->unwritten_bytes() == 0 && !client.reading_stopped;
-        if (answered && between_commands(client)) idle.emplace_back(client.last_used, id);
+        if (is_answered && is_between_commands(client)) idle.emplace_back(client.last_used, id);
     }
     std::sort(idle.begin(), idle.end());
     for (std::size_t i = 0; i + max_idle < idle.size() && now - idle[i].first >= kMinIdleSeconds; ++i)
@@ -312,19 +325,19 @@
         client.unread_response_bytes = client.connection->unwritten_bytes();
         client.unread_since = now;
     }
-    // Input that we chose not to read, or did not get to, is no silence of the client.
+    // A client is not silent while this node has paused reading its input or has not yet received it.
     const bool is_read = !client.reading_stopped && client.held_back == HoldReason::none &&
                          !client.connection->has_unreceived_input();
-    const bool inside_command = is_read && !client.connection->input().empty() &&
-                                now - client.last_received >= kSilenceTimeoutSeconds;
-    const bool silent =
+    const bool is_stalled_in_command = is_read && !client.connection->input().empty() &&
+                                       now - client.last_received >= kSilenceTimeoutSeconds;
+    const bool is_silent =
         is_read && client.connection->input().empty() && now - client.last_used >= kSilenceTimeoutSeconds;
     if (client.unread_response_bytes > 0) {
-        const double limit = inside_command ? kSilenceTimeoutSeconds : kUnreadResponseTimeoutSeconds;
+        const double limit = is_stalled_in_command ? kSilenceTimeoutSeconds : kUnreadResponseTimeoutSeconds;
         if (now - client.unread_since >= limit) close(id, client, CloseReason::unread_responses);
-    } else if (inside_command) {
+    } else if (is_stalled_in_command) {
         reject_connection(id, client, "CLIENT_ERROR incomplete command");
-    } else if (silent && client.pending.empty() &&
+    } else if (is_silent && client.pending.empty() &&
                (client.first_command == 0 || now - client.last_used >= kIdleTimeoutSeconds)) {
         close(id, client, client.first_command == 0 ? CloseReason::first_command_late : CloseReason::idle);
     }
@@ -335,15 +348,16 @@
     if (entry == clients_.end() || entry->second.connection->is_closed()) return;
     Client& client = entry->second;
     const std::uint64_t index = handle.command - client.first_command;
-    if (index >= client.pending.size() || client.pending[index].ready || client.pending[index].stream != 0)
+    if (index >= client.pending.size() || client.pending[index].is_ready || client.pending[index].stream != 0)
         return;
-    // Clients that read slowly must not hold more response bytes than the budget.
+    // Responses to clients that read slowly must not exceed the byte budget.
     const bool out_of_memory = budget_.exceeded() && text.size() > kMaxLineBytes;
-    if (out_of_memory) log_.line(Topic::client, "answer_dropped", "an answer is not passed on: no memory");
+    if (out_of_memory)
+        log_.line(Topic::client, "answer_dropped", "response dropped: the byte budget is exceeded");
     finish_response(client.pending[index],
                     out_of_memory ? std::string(kOutOfMemoryLine) + "\r\n" : std::move(text));
     write_responses(client);
-    read_commands(handle.connection, client);  // commands may have waited for this response
+    read_commands(handle.connection, client);  // reading may have been paused until this response
     close_if_done(handle.connection, client);
 }
 
@@ -369,28 +383,30 @@
     response.stream = stream;
     const bool is_last = handle.command + 1 == client->first_command + client->pending.size();
     if (is_last || budget_.used + terms.length > budget_.limit) return write_responses(*client);
-    response.collecting = true;
+    response.is_buffered = true;
     response.write_from = terms.write_from;
     response.text.reserve(response.text.size() + terms.length + kLineEndBytes);
-    timers_.schedule(terms.give_up_at, [this, handle] { give_up_collecting(handle); });
+    timers_.schedule(terms.give_up_at, [this, handle] { fail_buffered_response(handle); });
     stream_callbacks_.on_writable(stream);
 }
 
-// From now on the response is written as it comes. If it breaks off, later ones are lost; but its client
-// judges it by its first bytes.
-void ClientConnections::write_collected(Client& client, PendingResponse& response) {
-    response.collecting = false;
+// Writes what is buffered of the response; further chunks are written as they arrive. Waiting longer would
+// delay the first bytes, by which the client measures latency. If the stream breaks off now, later responses
+// are lost.
+void ClientConnections::write_buffered(Client& client, PendingResponse& response) {
+    response.is_buffered = false;
     write_responses(client);
 }
 
-// Nothing of the response is written yet, so an error line can stand in its place, in time.
-void ClientConnections::give_up_collecting(const RequestHandle& handle) {
+// Fails a buffered response that has stalled. None of it is written yet, so an error line can replace it
+// before the client times out.
+void ClientConnections::fail_buffered_response(const RequestHandle& handle) {
     Client* client = find(handle);
-    if (client == nullptr || !response_to(*client, handle).collecting) return;
+    if (client == nullptr || !response_to(*client, handle).is_buffered) return;
     PendingResponse& response = response_to(*client, handle);
     log_.line(Topic::client, "value_given_up",
-              "a long value stalls, and its client has sent further commands");
-    response.collecting = false;
+              "long value abandoned: it stalled while further commands of its client were pending");
+    response.is_buffered = false;
     budget_.used -= response.text.size();
     response.text = {};
     stream_callbacks_.on_abandoned(std::exchange(response.stream, 0));
@@ -400,13 +416,13 @@
     close_if_done(handle.connection, *client);
 }
 
-// Responses are written in the order of the commands: a stream that is not in front gets no capacity, and its
-// data waits at the server.
+// Responses are written in command order: a stream that is not first gets no capacity unless it is buffered,
+// and its data remains on the server's connection.
 std::size_t ClientConnections::stream_capacity(const RequestHandle& handle) const {
     const auto entry = clients_.find(handle.connection);
     if (entry == clients_.end() || entry->second.connection->is_closed()) return 0;
     const std::uint64_t index = handle.command - entry->second.first_command;
-    if (index < entry->second.pending.size() && entry->second.pending[index].collecting)
+    if (index < entry->second.pending.size() && entry->second.pending[index].is_buffered)
         return kStreamWindowBytes;
     if (index != 0) return 0;
     const std::size_t unwritten = entry->second.connection->unwritten_bytes();
@@ -418,10 +434,10 @@
     if (client == nullptr) return;
     client->last_used = monotonic_now();
     PendingResponse& response = response_to(*client, handle);
-    if (!response.collecting) return client->connection->write(bytes);
+    if (!response.is_buffered) return client->connection->write(bytes);
     response.text += bytes;
     budget_.used += bytes.size();
-    if (budget_.exceeded() || monotonic_now() >= response.write_from) write_collected(*client, response);
+    if (budget_.exceeded() || monotonic_now() >= response.write_from) write_buffered(*client, response);
 }
 
 void ClientConnections::end_stream(const RequestHandle& handle, bool complete, std::string_view line) {
@@ -429,16 +445,16 @@
     if (client == nullptr) return;
     PendingResponse& response = response_to(*client, handle);
     response.stream = 0;
-    const bool collected = std::exchange(response.collecting, false) && complete;
+    const bool has_buffered_body = std::exchange(response.is_buffered, false) && complete;
     budget_.used -= response.text.size();
-    std::string text = collected ? std::move(response.text) : std::string();
+    std::string text = has_buffered_body ? std::move(response.text) : std::string();
     response.text.clear();
     if (!complete && response.started) {
         log_.line(Topic::client, "value_broken_off",
-                  "closed: the rest of a value that was begun is not to be had");
-        // Earlier responses are still sent. The client recognizes the truncated value by the early end of the
+                  "client connection closed: the rest of a partly sent value is not available");
+        // Earlier responses are still sent. The client detects the truncated value by the early end of the
         // connection.
-        response.ready = true;
+        response.is_ready = true;
         stop_reading(*client, CloseReason::broken_value);
         report_lost_commands(handle.connection, *client, CloseReason::broken_value,
                              client->pending.size() - 1);
@@ -454,8 +470,8 @@
 void ClientConnections::write_responses(Client& client) {
     std::string text;
     while (!client.pending.empty() &&
-           (client.pending.front().ready ||
-            (!client.pending.front().text.empty() && !client.pending.front().collecting))) {
+           (client.pending.front().is_ready ||
+            (!client.pending.front().text.empty() && !client.pending.front().is_buffered))) {
         std::string& response_text = client.pending.front().text;
         budget_.used -= response_text.size();
         if (text.empty()) {
@@ -463,12 +479,12 @@
         } else {
             text += response_text;
         }
-        if (!client.pending.front().ready) {  // a streamed response: the chunks follow
+        if (!client.pending.front().is_ready) {  // streamed response, whose chunks follow
             response_text.clear();
             client.pending.front().started = true;
             break;
         }
-        reserved_ -= client.pending.front().reserved;
+        reserved_bytes_ -= client.pending.front().reserved_bytes;
         client.pending.pop_front();
         ++client.first_command;
         --unanswered_commands_;
@@ -482,13 +498,13 @@
 }
 
 void ClientConnections::close_if_done(std::uint64_t id, Client& client) {
-    const bool done =
-        client.reading_stopped ? client.pending.empty() : shutting_down_ && between_commands(client);
-    if (!done || client.closing) return;
-    const bool idle =
+    const bool is_done =
+        client.reading_stopped ? client.pending.empty() : is_shutting_down_ && is_between_commands(client);
+    if (!is_done || client.is_closing) return;
+    const bool is_idle =
         client.connection->unwritten_bytes() == 0 && monotonic_now() - client.last_used >= kMinIdleSeconds;
     const CloseReason reason = client.reading_stopped ? client.close_reason : CloseReason::shutdown;
-    if (close_idle_at_once_ && !client.reading_stopped && idle) return close(id, client, reason);
+    if (close_idle_at_once_ && !client.reading_stopped && is_idle) return close(id, client, reason);
     close_gracefully(id, client, reason);
 }
 
@@ -505,8 +521,8 @@
                                              std::size_t unanswered) {
     if (!loses_commands(reason, {unanswered, false})) return;
     violations_.report(Violation::commands_lost,
-                       "connection " + std::to_string(id) + " closed as " + std::string(name_of(reason)) +
-                           ", " + std::to_string(unanswered) + " of " +
+                       "connection " + std::to_string(id) + " closed with reason " +
+                           std::string(name_of(reason)) + ": " + std::to_string(unanswered) + " of " +
                            std::to_string(client.first_command + client.pending.size()) +
                            " commands unanswered");
 }
@@ -514,12 +530,13 @@
 void ClientConnections::close_gracefully(std::uint64_t id, Client& client, CloseReason reason) {
     if (!may_close(reason, close_facts(client))) return;
     stop_reading(client, reason);
-    client.closing = true;
+    client.is_closing = true;
     client.connection->shutdown_write();
     start_lingering_close(id, client);
 }
 
-// The linger time starts once all is written, so that a slow client still reads its last response completely.
+// Starts or restarts the linger time, which counts from when all output is written, so that a slow client can
+// still read its last response completely.
 void ClientConnections::start_lingering_close(std::uint64_t id, Client& client) {
     timers_.cancel(client.linger_timer);
     client.linger_timer = timers_.schedule(monotonic_now() + kLingerSeconds, [this, id, &client] {
@@ -533,14 +550,14 @@
 }
 
 void ClientConnections::begin_shutdown(bool at_once) {
-    shutting_down_ = true;
+    is_shutting_down_ = true;
     close_idle_at_once_ = at_once;
     for (auto& [id, client] : clients_) {
         if (!client.connection->is_closed()) close_if_done(id, client);
     }
 }
 
-// Counts commands, not connections, because some clients connect and never send a command.
+// Depends on commands rather than connections, because some clients connect and never send a command.
 bool ClientConnections::idle_since(double time) const {
     return last_command_at_ < time && std::all_of(clients_.begin(), clients_.end(), [](const auto& entry) {
                const Client& client = entry.second;
@@ -552,9 +569,10 @@
 
 void ClientConnections::close(std::uint64_t id, Client& client, CloseReason reason) {
     if (client.connection->is_closed()) return;
-    if (!client.closing && !may_close(reason, close_facts(client)))
-        violations_.report(Violation::closed_while_in_use,
-                           "connection " + std::to_string(id) + " closed as " + std::string(name_of(reason)));
+    if (!client.is_closing && !may_close(reason, close_facts(client)))
+        violations_.report(
+            Violation::closed_while_in_use,
+            "connection " + std::to_string(id) + " closed with reason " + std::string(name_of(reason)));
     report_lost_commands(id, client, reason, client.pending.size());
     ++closed_counts_[static_cast<std::size_t>(reason)];
     timers_.cancel(client.linger_timer);
@@ -574,13 +592,13 @@
 
 void ClientConnections::abandon_pending(std::uint64_t id, Client& client) {
     unanswered_commands_ -= client.pending.size();
-    reserved_ -= std::exchange(client.reserved, 0);
+    reserved_bytes_ -= std::exchange(client.reserved_bytes, 0);
     for (std::size_t i = 0; i < client.pending.size(); ++i) {
         budget_.used -= client.pending[i].text.size();
-        reserved_ -= client.pending[i].reserved;
+        reserved_bytes_ -= client.pending[i].reserved_bytes;
         if (client.pending[i].stream != 0) {
             stream_callbacks_.on_abandoned(client.pending[i].stream);
-        } else if (!client.pending[i].ready && client.pending[i].request != kNoRequest) {
+        } else if (!client.pending[i].is_ready && client.pending[i].request != kNoRequest) {
             on_client_closed_({id, client.first_command + i}, client.pending[i].request);
         }
     }
--- a/src/util/sliding_window.h
+++ b/src/util/sliding_window.h
@@ -1,4 +1,4 @@
-// Sums and counts of samples over the last few seconds.
+// Sums, counts and means of samples over a sliding time window.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace brookrelay {
 
-// A window of fixed length over a stream of samples, in eight buckets of time that are reused as a ring. A
-// sample leaves the window when its whole bucket does. Times are seconds of any clock that never goes back.
+// Aggregates a stream of samples in eight time buckets that are reused as a circular buffer. Samples leave
+// the window one bucket at a time. Times are seconds of any clock that never goes backwards.
 class SlidingWindow {
   public:
     explicit SlidingWindow(double length) : bucket_seconds_(length / kBuckets) {}
@@ -28,10 +28,10 @@
         advance(now);
         return std::accumulate(counts_.begin(), counts_.end(), 0);
     }
-    // 0 if the window holds no sample.
+    // Returns the mean, or 0 if the window contains no sample.
     double mean(double now) { return count(now) > 0 ? sum(now) / count(now) : 0; }
-    // Another length, at least 0.1 s; samples stay in their buckets.
-    void set_length(double length) { bucket_seconds_ = std::max(length, kMinLength) / kBuckets; }
+    // Changes the length, to at least 0.1 s. Samples stay in their buckets.
+    void set_length(double length) { bucket_seconds_ = std::max(length, kMinLengthSeconds) / kBuckets; }
     void clear() {
         sums_.fill(0);
         counts_.fill(0);
@@ -39,25 +39,25 @@
 
   private:
     static constexpr int kBuckets = 8;
-    static constexpr double kMinLength = 0.1;  // s
+    static constexpr double kMinLengthSeconds = 0.1;
 
-    // Empties the buckets that have passed since the last call.
+    // Clears the buckets that have expired since the last call.
     void advance(double now) {
         const auto bucket = static_cast<std::int64_t>(now / bucket_seconds_);
-        const std::int64_t steps = std::min<std::int64_t>(bucket - bucket_number_, kBuckets);
+        const std::int64_t steps = std::min<std::int64_t>(bucket - newest_bucket_, kBuckets);
         for (std::int64_t step = 0; step < steps; ++step) {
             current_ = (current_ + 1) % kBuckets;
             sums_[current_] = 0;
             counts_[current_] = 0;
         }
-        bucket_number_ = std::max(bucket_number_, bucket);
+        newest_bucket_ = std::max(newest_bucket_, bucket);
     }
 
     double bucket_seconds_;
     std::array<double, kBuckets> sums_{};
     std::array<int, kBuckets> counts_{};
     std::size_t current_ = 0;
-    std::int64_t bucket_number_ = 0;
+    std::int64_t newest_bucket_ = 0;
 };
 
 }  // namespace brookrelay
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -1,4 +1,5 @@
-// The program's side towards its servers, over real connections: what is sent, when, and for whom.
+// Tests the program's server connections over real sockets: deadlines sent to servers, failing system calls,
+// and requests of clients that disconnect.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -10,55 +11,58 @@
 using namespace brookrelay::testkit;
 
 constexpr auto kMillisecond = std::chrono::milliseconds(1);
-constexpr double kDeadlineSlack = 0.15;  // s that a server may be told more than the client has left
+// A deadline sent to a server may exceed the client's remaining time by this much.
+constexpr double kDeadlineSlackSeconds = 0.15;
 
-double seconds() {
+double now_seconds() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// The deadline that a message tells its server, in seconds from when it is sent.
-double told_deadline(const std::string& message) {
+// Returns the deadline that a message states, in seconds from when it is sent, or 1e9 if it states none.
+double sent_deadline(const std::string& message) {
     const std::size_t at = message.find(",d=");
     return at == std::string::npos ? 1e9 : std::stoi(message.substr(at + 3)) / 1e3;
 }
 
-// ---- the deadline that a server is told ------------------------------------------------------------------
+// ---- deadlines sent to servers ---------------------------------------------------------------------------
 
-// A connection that comes up late has used up a part of the client's time.
-TEST(ToldDeadline, IsWhatTheClientHasLeftWhenItsConnectionComesUpLate) {
+// Waiting for a connection that is established late uses a part of the client's time.
+TEST(SentDeadline, ExcludesTimeSpentWaitingForAConnection) {
     constexpr double kClientTimeout = 4;
-    for (const bool write : {false, true}) {
-        Around around;
-        around.connect_timeout_ms = 60000;
-        Fleet fleet(1, around);
-        ScriptedPeer& server = write ? fleet.origin : fleet.caches.front();
-        Late late(server);
+    for (const bool is_write : {false, true}) {
+        Around options;
+        options.connect_timeout_ms = 60000;
+        Fleet fleet(1, options);
+        ScriptedPeer& server = is_write ? fleet.origin : fleet.caches.front();
+        Late delayed_server(server);
         Line line(own_loopback(), fleet.port());
-        const double asked = seconds();
-        line.send(write ? "ms k 1 Ow1 Pc=put,t=acme,d=4000,k=w1\r\nx\r\n" : read_of("7f3a", "r1", 4000));
+        const double asked_at = now_seconds();
+        line.send(is_write ? "ms k 1 Ow1 Pc=put,t=acme,d=4000,k=w1\r\nx\r\n" : read_of("7f3a", "r1", 4000));
         std::this_thread::sleep_for(500 * kMillisecond);
-        late.come_up();
+        delayed_server.come_up();
         wait_for([&] { return !server.heard().empty(); });
-        const double left = kClientTimeout - (seconds() - asked);
-        EXPECT_LE(told_deadline(server.heard().front()), left + kDeadlineSlack);
+        const double left = kClientTimeout - (now_seconds() - asked_at);
+        EXPECT_LE(sent_deadline(server.heard().front()), left + kDeadlineSlackSeconds);
     }
 }
 
-// An answer over HTTP is waited for some milliseconds more before its connection carries the next request.
-TEST(ToldDeadline, IsWhatTheClientHasLeftAfterThePauseOfAConnection) {
+// An HTTP connection is not reused until some milliseconds after a response. That delay uses a part of the
+// time of the next request.
+TEST(SentDeadline, ExcludesTheReuseDelayOfAConnection) {
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
     for (int n = 0; n < 20; ++n) {
         const std::string id = "w" + std::to_string(n);
-        const double asked = seconds();
+        const double asked_at = now_seconds();
         line.send("ms k 1 O" + id + " Pc=put,t=acme,d=1000,k=" + id + "\r\nx\r\n");
         EXPECT_EQ(line.until("\r\n"), "HD O" + id + " cmade\r\n");
-        EXPECT_LE(told_deadline(fleet.origin.heard().back()), 1.0 - (seconds() - asked) + kDeadlineSlack);
+        EXPECT_LE(sent_deadline(fleet.origin.heard().back()),
+                  1.0 - (now_seconds() - asked_at) + kDeadlineSlackSeconds);
     }
 }
 
-// A process that is held up for less than a pause that it notices as one.
-TEST(ToldDeadline, IsWhatTheClientHasLeftAfterAShortHoldUp) {
+// The process is stopped_at for less time than it detects as a pause, while a command waits in its socket.
+TEST(SentDeadline, ExcludesAShortStopOfTheProcess) {
     Fleet fleet(1);
     Line line(own_loopback(), fleet.port());
     line.send("mn\r\n");
@@ -67,61 +71,62 @@
         std::this_thread::sleep_for(400 * kMillisecond);
         fleet.signal(SIGSTOP);
         const std::string id = "h" + std::to_string(n);
-        const double asked = seconds();
+        const double asked_at = now_seconds();
         line.send(read_of("7f3a", id, 2000));
         std::this_thread::sleep_for(190 * kMillisecond);
         fleet.signal(SIGCONT);
         EXPECT_EQ(line.until("hello\r\n"), "VA 5 O" + id + "\r\nhello\r\n");
-        EXPECT_LE(told_deadline(fleet.caches.front().heard().back()),
-                  2.0 - (seconds() - asked) + kDeadlineSlack);
+        EXPECT_LE(sent_deadline(fleet.caches.front().heard().back()),
+                  2.0 - (now_seconds() - asked_at) + kDeadlineSlackSeconds);
     }
 }
 
-// A client whose connection waits to be accepted has sent its command already.
-TEST(ToldDeadline, IsWhatTheClientHasLeftWhenItsConnectionIsAcceptedLate) {
-    constexpr int kOthers = 24;  // as many as 64 descriptors leave for clients
-    Around around;
-    around.descriptors = 64;
-    Fleet fleet(1, around);
+// A client whose connection waits in the backlog has already sent its command.
+TEST(SentDeadline, ExcludesTimeSpentInTheBacklog) {
+    constexpr int kOtherClients = 24;  // all the client connections that 64 descriptors allow
+    Around options;
+    options.descriptors = 64;
+    Fleet fleet(1, options);
     std::list<Line> others;
-    for (int n = 0; n < kOthers; ++n) {
+    for (int n = 0; n < kOtherClients; ++n) {
         others.emplace_back(own_loopback(), fleet.port());
-        others.back().send("mg 7f3a v Oha");  // half a command: its connection is not closed for another
+        others.back().send("mg 7f3a v Oha");  // an incomplete command prevents eviction of the connection
     }
     wait_for([&] { return fleet.logged("all client connections are in use"); });
-    Line late(own_loopback(), fleet.port());
-    const double asked = seconds();
-    late.send(read_of("7f3a", "late", 3000));
+    Line late_client(own_loopback(), fleet.port());
+    const double asked_at = now_seconds();
+    late_client.send(read_of("7f3a", "late", 3000));
     std::this_thread::sleep_for(1000 * kMillisecond);
     others.clear();
-    EXPECT_EQ(late.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
-    const double left = 3.0 - (seconds() - asked);
-    const double told = told_deadline(fleet.caches.front().heard().back());
-    EXPECT_LE(told, left + kDeadlineSlack);
+    EXPECT_EQ(late_client.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
+    const double left = 3.0 - (now_seconds() - asked_at);
+    const double deadline = sent_deadline(fleet.caches.front().heard().back());
+    EXPECT_LE(deadline, left + kDeadlineSlackSeconds);
 }
 
-// ---- system calls that fail for a moment -----------------------------------------------------------------
+// ---- system calls that fail temporarily ------------------------------------------------------------------
 
-// Its first socket may be one of those that fail.
-TEST(SystemCalls, ThatFailWhileItStartsKeepNobodyFromServing) {
-    Around around;
-    around.environment = {"LD_PRELOAD=" FAULT_SHIM_LIBRARY, "FAULT_SHIM_CALLS=0:0.6:1"};
-    const double started = seconds();
-    Fleet fleet(1, around);
+// All network calls fail in the first 0.6 s, possibly including the creation of the listening socket.
+TEST(SystemCalls, ThatFailDuringStartDoNotPreventServing) {
+    Around options;
+    options.environment = {"LD_PRELOAD=" FAULT_SHIM_LIBRARY, "FAULT_SHIM_CALLS=0:0.6:1"};
+    const double started_at = now_seconds();
+    Fleet fleet(1, options);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "s1")), "VA 5 Os1\r\n");
-    EXPECT_LT(seconds() - started, 5.0);
+    EXPECT_LT(now_seconds() - started_at, 5.0);
     EXPECT_TRUE(fleet.alive());
 }
 
-// ---- clients that leave while their request is being sent ------------------------------------------------
+// ---- clients that disconnect while their request is being sent -------------------------------------------
 
-// A request begins with its last byte. One whose client leaves before that must not begin any more.
-TEST(ClientGoneWhileSending, ItsRequestDoesNotBegin) {
+// A server starts to execute a request when its last byte arrives. If the client disconnects before that, the
+// request must not be executed.
+TEST(ClientDisconnect, WhileSendingCancelsTheRequest) {
     Fleet fleet(1);
     const std::string value(3 * 1000 * 1000, 'v');
-    std::atomic<int> whole{0};
+    std::atomic<int> complete_requests{0};
     fleet.origin.plays([&](const std::string& message) {
-        whole += message.size() >= value.size() ? 1 : 0;
+        complete_requests += message.size() >= value.size() ? 1 : 0;
         return Act{http("made")};
     });
     fleet.origin.takes_at_most(16 * 1024);
@@ -129,10 +134,10 @@
     {
         Line line(own_loopback(), fleet.port());
         line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=60000,k=w1\r\n" + value + "\r\n");
-        std::this_thread::sleep_for(400 * kMillisecond);  // a part of it is with the origin by now
+        std::this_thread::sleep_for(400 * kMillisecond);  // the origin has received a part of the request
     }
     std::this_thread::sleep_for(1500 * kMillisecond);
-    EXPECT_EQ(whole, 0);
+    EXPECT_EQ(complete_requests, 0);
 }
 
 }  // namespace
