--- a/src/gossip/outlier_exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -46,9 +46,10 @@
 
 enum class AttemptHealth { good, bad };
 // What a forward's end says of its cache; nothing where it tells of load, or of nobody.
-std::optional<AttemptHealth> classify_attempt(AttemptOutcome ending, double took, double latency_objective);
+std::optional<AttemptHealth> classify_attempt(AttemptOutcome outcome, double duration,
+                                              double latency_objective);
 // The same for the zone it stands in: whatever answers is no sign of a zone that is lost.
-std::optional<ZoneAttempt> classify_zone_attempt(AttemptOutcome ending, double took,
+std::optional<ZoneAttempt> classify_zone_attempt(AttemptOutcome outcome, double duration,
                                                  double latency_objective);
 // After so long without an answer one need not wait for the end to call it bad.
 double overdue_after(double latency_objective);
@@ -93,15 +94,18 @@
   public:
     // `start`: which life of this node it is, greater than any before; `now`, here and below, never goes
     // back.
-    OutlierExchange(const GossipSettings& terms, std::uint32_t start, std::uint64_t seed, double now);
+    OutlierExchange(const GossipSettings& settings, std::uint32_t incarnation, std::uint64_t seed,
+                    double now);
 
-    void on_request(double now);                                                  // a first try of a client's
-    void on_attempt_finished(double now, ServerKey subject, AttemptHealth seen);  // a forward of this node's
-    void on_zone_attempt_finished(double now, int zone, ServerKey subject, ZoneAttempt end) {
-        zones_.on_attempt_finished(now, zone, subject, end);
+    void on_request(double now);  // a first try of a client's
+    void on_attempt_finished(double now, ServerKey server, AttemptHealth health);  // a forward of this node's
+    void on_zone_attempt_finished(double now, int zone, ServerKey server, ZoneAttempt outcome) {
+        zone_failover_.on_attempt_finished(now, zone, server, outcome);
     }
-    void set_zone_admin_state(double now, int zone, bool out) { zones_.set_admin_state(now, zone, out); }
-    void set_local_server_count(int in_own_zone) { caches_ = in_own_zone; }  // that are listed there
+    void set_zone_admin_state(double now, int zone, bool out) {
+        zone_failover_.set_admin_state(now, zone, out);
+    }
+    void set_local_server_count(int servers) { servers_in_own_zone_ = servers; }  // that are listed there
     // From whom the address says that it is; -1: from no peer's.
     void on_datagram(double now, int from, std::string_view bytes);
     // To be called every kStep. `wall`: a clock that nodes may share, to agree whose turn it is to try, and
@@ -117,114 +121,114 @@
     };
     // What stands, and once what no longer stands.
     std::vector<ServerVerdict> verdicts(double now);
-    void set_quota_demand(double now, QuotaId limit, double crumbs) {
-        limits_.set_demand(now, limit, crumbs);
+    void set_quota_demand(double now, QuotaId quota, double units) {
+        quota_leases_.set_demand(now, quota, units);
     }
-    void reset_quota_leases(double now) { limits_.reset(now); }
-    std::uint32_t quota_share(QuotaId limit, double now) const { return limits_.share(limit, now); }
-    QuotaLeases::View quota_view(QuotaId limit, double now) const { return limits_.view(limit, now); }
+    void reset_quota_leases(double now) { quota_leases_.reset(now); }
+    std::uint32_t quota_share(QuotaId quota, double now) const { return quota_leases_.share(quota, now); }
+    QuotaLeases::View quota_view(QuotaId quota, double now) const { return quota_leases_.view(quota, now); }
     std::vector<ZoneFailover::Change> zone_orders() {
-        return std::exchange(zone_orders_, {});
+        return std::exchange(pending_zone_changes_, {});
     }  // what changed since
     std::vector<ZoneFailover::View> zone_views(double now) const;
     GossipState state(double now) const;
-    std::uint32_t incarnation() const { return start_; }
-    std::uint64_t process_pauses() const { return counts_.process_pauses; }
+    std::uint32_t incarnation() const { return incarnation_; }
+    std::uint64_t process_pauses() const { return counters_.process_pauses; }
 
   private:
-    struct Own {  // of one subject, in buckets of time used again in a ring
+    struct LocalObservations {  // of one subject, in buckets of time used again in a ring
         static constexpr int kBuckets = 6;
         std::array<int, kBuckets> good{}, bad{};
-        std::int64_t turn = 0;
-        double told = -1e9;  // when it last was
-        bool news = false;   // bad since then
-        bool any = false;    // anything since then
+        std::int64_t newest_bucket = 0;
+        double last_reported = -1e9;   // when it last was
+        bool has_new_failure = false;  // bad since then
+        bool has_new_attempt = false;  // anything since then
     };
-    struct Cell {  // one node's word on one subject: the newest by its stamp counts
+    struct PeerReport {  // one node's word on one subject: the newest by its stamp counts
         Stamp stamp;
         int zone = 0;
         int good = 0, bad = 0;
-        double born = 0;
+        double observed_at = 0;
     };
-    struct Kept {  // what this node keeps of a subject for all
-        std::map<int, Cell> cells;
-        std::uint32_t zones = 0;  // found bad
-        int voices = 0;
-        double stated = -1e9;
-        double ended = -1e9;  // when it was last found well again
-        double suspected = -1e9, watched_since = -1e9;
+    struct ServerRecord {  // what this node keeps of a subject for all
+        std::map<int, PeerReport> reports;
+        std::uint32_t bad_zones = 0;  // found bad
+        int reporters = 0;
+        double last_stated = -1e9;
+        double recovered_at = -1e9;  // when it was last found well again
+        double suspected_at = -1e9, watched_since = -1e9;
     };
-    struct Told {  // a finding as one node passed it on
+    struct VerdictStatement {  // a finding as one node passed it on
         int from = 0;
         Stamp stamp;
-        std::uint32_t zones = 0;
-        int voices = 0;
-        double born = 0;
+        std::uint32_t bad_zones = 0;
+        int reporters = 0;
+        double found_at = 0;
     };
-    struct Spread {  // a keeper's finding as it goes round
-        Verdict finding;
-        double born = -1e9;
-        bool stands =
+    struct TrackedVerdict {  // a keeper's finding as it goes round
+        Verdict verdict;
+        double found_at = -1e9;
+        bool is_confirmed =
             false;  // its keeper said so here, or two others that it did; else it only waits for that
-        std::vector<Told> told;  // the newest, few
-        int said = 0;            // times, by this node, since it changed
+        std::vector<VerdictStatement> statements;  // the newest, few
+        int times_sent = 0;                        // times, by this node, since it changed
     };
-    struct Stand {
+    struct ActiveVerdict {
         double since = 0;
-        double said = -1e9;
+        double last_confirmed = -1e9;
     };
 
-    bool stalled(double now);
-    void turn(Own& own, double now) const;
-    static int sum(const std::array<int, Own::kBuckets>& buckets);
-    bool own_way_bad(double now);
-    void take_sight(double now, int from, const Stamp& stamp, int zone, const Observation& sight,
-                    double late);
-    void take_finding(const Verdict& finding, double born, int from);
-    static void weigh(Spread& s);
-    void judge(double now);
-    void judge(double now, ServerKey subject, Kept& kept);
-    bool found_by_another(ServerKey subject, int zone, double now) const;
-    void look_who_is_there(double now);
-    int voices_needed(int zone) const;
-    double expected(double now) const;
-    std::vector<int> keepers(ServerKey subject) const;
-    const std::vector<int>& keepers_now(ServerKey subject, double now);
-    bool counts(ServerKey subject, double now);
-    void report(double now, std::vector<Outgoing>& out);
-    void gossip(double now, std::vector<Outgoing>& out);
-    void speak_of_zones(double now, double wall, std::vector<Outgoing>& out);
-    void speak_of_limits(double now, std::vector<Outgoing>& out);
-    Datagram headed(int to, double now);
-    bool send(int to, Datagram&& datagram, double& purse, std::vector<Outgoing>& out);
-    double allowance(double now) const;
-    double rate(double now) const;
-    double draw() { return static_cast<double>(chance_()) / 16777216.0; }
+    bool detect_process_pause(double now);
+    void advance_buckets(LocalObservations& observations, double now) const;
+    static int sum(const std::array<int, LocalObservations::kBuckets>& buckets);
+    bool most_servers_failing(double now);
+    void store_observation(double now, int from, const Stamp& stamp, int zone, const Observation& observation,
+                           double delay);
+    void store_verdict(const Verdict& verdict, double found_at, int from);
+    static void update_confirmed_verdict(TrackedVerdict& tracked);
+    void update_all_verdicts(double now);
+    void update_verdict(double now, ServerKey server, ServerRecord& record);
+    bool is_found_by_other_owner(ServerKey server, int zone, double now) const;
+    void refresh_present_nodes(double now);
+    int required_reporters(int zone) const;
+    double expected_attempts(double now) const;
+    std::vector<int> rank_owners(ServerKey server) const;
+    const std::vector<int>& cached_owners(ServerKey server, double now);
+    bool is_corroborated(ServerKey server, double now);
+    void send_reports(double now, std::vector<Outgoing>& out);
+    void send_gossip(double now, std::vector<Outgoing>& out);
+    void send_zone_reports(double now, double wall, std::vector<Outgoing>& out);
+    void send_quota_messages(double now, std::vector<Outgoing>& out);
+    Datagram make_datagram(int to, double now);
+    bool send(int to, Datagram&& datagram, double& budget, std::vector<Outgoing>& out);
+    double byte_rate_limit(double now) const;
+    double request_rate(double now) const;
+    double random_fraction() { return static_cast<double>(random_()) / 16777216.0; }
 
-    GossipSettings terms_;
-    std::uint32_t start_;
-    double began_;
-    std::uint32_t last_number_ = 0;
-    std::ranlux24_base chance_;
+    GossipSettings settings_;
+    std::uint32_t incarnation_;
+    double started_at_;
+    std::uint32_t last_sequence_ = 0;
+    std::ranlux24_base random_;
     Membership members_;
-    std::vector<int> there_;  // as of this step, this node among them
-    std::array<int, kMaxZones> in_zone_{};
-    std::map<ServerKey, Own> own_;
-    std::map<ServerKey, Kept> kept_;
-    std::map<std::pair<ServerKey, int>, Spread> spread_;
-    std::map<ServerKey, Stand> standing_;
-    std::map<ServerKey, std::pair<double, std::vector<int>>> keepers_;  // as of some time
-    int caches_ = 0;
-    double ticked_ = 0, doubts_until_ = -1e9, gossiped_ = -1e9, filled_ = 0;
-    double report_purse_ = 0, gossip_purse_ = 0, more_purse_ = 0, zones_said_ = -1e9;
-    ZoneFailover zones_;
-    QuotaLeases limits_;
-    std::map<int, std::vector<LeaseGrant>> owed_grants_;  // to whom
-    std::vector<int> voters_;                             // whose word on zones counts here, as of this step
-    std::vector<ZoneFailover::Change> zone_orders_;
+    std::vector<int> present_nodes_;  // as of this step, this node among them
+    std::array<int, kMaxZones> nodes_per_zone_{};
+    std::map<ServerKey, LocalObservations> local_observations_;
+    std::map<ServerKey, ServerRecord> server_records_;
+    std::map<std::pair<ServerKey, int>, TrackedVerdict> tracked_verdicts_;
+    std::map<ServerKey, ActiveVerdict> active_verdicts_;
+    std::map<ServerKey, std::pair<double, std::vector<int>>> owner_cache_;  // as of some time
+    int servers_in_own_zone_ = 0;
+    double last_tick_ = 0, doubts_until_ = -1e9, last_gossip_ = -1e9, budgets_filled_at_ = 0;
+    double report_budget_ = 0, gossip_budget_ = 0, extra_budget_ = 0, last_zone_report_ = -1e9;
+    ZoneFailover zone_failover_;
+    QuotaLeases quota_leases_;
+    std::map<int, std::vector<LeaseGrant>> pending_grants_;  // to whom
+    std::vector<int> voters_;  // whose word on zones counts here, as of this step
+    std::vector<ZoneFailover::Change> pending_zone_changes_;
     std::array<int, 8> arrivals_{};  // a second
-    std::int64_t arrivals_turn_ = 0;
-    GossipCounters counts_;
+    std::int64_t newest_arrival_second_ = 0;
+    GossipCounters counters_;
 };
 
 }  // namespace brookrelay::gossip
