--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -12,62 +12,75 @@
 namespace brookrelay::gossip {
 namespace {
 
-constexpr double kSlowLatencyRatio =
-    0.5;  // of the objective: an answer that took longer leaves too little for a miss
-constexpr std::size_t kOwnersPerServer =
-    3;  // a subject; two that agree are enough, so one may be dead or wrong
-constexpr std::size_t kOwnerCandidates =
-    5;  // whose findings count here: two nodes' views of who is there differ a little
+// Fraction of the latency objective above which an answer counts as bad: a slower one leaves too little time
+// for the origin fetch that a miss needs.
+constexpr double kSlowLatencyRatio = 0.5;
+// Nodes that a server's reports go to. Two that agree are enough, so one of them may be dead or wrong.
+constexpr std::size_t kOwnersPerServer = 3;
+// Highest-ranked nodes whose verdicts on a server count here: the views of two nodes on which nodes are
+// present differ slightly.
+constexpr std::size_t kOwnerCandidates = 5;
+// Owners that must agree for a verdict to count, and reporters that suffice once another owner reached the
+// verdict.
 constexpr int kMinAgreeing = 2;
-constexpr int kMinReporters = 3;  // nodes that must find a subject bad before a keeper does, for a zone,
-constexpr double kMinReporterRatio = 0.05;  // and of the zone's nodes;
-constexpr int kMinLocalReporters = 2;       // where other zones' nodes say so too, of this zone's
-constexpr double kImmediateFailureRatio =
-    0.25;  // part of what a usual cache there ends, that ended badly, to find it so at once;
-constexpr double kWatchDuration =
-    1.0;  // s that it is watched where it is less: then all tell what they see there
-constexpr double kSuspicionLifetime = 3.0;  // s after its voices fell away that a watch ends
-constexpr double kFailureSuccessRatio =
-    2.0;                                 // as many bad as good endings to find it bad; as many to let it go
-constexpr double kReportInterval = 1.0;  // s between one node's words on one subject
-constexpr double kGossipInterval = 1.0 / 3;            // s, if bytes allow
-constexpr std::size_t kMaxHeartbeatsPerDatagram = 12;  // a datagram
-constexpr int kMaxStatementsPerSender = 3;             // statements of one node on one finding that are held,
-constexpr std::size_t kMaxStatementsPerVerdict = 8;    // and of all
-constexpr int kRelayedSendLimit =
-    6;                             // times that a node passes on one finding: some log2(700) and a few lost
-constexpr int kOwnSendLimit = 12;  // its own finding,
-constexpr int kUrgentRelayedSendLimit = 3;  // and of these, those that do not wait for the next turn
-constexpr double kProcessPauseThreshold =
-    0.6;                                // s without a turn: what was seen meanwhile is this node's own doing
-constexpr double kDoubtDuration = 2.0;  // s after a stall in which it says nothing of others
-constexpr std::size_t kMinServersForSelfCheck = 4;  // subjects touched, from which
-constexpr double kSelfCheckBadRatio =
-    0.5;  // of them bad lays it to this node's own way, or to all being full
-constexpr double kProbesPerSecond =
-    0.7;  // a second, of one zone's nodes together, at a subject that is found bad;
-constexpr std::size_t kNewestReports = 3;  // and of these the newest words that tell whether it still is
-constexpr double kMinProbeInterval = 0.5;
-constexpr double kMinBytesPerSecond = 64;    // a second: who hardly serves must still be known to be there
-constexpr double kBudgetBurstSeconds = 2.0;  // s of its bytes that a node may save up
-constexpr double kAnyNodeGossipRatio =
-    0.1;  // of gossip goes to any node, there or not, or a healed cut would stay; more of it
-          // where few are known: they would speak to one another alone
-constexpr std::size_t kMaxServers = 1024;
-constexpr int kMaxCountedAttempts = 8;  // bad endings of one node that count: none may shout
-constexpr double kMaxIncarnationSeconds = 0x7fffffff * kTickSeconds;  // s, some 97 days
-constexpr double kDelayedThreshold = 1.0;
-constexpr std::size_t kMaxLeaseEntriesPerDatagram = 12;  // a datagram
-constexpr std::size_t kMinZoneVoters =
-    3;  // of the own zone's nodes there; where they are fewer all nodes' words count
-constexpr int kUrgentZoneReportsPerTick = 2;     // datagrams a step with news,
-constexpr int kMaxUrgentZoneReportsPerTick = 6;  // or so many where it is for all:
-constexpr int kManyUrgentZoneReports = 16;       // more than so many are to go
-constexpr double kZoneReportInterval = 0.5;      // s between words on zones that are no news
+// Nodes that must report a server bad before an owner finds it bad for a zone: at least kMinReporters, and at
+// least kMinReporterRatio of the zone's nodes. Reports from other zones count towards these, but at least
+// kMinLocalReporters must come from the zone itself.
+constexpr int kMinReporters = 3;
+constexpr double kMinReporterRatio = 0.05;
+constexpr int kMinLocalReporters = 2;
+// Failed attempts, as a fraction of the attempts that an average server of the zone gets in the same time,
+// from which a suspected server is found bad at once.
+constexpr double kImmediateFailureRatio = 0.25;
+// Seconds for which a server with fewer failures is watched first: meanwhile all nodes report everything they
+// see there.
+constexpr double kWatchDuration = 1.0;
+constexpr double kSuspicionLifetime = 3.0;    // s after the last suspicion at which a watch ends
+constexpr double kFailureSuccessRatio = 2.0;  // failures per success from which a server is suspected
+constexpr double kReportInterval = 1.0;       // s between reports or statements of one node on one server
+constexpr double kGossipInterval = 1.0 / 3;   // s between gossip datagrams, if the byte budget allows
+constexpr std::size_t kMaxHeartbeatsPerDatagram = 12;
+constexpr int kMaxStatementsPerSender = 3;           // kept of one sender on one verdict
+constexpr std::size_t kMaxStatementsPerVerdict = 8;  // kept of all senders together
+// Times that a node relays an unchanged verdict with priority: about log2(700) plus a few lost datagrams.
+constexpr int kRelayedSendLimit = 6;
+constexpr int kOwnSendLimit = 12;           // times that an owner sends its own verdict without waiting
+constexpr int kUrgentRelayedSendLimit = 3;  // times that a relayed verdict does not wait for kGossipInterval
+// Seconds between two ticks from which the process counts as paused: what it observed in between was caused
+// by the node itself.
+constexpr double kProcessPauseThreshold = 0.6;
+constexpr double kDoubtDuration = 2.0;  // s after a pause during which the node reports nothing
+// With attempts on at least this many servers, of which more than kSelfCheckBadRatio fail, the cause is the
+// node's own connectivity or an overload of all servers.
+constexpr std::size_t kMinServersForSelfCheck = 4;
+constexpr double kSelfCheckBadRatio = 0.5;
+constexpr double kProbesPerSecond = 0.7;   // of one zone's nodes together, to a server that is found bad
+constexpr std::size_t kNewestReports = 3;  // that decide whether a server found bad is still bad
+constexpr double kMinProbeInterval = 0.5;  // s
+// Lower bound on the byte budget: a node with hardly any traffic must still be known to be alive.
+constexpr double kMinBytesPerSecond = 64;
+constexpr double kBudgetBurstSeconds = 2.0;  // s of unused byte budget that a node can accumulate
+// Fraction of gossip that goes to any node, present or not; otherwise a partition would persist after the
+// network has healed. It is larger where few nodes are known, as those would only talk to each other.
+constexpr double kAnyNodeGossipRatio = 0.1;
+constexpr std::size_t kMaxServers = 1024;  // that are tracked
+// Attempts of one node, good and bad each, that count in a zone's sum: no single node may dominate it.
+constexpr int kMaxCountedAttempts = 8;
+constexpr double kMaxIncarnationSeconds = 0x7fffffff * kTickSeconds;  // s, about 97 days
+constexpr double kDelayedThreshold = 1.0;  // s from which a datagram counts as delayed
+constexpr std::size_t kMaxLeaseEntriesPerDatagram = 12;
+// Present nodes of the own zone from which only those vote on zones; below, all nodes vote.
+constexpr std::size_t kMinZoneVoters = 3;
+constexpr int kUrgentZoneReportsPerTick = 2;  // datagrams per tick while reports are urgent
+constexpr int kMaxUrgentZoneReportsPerTick =
+    6;  // the same while more than kManyUrgentZoneReports are pending
+constexpr int kManyUrgentZoneReports = 16;
+constexpr double kZoneReportInterval = 0.5;  // s between zone reports that are not urgent
 
 std::uint32_t bit(int zone) { return 1U << std::clamp(zone, 0, kMaxZones - 1); }
 
-// What a node hears of others a second, when all say what they may: by it the times of Members are set.
+// Heartbeats that a node receives per second if all nodes use their byte budget; Membership derives its
+// timeouts from it.
 double heartbeats_received_per_second(const GossipSettings& settings) {
     return kMaxHeartbeatsPerDatagram / kGossipInterval * std::min(1.0, settings.max_bytes_per_second / 1024);
 }
@@ -132,9 +145,10 @@
 
 double overdue_after(double latency_objective) { return kSlowLatencyRatio * latency_objective; }
 
-// ---- what this node sees itself -------------------------------------------------------------------------
+// ---- local observations ---------------------------------------------------------------------------------
 
-// A process that stood still sees others' answers late and calls them slow: what it saw then is thrown away.
+// After a pause, answers that had already arrived look slow. What the node observed in that time is
+// discarded.
 bool OutlierExchange::detect_process_pause(double now) {
     const bool paused = now - last_tick_ > kProcessPauseThreshold;
     if (paused) {
@@ -174,7 +188,8 @@
 }
 
 void OutlierExchange::on_attempt_finished(double now, ServerKey server, AttemptHealth health) {
-    if (now - last_tick_ > kProcessPauseThreshold || now < doubts_until_) return;  // the next tick says why
+    if (now - last_tick_ > kProcessPauseThreshold || now < doubts_until_)
+        return;  // the next tick detects the pause
     if (local_observations_.size() >= kMaxServers && !local_observations_.contains(server)) return;
     LocalObservations& observations = local_observations_[server];
     advance_buckets(observations, now);
@@ -184,7 +199,8 @@
     observations.has_new_failure = observations.has_new_failure || health == AttemptHealth::bad;
 }
 
-// Where most of what it touches is bad, the fault is its own way's, or all are full and none is worse.
+// If most servers that this node uses fail, either its own connectivity is at fault or all servers are
+// overloaded and none is an outlier. Also drops servers without recent attempts.
 bool OutlierExchange::most_servers_failing(double now) {
     std::size_t attempted = 0, failing = 0;
     for (auto it = local_observations_.begin(); it != local_observations_.end();) {
@@ -202,7 +218,7 @@
            static_cast<double>(failing) > kSelfCheckBadRatio * static_cast<double>(attempted);
 }
 
-// ---- what others say ------------------------------------------------------------------------------------
+// ---- received datagrams ---------------------------------------------------------------------------------
 
 void OutlierExchange::on_datagram(double now, int from, std::string_view bytes) {
     ++counters_.received;
@@ -217,9 +233,10 @@
         for (auto& [server, record] : server_records_) record.reports.erase(from);
         zone_failover_.on_new_incarnation(from);
         quota_leases_.on_new_incarnation(from);
-        pending_grants_.erase(from);  // its earlier life asked
+        pending_grants_.erase(from);  // they were requested by its previous incarnation
     }
-    // Somebody knows a later life of this node than this one: its clock was set back. It must outlive that.
+    // A peer knows a later incarnation of this node than this one, so the clock was set back. The incarnation
+    // must exceed the known one, or the node's datagrams would be discarded.
     if (d.receiver_incarnation > incarnation_ && d.receiver_incarnation < UINT32_MAX - 1)
         incarnation_ = d.receiver_incarnation + 1;
     for (const Heartbeat& relayed : d.heartbeats)
@@ -246,15 +263,16 @@
         (server_records_.size() >= kMaxServers && !server_records_.contains(observation.server)))
         return;
     PeerReport& report = server_records_[observation.server].reports[from];
-    if (stamp <= report.stamp) return;  // older, or the same again
+    if (stamp <= report.stamp) return;  // older or a duplicate
     report = {stamp, zone, observation.successes, observation.failures, now - delay};
 }
 
-// Findings are passed on without proof, so a node could make up another's. What did not come from its keeper
-// itself waits until two nodes said the same of it, and is passed on no sooner: who lies alone is one.
+// Relayed verdicts carry no proof, so a node could forge another owner's verdict. A verdict that did not come
+// from its owner is held back, neither counted nor relayed, until two nodes have stated it: a single lying
+// node cannot confirm it.
 void OutlierExchange::store_verdict(const Verdict& verdict, double found_at, int from) {
     if (verdict.owner >= settings_.node_count || verdict.owner == settings_.node_index)
-        return;  // its own it knows
+        return;  // the node's own verdicts are authoritative here
     if (tracked_verdicts_.size() >= kMaxServers * kOwnerCandidates &&
         !tracked_verdicts_.contains({verdict.server, verdict.owner}))
         return;
@@ -264,8 +282,8 @@
                                        return statement.from == from && statement.stamp == verdict.stamp &&
                                               statement.bad_zones == verdict.bad_zones;
                                    });
-    // Again, by another way: the older account counts, since time on the way may go uncounted and is never
-    // made up.
+    // The same statement by another route: the earlier time counts, because transit time can go unnoticed but
+    // is never overestimated.
     if (same != tracked.statements.end()) {
         same->found_at = std::min(same->found_at, found_at);
     } else {
@@ -286,8 +304,8 @@
     update_confirmed_verdict(tracked);
 }
 
-// The newest that its keeper said here, or that of two nodes both have said or passed: by what is held alone,
-// so in whatever order it came.
+// Picks the newest verdict that its owner stated here, or that two nodes stated or superseded without a
+// change. The result depends only on the statements held, so not on the order of their arrival.
 void OutlierExchange::update_confirmed_verdict(TrackedVerdict& tracked) {
     const auto best =
         std::find_if(tracked.statements.begin(), tracked.statements.end(),
@@ -319,10 +337,10 @@
     tracked.is_confirmed = true;
 }
 
-// ---- keeping --------------------------------------------------------------------------------------------
+// ---- verdicts of this node as an owner ------------------------------------------------------------------
 
-// By rendezvous: the same at all nodes that think the same of who is there, and little moved by one that
-// goes.
+// Rendezvous hashing: all nodes with the same view of the present nodes get the same owners, and a node that
+// leaves moves few servers.
 std::vector<int> OutlierExchange::rank_owners(ServerKey server) const {
     std::vector<std::pair<std::uint64_t, int>> ranked;
     ranked.reserve(present_nodes_.size());
@@ -335,7 +353,8 @@
     return first;
 }
 
-// Ranked anew once a second: a node has some dozens of subjects to look at eight times as often.
+// The ranking is cached for kReportInterval: a node looks up several dozen servers in each of its eight ticks
+// per second.
 const std::vector<int>& OutlierExchange::cached_owners(ServerKey server, double now) {
     auto& [ranked_at, owners] = owner_cache_[server];
     if (owners.empty() || now - ranked_at > kReportInterval) {
@@ -345,7 +364,7 @@
     return owners;
 }
 
-// Once a step: all that follows in it asks for these again and again.
+// Runs once per tick, because the rest of the tick reads these lists many times.
 void OutlierExchange::refresh_present_nodes(double now) {
     present_nodes_ = members_.there(now);
     nodes_per_zone_.fill(0);
@@ -356,14 +375,15 @@
 }
 
 int OutlierExchange::required_reporters(int zone) const {
-    // Zones are known only of those heard directly; unheard ones are taken to be spread evenly.
+    // Zones are known only for nodes that were heard directly; the others are assumed to be spread evenly.
     const int nodes = std::max(nodes_per_zone_[static_cast<std::size_t>(std::clamp(zone, 0, kMaxZones - 1))],
                                static_cast<int>(present_nodes_.size()) / std::max(1, settings_.zone_count));
     const int by_ratio = static_cast<int>(std::ceil(kMinReporterRatio * nodes));
     return std::max(by_ratio, std::min(kMinReporters, std::max(2, nodes - 1)));
 }
 
-// What the nodes of a zone together end at a usual cache of theirs in the span, by what this one ends itself.
+// Estimates the attempts that all nodes of a zone finish on an average server within kObservationWindow, from
+// this node's own request rate.
 double OutlierExchange::expected_attempts(double now) const {
     const double nodes = static_cast<double>(present_nodes_.size()) / std::max(1, settings_.zone_count);
     return request_rate(now) * kObservationWindow * nodes / std::max(1, servers_in_own_zone_);
@@ -397,7 +417,7 @@
 void OutlierExchange::update_verdict(double now, ServerKey server, ServerRecord& record) {
     struct Sum {
         int reporters = 0, good = 0, bad = 0;
-        std::vector<std::pair<double, bool>> newest;  // by age, and whether bad
+        std::vector<std::pair<double, bool>> newest;  // age, and whether the report is bad
     };
     std::map<int, Sum> zones;
     for (const auto& [node, report] : record.reports) {
@@ -413,21 +433,23 @@
     int reporters = 0;
     for (const auto& [zone, sum] : zones) reporters += sum.reporters;
     for (auto& [zone, sum] : zones) {
-        // Once it is left, hardly anyone asks there, and what counts is how those few fared last.
+        // Once the server is ejected it gets few attempts, so the newest reports decide whether it is still
+        // bad.
         std::sort(sum.newest.begin(), sum.newest.end());
         if (sum.newest.size() > kNewestReports) sum.newest.resize(kNewestReports);
         const auto newest_bad = std::count_if(sum.newest.begin(), sum.newest.end(),
                                               [](const auto& entry) { return entry.second; });
         const bool is_still_bad = 2 * newest_bad > static_cast<std::ptrdiff_t>(sum.newest.size());
-        // Where another keeper has found it already, what this one is still told comes from few: two are
-        // enough.
+        // If another owner has found the server bad already, this owner still receives reports from few nodes
+        // only: two are enough.
         const bool was_bad = (record.bad_zones & bit(zone)) != 0;
         const bool agrees_with_owner = !was_bad && sum.reporters >= kMinAgreeing &&
                                        sum.bad >= kFailureSuccessRatio * sum.good &&
                                        is_found_by_other_owner(server, zone, now);
-        // Nobody tells of what goes well unless it is watched, and gates let little go to a cache that fails:
-        // so few bad endings may be chance among many good ones, or all that there is. Being watched tells
-        // which. Voices of all zones together are enough where two of this one are among them.
+        // Nodes report successes only for watched servers, and admission limits let few attempts go to a
+        // failing server. A few failures may therefore be noise among many unreported successes, or all the
+        // attempts there were; watching the server tells which. Reporters of all zones count together if two
+        // of them are in this zone.
         const bool looks_bad = sum.reporters >= kMinLocalReporters && reporters >= required_reporters(zone) &&
                                sum.bad >= kFailureSuccessRatio * sum.good;
         if (looks_bad && now - record.suspected_at > kSuspicionLifetime) record.watched_since = now;
@@ -456,7 +478,8 @@
     tracked.is_confirmed = true;
 }
 
-// Two of the subject's keepers must say so, and more than say otherwise: one alone may be wrong, or lie.
+// At least two owners of the server must find it bad, and more than find it healthy: a single one may be
+// wrong or lie.
 bool OutlierExchange::is_corroborated(ServerKey server, double now) {
     int bad = 0, healthy = 0;
     for (const int owner : cached_owners(server, now)) {
@@ -464,7 +487,7 @@
         if (it == tracked_verdicts_.end() || !it->second.is_confirmed ||
             now - it->second.found_at > kVerdictLifetime)
             continue;
-        // What it found in an earlier life is void: nothing of that is kept there any more.
+        // A verdict of an earlier incarnation is void: the owner has lost the reports behind it.
         if (owner != settings_.node_index &&
             it->second.verdict.stamp.incarnation < members_.member(owner).incarnation)
             continue;
@@ -499,10 +522,11 @@
     return all;
 }
 
-// ---- what this node says --------------------------------------------------------------------------------
+// ---- sent datagrams -------------------------------------------------------------------------------------
 
 double OutlierExchange::request_rate(double now) const {
-    // Whole seconds that are over; the one that runs is not, and what lies over eight back was used again.
+    // Counts complete seconds only. The current second is still running, and slots more than eight seconds
+    // old have been reused.
     const auto second = static_cast<std::int64_t>(now);
     int sum = 0, seconds = 0;
     for (std::int64_t past = std::max<std::int64_t>(second - 7, static_cast<std::int64_t>(started_at_));
@@ -525,13 +549,14 @@
     detect_process_pause(now);
     refresh_present_nodes(now);
     if (now - started_at_ >
-        kMaxIncarnationSeconds) {  // the numbers would begin anew: a life of their own for them
+        // The sequence numbers would wrap around, so a new incarnation begins.
+        kMaxIncarnationSeconds) {
         ++incarnation_;
         started_at_ = now;
         last_sequence_ = 0;
     }
     const double byte_rate = byte_rate_limit(now);
-    // Half of the bytes is for sights, half for what goes round: neither may starve the other.
+    // Reports and gossip get half of the bytes each, so that neither starves the other.
     const double added = (now - budgets_filled_at_) * byte_rate / 2;
     budgets_filled_at_ = now;
     const double max_budget =
@@ -539,7 +564,8 @@
     report_budget_ = std::min(report_budget_ + added, max_budget);
     gossip_budget_ = std::min(gossip_budget_ + added, max_budget);
     extra_budget_ =
-        std::min(extra_budget_ + added, max_budget);  // zones and limits: spent where they are not as usual
+        // For zone reports and quota messages, which are sent only in unusual conditions.
+        std::min(extra_budget_ + added, max_budget);
     for (auto& [key, tracked] : tracked_verdicts_) {
         std::erase_if(tracked.statements, [now](const VerdictStatement& statement) {
             return now - statement.found_at > kVerdictLifetime;
@@ -558,11 +584,13 @@
         send_quota_messages(now, out);
     }
     if (settings_.zone_failover)
-        send_zone_reports(now, wall, out);  // also alone: an operator's hand needs no other node
+        // Also in a single-node fleet: an operator can drain a zone there too.
+        send_zone_reports(now, wall, out);
     return out;
 }
 
-// Who was asked for a part answers before it asks itself. A grant that is lost lapses with both.
+// Answers lease requests of other nodes before sending its own. If a grant is lost, the lease expires at both
+// ends.
 void OutlierExchange::send_quota_messages(double now, std::vector<Outgoing>& out) {
     for (auto& [to, grants] : std::exchange(pending_grants_, {})) {
         Datagram d = make_datagram(to, now);
@@ -578,7 +606,7 @@
             requests[outgoing.to].push_back(outgoing.request);
         if (outgoing.is_renewal) renewed_with.insert(outgoing.to);
     }
-    // Where bytes are short, what would lapse goes before what is asked for beside it.
+    // If the byte budget is short, renewals go before requests for additional leases.
     std::vector<int> order;
     for (const auto& [to, entries] : requests) order.push_back(to);
     std::stable_partition(order.begin(), order.end(),
@@ -593,8 +621,8 @@
     }
 }
 
-// What is not as usual with a zone goes straight to those whose business it is: news at once to some drawn by
-// chance, an answer to whoever said otherwise, and what stands again and again.
+// Sends reports on zones that are not healthy directly to the voters: urgent ones at once to some chosen at
+// random, replies to nodes that reported otherwise, and unchanged ones periodically.
 void OutlierExchange::send_zone_reports(double now, double wall, std::vector<Outgoing>& out) {
     voters_.clear();
     for (const int n : present_nodes_) {
@@ -641,7 +669,8 @@
     d.zone = settings_.zone;
     d.receiver_incarnation = members_.member(to).incarnation;
     if (settings_.zone_failover)
-        d.zone_reports = zone_failover_.reports(now);  // in each: what is not spoken of is as usual
+        // In every datagram: a zone without a report is healthy.
+        d.zone_reports = zone_failover_.reports(now);
     return d;
 }
 
@@ -655,8 +684,8 @@
     return true;
 }
 
-// To a subject's keepers, what this node saw go wrong; of what is found bad, or was lately, all that it sees:
-// those few trials are what it may be taken back by.
+// Sends this node's failures to the owners of each server. For servers that are found bad, or were recently,
+// sends all observations: those few probes are the evidence for ending the ejection.
 void OutlierExchange::send_reports(double now, std::vector<Outgoing>& out) {
     const bool is_muted = most_servers_failing(now);
     if (now < doubts_until_) return;
@@ -665,8 +694,8 @@
     for (auto& [server, observations] : local_observations_) {
         if (now - observations.last_reported < kReportInterval || !observations.has_new_attempt) continue;
         const auto first_verdict = tracked_verdicts_.lower_bound({server, -1});
-        // By any finding that goes round, also one that only waits: all it makes a node do is tell what it
-        // sees.
+        // Any verdict in circulation makes the server watched, also an unconfirmed one: all it causes is
+        // reporting.
         const bool is_watched =
             first_verdict != tracked_verdicts_.end() && first_verdict->first.first == server;
         if (!observations.has_new_failure && !is_watched) continue;
@@ -676,7 +705,7 @@
     }
     std::map<ServerKey, bool> reported;
     for (const auto& [owner, servers] : servers_by_owner) {
-        // Some 13 bytes each, and a head of some 30: what does not fit waits for the next tick.
+        // About 13 bytes each after a header of about 30; what does not fit waits for the next tick.
         constexpr std::size_t kMaxObservationsPerDatagram = 14;
         Datagram d = make_datagram(owner, now);
         for (std::size_t i = 0; i < std::min(servers.size(), kMaxObservationsPerDatagram); ++i) {
@@ -700,11 +729,10 @@
     }
 }
 
-// To somebody drawn by chance: who is there, and findings, those that are news first. Everything that stands
-// is said again and again with its age, so a gap closes by itself, and whatever is not said again is gone by
-// its bound.
+// Sends heartbeats and verdicts to a random node, least-sent verdicts first. Everything that is current is
+// repeated with its age, so that losses repair themselves and what is no longer repeated expires.
 void OutlierExchange::send_gossip(double now, std::vector<Outgoing>& out) {
-    // A finding that changed does not wait for its turn: it goes on at each step until it was passed on a few
+    // A changed verdict does not wait for kGossipInterval: it goes out on each tick until it was sent a few
     // times.
     const bool has_urgent_verdict =
         std::any_of(tracked_verdicts_.begin(), tracked_verdicts_.end(), [this](const auto& entry) {
@@ -717,7 +745,7 @@
     std::vector<int> others = present_nodes_;
     std::erase(others, settings_.node_index);
     int to = -1;
-    const bool has_just_started = now - started_at_ < members_.dead_after();  // and knows few yet
+    const bool has_just_started = now - started_at_ < members_.dead_after();  // few nodes are known yet
     if (has_just_started ||
         random_fraction() < std::max(kAnyNodeGossipRatio, 1.0 / static_cast<double>(present_nodes_.size()))) {
         const int random_node = static_cast<int>(random_fraction() * (settings_.node_count - 1));
@@ -732,24 +760,26 @@
         if (tracked.is_confirmed) candidates.push_back(&tracked);
     }
     constexpr std::size_t kMaxVerdictBytes =
-        22;  // bytes of a finding at the most, but for numbers that no fleet reaches
+        // Bytes of an encoded verdict; larger only with numbers that no fleet reaches.
+        22;
     const std::size_t max_verdicts =
         (kMaxDatagramBytes - std::min(kMaxDatagramBytes, encode(d).size() + 4)) / kMaxVerdictBytes;
     const auto end =
         candidates.begin() + static_cast<std::ptrdiff_t>(std::min(max_verdicts, candidates.size()));
-    std::partial_sort(
-        candidates.begin(), end, candidates.end(), [&](const TrackedVerdict* a, const TrackedVerdict* b) {
-            const auto send_priority =
-                [this](const TrackedVerdict* tracked) {  // its own it says more often: only from it
-                                                         // are they sure at once
-                    return tracked->verdict.owner == settings_.node_index
-                               ? std::max(0, std::min(tracked->times_sent, kOwnSendLimit) - kOwnSendLimit +
-                                                 kRelayedSendLimit)
-                               : std::min(tracked->times_sent, kRelayedSendLimit);
-                };
-            const int x = send_priority(a), y = send_priority(b);
-            return x != y ? x < y : a->found_at > b->found_at;
-        });
+    std::partial_sort(candidates.begin(), end, candidates.end(),
+                      [&](const TrackedVerdict* a, const TrackedVerdict* b) {
+                          const auto send_priority =
+                              // Own verdicts keep their priority longer: they are confirmed at once only when
+                              // received from the owner.
+                              [this](const TrackedVerdict* tracked) {
+                                  return tracked->verdict.owner == settings_.node_index
+                                             ? std::max(0, std::min(tracked->times_sent, kOwnSendLimit) -
+                                                               kOwnSendLimit + kRelayedSendLimit)
+                                             : std::min(tracked->times_sent, kRelayedSendLimit);
+                              };
+                          const int x = send_priority(a), y = send_priority(b);
+                          return x != y ? x < y : a->found_at > b->found_at;
+                      });
     candidates.erase(end, candidates.end());
     for (const TrackedVerdict* tracked : candidates) {
         d.verdicts.push_back(tracked->verdict);
@@ -760,7 +790,7 @@
     for (TrackedVerdict* tracked : candidates) ++tracked->times_sent;
 }
 
-// ---- for operators --------------------------------------------------------------------------------------
+// ---- state for operators --------------------------------------------------------------------------------
 
 GossipState OutlierExchange::state(double now) const {
     GossipState s;
