--- a/src/gossip/quota_leases.cpp
+++ b/src/gossip/quota_leases.cpp
@@ -6,18 +6,20 @@
 namespace brookrelay::gossip {
 namespace {
 
-constexpr double kLenderTimeFactor =
-    1.02;  // times as long the lender waits: two clocks may run so differently
-constexpr std::uint32_t kReservedDivisor = 16;  // one part in so many of its own a node keeps, to start with
-constexpr double kHeadroom = 1.25;              // times its need a node keeps before it lends, and asks for
-constexpr double kMinRequestRatio = 0.05;       // of its own part: less is not worth a datagram
-constexpr double kRequestInterval = 0.25;       // s
-constexpr std::size_t kMaxNewLendersPerTick = 4;  // nodes at a time for more than they lend,
-constexpr double kNewRequestBackoff = 0.5;  // s until one is asked so again: it may have nothing to spare
-constexpr double kRenewBefore = 1.25;       // s before a lease lapses that its lender is asked for it anew
-constexpr double kDemandLifetime = 2.0;     // s that a need counts which is not told again
+// The lender keeps a lease this many times as long as the borrower: clock rates may differ by as much.
+constexpr double kLenderTimeFactor = 1.02;
+// A node never lends 1/kReservedDivisor of its own units, so that it has some to use after a restart.
+constexpr std::uint32_t kReservedDivisor = 16;
+constexpr double kHeadroom = 1.25;                // multiple of its demand that a node keeps or requests
+constexpr double kMinRequestRatio = 0.05;         // of the own units; less is not worth a datagram
+constexpr double kRequestInterval = 0.25;         // s
+constexpr std::size_t kMaxNewLendersPerTick = 4;  // nodes that are asked for more than they lend, per quota
+// Seconds until a node is asked for more again: it may have nothing to spare.
+constexpr double kNewRequestBackoff = 0.5;
+constexpr double kRenewBefore = 1.25;    // s before expiry at which the lender is asked for a renewal
+constexpr double kDemandLifetime = 2.0;  // s for which a demand counts that is not set again
 constexpr std::size_t kMaxPendingRequests = 256;
-constexpr double kBurstSeconds = 0.25;  // s of its part that a node may save up
+constexpr double kBurstSeconds = 0.25;  // s of its rate that a token bucket accumulates
 
 }  // namespace
 
@@ -40,8 +42,8 @@
     return sum / (kBuckets * kBucketSeconds);
 }
 
-// After it stood still a node has no more saved up than ever: what its part was meanwhile may be another's by
-// now.
+// The capacity bounds what a node has accumulated after a pause: its share in the meantime may be another
+// node's by now.
 bool TokenBucket::has_token(double now, double rate) {
     const double capacity = std::max(1.0, rate * kBurstSeconds);
     if (filled_at_ > 0) tokens_ = std::min(tokens_ + std::max(now - filled_at_, 0.0) * rate, capacity);
@@ -93,7 +95,7 @@
 }
 
 std::uint32_t QuotaLeases::own_share(const QuotaState& state, double now) const {
-    // What an earlier life of this node lent may still be in use.
+    // What an earlier process of this node lent may still be in use.
     const std::uint32_t lent_earlier =
         now - started_at_ < kLeaseDuration * kLenderTimeFactor ? max_lent_units_ : 0;
     return own_units_ - std::min(own_units_, std::max(sum_active(state.lent, now), lent_earlier));
@@ -125,9 +127,9 @@
         if (now - state.demand_set_at > kDemandLifetime) state.demand = 0;
         const double wanted = state.demand * kHeadroom - own_share(state, now);
         if (wanted < kMinRequestRatio * own_units_) continue;
-        // Those that lend already are asked for the same again in time, of what is still needed; what is then
-        // short, of some drawn by chance, lenders among them: what was enough once may not be all that they
-        // can spare.
+        // Current lenders are asked in time for a renewal of what is still needed. What is then missing is
+        // requested from randomly chosen nodes, lenders among them: their last grant may not have been all
+        // that they can spare.
         double missing = wanted;
         std::set<int> asked_nodes;
         for (const auto& [node, node_leases] : state.borrowed) {
@@ -163,7 +165,8 @@
     pending_.push_back({to, sequence, request.quota, request.units, now});
 }
 
-// Only of its own: what it was lent itself is another's. The lease runs here from now, there from before.
+// Grants only own units, never borrowed ones. The lease runs from now at this node, and from the earlier time
+// of the request at the borrower.
 LeaseGrant QuotaLeases::on_request(double now, int from, std::uint32_t sequence,
                                    const LeaseRequest& request) {
     LeaseGrant grant{request.quota, 0, sequence};
@@ -176,7 +179,8 @@
                  now - started_at_ < kLeaseDuration * kLenderTimeFactor ? max_lent_units_ : 0);
     const double demand = now - state.demand_set_at > kDemandLifetime ? 0 : state.demand * kHeadroom;
     const double free = std::min(static_cast<double>(max_lent_units_) - lent, own_units_ - lent - demand);
-    // Whose own need has grown gives back nothing before its time, but lends no more of it again.
+    // If this node's own demand has grown, granted units stay lent until they expire, but are not renewed in
+    // full.
     const double max_units = free >= 0 ? held + free : std::max(0.0, held + free);
     grant.units = static_cast<std::uint32_t>(std::min<double>(request.units, max_units));
     if (grant.units > 0) state.lent[from].push_back({grant.units, now + kLeaseDuration * kLenderTimeFactor});
@@ -188,10 +192,10 @@
         return pending.to == from && pending.sequence == grant.request_sequence &&
                pending.quota == grant.quota;
     });
-    if (match == pending_.end()) return;  // never asked, or answered already, or long ago
+    if (match == pending_.end()) return;  // never requested, already answered, or too old
     const Pending pending = *match;
     pending_.erase(match);
-    // No more than was asked for, nor than one node may lend: a peer that claims more gives that.
+    // Never more than was requested or than one node may lend, even if the peer claims so.
     const std::uint32_t units = std::min({grant.units, pending.units, max_lent_units_});
     const double expires_at = pending.sent_at + kLeaseDuration;
     if (units > 0 && now < expires_at) quotas_[pending.quota].borrowed[from].push_back({units, expires_at});
--- a/src/gossip/quota_leases.h
+++ b/src/gossip/quota_leases.h
@@ -1,11 +1,12 @@
-// Parts of limits that belong to the whole fleet, lent from node to node where the demand is. Each node owns
-// an even part; what it does not need it lends for a short time, and then has it back whether anybody says so
-// or not. I/O-free. It owns the leases of this node, both ways; it never gives what it was itself lent, and
-// never counts on another clock: a lease begins, for the one that took it, when that one asked, which was
-// before it was given.
+// Shares of fleet-wide quotas, leased from node to node according to demand. Each node owns an equal share;
+// it lends what it does not need for a short time, after which the units are its own again without any
+// message. Performs no I/O. Holds the leases that this node granted and received; it never lends borrowed
+// units, and never relies on another node's clock: for the borrower, a lease begins when the request was
+// sent, which is before it was granted.
 //
-// The sum over the fleet never exceeds the whole, whatever is lost, doubled, late or said out of order,
-// whoever dies, stands still or starts anew: docs/limits.md has the reasons, the bounds and the runs.
+// The sum over the fleet never exceeds the total, whatever messages are lost, duplicated, delayed or
+// reordered, and whichever node crashes, pauses or restarts: docs/limits.md has the reasons, the bounds and
+// the runs.
 #pragma once
 
 #include <array>
@@ -17,20 +18,20 @@
 
 namespace brookrelay::gossip {
 
-constexpr std::uint32_t kTotalUnits = 1'000'000;  // crumbs: parts are whole numbers, so that sums are exact
+constexpr std::uint32_t kTotalUnits = 1'000'000;  // of a quota; shares are integers, so that sums are exact
 constexpr double kLeaseDuration = 3.0;            // s
 
-// What one node does with its part of a limit that is so many a second for the whole fleet.
+// Rate limiter for one node's share of a fleet-wide rate; also measures the demand for it.
 class TokenBucket {
   public:
     explicit TokenBucket(double tokens = 1) : tokens_(tokens) {}
-    void on_demand(double now);  // whether it may or not: this is the demand
-    // Whether one more may, at so many a second; what is saved up is a quarter of a second's, and one at the
-    // most where that is less.
+    void on_demand(double now);  // counts a request, whether it is admitted or not
+    // Refills at `rate` tokens per second and returns whether a token is available. The capacity is a quarter
+    // of a second's refill, but at least one token.
     bool has_token(double now, double rate);
     void spend() { tokens_ -= 1; }
-    bool take(double now, double rate);  // both
-    double demand(double now) const;     // asked a second, over the last two
+    bool take(double now, double rate);  // spends a token if one is available
+    double demand(double now) const;     // requests per second, over the last 2 s
 
   private:
     static constexpr std::int64_t kBuckets = 8;
@@ -49,47 +50,50 @@
     struct OutgoingRequest {
         int to = 0;
         LeaseRequest request;
-        bool is_renewal = false;  // what it lends already; else more than that
+        bool is_renewal = false;  // of units that `to` lends already; otherwise a request for more
     };
-    struct View {  // for operators, in parts of the whole
+    struct View {  // for operators, as fractions of the quota
         double own = 0, lent = 0, borrowed = 0, demand = 0;
         int lenders = 0, borrowers = 0;
     };
 
-    // At a start nothing is known of what an earlier life lent: until that has lapsed only what is never lent
-    // is used.
+    // Nothing is known of what an earlier process of this node lent: until those leases have expired, only
+    // the units that are never lent are used.
     QuotaLeases(Settings settings, double now);
 
-    // What this node could use now, in crumbs of the whole; told each time it is known anew. Of a limit that
-    // it was never told of here it lends nothing.
+    // Sets the units of a quota that this node could use now; called on each new measurement. A quota that
+    // was never set here is not lent.
     void set_demand(double now, QuotaId quota, double units);
-    // Whom to ask for how much; `others` are there, `draw` picks among them.
+    // Returns the lease requests that are due. `others` are the present nodes, `draw` in [0, 1) selects among
+    // them.
     std::vector<OutgoingRequest> tick(double now, const std::vector<int>& others, double draw);
-    void on_request_sent(int to, const LeaseRequest& request, std::uint32_t sequence,
-                         double now);  // it went out under this number
-    // What is granted of what `from` asked under a number; nothing: 0 crumbs.
+    // `sequence` is that of the datagram that carried the request.
+    void on_request_sent(int to, const LeaseRequest& request, std::uint32_t sequence, double now);
+    // Returns the units that are granted to `from`, 0 if none.
     LeaseGrant on_request(double now, int from, std::uint32_t sequence, const LeaseRequest& request);
     void on_grant(double now, int from, const LeaseGrant& grant);
-    void on_new_incarnation(int node);  // its grants were another's
-    // As at a start: another process of this node may still use, or have lent, what is this node's.
+    void on_new_incarnation(int node);  // pending requests to its earlier process are void
+    // As at a start: another process of this node may still use or have lent this node's units.
     void reset(double now) { started_at_ = now; }
 
-    std::uint32_t share(QuotaId quota, double now) const;  // in force, crumbs
+    std::uint32_t share(QuotaId quota, double now) const;  // units usable now
     View view(QuotaId quota, double now) const;
-    static std::uint32_t max_lent(int nodes);  // by one node
+    static std::uint32_t max_lent(int nodes);  // units, by one node
 
   private:
     struct Lease {
         std::uint32_t units = 0;
         double expires_at = 0;
     };
-    using Leases = std::vector<Lease>;  // with one node: the largest that is in force counts, never their sum
-    struct QuotaState {                 // a limit
+    using Leases = std::vector<Lease>;  // with one node: the largest unexpired one counts, never their sum
+    struct QuotaState {
         double demand = 0;
         double demand_set_at = -1e9;
         std::map<int, Leases> lent, borrowed;
-        std::map<int, double> last_new_request;  // when each was last asked for more than it lends
+        std::map<int, double>
+            last_new_request;  // by node: when it was last asked for more units than it lends
     };
+    // A request without an answer so far.
     struct Pending {
         int to = 0;
         std::uint32_t sequence = 0;
@@ -101,14 +105,15 @@
     static std::uint32_t max_active(const Leases& leases, double now);
     static double latest_expiry(const Leases& leases);
     static std::uint32_t sum_active(const std::map<int, Leases>& leases, double now);
-    std::uint32_t own_share(const QuotaState& state, double now) const;  // less what is lent
+    std::uint32_t own_share(const QuotaState& state, double now) const;  // own units less those that are lent
     const QuotaState& find(QuotaId quota) const;
 
     Settings settings_;
     std::uint32_t own_units_, max_lent_units_;
     double started_at_;
     double last_tick_ = -1e9;
-    std::map<QuotaId, QuotaState> quotas_;  // that this node was ever told of: what it lent of one stays lent
+    std::map<QuotaId, QuotaState>
+        quotas_;  // all that were ever set here, since units of any may still be lent
     std::vector<Pending> pending_;
 };
 
