--- a/src/gossip/zone_failover.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -9,401 +9,445 @@
 namespace brookrelay::gossip {
 namespace {
 
-constexpr double kVoiceKept = 3.0;    // s after it was said that a node's word counts
-constexpr double kAnswerFresh = 1.0;  // s after an answer in which nothing makes this node leave the zone;
-constexpr double kTrialFresh =
+constexpr double kReportLifetime = 3.0;  // s after it was said that a node's word counts
+constexpr double kAnswerLifetime = 1.0;  // s after an answer in which nothing makes this node leave the zone;
+constexpr double kProbeAnswerLifetime =
     6.0;  // of a left one, where trials are seconds apart and few caches may answer
-constexpr double kQuiet =
+constexpr double kMinSilence =
     0.3;  // s without an answer that make a word of one node, by as much more as less goes there,
-constexpr double kQuietMost = 3.0;
-constexpr int kSilentLeast = 2;  // caches in a row without any answer between that make a word of one node,
-constexpr double kSilentChance =
+constexpr double kMaxSilence = 3.0;
+constexpr int kMinSilentServers =
+    2;  // caches in a row without any answer between that make a word of one node,
+constexpr double kSilenceProbability =
     0.01;  // where chance seldom brings as many endings, by what was usual there before;
-constexpr double kUsualKept = 0.95;   // of what was usual, by each ending since,
-constexpr int kRunCounted = 4;        // a run counts for so many: all of it were a loss, not what is usual
-constexpr double kSilentKept = 3.0;   // s that it is one
-constexpr int kVotersLeast = 3;       // that must say so, or all where they are fewer,
-constexpr double kVotersPart = 0.05;  // and of the voters;
-constexpr double kBlindPart = 0.25;  // of them, where this node has not asked there lately: more than may lie
-constexpr int kVotersRegion = 2;     // where another zone of its region is left already
-constexpr int kAgainst = 3;          // times as many as say that it answers
-constexpr int kTakers = 2;           // whose trials were answered, and it is taken back
-constexpr int kTryers = 2;           // nodes of a zone that try a left one at a time,
-constexpr double kTryApart = 1.0;    // s apart each,
-constexpr double kTryTurn = 2.0;     // for so long: then others do, so dead ones cost a turn
-constexpr double kNever = 1e6;       // s: others try
-constexpr double kStepLeast = 0.5;   // s that a step back into use takes
-constexpr double kShort = 3.0;  // s: what was left for less has kept its copies; its steps take half as long
-constexpr double kFallPause = 0.5;      // s before a further try after a fall; doubles by each,
-constexpr int kFallsMost = 4;           // up to this;
-constexpr int kFallsSlower = 2;         // and steps take longer by as much up to this
-constexpr double kCalm = 30.0;          // s in full use after which falls are forgotten
-constexpr double kStrainPart = 0.5;     // of endings there, and
-constexpr double kStrainTimes = 2.0;    // times as much as elsewhere: where all are strained it is no worse
-constexpr int kStrainLeast = 4;         // endings in a second that tell it
-constexpr int kThird = 3;               // one in so many strained words hold the steps, or take one back
-constexpr double kYoung = 5.0;          // s after a start in which it takes the others' step for its own
-constexpr int kYoungWords = 2;          // of so many: it errs to the careful side
-constexpr int kTrialNews = 48;          // datagrams of an answered trial
-constexpr int kNews = 16;               // datagrams of a change that do not wait
-constexpr double kAnswerApart = 1.0;    // s between answers to one node
-constexpr double kDoubtAnswered = 2.0;  // s for which others' doubts are answered by what is seen here
-constexpr double kBucket = 0.25;
-
-double part_of(int step) { return step <= kStepDrained ? 0 : std::exp2(step - kStepHealthy); }
+constexpr double kBaselineDecay = 0.95;  // of what was usual, by each ending since,
+constexpr int kMaxRunInBaseline = 4;     // a run counts for so many: all of it were a loss, not what is usual
+constexpr double kSilenceLifetime = 3.0;  // s that it is one
+constexpr int kMinQuorum = 3;             // that must say so, or all where they are fewer,
+constexpr double kQuorumRatio = 0.05;     // and of the voters;
+constexpr double kBlindQuorumRatio =
+    0.25;  // of them, where this node has not asked there lately: more than may lie
+constexpr int kFailureDomainQuorum = 2;    // where another zone of its region is left already
+constexpr int kUnreachableMajority = 3;    // times as many as say that it answers
+constexpr int kMinAnsweredProbers = 2;     // whose trials were answered, and it is taken back
+constexpr int kProbersPerZone = 2;         // nodes of a zone that try a left one at a time,
+constexpr double kProbeInterval = 1.0;     // s apart each,
+constexpr double kProbeTurnSeconds = 2.0;  // for so long: then others do, so dead ones cost a turn
+constexpr double kNoProbeInterval = 1e6;   // s: others try
+constexpr double kMinStepDuration = 0.5;   // s that a step back into use takes
+constexpr double kShortDrain =
+    3.0;  // s: what was left for less has kept its copies; its steps take half as long
+constexpr double kRelapsePause = 0.5;    // s before a further try after a fall; doubles by each,
+constexpr int kMaxRelapses = 4;          // up to this;
+constexpr int kMaxSlowdownRelapses = 2;  // and steps take longer by as much up to this
+constexpr double kRelapseMemory = 30.0;  // s in full use after which falls are forgotten
+constexpr double kStrainedRatio = 0.5;   // of endings there, and
+constexpr double kStrainedMultiple =
+    2.0;                                 // times as much as elsewhere: where all are strained it is no worse
+constexpr int kMinStrainedAttempts = 4;  // endings in a second that tell it
+constexpr int kStrainedReportersDivisor =
+    3;                                   // one in so many strained words hold the steps, or take one back
+constexpr double kStartupPeriod = 5.0;   // s after a start in which it takes the others' step for its own
+constexpr int kMinStartupReports = 2;    // of so many: it errs to the careful side
+constexpr int kProbeAnswerReports = 48;  // datagrams of an answered trial
+constexpr int kChangeReports = 16;       // datagrams of a change that do not wait
+constexpr double kReplyInterval = 1.0;   // s between answers to one node
+constexpr double kDoubtLifetime = 2.0;   // s for which others' doubts are answered by what is seen here
+constexpr double kBucketSeconds = 0.25;
+
+double weight_of(int step) { return step <= kStepDrained ? 0 : std::exp2(step - kStepHealthy); }
 
 }  // namespace
 
-double ZoneFailover::probe_turn_length() { return kTryTurn; }
+double ZoneFailover::probe_turn_length() { return kProbeTurnSeconds; }
 
-ZoneFailover::ZoneFailover(Settings terms, double now)
-    : terms_(std::move(terms)),
-      pairs_(static_cast<std::size_t>(std::clamp(terms_.zone_count, 1, kMaxZones))),
-      began_(now),
-      news_(kNews) {
-    for (Pair& p : pairs_) p.since = now;
+ZoneFailover::ZoneFailover(Settings settings, double now)
+    : settings_(std::move(settings)),
+      records_(static_cast<std::size_t>(std::clamp(settings_.zone_count, 1, kMaxZones))),
+      started_at_(now),
+      urgent_reports_(kChangeReports) {
+    for (ZoneRecord& record : records_) record.step_since = now;
 }
 
 // ---- what this node sees --------------------------------------------------------------------------------
 
-void ZoneFailover::turn(Pair& p, double now) {
-    const auto bucket = static_cast<std::int64_t>(now / kBucket);
-    const auto count = static_cast<std::int64_t>(p.ends.size());
-    for (std::int64_t b = std::max(p.turn + 1, bucket - count + 1); b <= bucket; ++b)
-        p.ends[static_cast<std::size_t>(b % count)].fill(0);
-    p.turn = std::max(p.turn, bucket);
+void ZoneFailover::advance_buckets(ZoneRecord& record, double now) {
+    const auto bucket = static_cast<std::int64_t>(now / kBucketSeconds);
+    const auto count = static_cast<std::int64_t>(record.outcomes.size());
+    for (std::int64_t expired = std::max(record.newest_bucket + 1, bucket - count + 1); expired <= bucket;
+         ++expired)
+        record.outcomes[static_cast<std::size_t>(expired % count)].fill(0);
+    record.newest_bucket = std::max(record.newest_bucket, bucket);
 }
 
-int ZoneFailover::sum(const Pair& p, ZoneAttempt end, double now) {
-    int n = 0;
-    const auto oldest = static_cast<std::int64_t>(now / kBucket) - static_cast<std::int64_t>(p.ends.size());
-    for (std::size_t back = 0; back < p.ends.size(); ++back) {
-        const std::int64_t bucket = p.turn - static_cast<std::int64_t>(back);
+int ZoneFailover::count_outcomes(const ZoneRecord& record, ZoneAttempt outcome, double now) {
+    int total = 0;
+    const auto oldest =
+        static_cast<std::int64_t>(now / kBucketSeconds) - static_cast<std::int64_t>(record.outcomes.size());
+    for (std::size_t age = 0; age < record.outcomes.size(); ++age) {
+        const std::int64_t bucket = record.newest_bucket - static_cast<std::int64_t>(age);
         if (bucket > oldest && bucket >= 0)
-            n += p.ends[static_cast<std::size_t>(bucket) % p.ends.size()][static_cast<std::size_t>(end)];
+            total += record.outcomes[static_cast<std::size_t>(bucket) % record.outcomes.size()]
+                                    [static_cast<std::size_t>(outcome)];
     }
-    return n;
+    return total;
 }
 
-void ZoneFailover::on_attempt_finished(double now, int zone, ServerKey subject, ZoneAttempt end) {
-    if (zone < 0 || zone >= static_cast<int>(pairs_.size())) return;
-    Pair& p = pair(zone);
-    turn(p, now);
-    ++p.ends[static_cast<std::size_t>(p.turn) % p.ends.size()][static_cast<std::size_t>(end)];
-    if (end != ZoneAttempt::silent) {
-        const double kept = std::pow(kUsualKept, p.run + 1);
-        p.usual_silent = p.usual_silent * kept + std::min(p.run, kRunCounted);
-        p.usual_answers = p.usual_answers * kept + 1;
-        p.answered = now;
-        p.silent_count = p.run = 0;
+void ZoneFailover::on_attempt_finished(double now, int zone, ServerKey server, ZoneAttempt outcome) {
+    if (zone < 0 || zone >= static_cast<int>(records_.size())) return;
+    ZoneRecord& record = record_of(zone);
+    advance_buckets(record, now);
+    ++record.outcomes[static_cast<std::size_t>(record.newest_bucket) % record.outcomes.size()]
+                     [static_cast<std::size_t>(outcome)];
+    if (outcome != ZoneAttempt::silent) {
+        const double decay = std::pow(kBaselineDecay, record.silent_run + 1);
+        record.baseline_silent =
+            record.baseline_silent * decay + std::min(record.silent_run, kMaxRunInBaseline);
+        record.baseline_answers = record.baseline_answers * decay + 1;
+        record.last_answer = now;
+        record.silent_count = record.silent_run = 0;
         return;
     }
-    p.silent = now;
-    ++p.run;
-    const auto last = p.silent_at.begin() + p.silent_count;
-    if (p.silent_count < kSilentLeast && std::find(p.silent_at.begin(), last, subject) == last) {
-        p.silent_at[static_cast<std::size_t>(p.silent_count++)] = subject;
+    record.last_silence = now;
+    ++record.silent_run;
+    const auto last = record.silent_servers.begin() + record.silent_count;
+    if (record.silent_count < kMinSilentServers &&
+        std::find(record.silent_servers.begin(), last, server) == last) {
+        record.silent_servers[static_cast<std::size_t>(record.silent_count++)] = server;
     }
 }
 
 // Where nothing answers in any zone that it asked, the fault is its own way's.
-bool ZoneFailover::all_silent(double now) const {
+bool ZoneFailover::is_every_zone_silent(double now) const {
     int asked = 0, silent = 0;
-    for (const Pair& p : pairs_) {
-        if (now - std::max(p.answered, p.silent) > kSilentKept) continue;
+    for (const ZoneRecord& record : records_) {
+        if (now - std::max(record.last_answer, record.last_silence) > kSilenceLifetime) continue;
         ++asked;
-        if (p.silent_count > 0) ++silent;
+        if (record.silent_count > 0) ++silent;
     }
     return asked > 1 && asked == silent;
 }
 
-bool ZoneFailover::relatively_strained(int zone, double now) const {
-    double here = 0, bad_here = 0, else_where = 0, bad_elsewhere = 0;
-    for (std::size_t z = 0; z < pairs_.size(); ++z) {
-        const int bad = sum(pairs_[z], ZoneAttempt::strained, now) + sum(pairs_[z], ZoneAttempt::silent, now);
-        const int all = bad + sum(pairs_[z], ZoneAttempt::healthy, now);
-        (static_cast<int>(z) == zone ? here : else_where) += all;
+bool ZoneFailover::is_strained_relative_to_others(int zone, double now) const {
+    double attempts_here = 0, bad_here = 0, attempts_elsewhere = 0, bad_elsewhere = 0;
+    for (std::size_t z = 0; z < records_.size(); ++z) {
+        const int bad = count_outcomes(records_[z], ZoneAttempt::strained, now) +
+                        count_outcomes(records_[z], ZoneAttempt::silent, now);
+        const int attempts = bad + count_outcomes(records_[z], ZoneAttempt::healthy, now);
+        (static_cast<int>(z) == zone ? attempts_here : attempts_elsewhere) += attempts;
         (static_cast<int>(z) == zone ? bad_here : bad_elsewhere) += bad;
     }
-    if (here < kStrainLeast || bad_here < kStrainPart * here) return false;
-    return else_where < kStrainLeast || bad_here / here >= kStrainTimes * bad_elsewhere / else_where;
+    if (attempts_here < kMinStrainedAttempts || bad_here < kStrainedRatio * attempts_here) return false;
+    return attempts_elsewhere < kMinStrainedAttempts ||
+           bad_here / attempts_here >= kStrainedMultiple * bad_elsewhere / attempts_elsewhere;
 }
 
-ZoneObservation ZoneFailover::sight(int zone, double now) const {
-    const Pair& p = pair(zone);
+ZoneObservation ZoneFailover::observe(int zone, double now) const {
+    const ZoneRecord& record = record_of(zone);
     // Where few of a zone's caches answer, trials of a left one meet those seldom: any answer goes first
     // then.
-    if (p.step == kStepDrained && p.answered > p.since && now - p.answered <= kTrialFresh)
+    if (record.step == kStepDrained && record.last_answer > record.step_since &&
+        now - record.last_answer <= kProbeAnswerLifetime)
         return ZoneObservation::reachable;
-    const double usual = (p.usual_silent + 0.25) / (p.usual_silent + p.usual_answers + 1);
+    const double silent_probability =
+        (record.baseline_silent + 0.25) / (record.baseline_silent + record.baseline_answers + 1);
     // Of those who ask a zone where few caches answer, some had an answer just now, and object.
-    const double quiet = p.step == kStepDrained ? 0 : std::min(kQuiet / part_of(p.step), kQuietMost);
-    const bool run = p.silent_count >= kSilentLeast && std::pow(usual, p.run) < kSilentChance;
-    if (run && now - p.answered > quiet && now - p.silent <= kSilentKept)
-        return all_silent(now) ? ZoneObservation::nothing : ZoneObservation::unreachable;
-    if (now - p.answered > kAnswerFresh) return ZoneObservation::nothing;
-    return relatively_strained(zone, now) ? ZoneObservation::strained : ZoneObservation::reachable;
+    const double min_silence =
+        record.step == kStepDrained ? 0 : std::min(kMinSilence / weight_of(record.step), kMaxSilence);
+    const bool is_silent_run = record.silent_count >= kMinSilentServers &&
+                               std::pow(silent_probability, record.silent_run) < kSilenceProbability;
+    if (is_silent_run && now - record.last_answer > min_silence &&
+        now - record.last_silence <= kSilenceLifetime)
+        return is_every_zone_silent(now) ? ZoneObservation::nothing : ZoneObservation::unreachable;
+    if (now - record.last_answer > kAnswerLifetime) return ZoneObservation::nothing;
+    return is_strained_relative_to_others(zone, now) ? ZoneObservation::strained : ZoneObservation::reachable;
 }
 
 // ---- what others say ------------------------------------------------------------------------------------
 
 // Only what a node says itself is heard, never what others say it said: who lies has one word, his own.
-void ZoneFailover::on_reports(double now, int from, const Stamp& stamp, const std::vector<ZoneReport>& voices,
-                              double late) {
-    if (late > kVoiceKept) return;
-    std::vector<bool> said(pairs_.size());
+void ZoneFailover::on_reports(double now, int from, const Stamp& stamp,
+                              const std::vector<ZoneReport>& reports, double delay) {
+    if (delay > kReportLifetime) return;
+    std::vector<bool> is_reported(records_.size());
     bool differs = false;
-    for (const ZoneReport& v : voices) {
-        if (v.zone < 0 || v.zone >= static_cast<int>(pairs_.size())) continue;
-        said[static_cast<std::size_t>(v.zone)] = true;
-        Pair& p = pair(v.zone);
-        Cell& cell = p.said[from];
-        if (stamp <= cell.stamp) continue;
-        cell = {stamp, v.observation, v.step, v.relapses, now - late};
-        const bool doubts = v.observation == ZoneObservation::unreachable || v.step < kStepHealthy;
-        if (doubts) p.doubted_by_others = now;
+    for (const ZoneReport& report : reports) {
+        if (report.zone < 0 || report.zone >= static_cast<int>(records_.size())) continue;
+        is_reported[static_cast<std::size_t>(report.zone)] = true;
+        ZoneRecord& record = record_of(report.zone);
+        PeerReport& stored = record.reports[from];
+        if (stamp <= stored.stamp) continue;
+        stored = {stamp, report.observation, report.step, report.relapses, now - delay};
+        const bool has_doubt =
+            report.observation == ZoneObservation::unreachable || report.step < kStepHealthy;
+        if (has_doubt) record.last_doubt = now;
         // Who sees or does otherwise says so, or the one that doubts hears only those who doubt with it.
-        const ZoneObservation own = sight(v.zone, now);
-        differs = differs || (doubts && (p.step != v.step || own == ZoneObservation::reachable ||
-                                         own == ZoneObservation::strained));
+        const ZoneObservation own = observe(report.zone, now);
+        differs = differs || (has_doubt && (record.step != report.step || own == ZoneObservation::reachable ||
+                                            own == ZoneObservation::strained));
     }
     // What it no longer speaks of is as usual there.
-    for (std::size_t z = 0; z < pairs_.size(); ++z) {
-        const auto at = pairs_[z].said.find(from);
+    for (std::size_t z = 0; z < records_.size(); ++z) {
+        const auto stored = records_[z].reports.find(from);
         // Who has just started, or woken, uses in full what others take back in steps, and is told so.
-        differs = differs || (!said[z] && pairs_[z].step < kStepHealthy && !pairs_[z].hand);
-        if (said[z] || at == pairs_[z].said.end() || stamp <= at->second.stamp) continue;
-        at->second = {stamp, ZoneObservation::nothing, kStepHealthy, 0, now - late};
+        differs =
+            differs || (!is_reported[z] && records_[z].step < kStepHealthy && !records_[z].set_by_operator);
+        if (is_reported[z] || stored == records_[z].reports.end() || stamp <= stored->second.stamp) continue;
+        stored->second = {stamp, ZoneObservation::nothing, kStepHealthy, 0, now - delay};
     }
-    if (!differs || std::count(owed_.begin(), owed_.end(), from) > 0) return;
-    const auto [last, first] = answered_to_.try_emplace(from, -1e9);
-    if (now - last->second < kAnswerApart) return;
-    last->second = now;
-    owed_.push_back(from);
+    if (!differs || std::count(pending_replies_.begin(), pending_replies_.end(), from) > 0) return;
+    const auto [reply, is_first] = last_reply_.try_emplace(from, -1e9);
+    if (now - reply->second < kReplyInterval) return;
+    reply->second = now;
+    pending_replies_.push_back(from);
 }
 
-std::vector<int> ZoneFailover::replies_due() { return std::exchange(owed_, {}); }
+std::vector<int> ZoneFailover::replies_due() { return std::exchange(pending_replies_, {}); }
 
 void ZoneFailover::on_new_incarnation(int node) {
-    for (Pair& p : pairs_) p.said.erase(node);
+    for (ZoneRecord& record : records_) record.reports.erase(node);
 }
 
 // What others said before is old, and what this node saw may be its own doing: it asks again, as at a start.
 // A left zone stays left, since that is the more careful.
 void ZoneFailover::on_process_pause(double now) {
-    for (Pair& p : pairs_) {
-        p.said.clear();
-        p.answered = p.silent = -1e9;
-        p.silent_count = p.run = 0;
-        p.ends = {};
-        p.answers_since = -1e9;
+    for (ZoneRecord& record : records_) {
+        record.reports.clear();
+        record.last_answer = record.last_silence = -1e9;
+        record.silent_count = record.silent_run = 0;
+        record.outcomes = {};
+        record.answers_since = -1e9;
     }
-    began_ = now;
-    news_ = kNews;
+    started_at_ = now;
+    urgent_reports_ = kChangeReports;
 }
 
 ZoneFailover::Tally ZoneFailover::tally(int zone, double now, const std::vector<int>& voters) const {
-    const Pair& p = pair(zone);
-    Tally t;
-    const auto count = [&](ZoneObservation said, int step, double born) {
+    const ZoneRecord& record = record_of(zone);
+    Tally result;
+    const auto count = [&](ZoneObservation reported, int step, double observed_at) {
         // Who was answered before this node left it says nothing of how it is now.
-        const bool before =
-            p.step == kStepDrained && said != ZoneObservation::unreachable && born <= p.since + kAnswerFresh;
-        const ZoneObservation sight = before ? ZoneObservation::nothing : said;
-        t.lost += sight == ZoneObservation::unreachable;
-        t.answers += sight == ZoneObservation::reachable;
-        t.strained += sight == ZoneObservation::strained;
-        t.at_least += step >= p.step;
-        t.further += step > p.step;
-        t.below += step < kStepHealthy;
-        t.taken += step > kStepDrained && sight == ZoneObservation::reachable;
-        t.steps.push_back(step);
+        const bool is_outdated = record.step == kStepDrained && reported != ZoneObservation::unreachable &&
+                                 observed_at <= record.step_since + kAnswerLifetime;
+        const ZoneObservation observation = is_outdated ? ZoneObservation::nothing : reported;
+        result.unreachable += observation == ZoneObservation::unreachable;
+        result.reachable += observation == ZoneObservation::reachable;
+        result.strained += observation == ZoneObservation::strained;
+        result.at_or_above += step >= record.step;
+        result.above += step > record.step;
+        result.below_healthy += step < kStepHealthy;
+        result.restored += step > kStepDrained && observation == ZoneObservation::reachable;
+        result.steps.push_back(step);
     };
-    for (const int n : voters) {
-        const auto at = p.said.find(n);
-        if (n == terms_.node_index || at == p.said.end() || now - at->second.born > kVoiceKept) continue;
-        ++t.heard;
-        count(at->second.sight, at->second.step, at->second.born);
-        t.falls.push_back(at->second.falls);
+    for (const int voter : voters) {
+        const auto report = record.reports.find(voter);
+        if (voter == settings_.node_index || report == record.reports.end() ||
+            now - report->second.observed_at > kReportLifetime)
+            continue;
+        ++result.reporters;
+        count(report->second.observation, report->second.step, report->second.observed_at);
+        result.relapses.push_back(report->second.relapses);
     }
-    std::sort(t.steps.begin(), t.steps.end());
-    std::sort(t.falls.begin(), t.falls.end());
-    const ZoneObservation own = sight(zone, now);
-    t.lost += own == ZoneObservation::unreachable;
-    t.answers += own == ZoneObservation::reachable;
-    t.strained += own == ZoneObservation::strained;
-    return t;
+    std::sort(result.steps.begin(), result.steps.end());
+    std::sort(result.relapses.begin(), result.relapses.end());
+    const ZoneObservation own = observe(zone, now);
+    result.unreachable += own == ZoneObservation::unreachable;
+    result.reachable += own == ZoneObservation::reachable;
+    result.strained += own == ZoneObservation::strained;
+    return result;
 }
 
 // ---- the states -----------------------------------------------------------------------------------------
 
-int ZoneFailover::needed(int zone, std::size_t voters, double now) const {
-    const Pair& p = pair(zone);
-    const int most = static_cast<int>(voters);
-    const bool blind = now - std::max(p.silent, p.answered) > kSilentKept;
-    const double part = blind ? kBlindPart : kVotersPart;
-    const int need = std::max(kVotersLeast, static_cast<int>(std::floor(part * most)) + 1);
-    for (std::size_t z = 0; z < pairs_.size() && z < terms_.failure_domains.size(); ++z) {
-        const bool same = static_cast<int>(z) != zone &&
-                          terms_.failure_domains[z] == terms_.failure_domains[static_cast<std::size_t>(zone)];
-        if (same && pairs_[z].step == kStepDrained) return std::min(kVotersRegion, most);
+int ZoneFailover::quorum(int zone, std::size_t voters, double now) const {
+    const ZoneRecord& record = record_of(zone);
+    const int max_quorum = static_cast<int>(voters);
+    const bool is_blind = now - std::max(record.last_silence, record.last_answer) > kSilenceLifetime;
+    const double ratio = is_blind ? kBlindQuorumRatio : kQuorumRatio;
+    const int required = std::max(kMinQuorum, static_cast<int>(std::floor(ratio * max_quorum)) + 1);
+    for (std::size_t z = 0; z < records_.size() && z < settings_.failure_domains.size(); ++z) {
+        const bool is_same_domain =
+            static_cast<int>(z) != zone &&
+            settings_.failure_domains[z] == settings_.failure_domains[static_cast<std::size_t>(zone)];
+        if (is_same_domain && records_[z].step == kStepDrained)
+            return std::min(kFailureDomainQuorum, max_quorum);
     }
-    return std::min(need, most);
+    return std::min(required, max_quorum);
 }
 
-bool ZoneFailover::leaves(int zone, const Tally& t, std::size_t voters, double now) const {
-    const Pair& p = pair(zone);
-    if (now - p.answered <= kAnswerFresh && sight(zone, now) != ZoneObservation::unreachable) return false;
-    return t.lost >= needed(zone, voters, now) && t.lost > kAgainst * (t.answers + t.strained);
+bool ZoneFailover::should_drain(int zone, const Tally& votes, std::size_t voters, double now) const {
+    const ZoneRecord& record = record_of(zone);
+    if (now - record.last_answer <= kAnswerLifetime && observe(zone, now) != ZoneObservation::unreachable)
+        return false;
+    return votes.unreachable >= quorum(zone, voters, now) &&
+           votes.unreachable > kUnreachableMajority * (votes.reachable + votes.strained);
 }
 
-bool ZoneFailover::returns(Pair& p, const Tally& t, std::size_t voters, double now) const {
-    if (t.answers == 0 || t.lost > t.answers)
-        p.answers_since = -1e9;
-    else if (p.answers_since < 0)
-        p.answers_since = now;
-    const int need = std::min(kTakers, static_cast<int>(voters));
-    const double pause = p.falls == 0 ? 0 : kFallPause * std::exp2(p.falls);
-    return t.answers >= need && t.lost < t.answers && now - p.answers_since >= pause;
+bool ZoneFailover::should_restore(ZoneRecord& record, const Tally& votes, std::size_t voters,
+                                  double now) const {
+    if (votes.reachable == 0 || votes.unreachable > votes.reachable)
+        record.answers_since = -1e9;
+    else if (record.answers_since < 0)
+        record.answers_since = now;
+    const int required = std::min(kMinAnsweredProbers, static_cast<int>(voters));
+    const double pause = record.relapses == 0 ? 0 : kRelapsePause * std::exp2(record.relapses);
+    return votes.reachable >= required && votes.unreachable < votes.reachable &&
+           now - record.answers_since >= pause;
 }
 
-double ZoneFailover::step_time(const Pair& p) const {
-    const double usual = std::max(kStepLeast, terms_.slow_start_duration / (kStepHealthy + kFallsMost - 1));
-    return (p.since - p.left_at < kShort ? usual / 2 : usual) * std::exp2(std::min(p.falls, kFallsSlower));
+double ZoneFailover::step_duration(const ZoneRecord& record) const {
+    const double duration =
+        std::max(kMinStepDuration, settings_.slow_start_duration / (kStepHealthy + kMaxRelapses - 1));
+    return (record.step_since - record.drained_at < kShortDrain ? duration / 2 : duration) *
+           std::exp2(std::min(record.relapses, kMaxSlowdownRelapses));
 }
 
 // Not before the others, so that the steps are the fleet's: whoever is lowest may always go on.
-bool ZoneFailover::advances(int zone, const Tally& t, double now) const {
-    const Pair& p = pair(zone);
-    const ZoneObservation own = sight(zone, now);
+bool ZoneFailover::may_advance(int zone, const Tally& votes, double now) const {
+    const ZoneRecord& record = record_of(zone);
+    const ZoneObservation own = observe(zone, now);
     if (own == ZoneObservation::unreachable || own == ZoneObservation::strained) return false;
-    if (kThird * t.strained > t.heard + 1) return false;
+    if (kStrainedReportersDivisor * votes.strained > votes.reporters + 1) return false;
     // Who hears nobody goes at half the pace; who hears that most are further follows, whatever it remembers
     // of falls.
-    const bool behind = t.heard > 0 && 2 * t.further > t.heard;
-    const double wait = behind ? kStepLeast / 2 : step_time(p) * (t.heard == 0 ? 2 : 1);
-    return now - p.since >= wait && 2 * t.at_least >= t.heard;
+    const bool is_behind = votes.reporters > 0 && 2 * votes.above > votes.reporters;
+    const double wait =
+        is_behind ? kMinStepDuration / 2 : step_duration(record) * (votes.reporters == 0 ? 2 : 1);
+    return now - record.step_since >= wait && 2 * votes.at_or_above >= votes.reporters;
 }
 
-void ZoneFailover::enter(int zone, int step, double now) {
-    Pair& p = pair(zone);
+void ZoneFailover::enter_step(int zone, int step, double now) {
+    ZoneRecord& record = record_of(zone);
     // From a step on the way back, or left again soon after it was in full use.
-    const bool again =
-        p.step < kStepHealthy || (step == kStepDrained && p.left_at > began_ && now - p.since < kCalm);
-    if (step < p.step && again) p.falls = std::min(p.falls + 1, kFallsMost);
-    if (step == kStepDrained) p.left_at = now;
-    p.step = step;
-    p.since = now;
-    p.answers_since = -1e9;
-    news_ = kNews;
+    const bool is_relapse =
+        record.step < kStepHealthy ||
+        (step == kStepDrained && record.drained_at > started_at_ && now - record.step_since < kRelapseMemory);
+    if (step < record.step && is_relapse) record.relapses = std::min(record.relapses + 1, kMaxRelapses);
+    if (step == kStepDrained) record.drained_at = now;
+    record.step = step;
+    record.step_since = now;
+    record.answers_since = -1e9;
+    urgent_reports_ = kChangeReports;
 }
 
-void ZoneFailover::move(int zone, const std::vector<int>& voters, double now) {
-    Pair& p = pair(zone);
-    if (p.hand || pairs_.size() < 2) return;  // where there is but one, leaving it is no way out
-    if (voters.size() < 2) {                  // who hears nobody does what a node does alone
-        if (p.step != kStepHealthy) enter(zone, kStepHealthy, now);
+void ZoneFailover::update_step(int zone, const std::vector<int>& voters, double now) {
+    ZoneRecord& record = record_of(zone);
+    if (record.set_by_operator || records_.size() < 2)
+        return;               // where there is but one, leaving it is no way out
+    if (voters.size() < 2) {  // who hears nobody does what a node does alone
+        if (record.step != kStepHealthy) enter_step(zone, kStepHealthy, now);
         return;
     }
-    const Tally t = tally(zone, now, voters);
+    const Tally votes = tally(zone, now, voters);
     // As careful as two others are: else those who were not there at a fall would lead the rest back into the
     // next.
-    if (p.step != kStepHealthy && t.falls.size() >= 2)
-        p.falls = std::max(p.falls, std::min(t.falls[t.falls.size() - 2], kFallsMost));
-    if (p.step != kStepDrained && leaves(zone, t, voters.size(), now)) return enter(zone, kStepDrained, now);
-    if (p.step == kStepHealthy) {
-        if (now - p.since > kCalm) p.falls = 0;
-        if (now - began_ <= kYoung && t.below >= kYoungWords && 2 * t.below > t.heard)
-            enter(zone, t.steps[t.steps.size() / 2], now);
-    } else if (p.step == kStepDrained) {
+    if (record.step != kStepHealthy && votes.relapses.size() >= 2)
+        record.relapses =
+            std::max(record.relapses, std::min(votes.relapses[votes.relapses.size() - 2], kMaxRelapses));
+    if (record.step != kStepDrained && should_drain(zone, votes, voters.size(), now))
+        return enter_step(zone, kStepDrained, now);
+    if (record.step == kStepHealthy) {
+        if (now - record.step_since > kRelapseMemory) record.relapses = 0;
+        if (now - started_at_ <= kStartupPeriod && votes.below_healthy >= kMinStartupReports &&
+            2 * votes.below_healthy > votes.reporters)
+            enter_step(zone, votes.steps[votes.steps.size() / 2], now);
+    } else if (record.step == kStepDrained) {
         // Enough others have taken it back and are answered, or trials are.
-        if (returns(p, t, voters.size(), now) ||
-            t.taken >= std::min(kVotersLeast, static_cast<int>(voters.size()) - 1))
-            enter(zone, kStepDrained + 1, now);
-    } else if (t.strained + t.lost >= 2 && kThird * (t.strained + t.lost) > t.heard + 1) {
-        enter(zone, p.step - 1, now);
-    } else if (advances(zone, t, now)) {
-        enter(zone, p.step + 1, now);
+        if (should_restore(record, votes, voters.size(), now) ||
+            votes.restored >= std::min(kMinQuorum, static_cast<int>(voters.size()) - 1))
+            enter_step(zone, kStepDrained + 1, now);
+    } else if (votes.strained + votes.unreachable >= 2 &&
+               kStrainedReportersDivisor * (votes.strained + votes.unreachable) > votes.reporters + 1) {
+        enter_step(zone, record.step - 1, now);
+    } else if (may_advance(zone, votes, now)) {
+        enter_step(zone, record.step + 1, now);
     }
 }
 
-bool ZoneFailover::tries(int zone, const std::vector<int>& voters, std::int64_t turn) const {
+bool ZoneFailover::is_prober(int zone, const std::vector<int>& voters, std::int64_t turn) const {
     const auto rank = [&](int node) {
         return mix(mix(static_cast<std::uint64_t>(turn) << 8 ^ static_cast<std::uint64_t>(zone)) ^
                    static_cast<std::uint64_t>(node));
     };
-    const std::uint64_t own = rank(terms_.node_index);
-    return std::count_if(voters.begin(), voters.end(), [&](int n) { return rank(n) < own; }) < kTryers;
+    const std::uint64_t own = rank(settings_.node_index);
+    return std::count_if(voters.begin(), voters.end(), [&](int n) { return rank(n) < own; }) <
+           kProbersPerZone;
 }
 
 std::vector<ZoneFailover::Change> ZoneFailover::tick(double now, const std::vector<int>& voters,
                                                      std::int64_t turn) {
     std::vector<Change> changed;
-    for (int z = 0; z < static_cast<int>(pairs_.size()); ++z) {
-        Pair& p = pair(z);
-        std::erase_if(p.said, [now](const auto& entry) { return now - entry.second.born > kVoiceKept; });
-        move(z, voters, now);
-        const bool lost = sight(z, now) == ZoneObservation::unreachable;
-        if (lost && !p.was_lost) news_ = kNews;
-        p.was_lost = lost;
+    for (int z = 0; z < static_cast<int>(records_.size()); ++z) {
+        ZoneRecord& record = record_of(z);
+        std::erase_if(record.reports,
+                      [now](const auto& entry) { return now - entry.second.observed_at > kReportLifetime; });
+        update_step(z, voters, now);
+        const bool is_unreachable = observe(z, now) == ZoneObservation::unreachable;
+        if (is_unreachable && !record.was_unreachable) urgent_reports_ = kChangeReports;
+        record.was_unreachable = is_unreachable;
         // A trial that was answered concerns all at once: they wait for it, and hear of it from this node
         // alone.
-        const bool answered = p.step == kStepDrained && sight(z, now) == ZoneObservation::reachable;
-        if (answered && !p.was_answered) news_ = std::min(kTrialNews, 3 * static_cast<int>(voters.size()));
-        p.was_answered = answered;
-        const bool left = p.step == kStepDrained;
-        const Change order{z, part_of(p.step),
-                           !left                               ? 0
-                           : !p.hand && tries(z, voters, turn) ? kTryApart
-                                                               : kNever};
-        if (order.weight == p.told.weight && order.probe_interval == p.told.probe_interval) continue;
-        p.told = order;
-        changed.push_back(order);
+        const bool is_answered = record.step == kStepDrained && observe(z, now) == ZoneObservation::reachable;
+        if (is_answered && !record.was_answered)
+            urgent_reports_ = std::min(kProbeAnswerReports, 3 * static_cast<int>(voters.size()));
+        record.was_answered = is_answered;
+        const bool is_drained = record.step == kStepDrained;
+        const Change change{z, weight_of(record.step),
+                            !is_drained                                             ? 0
+                            : !record.set_by_operator && is_prober(z, voters, turn) ? kProbeInterval
+                                                                                    : kNoProbeInterval};
+        if (change.weight == record.last_change.weight &&
+            change.probe_interval == record.last_change.probe_interval)
+            continue;
+        record.last_change = change;
+        changed.push_back(change);
     }
     return changed;
 }
 
 // Back from the operators' hand it goes through the same steps.
-void ZoneFailover::set_admin_state(double now, int zone, bool out) {
-    if (zone < 0 || zone >= static_cast<int>(pairs_.size()) || pair(zone).hand == out) return;
-    enter(zone, out ? kStepDrained : kStepDrained + 1, now);
-    pair(zone).hand = out;
+void ZoneFailover::set_admin_state(double now, int zone, bool drain) {
+    if (zone < 0 || zone >= static_cast<int>(records_.size()) || record_of(zone).set_by_operator == drain)
+        return;
+    enter_step(zone, drain ? kStepDrained : kStepDrained + 1, now);
+    record_of(zone).set_by_operator = drain;
 }
 
 std::vector<ZoneReport> ZoneFailover::reports(double now) const {
-    std::vector<ZoneReport> all;
-    for (int z = 0; z < static_cast<int>(pairs_.size()); ++z) {
-        const Pair& p = pair(z);
+    std::vector<ZoneReport> result;
+    for (int z = 0; z < static_cast<int>(records_.size()); ++z) {
+        const ZoneRecord& record = record_of(z);
         // What one operator's hand does here says nothing of the zone.
-        const int step = p.hand ? kStepHealthy : p.step;
-        const ZoneObservation seen = sight(z, now);
-        const bool asked = now - p.doubted_by_others <= kDoubtAnswered;
-        if (seen == ZoneObservation::unreachable || step < kStepHealthy || asked)
-            all.push_back({z, seen, step, p.falls});
+        const int step = record.set_by_operator ? kStepHealthy : record.step;
+        const ZoneObservation observation = observe(z, now);
+        const bool is_doubted = now - record.last_doubt <= kDoubtLifetime;
+        if (observation == ZoneObservation::unreachable || step < kStepHealthy || is_doubted)
+            result.push_back({z, observation, step, record.relapses});
     }
-    return all;
+    return result;
 }
 
 ZoneFailover::View ZoneFailover::view(double now, int zone, const std::vector<int>& voters) const {
-    const Pair& p = pair(zone);
-    const Tally t = tally(zone, now, voters);
+    const ZoneRecord& record = record_of(zone);
+    const Tally votes = tally(zone, now, voters);
     View v;
-    v.set_by_operator = p.hand;
-    v.weight = part_of(p.step);
-    v.since = now - p.since;
-    v.unreachable = t.lost, v.reachable = t.answers, v.strained = t.strained, v.reporters = t.heard;
-    v.quorum = needed(zone, voters.size(), now);
-    v.relapses = p.falls;
-    if (sight(zone, now) == ZoneObservation::unreachable)
-        v.unreachable_reporters.push_back(terms_.node_index);
-    for (const auto& [node, cell] : p.said) {
-        if (cell.sight == ZoneObservation::unreachable && now - cell.born <= kVoiceKept)
+    v.set_by_operator = record.set_by_operator;
+    v.weight = weight_of(record.step);
+    v.since = now - record.step_since;
+    v.unreachable = votes.unreachable, v.reachable = votes.reachable, v.strained = votes.strained,
+    v.reporters = votes.reporters;
+    v.quorum = quorum(zone, voters.size(), now);
+    v.relapses = record.relapses;
+    if (observe(zone, now) == ZoneObservation::unreachable)
+        v.unreachable_reporters.push_back(settings_.node_index);
+    for (const auto& [node, report] : record.reports) {
+        if (report.observation == ZoneObservation::unreachable && now - report.observed_at <= kReportLifetime)
             v.unreachable_reporters.push_back(node);
     }
-    v.state = p.step == kStepDrained  ? (t.answers > 0 ? ZoneState::probing : ZoneState::drained)
-              : p.step < kStepHealthy ? ZoneState::recovering
-              : t.lost > 0            ? ZoneState::suspect
-                                      : ZoneState::healthy;
+    v.state = record.step == kStepDrained  ? (votes.reachable > 0 ? ZoneState::probing : ZoneState::drained)
+              : record.step < kStepHealthy ? ZoneState::recovering
+              : votes.unreachable > 0      ? ZoneState::suspect
+                                           : ZoneState::healthy;
     return v;
 }
 
--- a/src/gossip/zone_failover.h
+++ b/src/gossip/zone_failover.h
@@ -46,81 +46,82 @@
         std::vector<int> unreachable_reporters;  // nodes
     };
 
-    ZoneFailover(Settings terms, double now);
+    ZoneFailover(Settings settings, double now);
 
-    void on_attempt_finished(double now, int zone, ServerKey subject, ZoneAttempt end);
-    void on_reports(double now, int from, const Stamp& stamp, const std::vector<ZoneReport>& voices,
-                    double late);
+    void on_attempt_finished(double now, int zone, ServerKey server, ZoneAttempt outcome);
+    void on_reports(double now, int from, const Stamp& stamp, const std::vector<ZoneReport>& reports,
+                    double delay);
     void on_new_incarnation(int node);
     void on_process_pause(double now);
-    void set_admin_state(double now, int zone, bool out);
+    void set_admin_state(double now, int zone, bool drain);
     // `voters`: the nodes there whose word counts here, this one among them. `turn`: whose turn it is to try,
     // the same at all nodes whose clocks agree; where they do not, others try, and as many.
     std::vector<Change> tick(double now, const std::vector<int>& voters, std::int64_t turn);
 
     std::vector<ZoneReport> reports(
-        double now) const;                        // what is not as usual, and what answers doubts of others
-    int urgent_reports() const { return news_; }  // datagrams that do not wait
-    void on_report_sent() { news_ -= news_ > 0; }
+        double now) const;  // what is not as usual, and what answers doubts of others
+    int urgent_reports() const { return urgent_reports_; }  // datagrams that do not wait
+    void on_report_sent() { urgent_reports_ -= urgent_reports_ > 0; }
     bool has_unhealthy_zone(double now) const { return !reports(now).empty(); }
     std::vector<int> replies_due();  // to whom an answer is due, once
     View view(double now, int zone, const std::vector<int>& voters) const;
     static double probe_turn_length();  // s
 
   private:
-    struct Cell {
+    struct PeerReport {
         Stamp stamp;
-        ZoneObservation sight = ZoneObservation::nothing;
+        ZoneObservation observation = ZoneObservation::nothing;
         int step = kStepHealthy;
-        int falls = 0;
-        double born = -1e9;
+        int relapses = 0;
+        double observed_at = -1e9;
     };
-    struct Pair {                                    // from this node's zone to that
-        double answered = -1e9, silent = -1e9;       // when an ending there last was so
-        std::array<ServerKey, 2> silent_at{};        // the first since the last answer
-        int silent_count = 0, run = 0;               // of them, and of endings
-        double usual_silent = 0, usual_answers = 4;  // before that run, the newest twenty or so
-        bool was_lost = false, was_answered = false;
-        std::array<std::array<int, 3>, 4> ends{};  // by kind, in buckets of a quarter of a second
-        std::int64_t turn = 0;
-        std::map<int, Cell> said;
+    struct ZoneRecord {                                    // from this node's zone to that
+        double last_answer = -1e9, last_silence = -1e9;    // when an ending there last was so
+        std::array<ServerKey, 2> silent_servers{};         // the first since the last answer
+        int silent_count = 0, silent_run = 0;              // of them, and of endings
+        double baseline_silent = 0, baseline_answers = 4;  // before that run, the newest twenty or so
+        bool was_unreachable = false, was_answered = false;
+        std::array<std::array<int, 3>, 4> outcomes{};  // by kind, in buckets of a quarter of a second
+        std::int64_t newest_bucket = 0;
+        std::map<int, PeerReport> reports;
         int step = kStepHealthy;
-        double since = 0;  // when the step was taken
-        double left_at = -1e9;
+        double step_since = 0;  // when the step was taken
+        double drained_at = -1e9;
         double answers_since = -1e9;  // of trials; -1e9: none
-        int falls = 0;                // back again, or down a step, lately
-        bool hand = false;
-        double doubted_by_others = -1e9;
-        Change told;
+        int relapses = 0;             // back again, or down a step, lately
+        bool set_by_operator = false;
+        double last_doubt = -1e9;
+        Change last_change;
     };
     struct Tally {
-        int lost = 0, answers = 0, strained = 0, heard = 0, at_least = 0, further = 0, below = 0, taken = 0;
-        std::vector<int> steps, falls;
+        int unreachable = 0, reachable = 0, strained = 0, reporters = 0, at_or_above = 0, above = 0,
+            below_healthy = 0, restored = 0;
+        std::vector<int> steps, relapses;
     };
 
-    Pair& pair(int zone) { return pairs_[static_cast<std::size_t>(zone)]; }
-    const Pair& pair(int zone) const { return pairs_[static_cast<std::size_t>(zone)]; }
-    static void turn(Pair& p, double now);
-    static int sum(const Pair& p, ZoneAttempt end, double now);
-    bool all_silent(double now) const;
-    bool relatively_strained(int zone, double now) const;
-    ZoneObservation sight(int zone, double now) const;
+    ZoneRecord& record_of(int zone) { return records_[static_cast<std::size_t>(zone)]; }
+    const ZoneRecord& record_of(int zone) const { return records_[static_cast<std::size_t>(zone)]; }
+    static void advance_buckets(ZoneRecord& record, double now);
+    static int count_outcomes(const ZoneRecord& record, ZoneAttempt outcome, double now);
+    bool is_every_zone_silent(double now) const;
+    bool is_strained_relative_to_others(int zone, double now) const;
+    ZoneObservation observe(int zone, double now) const;
     Tally tally(int zone, double now, const std::vector<int>& voters) const;
-    int needed(int zone, std::size_t voters, double now) const;
-    bool leaves(int zone, const Tally& t, std::size_t voters, double now) const;
-    bool returns(Pair& p, const Tally& t, std::size_t voters, double now) const;
-    bool advances(int zone, const Tally& t, double now) const;
-    double step_time(const Pair& p) const;
-    void enter(int zone, int step, double now);
-    void move(int zone, const std::vector<int>& voters, double now);
-    bool tries(int zone, const std::vector<int>& voters, std::int64_t turn) const;
+    int quorum(int zone, std::size_t voters, double now) const;
+    bool should_drain(int zone, const Tally& votes, std::size_t voters, double now) const;
+    bool should_restore(ZoneRecord& record, const Tally& votes, std::size_t voters, double now) const;
+    bool may_advance(int zone, const Tally& votes, double now) const;
+    double step_duration(const ZoneRecord& record) const;
+    void enter_step(int zone, int step, double now);
+    void update_step(int zone, const std::vector<int>& voters, double now);
+    bool is_prober(int zone, const std::vector<int>& voters, std::int64_t turn) const;
 
-    Settings terms_;
-    std::vector<Pair> pairs_;
-    std::map<int, double> answered_to_;
-    std::vector<int> owed_;
-    double began_;
-    int news_ = 0;
+    Settings settings_;
+    std::vector<ZoneRecord> records_;
+    std::map<int, double> last_reply_;
+    std::vector<int> pending_replies_;
+    double started_at_;
+    int urgent_reports_ = 0;
 };
 
 }  // namespace brookrelay::gossip
