--- a/src/gossip/fleet_quotas.cpp
+++ b/src/gossip/fleet_quotas.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kWantedTurn = 1.0;  // s
 constexpr double kForgotten = 30.0;  // s after its last use that a server's is forgotten
-constexpr double kTakenLeast =
-    0.2;  // part taken from which the load is reckoned: with less it may be anything
+// Part taken from which the load is reckoned: with less it may be anything.
+constexpr double kTakenLeast = 0.2;
 
 }  // namespace
 
--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -72,8 +72,8 @@
 // Present nodes of the own zone from which only those vote on zones; below, all nodes vote.
 constexpr std::size_t kMinZoneVoters = 3;
 constexpr int kUrgentZoneReportsPerTick = 2;  // datagrams per tick while reports are urgent
-constexpr int kMaxUrgentZoneReportsPerTick =
-    6;  // the same while more than kManyUrgentZoneReports are pending
+// The same while more than kManyUrgentZoneReports are pending.
+constexpr int kMaxUrgentZoneReportsPerTick = 6;
 constexpr int kManyUrgentZoneReports = 16;
 constexpr double kZoneReportInterval = 0.5;  // s between zone reports that are not urgent
 
--- a/src/gossip/zone_failover.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -9,52 +9,65 @@
 namespace brookrelay::gossip {
 namespace {
 
-constexpr double kReportLifetime = 3.0;  // s after it was said that a node's word counts
-constexpr double kAnswerLifetime = 1.0;  // s after an answer in which nothing makes this node leave the zone;
-constexpr double kProbeAnswerLifetime =
-    6.0;  // of a left one, where trials are seconds apart and few caches may answer
-constexpr double kMinSilence =
-    0.3;  // s without an answer that make a word of one node, by as much more as less goes there,
+constexpr double kReportLifetime = 3.0;  // s for which a peer's report counts
+constexpr double kAnswerLifetime = 1.0;  // s after an answer in which this node does not drain the zone
+// Seconds for which an answer counts in a drained zone, where probes are seconds apart and few servers may
+// answer.
+constexpr double kProbeAnswerLifetime = 6.0;
+// Seconds without an answer before a node reports a zone unreachable; longer in proportion as the zone gets
+// less traffic, up to kMaxSilence.
+constexpr double kMinSilence = 0.3;
 constexpr double kMaxSilence = 3.0;
-constexpr int kMinSilentServers =
-    2;  // caches in a row without any answer between that make a word of one node,
-constexpr double kSilenceProbability =
-    0.01;  // where chance seldom brings as many endings, by what was usual there before;
-constexpr double kBaselineDecay = 0.95;  // of what was usual, by each ending since,
-constexpr int kMaxRunInBaseline = 4;     // a run counts for so many: all of it were a loss, not what is usual
-constexpr double kSilenceLifetime = 3.0;  // s that it is one
-constexpr int kMinQuorum = 3;             // that must say so, or all where they are fewer,
-constexpr double kQuorumRatio = 0.05;     // and of the voters;
-constexpr double kBlindQuorumRatio =
-    0.25;  // of them, where this node has not asked there lately: more than may lie
-constexpr int kFailureDomainQuorum = 2;    // where another zone of its region is left already
-constexpr int kUnreachableMajority = 3;    // times as many as say that it answers
-constexpr int kMinAnsweredProbers = 2;     // whose trials were answered, and it is taken back
-constexpr int kProbersPerZone = 2;         // nodes of a zone that try a left one at a time,
-constexpr double kProbeInterval = 1.0;     // s apart each,
-constexpr double kProbeTurnSeconds = 2.0;  // for so long: then others do, so dead ones cost a turn
-constexpr double kNoProbeInterval = 1e6;   // s: others try
-constexpr double kMinStepDuration = 0.5;   // s that a step back into use takes
-constexpr double kShortDrain =
-    3.0;  // s: what was left for less has kept its copies; its steps take half as long
-constexpr double kRelapsePause = 0.5;    // s before a further try after a fall; doubles by each,
-constexpr int kMaxRelapses = 4;          // up to this;
-constexpr int kMaxSlowdownRelapses = 2;  // and steps take longer by as much up to this
-constexpr double kRelapseMemory = 30.0;  // s in full use after which falls are forgotten
-constexpr double kStrainedRatio = 0.5;   // of endings there, and
-constexpr double kStrainedMultiple =
-    2.0;                                 // times as much as elsewhere: where all are strained it is no worse
-constexpr int kMinStrainedAttempts = 4;  // endings in a second that tell it
-constexpr int kStrainedReportersDivisor =
-    3;                                   // one in so many strained words hold the steps, or take one back
-constexpr double kStartupPeriod = 5.0;   // s after a start in which it takes the others' step for its own
-constexpr int kMinStartupReports = 2;    // of so many: it errs to the careful side
-constexpr int kProbeAnswerReports = 48;  // datagrams of an answered trial
-constexpr int kChangeReports = 16;       // datagrams of a change that do not wait
-constexpr double kReplyInterval = 1.0;   // s between answers to one node
-constexpr double kDoubtLifetime = 2.0;   // s for which others' doubts are answered by what is seen here
+// Different servers that must be silent in a row, without an answer between.
+constexpr int kMinSilentServers = 2;
+// The run must be so long that, with the baseline rate of silent attempts, it happens by chance with a lower
+// probability than this.
+constexpr double kSilenceProbability = 0.01;
+constexpr double kBaselineDecay = 0.95;  // factor on the baseline for each further attempt
+// A run adds at most this many silent attempts to the baseline: a longer one is an outage, not the usual
+// rate.
+constexpr int kMaxRunInBaseline = 4;
+constexpr double kSilenceLifetime = 3.0;  // s for which a silent run counts
+// Voters that must report a zone unreachable: at least kMinQuorum, or all where there are fewer, and more
+// than kQuorumRatio of them.
+constexpr int kMinQuorum = 3;
+constexpr double kQuorumRatio = 0.05;
+// The ratio if this node has made no attempt there recently: larger than the share of nodes that may lie.
+constexpr double kBlindQuorumRatio = 0.25;
+// Voters needed if another zone of the failure domain is drained already.
+constexpr int kFailureDomainQuorum = 2;
+// Unreachable reports must exceed this multiple of those with an answer.
+constexpr int kUnreachableMajority = 3;
+constexpr int kMinAnsweredProbers = 2;  // nodes whose probes must be answered for a restore to begin
+constexpr int kProbersPerZone = 2;      // nodes of a zone that probe a drained one at a time
+constexpr double kProbeInterval = 1.0;  // s between the probes of one of them
+// Seconds after which other nodes probe, so that a dead prober costs one turn.
+constexpr double kProbeTurnSeconds = 2.0;
+constexpr double kNoProbeInterval = 1e6;  // s; for nodes that do not probe in this turn
+constexpr double kMinStepDuration = 0.5;  // s of a step back into use
+// Seconds; servers of a zone drained for less have kept their contents, so its steps take half as long.
+constexpr double kShortDrain = 3.0;
+constexpr double kRelapsePause =
+    0.5;  // s of answered probes before a restore after relapses, times 2 for each of them
+constexpr int kMaxRelapses = 4;          // that count for the pause
+constexpr int kMaxSlowdownRelapses = 2;  // that double the duration of a step
+constexpr double kRelapseMemory = 30.0;  // s of full use after which relapses are forgotten
+// A zone is strained if at least kStrainedRatio of the attempts there go wrong, and kStrainedMultiple times
+// as large a part as elsewhere: where all zones are strained, none is worse.
+constexpr double kStrainedRatio = 0.5;
+constexpr double kStrainedMultiple = 2.0;
+constexpr int kMinStrainedAttempts = 4;  // attempts within a second that are needed to tell
+// One strained report in this many holds the restore, or takes it back a step.
+constexpr int kStrainedReportersDivisor = 3;
+constexpr double kStartupPeriod = 5.0;   // s after a start in which a node adopts the step of its peers
+constexpr int kMinStartupReports = 2;    // reports that suffice for it; it errs on the side of caution
+constexpr int kProbeAnswerReports = 48;  // urgent datagrams after an answered probe
+constexpr int kChangeReports = 16;       // urgent datagrams after any other change
+constexpr double kReplyInterval = 1.0;   // s between replies to one node
+constexpr double kDoubtLifetime = 2.0;  // s for which a peer's doubt is answered with this node's observation
 constexpr double kBucketSeconds = 0.25;
 
+// Fraction of a zone's keys that may go there at a step.
 double weight_of(int step) { return step <= kStepDrained ? 0 : std::exp2(step - kStepHealthy); }
 
 }  // namespace
@@ -69,7 +82,7 @@
     for (ZoneRecord& record : records_) record.step_since = now;
 }
 
-// ---- what this node sees --------------------------------------------------------------------------------
+// ---- local observations --------------------------------------------------------------------------------
 
 void ZoneFailover::advance_buckets(ZoneRecord& record, double now) {
     const auto bucket = static_cast<std::int64_t>(now / kBucketSeconds);
@@ -117,7 +130,7 @@
     }
 }
 
-// Where nothing answers in any zone that it asked, the fault is its own way's.
+// If every zone with recent attempts is silent, this node's own connectivity is at fault.
 bool ZoneFailover::is_every_zone_silent(double now) const {
     int asked = 0, silent = 0;
     for (const ZoneRecord& record : records_) {
@@ -144,14 +157,15 @@
 
 ZoneObservation ZoneFailover::observe(int zone, double now) const {
     const ZoneRecord& record = record_of(zone);
-    // Where few of a zone's caches answer, trials of a left one meet those seldom: any answer goes first
-    // then.
+    // If few of a zone's servers answer, probes of the drained zone seldom meet one, so any answer takes
+    // precedence.
     if (record.step == kStepDrained && record.last_answer > record.step_since &&
         now - record.last_answer <= kProbeAnswerLifetime)
         return ZoneObservation::reachable;
     const double silent_probability =
         (record.baseline_silent + 0.25) / (record.baseline_silent + record.baseline_answers + 1);
-    // Of those who ask a zone where few caches answer, some had an answer just now, and object.
+    // With more traffic a short silence is enough: where a few servers still answer, some voters had an
+    // answer just now and object.
     const double min_silence =
         record.step == kStepDrained ? 0 : std::min(kMinSilence / weight_of(record.step), kMaxSilence);
     const bool is_silent_run = record.silent_count >= kMinSilentServers &&
@@ -163,9 +177,9 @@
     return is_strained_relative_to_others(zone, now) ? ZoneObservation::strained : ZoneObservation::reachable;
 }
 
-// ---- what others say ------------------------------------------------------------------------------------
+// ---- received reports ----------------------------------------------------------------------------------
 
-// Only what a node says itself is heard, never what others say it said: who lies has one word, his own.
+// Counts only what a node reports itself, never what others relay: a lying node has one vote, its own.
 void ZoneFailover::on_reports(double now, int from, const Stamp& stamp,
                               const std::vector<ZoneReport>& reports, double delay) {
     if (delay > kReportLifetime) return;
@@ -181,15 +195,17 @@
         const bool has_doubt =
             report.observation == ZoneObservation::unreachable || report.step < kStepHealthy;
         if (has_doubt) record.last_doubt = now;
-        // Who sees or does otherwise says so, or the one that doubts hears only those who doubt with it.
+        // A node with a different observation or step must say so, or the doubting node would only hear
+        // others that doubt.
         const ZoneObservation own = observe(report.zone, now);
         differs = differs || (has_doubt && (record.step != report.step || own == ZoneObservation::reachable ||
                                             own == ZoneObservation::strained));
     }
-    // What it no longer speaks of is as usual there.
+    // A zone that the sender no longer reports is healthy there.
     for (std::size_t z = 0; z < records_.size(); ++z) {
         const auto stored = records_[z].reports.find(from);
-        // Who has just started, or woken, uses in full what others take back in steps, and is told so.
+        // A node that has just started or resumed uses a zone in full while its peers restore it in steps; it
+        // is told.
         differs =
             differs || (!is_reported[z] && records_[z].step < kStepHealthy && !records_[z].set_by_operator);
         if (is_reported[z] || stored == records_[z].reports.end() || stamp <= stored->second.stamp) continue;
@@ -208,8 +224,8 @@
     for (ZoneRecord& record : records_) record.reports.erase(node);
 }
 
-// What others said before is old, and what this node saw may be its own doing: it asks again, as at a start.
-// A left zone stays left, since that is the more careful.
+// After a pause the peers' reports are outdated, and this node's own observations may be caused by the pause;
+// it starts over as after a restart. A drained zone stays drained, which is the more cautious choice.
 void ZoneFailover::on_process_pause(double now) {
     for (ZoneRecord& record : records_) {
         record.reports.clear();
@@ -226,7 +242,7 @@
     const ZoneRecord& record = record_of(zone);
     Tally result;
     const auto count = [&](ZoneObservation reported, int step, double observed_at) {
-        // Who was answered before this node left it says nothing of how it is now.
+        // An answer from before this node drained the zone says nothing of its present state.
         const bool is_outdated = record.step == kStepDrained && reported != ZoneObservation::unreachable &&
                                  observed_at <= record.step_since + kAnswerLifetime;
         const ZoneObservation observation = is_outdated ? ZoneObservation::nothing : reported;
@@ -257,7 +273,7 @@
     return result;
 }
 
-// ---- the states -----------------------------------------------------------------------------------------
+// ---- state transitions ---------------------------------------------------------------------------------
 
 int ZoneFailover::quorum(int zone, std::size_t voters, double now) const {
     const ZoneRecord& record = record_of(zone);
@@ -302,14 +318,15 @@
            std::exp2(std::min(record.relapses, kMaxSlowdownRelapses));
 }
 
-// Not before the others, so that the steps are the fleet's: whoever is lowest may always go on.
+// No node goes ahead of its peers, so that the whole fleet shares a step; the one with the lowest step may
+// always advance.
 bool ZoneFailover::may_advance(int zone, const Tally& votes, double now) const {
     const ZoneRecord& record = record_of(zone);
     const ZoneObservation own = observe(zone, now);
     if (own == ZoneObservation::unreachable || own == ZoneObservation::strained) return false;
     if (kStrainedReportersDivisor * votes.strained > votes.reporters + 1) return false;
-    // Who hears nobody goes at half the pace; who hears that most are further follows, whatever it remembers
-    // of falls.
+    // A node without reports advances at half the pace. A node that most peers are ahead of follows them,
+    // regardless of the relapses it remembers.
     const bool is_behind = votes.reporters > 0 && 2 * votes.above > votes.reporters;
     const double wait =
         is_behind ? kMinStepDuration / 2 : step_duration(record) * (votes.reporters == 0 ? 2 : 1);
@@ -318,7 +335,7 @@
 
 void ZoneFailover::enter_step(int zone, int step, double now) {
     ZoneRecord& record = record_of(zone);
-    // From a step on the way back, or left again soon after it was in full use.
+    // A drain or step back during a restore, or a drain soon after the zone was restored.
     const bool is_relapse =
         record.step < kStepHealthy ||
         (step == kStepDrained && record.drained_at > started_at_ && now - record.step_since < kRelapseMemory);
@@ -332,15 +349,14 @@
 
 void ZoneFailover::update_step(int zone, const std::vector<int>& voters, double now) {
     ZoneRecord& record = record_of(zone);
-    if (record.set_by_operator || records_.size() < 2)
-        return;               // where there is but one, leaving it is no way out
-    if (voters.size() < 2) {  // who hears nobody does what a node does alone
+    if (record.set_by_operator || records_.size() < 2) return;  // a single zone has no alternative
+    if (voters.size() < 2) {  // without peers there is no failover, so use the zone in full
         if (record.step != kStepHealthy) enter_step(zone, kStepHealthy, now);
         return;
     }
     const Tally votes = tally(zone, now, voters);
-    // As careful as two others are: else those who were not there at a fall would lead the rest back into the
-    // next.
+    // Adopts the relapses that at least two peers remember: otherwise nodes that were absent during a relapse
+    // would lead the others into the next one.
     if (record.step != kStepHealthy && votes.relapses.size() >= 2)
         record.relapses =
             std::max(record.relapses, std::min(votes.relapses[votes.relapses.size() - 2], kMaxRelapses));
@@ -352,7 +368,7 @@
             2 * votes.below_healthy > votes.reporters)
             enter_step(zone, votes.steps[votes.steps.size() / 2], now);
     } else if (record.step == kStepDrained) {
-        // Enough others have taken it back and are answered, or trials are.
+        // Restore if enough probes are answered, or if enough peers have begun to restore and get answers.
         if (should_restore(record, votes, voters.size(), now) ||
             votes.restored >= std::min(kMinQuorum, static_cast<int>(voters.size()) - 1))
             enter_step(zone, kStepDrained + 1, now);
@@ -385,8 +401,7 @@
         const bool is_unreachable = observe(z, now) == ZoneObservation::unreachable;
         if (is_unreachable && !record.was_unreachable) urgent_reports_ = kChangeReports;
         record.was_unreachable = is_unreachable;
-        // A trial that was answered concerns all at once: they wait for it, and hear of it from this node
-        // alone.
+        // All voters wait for an answered probe and hear of it from this node only, so it is sent to many.
         const bool is_answered = record.step == kStepDrained && observe(z, now) == ZoneObservation::reachable;
         if (is_answered && !record.was_answered)
             urgent_reports_ = std::min(kProbeAnswerReports, 3 * static_cast<int>(voters.size()));
@@ -405,7 +420,7 @@
     return changed;
 }
 
-// Back from the operators' hand it goes through the same steps.
+// A zone released by an operator is restored through the same steps as any other.
 void ZoneFailover::set_admin_state(double now, int zone, bool drain) {
     if (zone < 0 || zone >= static_cast<int>(records_.size()) || record_of(zone).set_by_operator == drain)
         return;
@@ -417,7 +432,7 @@
     std::vector<ZoneReport> result;
     for (int z = 0; z < static_cast<int>(records_.size()); ++z) {
         const ZoneRecord& record = record_of(z);
-        // What one operator's hand does here says nothing of the zone.
+        // An operator's decision at this node says nothing about the zone.
         const int step = record.set_by_operator ? kStepHealthy : record.step;
         const ZoneObservation observation = observe(z, now);
         const bool is_doubted = now - record.last_doubt <= kDoubtLifetime;
--- a/src/gossip/zone_failover.h
+++ b/src/gossip/zone_failover.h
@@ -1,10 +1,11 @@
-// Whether a zone is in use by the nodes of this one's zone: left by them as one when nothing there answers,
-// tried by a few for all, and taken back in steps that all go together. It owns, for each zone, what this
-// node saw and what others said lately; no I/O, no chance, no clock but the `now` it is given. It never
-// leaves a zone of which this node had an answer just now, and never on the word of fewer nodes than it
-// states.
+// Zone failover as the nodes of one zone agree on it: they drain a zone together when nothing there answers,
+// a few of them probe it for all, and they restore it in steps that all take together. Holds, for each zone,
+// what this node observed and what peers reported recently. Performs no I/O, uses no randomness, and no clock
+// but the `now` it is given. It never drains a zone from which this node had an answer just now, and never on
+// the reports of fewer nodes than the quorum that it shows.
 //
-// docs/zones.md has the table of states, the ways weighed and the bounds with their runs.
+// docs/zones.md has the state table, the alternatives considered, and the bounds with the runs that measured
+// them.
 #pragma once
 
 #include <array>
@@ -16,11 +17,8 @@
 
 namespace brookrelay::gossip {
 
-enum class ZoneAttempt {
-    healthy,
-    strained,
-    silent
-};  // of a forward: strained is an answer too, only slow or none to use
+// What the outcome of an attempt says of the zone. `strained` is an answer too, but a slow or unusable one.
+enum class ZoneAttempt { healthy, strained, silent };
 enum class ZoneState { healthy, suspect, drained, probing, recovering };
 
 class ZoneFailover {
@@ -29,21 +27,21 @@
         int node_index = 0;
         int zone = 0;
         int zone_count = 1;
-        double slow_start_duration = 0;         // s that a cold cache takes: the steps back take as long
-        std::vector<int> failure_domains = {};  // of each zone; empty: each is one by itself
+        double slow_start_duration = 0;         // s that a cold cache needs; restoring a zone takes as long
+        std::vector<int> failure_domains = {};  // by zone; empty: every zone is one of its own
     };
-    // What the decision module is told where it changed.
+    // A change that the balancer is told of.
     struct Change {
         int zone = 0;
-        double weight = 1;          // of the keys that may go there; 0: left
-        double probe_interval = 0;  // s between this node's trials of a left one
+        double weight = 1;          // fraction of the zone's keys that may go there; 0: drained
+        double probe_interval = 0;  // s between this node's probes of a drained zone
     };
     struct View {  // for operators
         ZoneState state = ZoneState::healthy;
         bool set_by_operator = false;
-        double weight = 1, since = 0;  // s that it has been so
+        double weight = 1, since = 0;  // since: s since the last step
         int unreachable = 0, reachable = 0, strained = 0, reporters = 0, quorum = 0, relapses = 0;
-        std::vector<int> unreachable_reporters;  // nodes
+        std::vector<int> unreachable_reporters;  // node numbers
     };
 
     ZoneFailover(Settings settings, double now);
@@ -54,20 +52,23 @@
     void on_new_incarnation(int node);
     void on_process_pause(double now);
     void set_admin_state(double now, int zone, bool drain);
-    // `voters`: the nodes there whose word counts here, this one among them. `turn`: whose turn it is to try,
-    // the same at all nodes whose clocks agree; where they do not, others try, and as many.
+    // `voters`: the present nodes whose reports count here, including this one. `turn` selects the nodes that
+    // probe and is the same at all nodes whose clocks agree; where clocks differ, other nodes probe, but as
+    // many.
     std::vector<Change> tick(double now, const std::vector<int>& voters, std::int64_t turn);
 
-    std::vector<ZoneReport> reports(
-        double now) const;  // what is not as usual, and what answers doubts of others
-    int urgent_reports() const { return urgent_reports_; }  // datagrams that do not wait
+    // Reports on all zones that are not healthy, and on those that peers recently reported as such.
+    std::vector<ZoneReport> reports(double now) const;
+    int urgent_reports() const { return urgent_reports_; }  // datagrams to send without waiting
     void on_report_sent() { urgent_reports_ -= urgent_reports_ > 0; }
     bool has_unhealthy_zone(double now) const { return !reports(now).empty(); }
-    std::vector<int> replies_due();  // to whom an answer is due, once
+    // Returns, once each, the nodes that this node must send its differing report to.
+    std::vector<int> replies_due();
     View view(double now, int zone, const std::vector<int>& voters) const;
     static double probe_turn_length();  // s
 
   private:
+    // One node's last report on a zone.
     struct PeerReport {
         Stamp stamp;
         ZoneObservation observation = ZoneObservation::nothing;
@@ -75,24 +76,28 @@
         int relapses = 0;
         double observed_at = -1e9;
     };
-    struct ZoneRecord {                                    // from this node's zone to that
-        double last_answer = -1e9, last_silence = -1e9;    // when an ending there last was so
-        std::array<ServerKey, 2> silent_servers{};         // the first since the last answer
-        int silent_count = 0, silent_run = 0;              // of them, and of endings
-        double baseline_silent = 0, baseline_answers = 4;  // before that run, the newest twenty or so
+    // One zone as seen from this node's zone.
+    struct ZoneRecord {
+        double last_answer = -1e9, last_silence = -1e9;  // when an attempt there last ended so
+        std::array<ServerKey, 2> silent_servers{};       // the first ones since the last answer
+        // Number of entries in silent_servers, and of consecutive attempts without an answer.
+        int silent_count = 0, silent_run = 0;
+        // Attempts without and with an answer before the current run, decaying over about the last twenty.
+        double baseline_silent = 0, baseline_answers = 4;
         bool was_unreachable = false, was_answered = false;
-        std::array<std::array<int, 3>, 4> outcomes{};  // by kind, in buckets of a quarter of a second
+        std::array<std::array<int, 3>, 4> outcomes{};  // by ZoneAttempt, in buckets of kBucketSeconds
         std::int64_t newest_bucket = 0;
-        std::map<int, PeerReport> reports;
+        std::map<int, PeerReport> reports;  // by node
         int step = kStepHealthy;
-        double step_since = 0;  // when the step was taken
+        double step_since = 0;
         double drained_at = -1e9;
-        double answers_since = -1e9;  // of trials; -1e9: none
-        int relapses = 0;             // back again, or down a step, lately
+        double answers_since = -1e9;  // start of the period in which probes are answered; -1e9: none
+        int relapses = 0;             // recent drains and steps back during a restore
         bool set_by_operator = false;
-        double last_doubt = -1e9;
+        double last_doubt = -1e9;  // when a peer last reported the zone as not healthy
         Change last_change;
     };
+    // Counts of the voters' current reports, this node's observation included where it has one.
     struct Tally {
         int unreachable = 0, reachable = 0, strained = 0, reporters = 0, at_or_above = 0, above = 0,
             below_healthy = 0, restored = 0;
