--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -366,7 +366,7 @@
 
 // Runs once per tick, because the rest of the tick reads these lists many times.
 void OutlierExchange::refresh_present_nodes(double now) {
-    present_nodes_ = members_.there(now);
+    present_nodes_ = members_.present_nodes(now);
     nodes_per_zone_.fill(0);
     for (const int n : present_nodes_) {
         const int zone = n == settings_.node_index ? settings_.zone : members_.member(n).zone;
