--- a/src/gossip/messages.cpp
+++ b/src/gossip/messages.cpp
@@ -8,10 +8,10 @@
 namespace brookrelay::gossip {
 namespace {
 
-constexpr std::uint32_t kHead = 12, kPerAlive = 2, kPerSight = 3, kPerFinding = 7, kPerZone = 4, kPerWant = 2,
-                        kPerGrant = 3;
-constexpr std::uint32_t kZoneRoom = 64;  // a node and the zone it stands in go as one number
-constexpr std::uint32_t kNodesMost = 65536, kCountMost = 127, kFallsSaid = 15, kCrumbsMost = 1'000'000;
+constexpr std::uint32_t kHeaderFields = 12, kHeartbeatFields = 2, kObservationFields = 3, kVerdictFields = 7,
+                        kZoneReportFields = 4, kLeaseRequestFields = 2, kLeaseGrantFields = 3;
+constexpr std::uint32_t kZoneFactor = 64;  // a node and the zone it stands in go as one number
+constexpr std::uint32_t kMaxNode = 65536, kMaxCount = 127, kMaxRelapses = 15, kMaxUnits = 1'000'000;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
@@ -21,143 +21,149 @@
 }
 
 // Reads one flat list of numbers; remembers that something was wrong.
-class Numbers {
+class NumberReader {
   public:
-    explicit Numbers(const msgpack::object& list) : list_(list) {
-        if (list.type != msgpack::type::ARRAY) sound_ = false;
+    explicit NumberReader(const msgpack::object& list) : list_(list) {
+        if (list.type != msgpack::type::ARRAY) valid_ = false;
     }
-    std::uint32_t size() const { return sound_ ? list_.via.array.size : 0; }
-    std::uint32_t next(std::uint32_t most = std::numeric_limits<std::uint32_t>::max()) {
-        if (at_ >= size()) return wrong();
-        const msgpack::object& o = list_.via.array.ptr[at_++];
-        if (o.type != msgpack::type::POSITIVE_INTEGER || o.via.u64 > most) return wrong();
-        return static_cast<std::uint32_t>(o.via.u64);
+    std::uint32_t size() const { return valid_ ? list_.via.array.size : 0; }
+    std::uint32_t next(std::uint32_t max_value = std::numeric_limits<std::uint32_t>::max()) {
+        if (position_ >= size()) return fail();
+        const msgpack::object& object = list_.via.array.ptr[position_++];
+        if (object.type != msgpack::type::POSITIVE_INTEGER || object.via.u64 > max_value) return fail();
+        return static_cast<std::uint32_t>(object.via.u64);
     }
     const msgpack::object* list() {
-        if (at_ >= size()) return wrong(), nullptr;
-        return &list_.via.array.ptr[at_++];
+        if (position_ >= size()) return fail(), nullptr;
+        return &list_.via.array.ptr[position_++];
     }
-    bool at_end() const { return at_ >= size(); }  // also of what is unsound: its size is none
-    bool sound() const { return sound_; }
+    bool is_at_end() const { return position_ >= size(); }  // also of what is unsound: its size is none
+    bool is_valid() const { return valid_; }
 
   private:
-    std::uint32_t wrong() {
-        sound_ = false;
+    std::uint32_t fail() {
+        valid_ = false;
         return 0;
     }
     const msgpack::object& list_;
-    std::uint32_t at_ = 0;
-    bool sound_ = true;
+    std::uint32_t position_ = 0;
+    bool valid_ = true;
 };
 
 int as_int(std::uint32_t x) { return static_cast<int>(x); }
 
-bool read(const msgpack::object& root, Datagram& d) {
-    Numbers head(root);
-    if (head.size() != kHead || head.next() != kProtocolVersion) return false;
-    d.node = as_int(head.next(kNodesMost));
-    d.stamp.incarnation = head.next();
-    d.stamp.sequence = head.next();
-    d.zone = as_int(head.next(kMaxZones - 1));
-    d.receiver_incarnation = head.next();
-    const msgpack::object *alive = head.list(), *sights = head.list(), *findings = head.list(),
-                          *zones = head.list(), *wants = head.list(), *grants = head.list();
-    if (!head.sound()) return false;
-    Numbers a(*alive), s(*sights), f(*findings), z(*zones), w(*wants), g(*grants);
-    if (a.size() % kPerAlive != 0 || s.size() % kPerSight != 0 || f.size() % kPerFinding != 0 ||
-        z.size() % kPerZone != 0 || w.size() % kPerWant != 0 || g.size() % kPerGrant != 0)
+bool read(const msgpack::object& root, Datagram& datagram) {
+    NumberReader header(root);
+    if (header.size() != kHeaderFields || header.next() != kProtocolVersion) return false;
+    datagram.node = as_int(header.next(kMaxNode));
+    datagram.stamp.incarnation = header.next();
+    datagram.stamp.sequence = header.next();
+    datagram.zone = as_int(header.next(kMaxZones - 1));
+    datagram.receiver_incarnation = header.next();
+    const msgpack::object *heartbeats = header.list(), *observations = header.list(),
+                          *verdicts = header.list(), *zones = header.list(), *requests = header.list(),
+                          *grants = header.list();
+    if (!header.is_valid()) return false;
+    NumberReader heartbeat_reader(*heartbeats), observation_reader(*observations), verdict_reader(*verdicts),
+        zone_reader(*zones), request_reader(*requests), grant_reader(*grants);
+    if (heartbeat_reader.size() % kHeartbeatFields != 0 ||
+        observation_reader.size() % kObservationFields != 0 || verdict_reader.size() % kVerdictFields != 0 ||
+        zone_reader.size() % kZoneReportFields != 0 || request_reader.size() % kLeaseRequestFields != 0 ||
+        grant_reader.size() % kLeaseGrantFields != 0)
         return false;
-    while (!a.at_end()) {
-        const std::uint32_t who = a.next(kNodesMost * kZoneRoom);
-        const double age = a.next(kMaxAgeSteps) * kAgeStepSeconds;
-        d.heartbeats.push_back(
-            {as_int(who / kZoneRoom), age, std::min(as_int(who % kZoneRoom), kMaxZones) - 1});
+    while (!heartbeat_reader.is_at_end()) {
+        const std::uint32_t node_and_zone = heartbeat_reader.next(kMaxNode * kZoneFactor);
+        const double age = heartbeat_reader.next(kMaxAgeSteps) * kAgeStepSeconds;
+        datagram.heartbeats.push_back({as_int(node_and_zone / kZoneFactor), age,
+                                       std::min(as_int(node_and_zone % kZoneFactor), kMaxZones) - 1});
     }
-    while (!s.at_end()) {
-        Observation sight;
-        sight.server = s.next();
-        sight.successes = as_int(s.next(kCountMost));
-        sight.failures = as_int(s.next(kCountMost));
-        d.observations.push_back(sight);
+    while (!observation_reader.is_at_end()) {
+        Observation observation;
+        observation.server = observation_reader.next();
+        observation.successes = as_int(observation_reader.next(kMaxCount));
+        observation.failures = as_int(observation_reader.next(kMaxCount));
+        datagram.observations.push_back(observation);
     }
-    while (!f.at_end()) {
-        Verdict finding;
-        finding.server = f.next();
-        finding.owner = as_int(f.next(kNodesMost));
-        finding.stamp.incarnation = f.next();
-        finding.stamp.sequence = f.next();
-        finding.bad_zones = f.next();
-        finding.reporters = as_int(f.next(kNodesMost));
-        finding.age = f.next(kMaxAgeSteps) * kAgeStepSeconds;
-        d.verdicts.push_back(finding);
+    while (!verdict_reader.is_at_end()) {
+        Verdict verdict;
+        verdict.server = verdict_reader.next();
+        verdict.owner = as_int(verdict_reader.next(kMaxNode));
+        verdict.stamp.incarnation = verdict_reader.next();
+        verdict.stamp.sequence = verdict_reader.next();
+        verdict.bad_zones = verdict_reader.next();
+        verdict.reporters = as_int(verdict_reader.next(kMaxNode));
+        verdict.age = verdict_reader.next(kMaxAgeSteps) * kAgeStepSeconds;
+        datagram.verdicts.push_back(verdict);
     }
-    while (!z.at_end()) {
-        const int zone = as_int(z.next(kMaxZones - 1));
-        const auto seen =
-            static_cast<ZoneObservation>(z.next(static_cast<std::uint32_t>(ZoneObservation::strained)));
-        const int step = as_int(z.next(kStepHealthy));
-        d.zone_reports.push_back({zone, seen, step, as_int(z.next(kFallsSaid))});
+    while (!zone_reader.is_at_end()) {
+        const int zone = as_int(zone_reader.next(kMaxZones - 1));
+        const auto observation = static_cast<ZoneObservation>(
+            zone_reader.next(static_cast<std::uint32_t>(ZoneObservation::strained)));
+        const int step = as_int(zone_reader.next(kStepHealthy));
+        datagram.zone_reports.push_back({zone, observation, step, as_int(zone_reader.next(kMaxRelapses))});
     }
-    while (!w.at_end()) {
-        const QuotaId limit = w.next();
-        d.lease_requests.push_back({limit, w.next(kCrumbsMost)});
+    while (!request_reader.is_at_end()) {
+        const QuotaId quota = request_reader.next();
+        datagram.lease_requests.push_back({quota, request_reader.next(kMaxUnits)});
     }
-    while (!g.at_end()) {
-        const QuotaId limit = g.next();
-        const std::uint32_t crumbs = g.next(kCrumbsMost);
-        d.lease_grants.push_back({limit, crumbs, g.next()});
+    while (!grant_reader.is_at_end()) {
+        const QuotaId quota = grant_reader.next();
+        const std::uint32_t units = grant_reader.next(kMaxUnits);
+        datagram.lease_grants.push_back({quota, units, grant_reader.next()});
     }
-    return a.sound() && s.sound() && f.sound() && z.sound() && w.sound() && g.sound();
+    return heartbeat_reader.is_valid() && observation_reader.is_valid() && verdict_reader.is_valid() &&
+           zone_reader.is_valid() && request_reader.is_valid() && grant_reader.is_valid();
 }
 
 }  // namespace
 
 // FNV-1a: the same at every node.
 ServerKey server_key(std::string_view name) {
-    ServerKey h = 0x811c9dc5U;
-    for (const char c : name) h = (h ^ static_cast<unsigned char>(c)) * 0x01000193U;
-    return h;
+    ServerKey hash = 0x811c9dc5U;
+    for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x01000193U;
+    return hash;
 }
 
-std::string encode(const Datagram& d) {
+std::string encode(const Datagram& datagram) {
     msgpack::sbuffer bytes(kMaxDatagramBytes);
     Packer out(bytes);
-    const auto put = [&out](auto x) { out.pack(static_cast<std::uint32_t>(x)); };
-    const auto list = [&out](std::size_t entries, std::uint32_t each) {
-        out.pack_array(static_cast<std::uint32_t>(entries) * each);
+    const auto put = [&out](auto number) { out.pack(static_cast<std::uint32_t>(number)); };
+    const auto list = [&out](std::size_t entries, std::uint32_t fields) {
+        out.pack_array(static_cast<std::uint32_t>(entries) * fields);
     };
-    const auto count = [](int x) {
-        return std::min<std::uint32_t>(static_cast<std::uint32_t>(x), kCountMost);
+    const auto count = [](int number) {
+        return std::min<std::uint32_t>(static_cast<std::uint32_t>(number), kMaxCount);
     };
-    out.pack_array(kHead);
+    out.pack_array(kHeaderFields);
     put(kProtocolVersion);
-    put(d.node);
-    put(d.stamp.incarnation);
-    put(d.stamp.sequence);
-    put(std::clamp(d.zone, 0, kMaxZones - 1));
-    put(d.receiver_incarnation);
-    list(d.heartbeats.size(), kPerAlive);
-    for (const Heartbeat& a : d.heartbeats)
-        put(static_cast<std::uint32_t>(a.node) * kZoneRoom +
-            static_cast<std::uint32_t>(std::clamp(a.zone, -1, kMaxZones - 1) + 1)),
-            put(age_steps(a.age));
-    list(d.observations.size(), kPerSight);
-    for (const Observation& s : d.observations)
-        put(s.server), put(count(s.successes)), put(count(s.failures));
-    list(d.verdicts.size(), kPerFinding);
-    for (const Verdict& f : d.verdicts) {
-        put(f.server), put(f.owner), put(f.stamp.incarnation), put(f.stamp.sequence), put(f.bad_zones),
-            put(f.reporters);
-        put(age_steps(f.age));
+    put(datagram.node);
+    put(datagram.stamp.incarnation);
+    put(datagram.stamp.sequence);
+    put(std::clamp(datagram.zone, 0, kMaxZones - 1));
+    put(datagram.receiver_incarnation);
+    list(datagram.heartbeats.size(), kHeartbeatFields);
+    for (const Heartbeat& heartbeat : datagram.heartbeats)
+        put(static_cast<std::uint32_t>(heartbeat.node) * kZoneFactor +
+            static_cast<std::uint32_t>(std::clamp(heartbeat.zone, -1, kMaxZones - 1) + 1)),
+            put(age_steps(heartbeat.age));
+    list(datagram.observations.size(), kObservationFields);
+    for (const Observation& observation : datagram.observations)
+        put(observation.server), put(count(observation.successes)), put(count(observation.failures));
+    list(datagram.verdicts.size(), kVerdictFields);
+    for (const Verdict& verdict : datagram.verdicts) {
+        put(verdict.server), put(verdict.owner), put(verdict.stamp.incarnation), put(verdict.stamp.sequence),
+            put(verdict.bad_zones), put(verdict.reporters);
+        put(age_steps(verdict.age));
     }
-    list(d.zone_reports.size(), kPerZone);
-    for (const ZoneReport& v : d.zone_reports)
-        put(v.zone), put(v.observation), put(std::clamp(v.step, kStepDrained, kStepHealthy)),
-            put(std::clamp(v.relapses, 0, as_int(kFallsSaid)));
-    list(d.lease_requests.size(), kPerWant);
-    for (const LeaseRequest& w : d.lease_requests) put(w.quota), put(w.units);
-    list(d.lease_grants.size(), kPerGrant);
-    for (const LeaseGrant& g : d.lease_grants) put(g.quota), put(g.units), put(g.request_sequence);
+    list(datagram.zone_reports.size(), kZoneReportFields);
+    for (const ZoneReport& report : datagram.zone_reports)
+        put(report.zone), put(report.observation), put(std::clamp(report.step, kStepDrained, kStepHealthy)),
+            put(std::clamp(report.relapses, 0, as_int(kMaxRelapses)));
+    list(datagram.lease_requests.size(), kLeaseRequestFields);
+    for (const LeaseRequest& request : datagram.lease_requests) put(request.quota), put(request.units);
+    list(datagram.lease_grants.size(), kLeaseGrantFields);
+    for (const LeaseGrant& grant : datagram.lease_grants)
+        put(grant.quota), put(grant.units), put(grant.request_sequence);
     return {bytes.data(), bytes.size()};
 }
 
@@ -165,13 +171,13 @@
     if (bytes.size() > kMaxDatagramBytes) return false;
     try {
         // Nothing but lists of numbers two deep, and no more of them than a datagram's bytes can hold.
-        const msgpack::unpack_limit most(kMaxDatagramBytes, 0, 0, 0, 0, 2);
-        std::size_t taken = 0;
+        const msgpack::unpack_limit limits(kMaxDatagramBytes, 0, 0, 0, 0, 2);
+        std::size_t consumed = 0;
         const msgpack::object_handle root =
-            msgpack::unpack(bytes.data(), bytes.size(), taken, nullptr, nullptr, most);
-        Datagram d;
-        if (taken != bytes.size() || !read(root.get(), d)) return false;
-        datagram = std::move(d);
+            msgpack::unpack(bytes.data(), bytes.size(), consumed, nullptr, nullptr, limits);
+        Datagram decoded;
+        if (consumed != bytes.size() || !read(root.get(), decoded)) return false;
+        datagram = std::move(decoded);
         return true;
     } catch (const std::exception&) {  // what the library says of bytes that are none of its own
         return false;
