--- a/src/gossip/messages.cpp
+++ b/src/gossip/messages.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t kHeaderFields = 12, kHeartbeatFields = 2, kObservationFields = 3, kVerdictFields = 7,
                         kZoneReportFields = 4, kLeaseRequestFields = 2, kLeaseGrantFields = 3;
-constexpr std::uint32_t kZoneFactor = 64;  // a node and the zone it stands in go as one number
+constexpr std::uint32_t kZoneFactor = 64;  // a node and its zone are encoded as one number
 constexpr std::uint32_t kMaxNode = 65536, kMaxCount = 127, kMaxRelapses = 15, kMaxUnits = 1'000'000;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
@@ -20,7 +20,7 @@
         std::clamp(std::ceil(age / kAgeStepSeconds), 0.0, double{kMaxAgeSteps}));
 }
 
-// Reads one flat list of numbers; remembers that something was wrong.
+// Reads a flat list of numbers; a wrong value makes the whole list invalid.
 class NumberReader {
   public:
     explicit NumberReader(const msgpack::object& list) : list_(list) {
@@ -37,7 +37,7 @@
         if (position_ >= size()) return fail(), nullptr;
         return &list_.via.array.ptr[position_++];
     }
-    bool is_at_end() const { return position_ >= size(); }  // also of what is unsound: its size is none
+    bool is_at_end() const { return position_ >= size(); }  // also if the list is invalid: its size is 0 then
     bool is_valid() const { return valid_; }
 
   private:
@@ -117,7 +117,7 @@
 
 }  // namespace
 
-// FNV-1a: the same at every node.
+// FNV-1a.
 ServerKey server_key(std::string_view name) {
     ServerKey hash = 0x811c9dc5U;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x01000193U;
@@ -170,7 +170,8 @@
 bool decode(std::string_view bytes, Datagram& datagram) {
     if (bytes.size() > kMaxDatagramBytes) return false;
     try {
-        // Nothing but lists of numbers two deep, and no more of them than a datagram's bytes can hold.
+        // Only lists of numbers, nested two deep, with no more elements than the bytes of a datagram can
+        // hold.
         const msgpack::unpack_limit limits(kMaxDatagramBytes, 0, 0, 0, 0, 2);
         std::size_t consumed = 0;
         const msgpack::object_handle root =
@@ -179,7 +180,7 @@
         if (consumed != bytes.size() || !read(root.get(), decoded)) return false;
         datagram = std::move(decoded);
         return true;
-    } catch (const std::exception&) {  // what the library says of bytes that are none of its own
+    } catch (const std::exception&) {  // thrown by the library for invalid bytes
         return false;
     }
 }
--- a/src/gossip/messages.h
+++ b/src/gossip/messages.h
@@ -1,6 +1,6 @@
-// What nodes say to one another, and its form in a datagram (MessagePack, by the published library). It owns
-// no state and decides nothing: whether a word counts is exchange.cpp's to say. A datagram that is not wholly
-// as it should be is none at all.
+// Messages between nodes and their encoding in a datagram (MessagePack, by the published library). Holds no
+// state and decides nothing: outlier_exchange.cpp decides whether a message counts. A datagram that is not
+// entirely valid is rejected as a whole.
 #pragma once
 
 #include <cstdint>
@@ -11,57 +11,60 @@
 namespace brookrelay::gossip {
 
 constexpr int kProtocolVersion = 3;
-constexpr std::size_t kMaxDatagramBytes = 256;  // bytes; docs: PROTOCOL, "Between nodes"
-constexpr int kMaxZones = 32;                   // further ones speak as the last: verdicts carry a bit a zone
-constexpr double kTickSeconds = 1.0 / 256;      // s, of the numbers that datagrams and verdicts carry
-constexpr double kAgeStepSeconds = 1.0 / 8;     // s
-constexpr int kMaxAgeSteps = 127;               // older than it can be said is said to be so old
+constexpr std::size_t kMaxDatagramBytes = 256;  // docs: PROTOCOL, "Between nodes"
+constexpr int kMaxZones =
+    32;  // verdicts carry one bit per zone; zones beyond the limit are reported as the last
+constexpr double kTickSeconds = 1.0 / 256;   // s of one tick of Stamp::sequence
+constexpr double kAgeStepSeconds = 1.0 / 8;  // s; ages are sent in such steps
+constexpr int kMaxAgeSteps = 127;            // a greater age is sent as this one
 
-using ServerKey = std::uint32_t;  // a cache server, by its name: see subject_of()
+using ServerKey = std::uint32_t;  // a cache server, see server_key()
+// Hash of a server's name, the same at every node.
 ServerKey server_key(std::string_view name);
-using QuotaId =
-    std::uint32_t;  // a limit of the whole fleet's, by its name: nodes may number tenants otherwise
+// A fleet-wide quota, as a hash of its name: nodes may number tenants differently.
+using QuotaId = std::uint32_t;
 
-// When something was said, by the clock of whoever said it: the newest counts, and no other clock is asked.
+// When a message was made, by its sender's clock: the newest counts, and no other clock is involved.
 struct Stamp {
-    std::uint32_t incarnation = 0;  // which of its lives; a later one is greater
-    std::uint32_t sequence = 0;     // ticks since that began, never the same twice
+    std::uint32_t incarnation = 0;  // a later process of the node has a greater one
+    std::uint32_t sequence = 0;     // ticks since that process started; unique
     auto operator<=>(const Stamp&) const = default;
 };
 
+// A node that the sender knows to be alive.
 struct Heartbeat {
     int node = 0;
-    double age = 0;  // s since it was last heard, by whomever
-    int zone = -1;   // where it stands; -1: not known
+    double age = 0;  // s since any node last heard from it
+    int zone = -1;   // -1: unknown
 };
 
-// What the sender itself saw of a subject in its last kSightSpan seconds; never what it was told.
+// The sender's own attempts on a server within kObservationWindow; never what it received from others.
 struct Observation {
     ServerKey server = 0;
     int successes = 0, failures = 0;
 };
 
-// A keeper's finding, from the sights it was told.
+// An owner's verdict on a server, from the observations that were reported to it.
 struct Verdict {
     ServerKey server = 0;
     int owner = 0;
     Stamp stamp;
-    std::uint32_t bad_zones = 0;  // a bit for each zone whose nodes find it bad; 0: it is well
-    int reporters = 0;            // nodes that said so
-    double age = 0;               // s since the keeper found it
+    std::uint32_t bad_zones = 0;  // a bit for each zone whose nodes find it bad; 0: healthy
+    int reporters = 0;            // nodes that reported it bad
+    double age = 0;               // s since the owner reached it
 };
 
-// What the sender itself sees of a zone, and which step back into use it has taken: see zones.h.
+// The sender's own observation of a zone, and the step of its restore: see zone_failover.h.
 enum class ZoneObservation { nothing, unreachable, reachable, strained };
 constexpr int kStepDrained = 0, kStepHealthy = 5;
 struct ZoneReport {
     int zone = 0;
     ZoneObservation observation = ZoneObservation::nothing;
     int step = kStepHealthy;
-    int relapses = 0;  // that it remembers: how careful it is
+    int relapses = 0;  // that the sender remembers
 };
 
-// Of a limit that belongs to the whole fleet, in crumbs of it: see fleet_limits.h.
+// Units of a fleet-wide quota that are requested or granted: see quota_leases.h.
 struct LeaseRequest {
     QuotaId quota = 0;
     std::uint32_t units = 0;
@@ -69,16 +72,16 @@
 struct LeaseGrant {
     QuotaId quota = 0;
     std::uint32_t units = 0;
-    std::uint32_t request_sequence =
-        0;  // number of the datagram that asked, in the addressee's life that is named there
+    // Sequence number of the datagram with the request, in the incarnation that receiver_incarnation names.
+    std::uint32_t request_sequence = 0;
 };
 
 struct Datagram {
-    int node = 0;  // whose it is
+    int node = 0;  // the sender
     Stamp stamp;
     int zone = 0;
-    std::uint32_t receiver_incarnation =
-        0;  // the newest life of whoever is addressed that the sender knows; 0: none
+    // The newest incarnation of the receiver that the sender knows; 0: none.
+    std::uint32_t receiver_incarnation = 0;
     std::vector<Heartbeat> heartbeats;
     std::vector<Observation> observations;
     std::vector<Verdict> verdicts;
@@ -88,7 +91,7 @@
 };
 
 std::string encode(const Datagram& datagram);
-// False: not a datagram of this version, whole and within bounds.
+// Returns false unless the bytes are a complete datagram of this version with all values within bounds.
 bool decode(std::string_view bytes, Datagram& datagram);
 
 }  // namespace brookrelay::gossip
