--- a/src/gossip_agent/gossip_agent.cpp
+++ b/src/gossip_agent/gossip_agent.cpp
@@ -119,12 +119,12 @@
 
 bool GossipAgent::admit_slow_start(double now, const std::string& server) {
     return budgets_.may_start_slow_start_attempt(now, gossip::server_key(server),
-                                                 part(gossip::FleetQuotas::cold_id(), now));
+                                                 part(gossip::FleetQuotas::slow_start_id(), now));
 }
 
 void GossipAgent::on_slow_start_attempt(double now, const std::string& server) {
     budgets_.on_slow_start_attempt(now, gossip::server_key(server),
-                                   part(gossip::FleetQuotas::cold_id(), now));
+                                   part(gossip::FleetQuotas::slow_start_id(), now));
 }
 
 // What lapses before the next step is not counted on: a connection cannot be closed between two steps.
