--- a/src/gossip/fleet_quotas.cpp
+++ b/src/gossip/fleet_quotas.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kMeasurementPeriod = 1.0;  // s
-constexpr double kServerLifetime = 30.0;    // s after its last use that a server's is forgotten
+constexpr double kServerLifetime = 30.0;    // s after its last use at which a server's state is dropped
 // Part taken from which the load is reckoned: with less it may be anything.
 constexpr double kMinAcceptedRatio = 0.2;
 
@@ -21,11 +21,12 @@
     totals_ = totals;
     const auto reject = [&](const char* key, const std::string& minimum) {
         rejected.push_back(std::string("fleet.limits.") + key + " is " + minimum + " each of " +
-                           std::to_string(node_count_) + " nodes: that limit is left to each node");
+                           std::to_string(node_count_) + " nodes, so it is not shared between nodes");
     };
-    // Under one a second a node's part would never come to a whole forward while it has one to make.
+    // With less than one per second, a node's share would never amount to a whole attempt when there is one
+    // to make.
     if (totals_.origin_attempts_per_second > 0 && totals_.origin_attempts_per_second < node_count_) {
-        reject("origin", "less than one a second for");
+        reject("origin", "less than one per second for");
         totals_.origin_attempts_per_second = 0;
     }
     if (totals_.connections_per_server > 0 && totals_.connections_per_server < node_count_) {
@@ -56,7 +57,7 @@
 }
 
 double FleetQuotas::initial_tokens(ServerKey server) const {
-    constexpr double kGolden = 0.6180339887498949;  // its multiples lie as evenly as can be
+    constexpr double kGolden = 0.6180339887498949;  // the golden ratio: its multiples spread evenly modulo 1
     const double position = node_index_ * kGolden + static_cast<double>(mix(server) >> 11) * 0x1.0p-53;
     return position - std::floor(position);
 }
@@ -79,7 +80,7 @@
     state->second.bucket.spend();
 }
 
-// One is each node's own; the rest follows the demand.
+// Each node has one connection of its own; the rest is shared by demand.
 int FleetQuotas::max_connections(double now, ServerKey server, int wanted, double share) {
     ConnectionDemand& demand = connection_demand_[server];
     const auto period = static_cast<std::int64_t>(now / kMeasurementPeriod);
@@ -95,8 +96,8 @@
     return max_open;
 }
 
-// Who asks sees the usual number at work, and itself. The most at a time would be chance, and everybody would
-// keep it.
+// Averages over the requests, which sees the usual number in use. A maximum would be random, and every node
+// would hold on to it.
 double FleetQuotas::ConnectionDemand::estimate() const {
     const int requests = now.requests + previous.requests;
     if (requests == 0) return 0;
--- a/src/gossip/messages.h
+++ b/src/gossip/messages.h
@@ -12,8 +12,8 @@
 
 constexpr int kProtocolVersion = 3;
 constexpr std::size_t kMaxDatagramBytes = 256;  // docs: PROTOCOL, "Between nodes"
-constexpr int kMaxZones =
-    32;  // verdicts carry one bit per zone; zones beyond the limit are reported as the last
+// Verdicts carry one bit per zone; zones beyond the limit are reported as the last.
+constexpr int kMaxZones = 32;
 constexpr double kTickSeconds = 1.0 / 256;   // s of one tick of Stamp::sequence
 constexpr double kAgeStepSeconds = 1.0 / 8;  // s; ages are sent in such steps
 constexpr int kMaxAgeSteps = 127;            // a greater age is sent as this one
