--- a/src/gossip/fleet_quotas.cpp
+++ b/src/gossip/fleet_quotas.cpp
@@ -10,7 +10,8 @@
 
 constexpr double kMeasurementPeriod = 1.0;  // s
 constexpr double kServerLifetime = 30.0;    // s after its last use at which a server's state is dropped
-// Part taken from which the load is reckoned: with less it may be anything.
+// Lower bound on the accepted fraction of requests from which demand is extrapolated; a lower one tells
+// nothing.
 constexpr double kMinAcceptedRatio = 0.2;
 
 }  // namespace
@@ -21,7 +22,7 @@
     totals_ = totals;
     const auto reject = [&](const char* key, const std::string& minimum) {
         rejected.push_back(std::string("fleet.limits.") + key + " is " + minimum + " each of " +
-                           std::to_string(node_count_) + " nodes, so it is not shared between nodes");
+                           std::to_string(node_count_) + " nodes, so it is not enforced across nodes");
     };
     // With less than one per second, a node's share would never amount to a whole attempt when there is one
     // to make.
--- a/src/gossip_agent/gossip_agent.cpp
+++ b/src/gossip_agent/gossip_agent.cpp
@@ -6,41 +6,43 @@
 namespace brookrelay {
 namespace {
 
-constexpr double kLimitsEvery = 0.25;  // s
-constexpr double kOpenAgain = 1.0;     // s: another process of this node may hold the address until it ends
+constexpr double kQuotaInterval = 0.25;  // s
+constexpr double kReopenInterval = 1.0;  // s: another process of this node may hold the address until it ends
 
-gossip::GossipSettings terms(const NodeConfig& s, const OperatorConfig& o) {
-    const Deployment& d = s.deployment;
-    gossip::GossipSettings t{d.node_index,
-                             d.node_count,
-                             d.zone,
-                             d.zone_count,
-                             o.gossip_bytes_per_second,
-                             s.gossip_price,
-                             o.gossip_max_price_ratio,
-                             o.apply_zone_failover,
-                             d.slow_start_duration,
-                             {}};
+gossip::GossipSettings gossip_settings(const NodeConfig& config, const OperatorConfig& operator_config) {
+    const Deployment& deployment = config.deployment;
+    gossip::GossipSettings settings{deployment.node_index,
+                                    deployment.node_count,
+                                    deployment.zone,
+                                    deployment.zone_count,
+                                    operator_config.gossip_bytes_per_second,
+                                    config.gossip_price,
+                                    operator_config.gossip_max_price_ratio,
+                                    operator_config.apply_zone_failover,
+                                    deployment.slow_start_duration,
+                                    {}};
     // Zones by the names in the operators' file; one that is in none of its regions is one by itself.
-    for (int z = 0; z < d.zone_count; ++z) t.failure_domains.push_back(-1 - z);
-    for (std::size_t r = 0; r < o.failure_domains.size(); ++r) {
-        for (const std::string& name : o.failure_domains[r]) {
-            const int zone = index_of(s.names.zones, name);
-            if (zone >= 0 && zone < d.zone_count)
-                t.failure_domains[static_cast<std::size_t>(zone)] = static_cast<int>(r);
+    for (int z = 0; z < deployment.zone_count; ++z) settings.failure_domains.push_back(-1 - z);
+    for (std::size_t domain = 0; domain < operator_config.failure_domains.size(); ++domain) {
+        for (const std::string& name : operator_config.failure_domains[domain]) {
+            const int zone = index_of(config.names.zones, name);
+            if (zone >= 0 && zone < deployment.zone_count)
+                settings.failure_domains[static_cast<std::size_t>(zone)] = static_cast<int>(domain);
         }
     }
-    return t;
+    return settings;
 }
 
-std::uint32_t life() { return static_cast<std::uint32_t>(g_get_real_time() / G_USEC_PER_SEC); }
+std::uint32_t current_incarnation() { return static_cast<std::uint32_t>(g_get_real_time() / G_USEC_PER_SEC); }
 
-const char* word(gossip::MemberState p) {
-    return p == gossip::MemberState::alive ? "fresh" : p == gossip::MemberState::suspect ? "late" : "gone";
+const char* state_name(gossip::MemberState state) {
+    return state == gossip::MemberState::alive     ? "fresh"
+           : state == gossip::MemberState::suspect ? "late"
+                                                   : "gone";
 }
 
-const char* word(gossip::ZoneState s) {
-    switch (s) {
+const char* state_name(gossip::ZoneState state) {
+    switch (state) {
         case gossip::ZoneState::healthy:
             return "well";
         case gossip::ZoneState::suspect:
@@ -57,208 +59,215 @@
 
 }  // namespace
 
-std::string GossipAgent::why_unavailable(const NodeConfig& s) {
-    if (!s.deployment.may_gossip) return "the settings do not allow it (permissions.peers)";
-    if (s.peer_listen.empty()) return "the configuration has no peer_listen";
-    if (static_cast<int>(s.peers.size()) != s.deployment.node_count)
-        return "the configuration has " + std::to_string(s.peers.size()) + " peers for " +
-               std::to_string(s.deployment.node_count) + " nodes";
-    if (s.deployment.node_index < 0 || s.deployment.node_index >= s.deployment.node_count)
+std::string GossipAgent::why_unavailable(const NodeConfig& config) {
+    if (!config.deployment.may_gossip) return "the settings do not allow it (permissions.peers)";
+    if (config.peer_listen.empty()) return "the configuration has no peer_listen";
+    if (static_cast<int>(config.peers.size()) != config.deployment.node_count)
+        return "the configuration has " + std::to_string(config.peers.size()) + " peers for " +
+               std::to_string(config.deployment.node_count) + " nodes";
+    if (config.deployment.node_index < 0 || config.deployment.node_index >= config.deployment.node_count)
         return "my_number is none of the nodes'";
     return {};
 }
 
-GossipAgent::GossipAgent(TimerQueue& timers, Log& log, const NodeConfig& s, const OperatorConfig& o,
-                         std::function<void()> due, OnOutlierVerdict found, OnZoneChange zone_told,
-                         OnTenantShare tenant_told)
+GossipAgent::GossipAgent(TimerQueue& timers, Log& log, const NodeConfig& config,
+                         const OperatorConfig& operator_config, std::function<void()> on_tick_due,
+                         OnOutlierVerdict on_outlier_verdict, OnZoneChange on_zone_change,
+                         OnTenantShare on_tenant_share)
     : timers_(timers),
       log_(log),
-      own_(s.peer_listen),
-      addresses_(s.peers),
-      zones_(s.names.zones),
-      verdicts_(o.apply_outlier_verdicts),
-      zones_as_one_(o.apply_zone_failover),
-      due_(std::move(due)),
-      found_(std::move(found)),
-      zone_told_(std::move(zone_told)),
-      tenant_told_(std::move(tenant_told)),
-      budgets_(s.deployment.node_index, s.deployment.node_count),
-      exchange_(terms(s, o), life(), s.seed, monotonic_now()),
-      peers_(
+      listen_address_(config.peer_listen),
+      peer_addresses_(config.peers),
+      zone_names_(config.names.zones),
+      apply_verdicts_(operator_config.apply_outlier_verdicts),
+      apply_zone_failover_(operator_config.apply_zone_failover),
+      on_tick_due_(std::move(on_tick_due)),
+      on_outlier_verdict_(std::move(on_outlier_verdict)),
+      on_zone_change_(std::move(on_zone_change)),
+      on_tenant_share_(std::move(on_tenant_share)),
+      quotas_(config.deployment.node_index, config.deployment.node_count),
+      exchange_(gossip_settings(config, operator_config), current_incarnation(), config.seed,
+                monotonic_now()),
+      socket_(
           [this](int from, std::string_view bytes) { exchange_.on_datagram(monotonic_now(), from, bytes); }) {
-    apply_configuration(s, o.fleet_quotas);
+    apply_configuration(config, operator_config.fleet_quotas);
 }
 
-void GossipAgent::apply_configuration(const NodeConfig& station, const FleetQuotaLimits& limits) {
+void GossipAgent::apply_configuration(const NodeConfig& config, const FleetQuotaLimits& limits) {
     gossip::FleetQuotas::Tenants tenants;
-    for (std::size_t t = 0; t < station.deployment.tenants.size(); ++t) {
-        const bool named = t < station.names.tenants.size();
-        tenants.emplace_back(named ? station.names.tenants[t] : std::to_string(t),
-                             station.deployment.tenants[t].quota);
+    for (std::size_t tenant = 0; tenant < config.deployment.tenants.size(); ++tenant) {
+        const bool named = tenant < config.names.tenants.size();
+        tenants.emplace_back(named ? config.names.tenants[tenant] : std::to_string(tenant),
+                             config.deployment.tenants[tenant].quota);
     }
-    const gossip::FleetTotals wholes{limits.share_tenant_quotas, limits.origin_attempts_per_second,
+    const gossip::FleetTotals totals{limits.share_tenant_quotas, limits.origin_attempts_per_second,
                                      limits.slow_start_attempts_per_second, limits.connections_per_server};
-    for (const std::string& against : budgets_.apply_configuration(wholes, tenants))
-        log_.line(Topic::node, "limits_off", against);
+    for (const std::string& rejection : quotas_.apply_configuration(totals, tenants))
+        log_.line(Topic::node, "limits_off", rejection);
     // What was told of others' tenants, or of a limit that is none any more, counts no longer.
-    for (int t = 0; t < std::max(tenants_, static_cast<int>(tenants.size())); ++t)
-        tenant_told_(monotonic_now(), t, 0);
-    tenants_ = static_cast<int>(tenants.size());
+    for (int tenant = 0; tenant < std::max(tenant_count_, static_cast<int>(tenants.size())); ++tenant)
+        on_tenant_share_(monotonic_now(), tenant, 0);
+    tenant_count_ = static_cast<int>(tenants.size());
 }
 
 // As of the moment it is used: what a node had before it stood still has lapsed by its own clock.
-double GossipAgent::part(gossip::QuotaId limit, double now) const {
-    return static_cast<double>(exchange_.quota_share(limit, now)) / gossip::kTotalUnits;
+double GossipAgent::quota_share(gossip::QuotaId quota, double now) const {
+    return static_cast<double>(exchange_.quota_share(quota, now)) / gossip::kTotalUnits;
 }
 
-void GossipAgent::on_tenant_request(double now, int tenant) { budgets_.on_tenant_request(now, tenant); }
+void GossipAgent::on_tenant_request(double now, int tenant) { quotas_.on_tenant_request(now, tenant); }
 
 bool GossipAgent::admit_origin_attempt(double now) {
-    return budgets_.admit_origin_attempt(now, part(gossip::FleetQuotas::origin_id(), now));
+    return quotas_.admit_origin_attempt(now, quota_share(gossip::FleetQuotas::origin_id(), now));
 }
 
 bool GossipAgent::admit_slow_start(double now, const std::string& server) {
-    return budgets_.may_start_slow_start_attempt(now, gossip::server_key(server),
-                                                 part(gossip::FleetQuotas::slow_start_id(), now));
+    return quotas_.may_start_slow_start_attempt(now, gossip::server_key(server),
+                                                quota_share(gossip::FleetQuotas::slow_start_id(), now));
 }
 
 void GossipAgent::on_slow_start_attempt(double now, const std::string& server) {
-    budgets_.on_slow_start_attempt(now, gossip::server_key(server),
-                                   part(gossip::FleetQuotas::slow_start_id(), now));
+    quotas_.on_slow_start_attempt(now, gossip::server_key(server),
+                                  quota_share(gossip::FleetQuotas::slow_start_id(), now));
 }
 
 // What lapses before the next step is not counted on: a connection cannot be closed between two steps.
 int GossipAgent::max_connections(double now, const std::string& server, int wanted) {
     const gossip::QuotaId id = gossip::FleetQuotas::connections_id();
-    return budgets_.max_connections(
+    return quotas_.max_connections(
         now, gossip::server_key(server), wanted,
-        std::min(part(id, now), part(id, now + gossip::OutlierExchange::kTickInterval)));
+        std::min(quota_share(id, now), quota_share(id, now + gossip::OutlierExchange::kTickInterval)));
 }
 
-void GossipAgent::tell_limits(double now) {
-    if (now - limits_told_ < kLimitsEvery) return;
-    limits_told_ = now;
-    for (const gossip::FleetQuotas::Quota& l : budgets_.quotas(now)) {
-        exchange_.set_quota_demand(now, l.id, l.demand * gossip::kTotalUnits);
-        if (l.tenant >= 0) tenant_told_(now, l.tenant, part(l.id, now));
+void GossipAgent::update_quotas(double now) {
+    if (now - last_quota_update_ < kQuotaInterval) return;
+    last_quota_update_ = now;
+    for (const gossip::FleetQuotas::Quota& quota : quotas_.quotas(now)) {
+        exchange_.set_quota_demand(now, quota.id, quota.demand * gossip::kTotalUnits);
+        if (quota.tenant >= 0) on_tenant_share_(now, quota.tenant, quota_share(quota.id, now));
     }
 }
 
 void GossipAgent::start() {
-    open();
-    timers_.schedule(monotonic_now(), due_);
+    open_socket();
+    timers_.schedule(monotonic_now(), on_tick_due_);
 }
 
-void GossipAgent::open() {
-    std::string complaint;
-    if (peers_.listen(own_, addresses_, complaint)) {
-        log_.line(Topic::node, "peers_open",
-                  "hears " + std::to_string(addresses_.size() - 1) + " other nodes at " + own_);
+void GossipAgent::open_socket() {
+    std::string error;
+    if (socket_.listen(listen_address_, peer_addresses_, error)) {
+        log_.line(
+            Topic::node, "peers_open",
+            "hears " + std::to_string(peer_addresses_.size() - 1) + " other nodes at " + listen_address_);
     } else {
         log_.line(Topic::node, "peers_shut",
-                  "cannot hear other nodes at " + own_ + ", tries again: " + complaint);
-        try_again_ = monotonic_now() + kOpenAgain;
+                  "cannot hear other nodes at " + listen_address_ + ", tries again: " + error);
+        reopen_at_ = monotonic_now() + kReopenInterval;
     }
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
 void GossipAgent::tick(double now) {
-    timers_.schedule(now + gossip::OutlierExchange::kTickInterval, due_);
+    timers_.schedule(now + gossip::OutlierExchange::kTickInterval, on_tick_due_);
     // Another process of this node holds the address, and with it the node's parts of limits, until it ends.
-    if (!peers_.listens()) exchange_.reset_quota_leases(now);
-    if (!peers_.listens() && now >= try_again_) open();
-    while (!by_overdue_.empty() && by_overdue_.begin()->first <= now) {
-        const auto [when, forward] = *by_overdue_.begin();
-        by_overdue_.erase(by_overdue_.begin());
-        const auto out = out_.find(forward);
-        if (out == out_.end() || out->second.overdue != when) continue;  // it has ended in time
-        exchange_.on_attempt_finished(now, out->second.subject, gossip::AttemptHealth::bad);
-        exchange_.on_zone_attempt_finished(now, out->second.zone, out->second.subject,
+    if (!socket_.listens()) exchange_.reset_quota_leases(now);
+    if (!socket_.listens() && now >= reopen_at_) open_socket();
+    while (!pending_by_deadline_.empty() && pending_by_deadline_.begin()->first <= now) {
+        const auto [deadline, attempt] = *pending_by_deadline_.begin();
+        pending_by_deadline_.erase(pending_by_deadline_.begin());
+        const auto pending = pending_attempts_.find(attempt);
+        if (pending == pending_attempts_.end() || pending->second.deadline != deadline)
+            continue;  // it has ended in time
+        exchange_.on_attempt_finished(now, pending->second.server_key, gossip::AttemptHealth::bad);
+        exchange_.on_zone_attempt_finished(now, pending->second.zone, pending->second.server_key,
                                            gossip::ZoneAttempt::silent);
-        out_.erase(out);
+        pending_attempts_.erase(pending);
     }
-    for (const gossip::Outgoing& o :
+    for (const gossip::Outgoing& datagram :
          exchange_.tick(now, static_cast<double>(g_get_real_time()) / G_USEC_PER_SEC))
-        peers_.send(o.to, o.bytes);
-    for (const gossip::OutlierExchange::ServerVerdict& v : exchange_.verdicts(now)) {
-        const auto name = names_.find(v.server);
-        if (name == names_.end()) continue;
-        const bool before = standing_.contains(v.server);
-        if (v.bad && !before)
+        socket_.send(datagram.to, datagram.bytes);
+    for (const gossip::OutlierExchange::ServerVerdict& verdict : exchange_.verdicts(now)) {
+        const auto name = server_names_.find(verdict.server);
+        if (name == server_names_.end()) continue;
+        const bool was_bad = bad_servers_.contains(verdict.server);
+        if (verdict.bad && !was_bad)
             log_.line(Topic::node, "fleet_bad", "the nodes of this zone find " + name->second + " bad");
-        if (!v.bad && before)
+        if (!verdict.bad && was_bad)
             log_.line(Topic::node, "fleet_well", "the nodes no longer find " + name->second + " bad");
-        if (v.bad) {
-            standing_[v.server] = true;
+        if (verdict.bad) {
+            bad_servers_[verdict.server] = true;
         } else {
-            standing_.erase(v.server);
+            bad_servers_.erase(verdict.server);
         }
-        if (verdicts_) found_(now, name->second, v.bad, v.probe_interval);
+        if (apply_verdicts_) on_outlier_verdict_(now, name->second, verdict.bad, verdict.probe_interval);
     }
-    for (const gossip::ZoneFailover::Change& o : exchange_.zone_orders()) {
-        const auto z = static_cast<std::size_t>(o.zone);
-        const std::string name = z < zones_.size() ? zones_[z] : std::to_string(o.zone);
-        const auto before = zone_orders_.find(o.zone);
-        if (before == zone_orders_.end() || before->second.weight != o.weight) {
+    for (const gossip::ZoneFailover::Change& change : exchange_.zone_orders()) {
+        const auto index = static_cast<std::size_t>(change.zone);
+        const std::string name =
+            index < zone_names_.size() ? zone_names_[index] : std::to_string(change.zone);
+        const auto previous = last_zone_changes_.find(change.zone);
+        if (previous == last_zone_changes_.end() || previous->second.weight != change.weight) {
             char text[160];
-            std::snprintf(text, sizeof text, "%s: %.3g of its keys may go there%s", name.c_str(), o.weight,
-                          o.weight > 0 ? "" : ", it is left");
+            std::snprintf(text, sizeof text, "%s: %.3g of its keys may go there%s", name.c_str(),
+                          change.weight, change.weight > 0 ? "" : ", it is left");
             log_.line(Topic::node,
-                      o.weight <= 0  ? "zone_left"
-                      : o.weight < 1 ? "zone_returning"
-                                     : "zone_in_use",
+                      change.weight <= 0  ? "zone_left"
+                      : change.weight < 1 ? "zone_returning"
+                                          : "zone_in_use",
                       text);
         }
-        zone_orders_[o.zone] = o;
-        if (verdicts_) zone_told_(now, o);
+        last_zone_changes_[change.zone] = change;
+        if (apply_verdicts_) on_zone_change_(now, change);
     }
-    tell_limits(now);
-    const std::uint64_t stalls = exchange_.process_pauses();
-    if (stalls != stalls_)
+    update_quotas(now);
+    const std::uint64_t process_pauses = exchange_.process_pauses();
+    if (process_pauses != process_pauses_)
         log_.line(Topic::node, "fleet_stalled",
                   "this process stood still: what it saw meanwhile is told to nobody");
-    stalls_ = stalls;
+    process_pauses_ = process_pauses;
 }
 
 std::string GossipAgent::why_zones_unavailable() const {
-    return !zones_as_one_ ? "fleet.zones is off in the operators' file"
-           : !verdicts_   ? "fleet.verdicts is off in the operators' file"
-                          : "";
+    return !apply_zone_failover_ ? "fleet.zones is off in the operators' file"
+           : !apply_verdicts_    ? "fleet.verdicts is off in the operators' file"
+                                 : "";
 }
 
 void GossipAgent::repeat_zone_changes(double now) {
-    for (const auto& [zone, order] : zone_orders_) {
-        if (verdicts_) zone_told_(now, order);
+    for (const auto& [zone, change] : last_zone_changes_) {
+        if (apply_verdicts_) on_zone_change_(now, change);
     }
 }
 
-void GossipAgent::on_attempt_started(double now, std::uint64_t forward, const std::string& server, int zone,
+void GossipAgent::on_attempt_started(double now, std::uint64_t attempt, const std::string& server, int zone,
                                      double latency_objective) {
-    const double overdue = now + gossip::overdue_after(latency_objective);
-    if (out_.insert_or_assign(forward, Out{overdue, gossip::server_key(server), zone}).second)
-        by_overdue_.emplace(overdue, forward);
+    const double deadline = now + gossip::overdue_after(latency_objective);
+    if (pending_attempts_
+            .insert_or_assign(attempt, PendingAttempt{deadline, gossip::server_key(server), zone})
+            .second)
+        pending_by_deadline_.emplace(deadline, attempt);
 }
 
-void GossipAgent::on_attempt_finished(double now, std::uint64_t forward, const std::string& server, int zone,
-                                      AttemptOutcome ending, double took, double latency_objective) {
-    const bool overdue = out_.erase(forward) == 0;  // and called bad, and silent, then
-    const gossip::ServerKey subject = gossip::server_key(server);
-    const auto zone_seen = gossip::classify_zone_attempt(ending, took, latency_objective);
-    if (zone_seen && !(overdue && *zone_seen == gossip::ZoneAttempt::silent))
-        exchange_.on_zone_attempt_finished(now, zone, subject, *zone_seen);
-    const auto seen = gossip::classify_attempt(ending, took, latency_objective);
-    if (seen && !overdue) exchange_.on_attempt_finished(now, subject, *seen);
+void GossipAgent::on_attempt_finished(double now, std::uint64_t attempt, const std::string& server, int zone,
+                                      AttemptOutcome outcome, double duration, double latency_objective) {
+    const bool is_overdue = pending_attempts_.erase(attempt) == 0;  // and called bad, and silent, then
+    const gossip::ServerKey key = gossip::server_key(server);
+    const auto zone_attempt = gossip::classify_zone_attempt(outcome, duration, latency_objective);
+    if (zone_attempt && !(is_overdue && *zone_attempt == gossip::ZoneAttempt::silent))
+        exchange_.on_zone_attempt_finished(now, zone, key, *zone_attempt);
+    const auto health = gossip::classify_attempt(outcome, duration, latency_objective);
+    if (health && !is_overdue) exchange_.on_attempt_finished(now, key, *health);
 }
 
-void GossipAgent::on_endpoints(const std::vector<std::string>& servers, int in_own_zone) {
-    names_.clear();
-    for (const std::string& s : servers) names_.emplace(gossip::server_key(s), s);
-    exchange_.set_local_server_count(in_own_zone);
+void GossipAgent::on_endpoints(const std::vector<std::string>& servers, int servers_in_own_zone) {
+    server_names_.clear();
+    for (const std::string& s : servers) server_names_.emplace(gossip::server_key(s), s);
+    exchange_.set_local_server_count(servers_in_own_zone);
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): see ROADMAP
 std::string GossipAgent::state_json(double now) {
-    const gossip::GossipState s = exchange_.state(now);
+    const gossip::GossipState state = exchange_.state(now);
     rapidjson::StringBuffer buffer;
     rapidjson::Writer<rapidjson::StringBuffer> json(buffer);
     json.SetMaxDecimalPlaces(5);
@@ -267,49 +276,49 @@
     const auto zone_names = [&](std::uint32_t bits) {
         json.Key("zones");
         json.StartArray();
-        for (std::size_t z = 0; z < gossip::kMaxZones; ++z) {
-            if ((bits >> z & 1U) != 0)
-                json.String((z < zones_.size() ? zones_[z] : std::to_string(z)).c_str());
+        for (std::size_t zone = 0; zone < gossip::kMaxZones; ++zone) {
+            if ((bits >> zone & 1U) != 0)
+                json.String((zone < zone_names_.size() ? zone_names_[zone] : std::to_string(zone)).c_str());
         }
         json.EndArray();
     };
     json.StartObject();
-    json.Key("hears"), json.Bool(peers_.listens());
-    json.Key("verdicts_count"), json.Bool(verdicts_);
-    json.Key("doubts_itself"), json.Bool(s.doubts_own_connectivity);
-    number("bytes_a_second", s.bytes_per_second);
+    json.Key("hears"), json.Bool(socket_.listens());
+    json.Key("verdicts_count"), json.Bool(apply_verdicts_);
+    json.Key("doubts_itself"), json.Bool(state.doubts_own_connectivity);
+    number("bytes_a_second", state.bytes_per_second);
     json.Key("peers");
     json.StartArray();
-    for (std::size_t n = 0; n < s.members.size(); ++n) {
+    for (std::size_t node = 0; node < state.members.size(); ++node) {
         json.StartObject();
-        json.Key("node"), json.Int(s.members[n].first);
-        json.Key("state"), json.String(word(s.members[n].second));
-        if (s.ages[n] < 1e8) number("age_s", s.ages[n]);
-        count("start", s.incarnations[n]);
+        json.Key("node"), json.Int(state.members[node].first);
+        json.Key("state"), json.String(state_name(state.members[node].second));
+        if (state.ages[node] < 1e8) number("age_s", state.ages[node]);
+        count("start", state.incarnations[node]);
         json.EndObject();
     }
     json.EndArray();
     json.Key("words");
     json.StartObject();
-    count("kept", s.observations_held);
-    number("oldest_s", s.oldest_observation);
+    count("kept", state.observations_held);
+    number("oldest_s", state.oldest_observation);
     json.EndObject();
     json.Key("verdicts");
     json.StartArray();
-    for (const gossip::VerdictView& h : s.verdicts) {
-        const auto name = names_.find(h.server);
+    for (const gossip::VerdictView& verdict : state.verdicts) {
+        const auto name = server_names_.find(verdict.server);
         json.StartObject();
-        json.Key("server"), json.String(name == names_.end() ? "" : name->second.c_str());
-        json.Key("counts_here"), json.Bool(h.corroborated);
-        if (h.corroborated) number("since_s", h.since);
+        json.Key("server"), json.String(name == server_names_.end() ? "" : name->second.c_str());
+        json.Key("counts_here"), json.Bool(verdict.corroborated);
+        if (verdict.corroborated) number("since_s", verdict.since);
         json.Key("said_by");
         json.StartArray();
-        for (const gossip::VerdictSource& v : h.sources) {
+        for (const gossip::VerdictSource& source : verdict.sources) {
             json.StartObject();
-            json.Key("keeper"), json.Int(v.owner);
-            zone_names(v.bad_zones);
-            json.Key("voices"), json.Int(v.reporters);
-            number("age_s", v.age);
+            json.Key("keeper"), json.Int(source.owner);
+            zone_names(source.bad_zones);
+            json.Key("voices"), json.Int(source.reporters);
+            number("age_s", source.age);
             json.EndObject();
         }
         json.EndArray();
@@ -319,59 +328,60 @@
     json.Key("zones");
     json.StartArray();
     const std::vector<gossip::ZoneFailover::View> views = exchange_.zone_views(now);
-    for (std::size_t z = 0; z < views.size(); ++z) {
-        const gossip::ZoneFailover::View& v = views[z];
+    for (std::size_t zone = 0; zone < views.size(); ++zone) {
+        const gossip::ZoneFailover::View& view = views[zone];
         json.StartObject();
-        json.Key("zone"), json.String((z < zones_.size() ? zones_[z] : std::to_string(z)).c_str());
-        json.Key("state"), json.String(word(v.state));
-        json.Key("by_hand"), json.Bool(v.set_by_operator);
-        number("part", v.weight);
-        number("since_s", v.since);
-        json.Key("lost"), json.Int(v.unreachable);
-        json.Key("answers"), json.Int(v.reachable);
-        json.Key("strained"), json.Int(v.strained);
-        json.Key("heard"), json.Int(v.reporters);
-        json.Key("needed"), json.Int(v.quorum);
-        json.Key("falls"), json.Int(v.relapses);
+        json.Key("zone"),
+            json.String((zone < zone_names_.size() ? zone_names_[zone] : std::to_string(zone)).c_str());
+        json.Key("state"), json.String(state_name(view.state));
+        json.Key("by_hand"), json.Bool(view.set_by_operator);
+        number("part", view.weight);
+        number("since_s", view.since);
+        json.Key("lost"), json.Int(view.unreachable);
+        json.Key("answers"), json.Int(view.reachable);
+        json.Key("strained"), json.Int(view.strained);
+        json.Key("heard"), json.Int(view.reporters);
+        json.Key("needed"), json.Int(view.quorum);
+        json.Key("falls"), json.Int(view.relapses);
         json.Key("said_lost");
         json.StartArray();
-        for (const int n : v.unreachable_reporters) json.Int(n);
+        for (const int node : view.unreachable_reporters) json.Int(node);
         json.EndArray();
         json.EndObject();
     }
     json.EndArray();
     json.Key("limits");
     json.StartArray();
-    for (const gossip::FleetQuotas::Quota& l : budgets_.quotas(now)) {
-        const gossip::QuotaLeases::View v = exchange_.quota_view(l.id, now);
+    for (const gossip::FleetQuotas::Quota& quota : quotas_.quotas(now)) {
+        const gossip::QuotaLeases::View view = exchange_.quota_view(quota.id, now);
         json.StartObject();
-        json.Key("limit"), json.String(l.name.c_str());
-        number("whole", l.total);
-        json.Key("unit"), json.String(l.unit.c_str());
-        json.Key("kind"), json.String(l.strict ? "strict" : "open");
-        number("part", v.own + v.borrowed);
-        number("own", v.own);
-        number("lent", v.lent);
-        number("borrowed", v.borrowed);
-        number("need", v.demand);
-        json.Key("lenders"), json.Int(v.lenders);
-        json.Key("takers"), json.Int(v.borrowers);
-        if (l.strict) count("declined", l.declined);
+        json.Key("limit"), json.String(quota.name.c_str());
+        number("whole", quota.total);
+        json.Key("unit"), json.String(quota.unit.c_str());
+        json.Key("kind"), json.String(quota.strict ? "strict" : "open");
+        number("part", view.own + view.borrowed);
+        number("own", view.own);
+        number("lent", view.lent);
+        number("borrowed", view.borrowed);
+        number("need", view.demand);
+        json.Key("lenders"), json.Int(view.lenders);
+        json.Key("takers"), json.Int(view.borrowers);
+        if (quota.strict) count("declined", quota.declined);
         json.EndObject();
     }
     json.EndArray();
     json.Key("datagrams");
     json.StartObject();
-    count("sent", s.counts.sent);
-    count("sent_bytes", s.counts.sent_bytes);
-    count("received", s.counts.received);
-    count("unsound", s.counts.malformed);
-    count("strangers", s.counts.unknown_senders);
-    count("dead_lives", s.counts.stale_incarnations);
-    count("late", s.counts.delayed);
+    count("sent", state.counts.sent);
+    count("sent_bytes", state.counts.sent_bytes);
+    count("received", state.counts.received);
+    count("unsound", state.counts.malformed);
+    count("strangers", state.counts.unknown_senders);
+    count("dead_lives", state.counts.stale_incarnations);
+    count("late", state.counts.delayed);
     json.EndObject();
-    count("stalls", s.counts.process_pauses);
-    count("steps_muted", s.counts.self_muted);
+    count("stalls", state.counts.process_pauses);
+    count("steps_muted", state.counts.self_muted);
     json.EndObject();
     return buffer.GetString();
 }
--- a/src/gossip_agent/gossip_agent.h
+++ b/src/gossip_agent/gossip_agent.h
@@ -22,25 +22,25 @@
 class GossipAgent {
   public:
     using OnOutlierVerdict =
-        std::function<void(double now, const std::string& server, bool bad, double apart)>;
+        std::function<void(double now, const std::string& server, bool bad, double probe_interval)>;
     using OnTenantShare = std::function<void(double now, int tenant, double part)>;
-    using OnZoneChange = std::function<void(double now, const gossip::ZoneFailover::Change& order)>;
+    using OnZoneChange = std::function<void(double now, const gossip::ZoneFailover::Change& change)>;
 
     // Why this station's nodes cannot talk; empty: they can.
-    static std::string why_unavailable(const NodeConfig& station);
+    static std::string why_unavailable(const NodeConfig& config);
     // `found` is called from step(): what stands each time, and once what no longer stands.
-    GossipAgent(TimerQueue& timers, Log& log, const NodeConfig& station, const OperatorConfig& operator_file,
-                std::function<void()> due, OnOutlierVerdict found, OnZoneChange zone_told,
-                OnTenantShare tenant_told);
+    GossipAgent(TimerQueue& timers, Log& log, const NodeConfig& config, const OperatorConfig& operator_config,
+                std::function<void()> on_tick_due, OnOutlierVerdict on_outlier_verdict,
+                OnZoneChange on_zone_change, OnTenantShare on_tenant_share);
 
     void start();
     void tick(double now);  // what `due` asked for
     void on_request(double now) { exchange_.on_request(now); }
     // A forward is known by its number among all that are out; one that is overdue is bad before it ends.
-    void on_attempt_started(double now, std::uint64_t forward, const std::string& server, int zone,
+    void on_attempt_started(double now, std::uint64_t attempt, const std::string& server, int zone,
                             double latency_objective);
-    void on_attempt_finished(double now, std::uint64_t forward, const std::string& server, int zone,
-                             AttemptOutcome ending, double took, double latency_objective);
+    void on_attempt_finished(double now, std::uint64_t attempt, const std::string& server, int zone,
+                             AttemptOutcome outcome, double duration, double latency_objective);
     // Limits of the whole fleet. A tenant's invocation came; and whether one more forward may go to the
     // origin.
     void on_tenant_request(double now, int tenant);
@@ -50,50 +50,50 @@
     void on_slow_start_attempt(double now, const std::string& server);
     // How many connections to a server may be open here, where `wanted` would be at work now.
     int max_connections(double now, const std::string& server, int wanted);
-    bool limits_connections() const { return budgets_.limits_connections(); }
-    bool limits_slow_start() const { return budgets_.limits_slow_start(); }
+    bool limits_connections() const { return quotas_.limits_connections(); }
+    bool limits_slow_start() const { return quotas_.limits_slow_start(); }
     // Other tenants, and other limits as operators set them, from now on; without a moment of double parts.
-    void apply_configuration(const NodeConfig& station, const FleetQuotaLimits& limits);
+    void apply_configuration(const NodeConfig& config, const FleetQuotaLimits& limits);
     // Why an operator's word on a zone would do nothing here; empty: it would.
     std::string why_zones_unavailable() const;
     void set_zone_admin_state(double now, int zone, bool out) {
         exchange_.set_zone_admin_state(now, zone, out);
     }
     void repeat_zone_changes(double now);  // tells again what stands: the module was given other settings
-    void on_endpoints(const std::vector<std::string>& servers, int in_own_zone);
+    void on_endpoints(const std::vector<std::string>& servers, int servers_in_own_zone);
     std::string state_json(double now);  // JSON
 
   private:
-    void open();
-    void tell_limits(double now);
-    double part(gossip::QuotaId limit, double now) const;
+    void open_socket();
+    void update_quotas(double now);
+    double quota_share(gossip::QuotaId quota, double now) const;
 
     TimerQueue& timers_;
     Log& log_;
-    const std::string own_;
-    const std::vector<std::string> addresses_, zones_;
-    const bool verdicts_, zones_as_one_;
-    std::function<void()> due_;
-    OnOutlierVerdict found_;
-    OnZoneChange zone_told_;
-    OnTenantShare tenant_told_;
-    gossip::FleetQuotas budgets_;
-    int tenants_ = 0;  // that have been told a part
-    double limits_told_ = -1e9;
+    const std::string listen_address_;
+    const std::vector<std::string> peer_addresses_, zone_names_;
+    const bool apply_verdicts_, apply_zone_failover_;
+    std::function<void()> on_tick_due_;
+    OnOutlierVerdict on_outlier_verdict_;
+    OnZoneChange on_zone_change_;
+    OnTenantShare on_tenant_share_;
+    gossip::FleetQuotas quotas_;
+    int tenant_count_ = 0;  // that have been told a part
+    double last_quota_update_ = -1e9;
     gossip::OutlierExchange exchange_;
-    GossipSocket peers_;
-    struct Out {
-        double overdue = 0;
-        gossip::ServerKey subject = 0;
+    GossipSocket socket_;
+    struct PendingAttempt {
+        double deadline = 0;
+        gossip::ServerKey server_key = 0;
         int zone = -1;
     };
-    std::unordered_map<std::uint64_t, Out> out_;  // that are out and not overdue
-    std::multimap<double, std::uint64_t> by_overdue_;
-    std::unordered_map<gossip::ServerKey, std::string> names_;
-    std::unordered_map<gossip::ServerKey, bool> standing_;
-    std::map<int, gossip::ZoneFailover::Change> zone_orders_;  // as told last
-    std::uint64_t stalls_ = 0;
-    double try_again_ = 0;
+    std::unordered_map<std::uint64_t, PendingAttempt> pending_attempts_;  // that are out and not overdue
+    std::multimap<double, std::uint64_t> pending_by_deadline_;
+    std::unordered_map<gossip::ServerKey, std::string> server_names_;
+    std::unordered_map<gossip::ServerKey, bool> bad_servers_;
+    std::map<int, gossip::ZoneFailover::Change> last_zone_changes_;  // as told last
+    std::uint64_t process_pauses_ = 0;
+    double reopen_at_ = 0;
 };
 
 }  // namespace brookrelay
--- a/src/gossip_agent/gossip_socket.h
+++ b/src/gossip_agent/gossip_socket.h
@@ -18,12 +18,13 @@
     static constexpr int kUnknownPeer = -1;
     using OnDatagram = std::function<void(int from, std::string_view bytes)>;
 
-    explicit GossipSocket(OnDatagram told) : told_(std::move(told)) {}
+    explicit GossipSocket(OnDatagram on_datagram) : on_datagram_(std::move(on_datagram)) {}
     ~GossipSocket() { close(); }
     GossipSocket(const GossipSocket&) = delete;
     GossipSocket& operator=(const GossipSocket&) = delete;
 
-    bool listen(const std::string& own, const std::vector<std::string>& peers, std::string& complaint);
+    bool listen(const std::string& own_address, const std::vector<std::string>& peers,
+                std::string& error_text);
     bool listens() const { return socket_ != nullptr; }
     // Lost without a word where the kernel does not take it: so may any datagram be.
     void send(int to, std::string_view bytes);
@@ -31,14 +32,14 @@
 
   private:
     using AddressRef = std::unique_ptr<GSocketAddress, GObjectUnref>;
-    void readable();
-    static std::string key(GSocketAddress* address);
+    void on_readable();
+    static std::string address_key(GSocketAddress* address);
 
-    OnDatagram told_;
+    OnDatagram on_datagram_;
     SocketRef socket_;
     GSource* source_ = nullptr;
     std::vector<AddressRef> addresses_;
-    std::map<std::string, int> numbers_;  // by address
+    std::map<std::string, int> peer_by_address_;  // by address
 };
 
 }  // namespace brookrelay
