--- a/src/gossip_agent/gossip_agent.cpp
+++ b/src/gossip_agent/gossip_agent.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double kQuotaInterval = 0.25;  // s
-constexpr double kReopenInterval = 1.0;  // s: another process of this node may hold the address until it ends
+// Seconds; another process of this node may hold the address until it ends.
+constexpr double kReopenInterval = 1.0;
 
 gossip::GossipSettings gossip_settings(const NodeConfig& config, const OperatorConfig& operator_config) {
     const Deployment& deployment = config.deployment;
@@ -21,7 +22,7 @@
                                     operator_config.apply_zone_failover,
                                     deployment.slow_start_duration,
                                     {}};
-    // Zones by the names in the operators' file; one that is in none of its regions is one by itself.
+    // Failure domains list zones by name; a zone in none of them is a domain of its own.
     for (int z = 0; z < deployment.zone_count; ++z) settings.failure_domains.push_back(-1 - z);
     for (std::size_t domain = 0; domain < operator_config.failure_domains.size(); ++domain) {
         for (const std::string& name : operator_config.failure_domains[domain]) {
@@ -60,13 +61,13 @@
 }  // namespace
 
 std::string GossipAgent::why_unavailable(const NodeConfig& config) {
-    if (!config.deployment.may_gossip) return "the settings do not allow it (permissions.peers)";
+    if (!config.deployment.may_gossip) return "the settings do not permit gossip (permissions.peers)";
     if (config.peer_listen.empty()) return "the configuration has no peer_listen";
     if (static_cast<int>(config.peers.size()) != config.deployment.node_count)
         return "the configuration has " + std::to_string(config.peers.size()) + " peers for " +
                std::to_string(config.deployment.node_count) + " nodes";
     if (config.deployment.node_index < 0 || config.deployment.node_index >= config.deployment.node_count)
-        return "my_number is none of the nodes'";
+        return "my_number is out of range: it must be from 0 to the number of nodes - 1";
     return {};
 }
 
@@ -104,13 +105,13 @@
                                      limits.slow_start_attempts_per_second, limits.connections_per_server};
     for (const std::string& rejection : quotas_.apply_configuration(totals, tenants))
         log_.line(Topic::node, "limits_off", rejection);
-    // What was told of others' tenants, or of a limit that is none any more, counts no longer.
+    // Shares of earlier tenants, or of a limit that no longer exists, are void.
     for (int tenant = 0; tenant < std::max(tenant_count_, static_cast<int>(tenants.size())); ++tenant)
         on_tenant_share_(monotonic_now(), tenant, 0);
     tenant_count_ = static_cast<int>(tenants.size());
 }
 
-// As of the moment it is used: what a node had before it stood still has lapsed by its own clock.
+// Evaluated at the time of use: after a pause, leases have expired by this node's own clock.
 double GossipAgent::quota_share(gossip::QuotaId quota, double now) const {
     return static_cast<double>(exchange_.quota_share(quota, now)) / gossip::kTotalUnits;
 }
@@ -131,7 +132,7 @@
                                   quota_share(gossip::FleetQuotas::slow_start_id(), now));
 }
 
-// What lapses before the next step is not counted on: a connection cannot be closed between two steps.
+// Leaves out leases that expire before the next tick: a connection cannot be closed between two ticks.
 int GossipAgent::max_connections(double now, const std::string& server, int wanted) {
     const gossip::QuotaId id = gossip::FleetQuotas::connections_id();
     return quotas_.max_connections(
@@ -156,12 +157,12 @@
 void GossipAgent::open_socket() {
     std::string error;
     if (socket_.listen(listen_address_, peer_addresses_, error)) {
-        log_.line(
-            Topic::node, "peers_open",
-            "hears " + std::to_string(peer_addresses_.size() - 1) + " other nodes at " + listen_address_);
+        log_.line(Topic::node, "peers_open",
+                  "listening for " + std::to_string(peer_addresses_.size() - 1) + " other nodes at " +
+                      listen_address_);
     } else {
         log_.line(Topic::node, "peers_shut",
-                  "cannot hear other nodes at " + listen_address_ + ", tries again: " + error);
+                  "cannot listen for other nodes at " + listen_address_ + ", will retry: " + error);
         reopen_at_ = monotonic_now() + kReopenInterval;
     }
 }
@@ -169,7 +170,8 @@
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
 void GossipAgent::tick(double now) {
     timers_.schedule(now + gossip::OutlierExchange::kTickInterval, on_tick_due_);
-    // Another process of this node holds the address, and with it the node's parts of limits, until it ends.
+    // Another process of this node holds the address, and with it the node's own units of quotas, until it
+    // ends.
     if (!socket_.listens()) exchange_.reset_quota_leases(now);
     if (!socket_.listens() && now >= reopen_at_) open_socket();
     while (!pending_by_deadline_.empty() && pending_by_deadline_.begin()->first <= now) {
@@ -177,7 +179,7 @@
         pending_by_deadline_.erase(pending_by_deadline_.begin());
         const auto pending = pending_attempts_.find(attempt);
         if (pending == pending_attempts_.end() || pending->second.deadline != deadline)
-            continue;  // it has ended in time
+            continue;  // it finished in time
         exchange_.on_attempt_finished(now, pending->second.server_key, gossip::AttemptHealth::bad);
         exchange_.on_zone_attempt_finished(now, pending->second.zone, pending->second.server_key,
                                            gossip::ZoneAttempt::silent);
@@ -191,9 +193,11 @@
         if (name == server_names_.end()) continue;
         const bool was_bad = bad_servers_.contains(verdict.server);
         if (verdict.bad && !was_bad)
-            log_.line(Topic::node, "fleet_bad", "the nodes of this zone find " + name->second + " bad");
+            log_.line(Topic::node, "fleet_bad",
+                      "the nodes of this zone agree that " + name->second + " is bad");
         if (!verdict.bad && was_bad)
-            log_.line(Topic::node, "fleet_well", "the nodes no longer find " + name->second + " bad");
+            log_.line(Topic::node, "fleet_well",
+                      "the nodes of this zone no longer agree that " + name->second + " is bad");
         if (verdict.bad) {
             bad_servers_[verdict.server] = true;
         } else {
@@ -208,8 +212,8 @@
         const auto previous = last_zone_changes_.find(change.zone);
         if (previous == last_zone_changes_.end() || previous->second.weight != change.weight) {
             char text[160];
-            std::snprintf(text, sizeof text, "%s: %.3g of its keys may go there%s", name.c_str(),
-                          change.weight, change.weight > 0 ? "" : ", it is left");
+            std::snprintf(text, sizeof text, "zone %s: weight %.3g%s", name.c_str(),
+                          change.weight, change.weight > 0 ? "" : ", drained");
             log_.line(Topic::node,
                       change.weight <= 0  ? "zone_left"
                       : change.weight < 1 ? "zone_returning"
@@ -223,7 +227,7 @@
     const std::uint64_t process_pauses = exchange_.process_pauses();
     if (process_pauses != process_pauses_)
         log_.line(Topic::node, "fleet_stalled",
-                  "this process stood still: what it saw meanwhile is told to nobody");
+                  "this process was paused: its observations from that time are discarded");
     process_pauses_ = process_pauses;
 }
 
@@ -250,7 +254,8 @@
 
 void GossipAgent::on_attempt_finished(double now, std::uint64_t attempt, const std::string& server, int zone,
                                       AttemptOutcome outcome, double duration, double latency_objective) {
-    const bool is_overdue = pending_attempts_.erase(attempt) == 0;  // and called bad, and silent, then
+    const bool is_overdue =
+        pending_attempts_.erase(attempt) == 0;  // then it was already reported as bad and silent
     const gossip::ServerKey key = gossip::server_key(server);
     const auto zone_attempt = gossip::classify_zone_attempt(outcome, duration, latency_objective);
     if (zone_attempt && !(is_overdue && *zone_attempt == gossip::ZoneAttempt::silent))
--- a/src/gossip_agent/gossip_agent.h
+++ b/src/gossip_agent/gossip_agent.h
@@ -1,5 +1,5 @@
-// Between the node, the socket to its peers and src/fleet: the steps in time, names of cache servers for
-// subjects, the log's lines and what operators are shown. It owns the exchange and the socket, and decides
+// Connects the node, the socket to its peers and src/gossip: schedules ticks, maps server keys to names,
+// writes log lines and renders the state for operators. Owns the exchange and the socket, and decides
 // nothing.
 #pragma once
 
@@ -26,42 +26,44 @@
     using OnTenantShare = std::function<void(double now, int tenant, double part)>;
     using OnZoneChange = std::function<void(double now, const gossip::ZoneFailover::Change& change)>;
 
-    // Why this station's nodes cannot talk; empty: they can.
+    // Returns why gossip is not possible with this configuration; empty if it is.
     static std::string why_unavailable(const NodeConfig& config);
-    // `found` is called from step(): what stands each time, and once what no longer stands.
+    // `on_outlier_verdict` is called from tick(): for each standing verdict every time, and once when it
+    // ends.
     GossipAgent(TimerQueue& timers, Log& log, const NodeConfig& config, const OperatorConfig& operator_config,
                 std::function<void()> on_tick_due, OnOutlierVerdict on_outlier_verdict,
                 OnZoneChange on_zone_change, OnTenantShare on_tenant_share);
 
     void start();
-    void tick(double now);  // what `due` asked for
+    void tick(double now);  // called after on_tick_due
     void on_request(double now) { exchange_.on_request(now); }
-    // A forward is known by its number among all that are out; one that is overdue is bad before it ends.
+    // `attempt` is unique among all unfinished attempts. An overdue attempt counts as bad before it ends.
     void on_attempt_started(double now, std::uint64_t attempt, const std::string& server, int zone,
                             double latency_objective);
     void on_attempt_finished(double now, std::uint64_t attempt, const std::string& server, int zone,
                              AttemptOutcome outcome, double duration, double latency_objective);
-    // Limits of the whole fleet. A tenant's invocation came; and whether one more forward may go to the
+    // Fleet-wide quotas: counts a tenant's request, and returns whether one more attempt may go to the
     // origin.
     void on_tenant_request(double now, int tenant);
     bool admit_origin_attempt(double now);
-    // To a server that started lately: whether one more may go, and that one goes.
+    // For a server in slow start: whether one more attempt may go there, and that one goes.
     bool admit_slow_start(double now, const std::string& server);
     void on_slow_start_attempt(double now, const std::string& server);
-    // How many connections to a server may be open here, where `wanted` would be at work now.
+    // Returns how many connections to a server may be open here if `wanted` would be in use now.
     int max_connections(double now, const std::string& server, int wanted);
     bool limits_connections() const { return quotas_.limits_connections(); }
     bool limits_slow_start() const { return quotas_.limits_slow_start(); }
-    // Other tenants, and other limits as operators set them, from now on; without a moment of double parts.
+    // Applies other tenants and other limits of operators from now on; no share counts twice at any moment.
     void apply_configuration(const NodeConfig& config, const FleetQuotaLimits& limits);
-    // Why an operator's word on a zone would do nothing here; empty: it would.
+    // Returns why an operator's command on a zone would have no effect here; empty if it would have one.
     std::string why_zones_unavailable() const;
     void set_zone_admin_state(double now, int zone, bool out) {
         exchange_.set_zone_admin_state(now, zone, out);
     }
-    void repeat_zone_changes(double now);  // tells again what stands: the module was given other settings
+    // Reports the current zone weights again, after the balancer was reconfigured.
+    void repeat_zone_changes(double now);
     void on_endpoints(const std::vector<std::string>& servers, int servers_in_own_zone);
-    std::string state_json(double now);  // JSON
+    std::string state_json(double now);
 
   private:
     void open_socket();
@@ -78,7 +80,7 @@
     OnZoneChange on_zone_change_;
     OnTenantShare on_tenant_share_;
     gossip::FleetQuotas quotas_;
-    int tenant_count_ = 0;  // that have been told a part
+    int tenant_count_ = 0;  // that were given a share
     double last_quota_update_ = -1e9;
     gossip::OutlierExchange exchange_;
     GossipSocket socket_;
@@ -87,11 +89,11 @@
         gossip::ServerKey server_key = 0;
         int zone = -1;
     };
-    std::unordered_map<std::uint64_t, PendingAttempt> pending_attempts_;  // that are out and not overdue
+    std::unordered_map<std::uint64_t, PendingAttempt> pending_attempts_;  // unfinished and not overdue
     std::multimap<double, std::uint64_t> pending_by_deadline_;
     std::unordered_map<gossip::ServerKey, std::string> server_names_;
     std::unordered_map<gossip::ServerKey, bool> bad_servers_;
-    std::map<int, gossip::ZoneFailover::Change> last_zone_changes_;  // as told last
+    std::map<int, gossip::ZoneFailover::Change> last_zone_changes_;  // by zone, as last reported
     std::uint64_t process_pauses_ = 0;
     double reopen_at_ = 0;
 };
--- a/src/gossip_agent/gossip_socket.cpp
+++ b/src/gossip_agent/gossip_socket.cpp
@@ -7,8 +7,10 @@
 namespace brookrelay {
 namespace {
 
-constexpr int kMaxReadsPerWakeup = 64;            // the clients' sources wait meanwhile
-constexpr std::size_t kReceiveBufferBytes = 512;  // a datagram of more than may be is seen to be one
+// Client sockets are not served during these reads.
+constexpr int kMaxReadsPerWakeup = 64;
+// Larger than kMaxDatagramBytes, so that an oversized datagram is recognized as such.
+constexpr std::size_t kReceiveBufferBytes = 512;
 
 GSocketAddress* socket_address(const std::string& text) {
     const auto address = parse_address(text);
@@ -29,7 +31,8 @@
 bool GossipSocket::listen(const std::string& own_address, const std::vector<std::string>& peers,
                           std::string& error_text) {
     const AddressRef local_address(socket_address(own_address));
-    if (local_address == nullptr) return error_text = "'" + own_address + "' is no address", false;
+    if (local_address == nullptr)
+        return error_text = "'" + own_address + "' is not a valid address (IP:port)", false;
     GError* raw_error = nullptr;
     SocketRef socket(g_socket_new(g_socket_address_get_family(local_address.get()), G_SOCKET_TYPE_DATAGRAM,
                                   G_SOCKET_PROTOCOL_UDP, &raw_error));
--- a/src/gossip_agent/gossip_socket.h
+++ b/src/gossip_agent/gossip_socket.h
@@ -1,5 +1,5 @@
-// The socket to other nodes: datagrams out, datagrams in, and from which peer's address each came. It owns
-// the socket and its source, and decides nothing; what is in them is src/fleet's to read.
+// The UDP socket to other nodes: sends datagrams, and receives them with the number of the peer whose address
+// they came from. Owns the socket and its event source and decides nothing; src/gossip decodes the datagrams.
 #pragma once
 
 #include <functional>
@@ -26,7 +26,7 @@
     bool listen(const std::string& own_address, const std::vector<std::string>& peers,
                 std::string& error_text);
     bool listens() const { return socket_ != nullptr; }
-    // Lost without a word where the kernel does not take it: so may any datagram be.
+    // A datagram that the kernel does not accept is dropped silently, like any that is lost on the network.
     void send(int to, std::string_view bytes);
     void close();
 
@@ -39,7 +39,7 @@
     SocketRef socket_;
     GSource* source_ = nullptr;
     std::vector<AddressRef> addresses_;
-    std::map<std::string, int> peer_by_address_;  // by address
+    std::map<std::string, int> peer_by_address_;  // peer numbers
 };
 
 }  // namespace brookrelay
