--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,6 +1,6 @@
-// Limits of the whole fleet, without sockets: leases by themselves, every order of a small fleet's faults to
-// a depth, and fleets whose demand moves, over a network written here. What must never be: parts in force
-// above the whole.
+// Fleet-wide quotas without sockets: leases between two nodes, every order of faults in a small fleet to a
+// depth, and fleets with moving demand on a simulated network. The invariant is that the shares in force
+// never exceed the total.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,107 +21,109 @@
 namespace brookrelay::gossip {
 namespace {
 
-using World = model::LimitFleet;
-using Small = model::SmallLimits;
+using Simulation = model::LimitFleet;
+using SmallFleet = model::SmallLimits;
 
-std::uint64_t said(const char* name, std::uint64_t otherwise) {
-    const char* text = std::getenv(name);
-    return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+std::uint64_t env_or(const char* name, std::uint64_t fallback) {
+    const char* value = std::getenv(name);
+    return value == nullptr ? fallback : std::strtoull(value, nullptr, 10);
 }
 
 // ---- two nodes ------------------------------------------------------------------------------------------
 
-struct Two {
+struct LeasePair {
     double now = 100;
-    QuotaLeases giver{{0, 4}, 90}, taker{{1, 4}, 90};
-    std::uint32_t number = 0;
-    Two() { giver.set_demand(now, 0, 0); }  // it knows of the limit, and needs nothing
+    QuotaLeases lender{{0, 4}, 90}, borrower{{1, 4}, 90};
+    std::uint32_t sequence = 0;
+    LeasePair() { lender.set_demand(now, 0, 0); }  // the quota is known, without demand
     static constexpr std::uint32_t kBase = kTotalUnits / 4;
-    // The taker needs half of the whole; what it asks the giver, and under which number.
+    // The borrower needs half of the quota. Returns its request and the sequence number that it is sent
+    // under.
     std::pair<std::uint32_t, LeaseRequest> ask(double part = 0.5) {
-        taker.set_demand(now, 0, part * kTotalUnits);
-        for (const QuotaLeases::OutgoingRequest& a : taker.tick(now, {0}, 0)) {
-            taker.on_request_sent(0, a.request, ++number, now);
-            return {number, a.request};
+        borrower.set_demand(now, 0, part * kTotalUnits);
+        for (const QuotaLeases::OutgoingRequest& a : borrower.tick(now, {0}, 0)) {
+            borrower.on_request_sent(0, a.request, ++sequence, now);
+            return {sequence, a.request};
         }
         return {0, {}};
     }
-    std::uint32_t all() const { return giver.share(0, now) + taker.share(0, now); }
+    std::uint32_t total_share() const { return lender.share(0, now) + borrower.share(0, now); }
 };
 
-TEST(Limits, ALentPartIsTheLendersAgainOnlyWhenItCannotBeInUse) {
-    Two t;
-    const auto [number, want] = t.ask();
-    ASSERT_NE(number, 0U);
-    t.now += 0.5;  // on its way
-    const LeaseGrant grant = t.giver.on_request(t.now, 1, number, want);
+TEST(Limits, LentUnitsReturnOnlyAfterTheBorrowersLeaseHasExpired) {
+    LeasePair t;
+    const auto [sequence, request] = t.ask();
+    ASSERT_NE(sequence, 0U);
+    t.now += 0.5;  // in transit
+    const LeaseGrant grant = t.lender.on_request(t.now, 1, sequence, request);
     EXPECT_GT(grant.units, 0U);
-    EXPECT_EQ(t.giver.share(0, t.now), Two::kBase - grant.units) << "before anybody has heard of it";
+    EXPECT_EQ(t.lender.share(0, t.now), LeasePair::kBase - grant.units) << "before the grant has arrived";
     t.now += 1;
-    t.taker.on_grant(t.now, 0, grant);
-    EXPECT_EQ(t.taker.share(0, t.now), Two::kBase + grant.units);
-    EXPECT_EQ(t.all(), 2 * Two::kBase);
-    t.now = 100 + kLeaseDuration;  // since it asked
-    EXPECT_EQ(t.taker.share(0, t.now), Two::kBase);
-    EXPECT_LT(t.giver.share(0, t.now), Two::kBase);
+    t.borrower.on_grant(t.now, 0, grant);
+    EXPECT_EQ(t.borrower.share(0, t.now), LeasePair::kBase + grant.units);
+    EXPECT_EQ(t.total_share(), 2 * LeasePair::kBase);
+    t.now = 100 + kLeaseDuration;  // since the request
+    EXPECT_EQ(t.borrower.share(0, t.now), LeasePair::kBase);
+    EXPECT_LT(t.lender.share(0, t.now), LeasePair::kBase);
     t.now = 100.5 + kLeaseDuration * 1.03;
-    EXPECT_EQ(t.giver.share(0, t.now), Two::kBase);
+    EXPECT_EQ(t.lender.share(0, t.now), LeasePair::kBase);
 }
 
 TEST(Limits, DoubledLateUnaskedAndOverlargeGrantsAddNothing) {
-    Two t;
-    const auto [number, want] = t.ask();
-    const LeaseGrant grant = t.giver.on_request(t.now, 1, number, want);
-    const LeaseGrant again = t.giver.on_request(t.now, 1, number, want);
-    for (const LeaseGrant& g : {grant, again, grant}) t.taker.on_grant(t.now, 0, g);
-    EXPECT_EQ(t.all(), 2 * Two::kBase);
-    Two late;
+    LeasePair t;
+    const auto [sequence, request] = t.ask();
+    const LeaseGrant grant = t.lender.on_request(t.now, 1, sequence, request);
+    const LeaseGrant again = t.lender.on_request(t.now, 1, sequence, request);
+    for (const LeaseGrant& g : {grant, again, grant}) t.borrower.on_grant(t.now, 0, g);
+    EXPECT_EQ(t.total_share(), 2 * LeasePair::kBase);
+    LeasePair late;
     const auto [n2, w2] = late.ask();
-    const LeaseGrant old = late.giver.on_request(late.now, 1, n2, w2);
+    const LeaseGrant old = late.lender.on_request(late.now, 1, n2, w2);
     late.now += kLeaseDuration;
-    late.taker.on_grant(late.now, 0, old);
-    EXPECT_EQ(late.taker.share(0, late.now), Two::kBase) << "as old as a lease";
-    Two lies;
-    const auto [n3, w3] = lies.ask();
-    lies.taker.on_grant(lies.now, 0, {0, kTotalUnits, n3 + 7});
-    EXPECT_EQ(lies.taker.share(0, lies.now), Two::kBase) << "under a number that was never asked";
-    lies.taker.on_grant(lies.now, 2, {0, kTotalUnits, n3});
-    EXPECT_EQ(lies.taker.share(0, lies.now), Two::kBase) << "asked of another";
-    lies.taker.on_grant(lies.now, 0, {0, kTotalUnits, n3});
-    EXPECT_LE(lies.taker.share(0, lies.now), Two::kBase + QuotaLeases::max_lent(4))
-        << "who claims the whole gives what one may";
+    late.borrower.on_grant(late.now, 0, old);
+    EXPECT_EQ(late.borrower.share(0, late.now), LeasePair::kBase) << "the grant is as old as a lease";
+    LeasePair liar;
+    const auto [n3, w3] = liar.ask();
+    liar.borrower.on_grant(liar.now, 0, {0, kTotalUnits, n3 + 7});
+    EXPECT_EQ(liar.borrower.share(0, liar.now), LeasePair::kBase)
+        << "for a sequence number without a request";
+    liar.borrower.on_grant(liar.now, 2, {0, kTotalUnits, n3});
+    EXPECT_EQ(liar.borrower.share(0, liar.now), LeasePair::kBase) << "requested from another node";
+    liar.borrower.on_grant(liar.now, 0, {0, kTotalUnits, n3});
+    EXPECT_LE(liar.borrower.share(0, liar.now), LeasePair::kBase + QuotaLeases::max_lent(4))
+        << "a grant of everything counts for what one node may lend";
 }
 
-TEST(Limits, WhatIsNeededOrBorrowedIsNotLent) {
-    Two t;
-    t.giver.set_demand(t.now, 0, 0.2 * kTotalUnits);  // with headroom all of its quarter
-    const auto [number, want] = t.ask();
-    EXPECT_EQ(t.giver.on_request(t.now, 1, number, want).units, 0U);
-    Two lent;
-    const auto [n2, w2] = lent.ask();
-    lent.taker.on_grant(lent.now, 0, lent.giver.on_request(lent.now, 1, n2, w2));
-    lent.taker.set_demand(lent.now, 0, 0);
-    const LeaseGrant on = lent.taker.on_request(lent.now, 2, 9, {0, kTotalUnits});
-    EXPECT_LE(on.units, QuotaLeases::max_lent(4)) << "of its own alone";
+TEST(Limits, UnitsInDemandOrBorrowedAreNotLent) {
+    LeasePair t;
+    t.lender.set_demand(t.now, 0, 0.2 * kTotalUnits);  // with headroom, all of its own quarter
+    const auto [sequence, request] = t.ask();
+    EXPECT_EQ(t.lender.on_request(t.now, 1, sequence, request).units, 0U);
+    LeasePair pair;
+    const auto [n2, w2] = pair.ask();
+    pair.borrower.on_grant(pair.now, 0, pair.lender.on_request(pair.now, 1, n2, w2));
+    pair.borrower.set_demand(pair.now, 0, 0);
+    const LeaseGrant grant = pair.borrower.on_request(pair.now, 2, 9, {0, kTotalUnits});
+    EXPECT_LE(grant.units, QuotaLeases::max_lent(4)) << "of its own units only";
 }
 
-TEST(Limits, ANewLifeUsesOnlyWhatIsNeverLentUntilAnEarlierOnesLeasesHaveLapsed) {
+TEST(Limits, ANewIncarnationUsesOnlyReservedUnitsUntilEarlierLeasesExpire) {
     QuotaLeases started({0, 4}, 100);
-    EXPECT_EQ(started.share(0, 100.1), Two::kBase - QuotaLeases::max_lent(4));
+    EXPECT_EQ(started.share(0, 100.1), LeasePair::kBase - QuotaLeases::max_lent(4));
     EXPECT_EQ(started.on_request(100.1, 1, 1, {0, 1000}).units, 0U);
-    EXPECT_EQ(started.share(0, 100 + kLeaseDuration * 1.03), Two::kBase);
-    started.reset(110);  // another process of the node held its address until now
-    EXPECT_EQ(started.share(0, 110.1), Two::kBase - QuotaLeases::max_lent(4));
+    EXPECT_EQ(started.share(0, 100 + kLeaseDuration * 1.03), LeasePair::kBase);
+    started.reset(110);  // until now, another process of the node held its address
+    EXPECT_EQ(started.share(0, 110.1), LeasePair::kBase - QuotaLeases::max_lent(4));
 }
 
-// ---- what is done with a part ---------------------------------------------------------------------------
+// ---- enforcement of a share ----------------------------------------------------------------------------
 
-// Each node's forwards to one cold server, asked for at every step by those that are busy, with even parts.
+// All nodes have even shares and try to send to one server in slow start at every step.
 TEST(Budgets, AColdServerGetsWhatAllTogetherMayFromItsFirstSecondOn) {
     struct Row {
         int nodes;
         double cold;
-        int slack;  // over or under, in any second
+        int slack;  // allowed deviation in any second
     };
     for (const Row& row : {Row{12, 30, 4}, Row{300, 30, 4}, Row{300, 600, 20}, Row{40, 4, 3}}) {
         std::vector<FleetQuotas> fleet;
@@ -134,72 +136,75 @@
                 int sent = 0;
                 for (int step = 0; step < 50; ++step) {
                     const double now = 100 + second + step / 50.0;
-                    for (FleetQuotas& b : fleet) {
-                        if (!b.may_start_slow_start_attempt(now, server, 1.0 / row.nodes)) continue;
-                        b.on_slow_start_attempt(now, server, 1.0 / row.nodes);
+                    for (FleetQuotas& quotas : fleet) {
+                        if (!quotas.may_start_slow_start_attempt(now, server, 1.0 / row.nodes)) continue;
+                        quotas.on_slow_start_attempt(now, server, 1.0 / row.nodes);
                         ++sent;
                     }
                 }
                 EXPECT_NEAR(sent, row.cold, row.slack) << row.nodes << " nodes, second " << second;
             }
         }
-        for (const FleetQuotas::Quota& l : fleet[0].quotas(105.99))
-            EXPECT_NEAR(l.demand * row.cold, 50, 1) << "asked for, not what was sent";
+        for (const FleetQuotas::Quota& quota : fleet[0].quotas(105.99))
+            EXPECT_NEAR(quota.demand * row.cold, 50, 1) << "the demand, not what was sent";
     }
 }
 
 TEST(Budgets, WhoGoesToAColdServerWithoutAskingIsMadeUpFor) {
-    FleetQuotas b(0, 1);
-    b.apply_configuration({false, 0, 4, 0}, {});
-    (void)b.may_start_slow_start_attempt(100, 7, 1);
-    for (int i = 0; i < 9; ++i) b.on_slow_start_attempt(100, 7, 1);  // who waited for one fetch
-    EXPECT_FALSE(b.may_start_slow_start_attempt(102, 7, 1));
-    EXPECT_TRUE(b.may_start_slow_start_attempt(103, 7, 1));
-    EXPECT_FALSE(b.may_start_slow_start_attempt(103, 8, 1)) << "another server's is another's";
+    FleetQuotas quotas(0, 1);
+    quotas.apply_configuration({false, 0, 4, 0}, {});
+    (void)quotas.may_start_slow_start_attempt(100, 7, 1);
+    for (int i = 0; i < 9; ++i)
+        quotas.on_slow_start_attempt(100, 7, 1);  // attempts that waited for one origin fetch
+    EXPECT_FALSE(quotas.may_start_slow_start_attempt(102, 7, 1));
+    EXPECT_TRUE(quotas.may_start_slow_start_attempt(103, 7, 1));
+    EXPECT_FALSE(quotas.may_start_slow_start_attempt(103, 8, 1))
+        << "another server has its own bucket, with its own initial tokens";
 }
 
 TEST(Budgets, ConnectionsOfAllNodesNeverComeToMoreThanTheWhole) {
-    for (const int whole : {12, 13, 40, 400}) {
-        std::vector<double> parts(12, 1.0 / 12);
-        parts[0] += 8 * parts[1] * 15 / 16;  // eight lend all that they may
-        for (int n = 1; n <= 8; ++n) parts[static_cast<std::size_t>(n)] /= 16;
-        int all = 0;
+    for (const int total : {12, 13, 40, 400}) {
+        std::vector<double> shares(12, 1.0 / 12);
+        shares[0] += 8 * shares[1] * 15 / 16;  // eight nodes lend all that they may
+        for (int n = 1; n <= 8; ++n) shares[static_cast<std::size_t>(n)] /= 16;
+        int sum = 0;
         for (int n = 0; n < 12; ++n) {
-            FleetQuotas b(n, 12);
-            b.apply_configuration({false, 0, 0, whole}, {});
-            const int most = b.max_connections(100, 7, whole, parts[static_cast<std::size_t>(n)]);
+            FleetQuotas quotas(n, 12);
+            quotas.apply_configuration({false, 0, 0, total}, {});
+            const int most = quotas.max_connections(100, 7, total, shares[static_cast<std::size_t>(n)]);
             EXPECT_GE(most, 1);
-            all += most;
-            // What it could use is told as a part, and of that it would get all that it wants.
-            for (const FleetQuotas::Quota& l : b.quotas(100))
-                EXPECT_GE(1 + l.demand * (whole - 12), whole == 12 ? 1 : whole);
+            sum += most;
+            // The demand is reported as a fraction of the total; granted in full, it would cover all that is
+            // wanted.
+            for (const FleetQuotas::Quota& quota : quotas.quotas(100))
+                EXPECT_GE(1 + quota.demand * (total - 12), total == 12 ? 1 : total);
         }
-        EXPECT_LE(all, whole);
+        EXPECT_LE(sum, total);
     }
 }
 
-TEST(Budgets, ALimitTooSmallForSoManyNodesIsNotTakenAndSaidSo) {
-    FleetQuotas b(0, 12);
-    EXPECT_EQ(b.apply_configuration({false, 11, 0, 0}, {}).size(), 1U);
-    EXPECT_EQ(b.apply_configuration({true, 11, 3, 11}, {{"acme", 5}, {"bolt", 0}}).size(), 2U);
-    EXPECT_TRUE(b.admit_origin_attempt(100, 0)) << "left to each node";
-    const std::vector<FleetQuotas::Quota> all = b.quotas(100);
+TEST(Budgets, ATotalBelowTheNumberOfNodesIsRejectedWithAMessage) {
+    FleetQuotas quotas(0, 12);
+    EXPECT_EQ(quotas.apply_configuration({false, 11, 0, 0}, {}).size(), 1U);
+    EXPECT_EQ(quotas.apply_configuration({true, 11, 3, 11}, {{"acme", 5}, {"bolt", 0}}).size(), 2U);
+    EXPECT_TRUE(quotas.admit_origin_attempt(100, 0)) << "the limit is not enforced across nodes";
+    const std::vector<FleetQuotas::Quota> all = quotas.quotas(100);
     ASSERT_EQ(all.size(), 2U);
     EXPECT_EQ(all[0].name, "cold");
     EXPECT_EQ(all[1].id, FleetQuotas::id("tenant acme"));
 }
 
-// Tenants numbered otherwise by a reload keep their parts, and what a limit lent while it was none stays
-// lent.
-TEST(Budgets, PartsGoByTheLimitsNameWhateverItsNumber) {
+// A reload that numbers tenants differently changes no share: quotas are identified by name. A quota that a
+// node does not know is not lent; what was lent of a quota before it was removed stays lent.
+TEST(Budgets, QuotasAreIdentifiedByNameNotNumber) {
     FleetQuotas before(0, 2), after(1, 2);
     before.apply_configuration({true, 0, 0, 0}, {{"acme", 5}, {"bolt", 9}});
     after.apply_configuration({true, 0, 0, 0}, {{"bolt", 9}, {"acme", 5}});
     EXPECT_EQ(before.quotas(100)[0].id, after.quotas(100)[1].id);
-    Two t;
-    const auto [number, want] = t.ask();
-    EXPECT_EQ(t.giver.on_request(t.now, 1, number, {want.quota + 1, want.units}).units, 0U)
-        << "none that it knows";
+    LeasePair t;
+    const auto [sequence, request] = t.ask();
+    EXPECT_EQ(t.lender.on_request(t.now, 1, sequence, {request.quota + 1, request.units}).units, 0U)
+        << "an unknown quota";
 }
 
 TEST(Spending, SavesUpAQuarterOfASecondsAtTheMostHoweverLongItStood) {
@@ -212,14 +217,14 @@
     }
 }
 
-// ---- every order of faults ------------------------------------------------------------------------------
+// ---- model checking -------------------------------------------------------------------------------------
 
 TEST(LimitsExplorer, InNoOrderOfFaultsIsMoreThanTheWholeInForceNorAPartLostForGood) {
-    const int depth = static_cast<int>(said("LIMITS_DEPTH", 5));
-    const model::Explored e = model::explore(Small(), depth);
+    const int depth = static_cast<int>(env_or("LIMITS_DEPTH", 5));
+    const model::Explored e = model::explore(SmallFleet(), depth);
     std::printf(
-        "[ measured ] depth %d: %llu states, %llu ends, %.0f states/s; the demand has nine tenths %.2f s "
-        "after the last fault at the most\n",
+        "[ measured ] depth %d: %llu states, %llu ends, %.0f states/s; nine tenths of the demand are met at "
+        "most %.2f s after the last fault\n",
         depth, static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.ends),
         static_cast<double>(e.states) / e.took, e.rest_most);
     EXPECT_EQ(e.broken, "");
@@ -232,7 +237,7 @@
         const char* name;
         int nodes;
         double loss;
-        int busy;  // so many nodes have as much of the whole together, and the others the rest
+        int busy;  // number of nodes that share the demand `theirs`; all other nodes share `others`
         double theirs, others, bound;
     };
     for (const Case& c :
@@ -241,44 +246,45 @@
           Case{"40 nodes, four times as much at a tenth", 40, 0, 4, 0.4, 0.45, 8},
           Case{"12 nodes, 3 in 10 lost and doubled", 12, 0.3, 1, 0.9, 0, 9},
           Case{"300 nodes, four times as much at a tenth", 300, 0, 30, 0.4, 0.45, 20}}) {
-        std::vector<double> first, then;
-        double most = 0, use = 0, looks = 0;
-        for (std::uint64_t seed = 1; seed <= (c.nodes == 300 ? 2 : said("LIMITS_TRIALS", 10)); ++seed) {
-            World w(c.nodes, seed);
+        std::vector<double> seconds_to_first, seconds_to_second;
+        double max_in_force = 0, use = 0, samples = 0;
+        for (std::uint64_t seed = 1; seed <= (c.nodes == 300 ? 2 : env_or("LIMITS_TRIALS", 10)); ++seed) {
+            Simulation w(c.nodes, seed);
             w.network.loss = w.network.doubled = c.loss;
             const auto busy = [&](int from) {
                 for (int n = 0; n < c.nodes; ++n) {
-                    const bool one = n >= from && n < from + c.busy;
-                    w.demand[World::at(n)] = one ? c.theirs / c.busy : c.others / (c.nodes - c.busy);
+                    const bool is_busy = n >= from && n < from + c.busy;
+                    w.demand[Simulation::at(n)] = is_busy ? c.theirs / c.busy : c.others / (c.nodes - c.busy);
                 }
             };
             busy(0);
-            first.push_back(w.until(30, [&] { return w.use >= 0.95; }));
+            seconds_to_first.push_back(w.until(30, [&] { return w.use >= 0.95; }));
             for (int i = 0; i < 160; ++i) {
                 w.step();
-                use += w.use, ++looks;
+                use += w.use, ++samples;
             }
             busy(c.busy);
-            then.push_back(w.until(30, [&] { return w.use >= 0.95; }));
-            most = std::max(most, w.most);
+            seconds_to_second.push_back(w.until(30, [&] { return w.use >= 0.95; }));
+            max_in_force = std::max(max_in_force, w.most);
         }
-        std::sort(first.begin(), first.end());
-        std::sort(then.begin(), then.end());
+        std::sort(seconds_to_first.begin(), seconds_to_first.end());
+        std::sort(seconds_to_second.begin(), seconds_to_second.end());
         std::printf(
-            "[ measured ] %-36s has 0.95 of it after %.2f s (most %.2f), at another node after %.2f s (most "
-            "%.2f); use then %.3f; in force at the most %.4f\n",
-            c.name, first[first.size() / 2], first.back(), then[then.size() / 2], then.back(), use / looks,
-            most);
-        EXPECT_LE(most, 1.0) << c.name;
-        EXPECT_LE(then.back(), c.bound) << c.name;
-        EXPECT_GE(use / looks, c.loss > 0 ? 0.9 : 0.95) << c.name;
+            "[ measured ] %-36s has 0.95 of it after %.2f s (max %.2f), at another node after %.2f s (max "
+            "%.2f); use then %.3f; in force at most %.4f\n",
+            c.name, seconds_to_first[seconds_to_first.size() / 2], seconds_to_first.back(),
+            seconds_to_second[seconds_to_second.size() / 2], seconds_to_second.back(), use / samples,
+            max_in_force);
+        EXPECT_LE(max_in_force, 1.0) << c.name;
+        EXPECT_LE(seconds_to_second.back(), c.bound) << c.name;
+        EXPECT_GE(use / samples, c.loss > 0 ? 0.9 : 0.95) << c.name;
     }
 }
 
-// What it borrowed while it needed little must not be all that it ever asks those nodes for.
+// A node that borrowed little while its demand was low must ask the same lenders for more as it grows.
 TEST(LimitsFleet, FollowsADemandThatGrowsSlowly) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        World w(6, seed);
+        Simulation w(6, seed);
         for (double d = 0.2; d < 0.95; d += 0.05) {
             w.demand[0] = d;
             w.run(0.25);
@@ -288,82 +294,85 @@
     }
 }
 
-TEST(LimitsFleet, InDaysOfFaultsDrawnByChanceNoMoreThanTheWholeIsEverInForce) {
-    double most = 0, use = 0, looks = 0;
-    const std::uint64_t days = said("LIMITS_DAYS", 40);
+TEST(LimitsFleet, RandomFaultsNeverPutMoreThanTheTotalInForce) {
+    double max_in_force = 0, use = 0, samples = 0;
+    const std::uint64_t days = env_or("LIMITS_DAYS", 40);
     for (std::uint64_t seed = 1; seed <= days; ++seed) {
-        World w(8, seed);
-        for (int i = 0; i < 24; ++i) {  // a fault or two of half a second to four, one after another
-            const int act = static_cast<int>(w.unit() * 9), n = static_cast<int>(w.unit() * 8),
+        Simulation w(8, seed);
+        for (int i = 0; i < 24; ++i) {  // one fault after another, each for 0.5 to 4 s
+            const int fault = static_cast<int>(w.unit() * 9), n = static_cast<int>(w.unit() * 8),
                       m = static_cast<int>(w.unit() * 8);
-            w.network.loss = act == 0 ? 0.3 : act == 1 ? 1 : 0;
-            w.network.doubled = act == 0 ? 0.5 : 0;
-            w.network.slowest = act == 2 ? 3.5 : 0.03;
-            w.network.cut = [act, n](int a, int b) {
-                return act == 3 ? (a < 4) != (b < 4) : act == 4 ? a == n : act == 5 && (a == n || b == n);
+            w.network.loss = fault == 0 ? 0.3 : fault == 1 ? 1 : 0;
+            w.network.doubled = fault == 0 ? 0.5 : 0;
+            w.network.slowest = fault == 2 ? 3.5 : 0.03;
+            w.network.cut = [fault, n](int a, int b) {
+                return fault == 3   ? (a < 4) != (b < 4)
+                       : fault == 4 ? a == n
+                                    : fault == 5 && (a == n || b == n);
             };
             w.frozen = {};
-            if (act == 6) w.frozen = {n, m};
-            if (act == 7) w.start(n);
-            if (act == 8) {
+            if (fault == 6) w.frozen = {n, m};
+            if (fault == 7) w.start(n);
+            if (fault == 8) {
                 for (int k = 0; k < 4; ++k) w.start(k);
             }
             for (double& d : w.demand) d = 0;
-            w.demand[World::at(m)] = 0.8;
-            w.demand[World::at(n)] += 0.15;
+            w.demand[Simulation::at(m)] = 0.8;
+            w.demand[Simulation::at(n)] += 0.15;
             w.run(0.5 + 3.5 * w.unit());
-            use += w.use, ++looks;
+            use += w.use, ++samples;
         }
-        most = std::max(most, w.most);
+        max_in_force = std::max(max_in_force, w.most);
     }
     std::printf(
-        "[ measured ] %llu days of 24 faults at 8 nodes: in force at the most %.4f of the whole; in use at "
-        "the end of a fault %.2f of what could be\n",
-        static_cast<unsigned long long>(days), most, use / looks);
-    EXPECT_LE(most, 1.0);
+        "[ measured ] %llu days of 24 faults at 8 nodes: in force at most %.4f of the total; in use at the "
+        "end of a fault %.2f of the possible\n",
+        static_cast<unsigned long long>(days), max_in_force, use / samples);
+    EXPECT_LE(max_in_force, 1.0);
 }
 
-// Numbers begin anew in each life: what was granted to an earlier one must not pass for what this one asked.
+// Sequence numbers start again in each incarnation: a grant to an earlier one must not match a request of
+// this one.
 TEST(LimitsFleet, AGrantThatAnEarlierLifeAskedForIsNone) {
     GossipSettings t;
     t.node_count = 2;
     OutlierExchange e(t, 20, 1, 100);
     double now = 104;
-    std::uint32_t number = 0;
+    std::uint32_t sequence = 0;
     const auto step = [&](std::uint32_t start_of_yours) {
         now += OutlierExchange::kTickInterval;
         e.set_quota_demand(now, 0, kTotalUnits);
         for (const Outgoing& o : e.tick(now)) {
             Datagram d;
             ASSERT_TRUE(decode(o.bytes, d));
-            if (!d.lease_requests.empty()) number = d.stamp.sequence;
+            if (!d.lease_requests.empty()) sequence = d.stamp.sequence;
         }
         Datagram d;
         d.node = 1;
         d.stamp = {5, static_cast<std::uint32_t>((now - 100) / kTickSeconds)};
         d.receiver_incarnation = start_of_yours;
-        if (number != 0) d.lease_grants = {{0, 1000, number}};
+        if (sequence != 0) d.lease_grants = {{0, 1000, sequence}};
         e.on_datagram(now, 1, encode(d));
     };
     const std::uint32_t own = kTotalUnits / 2;
     for (int i = 0; i < 6; ++i) step(19);
-    EXPECT_NE(number, 0U);
+    EXPECT_NE(sequence, 0U);
     EXPECT_EQ(e.quota_share(0, now), own);
     for (int i = 0; i < 6; ++i) step(20);
     EXPECT_EQ(e.quota_share(0, now), own + 1000);
 }
 
-TEST(LimitsFleet, TwoHalvesKeepToTheWholeTogetherAndAgreeAgain) {
-    World w(12, 3);
+TEST(LimitsFleet, PartitionedHalvesKeepToTheTotalAndRecover) {
+    Simulation w(12, 3);
     w.demand[0] = w.demand[7] = 0.45;
     w.run(5);
     w.network.cut = [](int a, int b) { return (a < 6) != (b < 6); };
     w.run(30);
     EXPECT_LE(w.most, 1.0);
-    EXPECT_GE(w.use, 0.9) << "each half has half";
+    EXPECT_GE(w.use, 0.9) << "each half can use half of the total";
     w.demand[0] = 0.9, w.demand[7] = 0;
     w.run(10);
-    EXPECT_LE(w.use, 0.6) << "what the other half holds is left unused, not exceeded";
+    EXPECT_LE(w.use, 0.6) << "the units of the other half stay unused";
     w.network.cut = [](int, int) { return false; };
     EXPECT_LE(w.until(20, [&] { return w.use >= 0.95; }), 12);
     EXPECT_LE(w.most, 1.0);
