--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -1,6 +1,7 @@
-// Several processes of the program and faults between them: what nodes that talk find, let go of, and do not
-// take for true. The days are played on loopback in real time; what is looked at is what each node itself
-// says of the fleet at its operators' address, what the stand-ins counted, and the judge.
+// Several processes of the program with faults between them: which outlier verdicts the nodes reach by
+// gossip, drop again, and do not believe. Each scenario runs on loopback in real time. The tests check each
+// node's own fleet view from its management address, the counts of the stand-in servers, and the audit's
+// verdict.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,66 +16,68 @@
 namespace brookrelay::testkit {
 namespace {
 
-using Which = std::function<bool(int node)>;
-bool all(int) { return true; }
+using NodeFilter = std::function<bool(int node)>;
+bool all_nodes(int) { return true; }
 
-// Nodes of `which` whose newest view in [from, until) has the finding on `server`; and how many have a view
-// at all.
-std::pair<int, int> holding(const Played& p, const std::string& server, double from, double until,
-                            const Which& which = all) {
+// Returns how many nodes of `which` have a verdict on `server` in their newest view within [from, until), and
+// how many of them have a view at all.
+std::pair<int, int> count_holding(const Played& p, const std::string& server, double from, double until,
+                                  const NodeFilter& which = all_nodes) {
     std::map<int, bool> last;
     for (const FleetView& v : p.result.views) {
         if (v.time < from || v.time >= until || !which(v.node)) continue;
         last[v.node] = std::count(v.found.begin(), v.found.end(), server) > 0;
     }
-    int holds = 0;
-    for (const auto& [node, yes] : last) holds += yes;
-    return {holds, static_cast<int>(last.size())};
+    int holding_nodes = 0;
+    for (const auto& [node, is_held] : last) holding_nodes += is_held;
+    return {holding_nodes, static_cast<int>(last.size())};
 }
-bool ever(const Played& p, const std::string& server, const Which& which = all) {
+bool was_ever_found(const Played& p, const std::string& server, const NodeFilter& which = all_nodes) {
     return std::any_of(p.result.views.begin(), p.result.views.end(), [&](const FleetView& v) {
         return which(v.node) && std::count(v.found.begin(), v.found.end(), server) > 0;
     });
 }
-// The first time from `from` on at which all of `which` hold it, or none does; -1: never.
-double when(const Played& p, const std::string& server, double from, bool all_hold,
-            const Which& which = all) {
+// Returns the first time from `from` on at which all nodes of `which` have the verdict, or none has; -1:
+// never.
+double first_time(const Played& p, const std::string& server, double from, bool all_must_hold,
+                  const NodeFilter& which = all_nodes) {
     std::set<double> times;
     for (const FleetView& v : p.result.views) times.insert(v.time);
     for (const double t : times) {
         if (t < from) continue;
-        const auto [holds, views] = holding(p, server, t - 0.6, t + 0.01, which);
-        if (views > 0 && holds == (all_hold ? views : 0)) return t;
+        const auto [holding_nodes, views] = count_holding(p, server, t - 0.6, t + 0.01, which);
+        if (views > 0 && holding_nodes == (all_must_hold ? views : 0)) return t;
     }
     return -1;
 }
-bool any_found(const Played& p) {
+bool was_any_server_found(const Played& p) {
     return std::any_of(p.result.views.begin(), p.result.views.end(),
                        [](const FleetView& v) { return !v.found.empty(); });
 }
 
-constexpr double kKnowMost =
-    8;  // s until all know, and until all have let go: docs/fleet.md has the distribution
-constexpr double kLetGoMost = 10;
+// Seconds until all nodes have the verdict, and until all have dropped it: docs/fleet.md has the
+// distribution.
+constexpr double kMaxSecondsToFind = 8;
+constexpr double kMaxSecondsToRecover = 10;
 
-// Each node alone, without talk: no one's part of what a cold cache may be sent is a whole forward, and all
-// of them ask for the same popular keys. The kit's caches fall at what the settings allow and no chance
-// beyond it.
-struct ColdDay {
+// Nodes without gossip, and servers with cold caches: the share of no single node amounts to a whole attempt,
+// and all nodes ask for the same popular keys. The stand-in servers collapse at exactly the overload that the
+// settings allow.
+struct ColdCachesCase {
     const char* name;
     int nodes;
     bool uneven, restarted;
 };
-class ColdCaches : public testing::TestWithParam<ColdDay> {};
+class ColdCaches : public testing::TestWithParam<ColdCachesCase> {};
 
-TEST_P(ColdCaches, AreNotPushedOverByTheSumOfProcesses) {
-    const ColdDay& c = GetParam();
+TEST_P(ColdCaches, SurviveTheCombinedLoadOfAllProcesses) {
+    const ColdCachesCase& c = GetParam();
     Scenario s = fleet_day(c.nodes, 1, 18);
     s.talk = false;
     s.clients.rate = 60;
     s.kinds[0].slots = 1;
     s.kinds[0].queue = 200;
-    s.operations[0].work = 0.12;  // a cache carries 8 a second, and a cold one a third of that
+    s.operations[0].work = 0.12;  // a server handles 8 requests per second, a cold one a third of that
     s.operations[0].promised.client_timeout = 2;
     s.operations[0].promised.latency_objective = 1;
     s.fall_multiple = 2.5;
@@ -100,78 +103,77 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Days, ColdCaches,
-                         testing::Values(ColdDay{"thirty_uneven", 30, true, false},
-                                         ColdDay{"thirty_restarted", 30, false, true}),
+                         testing::Values(ColdCachesCase{"thirty_uneven", 30, true, false},
+                                         ColdCachesCase{"thirty_restarted", 30, false, true}),
                          [](const auto& c) { return c.param.name; });
 
-TEST(Processes, FindASlowCacheTogetherAndLetGoOfItAgain) {
+TEST(Processes, FindASlowServerAndItsRecovery) {
     Scenario s = fleet_day(8, 1, 22);
     s.troubles = {slow("box-5", 3, 9)};
     const Played p = play(s);
-    const double knew = when(p, "box-5", 3, true);
-    const double let_go = when(p, "box-5", 12, false);
-    std::printf("[ measured ] all of 8 knew after %.2f s, had let go %.2f s after it was well\n", knew - 3,
-                let_go - 12);
-    ASSERT_GT(knew, 3) << p.told;
-    EXPECT_LE(knew, 3 + kKnowMost);
-    EXPECT_LE(let_go, 12 + kLetGoMost);
+    const double found_at = first_time(p, "box-5", 3, true);
+    const double recovered_at = first_time(p, "box-5", 12, false);
+    std::printf("[ measured ] all of 8 found it after %.2f s, dropped it %.2f s after its recovery\n",
+                found_at - 3, recovered_at - 12);
+    ASSERT_GT(found_at, 3) << p.told;
+    EXPECT_LE(found_at, 3 + kMaxSecondsToFind);
+    EXPECT_LE(recovered_at, 12 + kMaxSecondsToRecover);
     for (int other = 1; other <= 12; ++other) {
         if (other == 5) continue;
-        EXPECT_FALSE(ever(p, "box-" + std::to_string(other))) << other;
+        EXPECT_FALSE(was_ever_found(p, "box-" + std::to_string(other))) << other;
     }
-    // While it was found bad the fleet's trials there are few, whatever each node would have tried for
-    // itself.
-    double tried = 0;
-    for (std::size_t second = 8; second < 12; ++second) tried += p.result.series.forwards[4][second];
-    EXPECT_LE(tried / 4, 8) << "forwards a second to it";
-    EXPECT_GE(p.result.series.forwards[4].back(), 1) << "it is in use again";
+    // While it is found bad, the whole fleet sends few probes, however often each node would probe by itself.
+    double attempts = 0;
+    for (std::size_t second = 8; second < 12; ++second) attempts += p.result.series.forwards[4][second];
+    EXPECT_LE(attempts / 4, 8) << "attempts per second to it";
+    EXPECT_GE(p.result.series.forwards[4].back(), 1) << "the server is in use again";
 }
 
-TEST(Processes, OneCutOffFromACacheMovesNobodyElse) {
+TEST(Processes, ANodeThatIsCutOffChangesNoVerdict) {
     Scenario s = fleet_day(8, 1, 14);
     s.troubles = {links(TroubleKind::cut, 3, 8, {"n2"})};
     const Played p = play(s);
-    EXPECT_FALSE(any_found(p)) << "a node whose own way is bad was believed";
-    bool gone = false;
+    EXPECT_FALSE(was_any_server_found(p)) << "a node without connectivity was believed";
+    bool is_dead = false;
     for (const FleetView& v : p.result.views)
-        gone = gone || (v.time > 9 && v.time < 11 && v.node == 0 && v.states[2] == "gone");
-    EXPECT_TRUE(gone) << "the one cut off counts as gone to the others";
-    // And is known again soon after the cut.
+        is_dead = is_dead || (v.time > 9 && v.time < 11 && v.node == 0 && v.states[2] == "gone");
+    EXPECT_TRUE(is_dead) << "the node that is cut off is dead to the others";
+    // It is known to be alive again soon after the cut.
     const auto last = std::find_if(p.result.views.rbegin(), p.result.views.rend(),
                                    [](const FleetView& v) { return v.node == 0; });
     ASSERT_NE(last, p.result.views.rend());
     EXPECT_EQ(last->states[2], "fresh");
 }
 
-// Both zones use the caches of one, as the other's drain; then one of these can no longer be reached from the
-// second.
-TEST(Processes, ACacheBadForOneZoneIsLeftByThatZoneAlone) {
+// Both zones use the servers of the first, since those of the second drain; then one of them becomes
+// unreachable from the second zone.
+TEST(Processes, AServerBadForOneZoneIsEjectedByThatZoneOnly) {
     Scenario s = fleet_day(8, 2, 16);
     Trouble drain = trouble(TroubleKind::drain, 1, 0);
     drain.who = {"box-2", "box-4", "box-6", "box-8", "box-10", "box-12"};
     s.troubles = {drain, links(TroubleKind::cut, 4, 11, {"n1", "n3", "n5", "n7"}, {"box-5"})};
     const Played p = play(s);
-    const Which first = [](int n) { return n % 2 == 0; }, second = [](int n) { return n % 2 != 0; };
-    EXPECT_GT(when(p, "box-5", 4, true, second), 4) << p.told;
-    EXPECT_FALSE(ever(p, "box-5", first));
-    EXPECT_GT(p.result.series.forwards[4][14], 1) << "the first zone uses it as before";
+    const NodeFilter first = [](int n) { return n % 2 == 0; }, second = [](int n) { return n % 2 != 0; };
+    EXPECT_GT(first_time(p, "box-5", 4, true, second), 4) << p.told;
+    EXPECT_FALSE(was_ever_found(p, "box-5", first));
+    EXPECT_GT(p.result.series.forwards[4][14], 1) << "the first zone still uses it";
 }
 
-// To the others a peer of another version, or one whose datagrams are all spoilt, is one that says nothing.
-TEST(Processes, APeerThatCannotBeReadIsNotHeardAndHindersNobody) {
+// A peer of another version, or one whose datagrams are all corrupted, counts as silent to the others.
+TEST(Processes, AnUndecodablePeerIsIgnored) {
     Scenario s = fleet_day(6, 1, 16);
     Trouble other = links(TroubleKind::garbled, 0, 15, {"n3"});
     other.one_way = true;
     s.troubles = {other, slow("box-5", 3, 12)};
     const Played p = play(s);
-    const Which rest = [](int n) { return n != 3; };
-    EXPECT_GT(when(p, "box-5", 3, true, rest), 3) << p.told;
+    const NodeFilter other_nodes = [](int n) { return n != 3; };
+    EXPECT_GT(first_time(p, "box-5", 3, true, other_nodes), 3) << p.told;
     double unsound = 0;
     for (const FleetView& v : p.result.views) unsound = std::max(unsound, v.unsound);
     EXPECT_GT(unsound, 3);
 }
 
-TEST(Processes, HearThroughLossDoublingAndDisorder) {
+TEST(Processes, AgreeDespiteLossDuplicationAndReordering) {
     Scenario s = fleet_day(8, 1, 16);
     for (const TroubleKind kind :
          {TroubleKind::lossy, TroubleKind::doubled, TroubleKind::reordered, TroubleKind::garbled}) {
@@ -182,17 +184,19 @@
     }
     s.troubles.push_back(slow("box-5", 3, 12));
     const Played p = play(s);
-    const double knew = when(p, "box-5", 3, true);
-    std::printf("[ measured ] 3 in 10 lost, doubled, out of order: all of 8 knew after %.2f s\n", knew - 3);
-    EXPECT_GT(knew, 3) << p.told;
+    const double found_at = first_time(p, "box-5", 3, true);
+    std::printf("[ measured ] 3 in 10 lost, duplicated, reordered: all of 8 found it after %.2f s\n",
+                found_at - 3);
+    EXPECT_GT(found_at, 3) << p.told;
     double unsound = 0;
     for (const FleetView& v : p.result.views) unsound = std::max(unsound, v.unsound);
-    EXPECT_GT(unsound, 0) << "spoilt datagrams were met, and thrown away";
+    EXPECT_GT(unsound, 0) << "corrupted datagrams arrived and were discarded";
 }
 
-TEST(Processes, OneWayLossLeavesNobodyUnknown) {
+TEST(Processes, OneWayLossLeavesNoNodeDead) {
     Scenario s = fleet_day(6, 1, 12);
-    Trouble deaf = links(TroubleKind::lossy, 1, 10, {"n0"}, {"n1"});  // n1 does not hear n0, which hears n1
+    Trouble deaf =
+        links(TroubleKind::lossy, 1, 10, {"n0"}, {"n1"});  // n1 does not receive from n0, but n0 from n1
     deaf.one_way = true;
     s.troubles = {deaf};
     const Played p = play(s);
@@ -202,55 +206,54 @@
     }
 }
 
-TEST(Processes, MostKilledAndBackUnderTheirNumbersAreKnownAgain) {
+TEST(Processes, MostNodesKilledAndRestartedAreKnownAgain) {
     Scenario s = fleet_day(8, 1, 18);
     Trouble kill = trouble(TroubleKind::node_kill, 3, 2);
     kill.nodes = {0, 1, 2, 3, 4};
     s.troubles = {kill, slow("box-5", 6, 10)};
     const Played p = play(s);
-    EXPECT_GT(when(p, "box-5", 6, true), 6) << p.told;
-    std::set<std::uint64_t> lives;
+    EXPECT_GT(first_time(p, "box-5", 6, true), 6) << p.told;
+    std::set<std::uint64_t> incarnations;
     for (const FleetView& v : p.result.views) {
-        if (v.node == 7 && v.starts[0] != 0) lives.insert(v.starts[0]);
+        if (v.node == 7 && v.starts[0] != 0) incarnations.insert(v.starts[0]);
     }
-    EXPECT_EQ(lives.size(), 2U) << "n7 has known two lives of n0";
+    EXPECT_EQ(incarnations.size(), 2U) << "n7 has seen two incarnations of n0";
 }
 
-TEST(Processes, AFrozenNodeWakesWithoutItsOldNews) {
+TEST(Processes, AResumedNodeDropsItsOldVerdicts) {
     Scenario s = fleet_day(6, 1, 22);
     Trouble frozen = trouble(TroubleKind::freeze, 8, 7);
     frozen.nodes = {2};
     s.troubles = {slow("box-5", 2, 7), frozen};
     const Played p = play(s);
-    EXPECT_GT(when(p, "box-5", 2, true), 2) << p.told;
-    const Which it = [](int n) { return n == 2; };
-    bool woke = false;
+    EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.told;
+    const NodeFilter is_resumed_node = [](int n) { return n == 2; };
+    bool has_resumed = false;
     for (const FleetView& v : p.result.views) {
         if (v.node != 2 || v.time < 15.3) continue;
-        woke = true;
-        EXPECT_TRUE(v.found.empty()) << "it acts on what it knew before, at " << v.time;
+        has_resumed = true;
+        EXPECT_TRUE(v.found.empty()) << "the resumed node still has its old verdict at " << v.time;
     }
-    EXPECT_TRUE(woke);
+    EXPECT_TRUE(has_resumed);
     EXPECT_TRUE(std::any_of(p.result.views.begin(), p.result.views.end(),
                             [](const FleetView& v) { return v.node == 2 && v.doubts_itself; }));
 }
 
-TEST(Processes, AStarvedNodeThatCallsAllSlowMovesNobody) {
+TEST(Processes, AStarvedNodeChangesNoVerdict) {
     Scenario s = fleet_day(6, 1, 14);
     Trouble starved = trouble(TroubleKind::starved, 2, 9);
     starved.nodes = {1};
     starved.part = 0.8;
     s.troubles = {starved};
-    EXPECT_FALSE(any_found(play(s)));
+    EXPECT_FALSE(was_any_server_found(play(s)));
 }
 
-// Who sends from no peer's address says what he likes, in sound words: that all caches are bad, by many
-// keepers.
-TEST(Processes, AStrangersWordsAreNone) {
+// A sender at an unknown address forges valid datagrams in which many owners find all servers bad.
+TEST(Processes, DatagramsFromUnknownAddressesAreIgnored) {
     Scenario s = fleet_day(4, 1, 8);
     Io io;
     using Udp = boost::asio::ip::udp;
-    Udp::socket stranger(io, Udp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
+    Udp::socket unknown_sender(io, Udp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     const Played p =
         play(s, 1, [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
             for (int i = 0; i < 50; ++i) {
@@ -262,14 +265,14 @@
                         d.verdicts.push_back(
                             {gossip::server_key("box-" + std::to_string(c)), (i + 1) % 4, d.stamp, 1, 9, 0});
                     const std::size_t colon = listen.find(':');
-                    stranger.send_to(
+                    unknown_sender.send_to(
                         boost::asio::buffer(gossip::encode(d)),
                         Udp::endpoint(boost::asio::ip::make_address(listen.substr(0, colon)),
                                       static_cast<unsigned short>(std::stoul(listen.substr(colon + 1)))));
                 }
             }
         });
-    EXPECT_FALSE(any_found(p));
+    EXPECT_FALSE(was_any_server_found(p));
     for (int n = 0; n < 4; ++n) {
         EXPECT_TRUE(std::any_of(p.result.views.begin(), p.result.views.end(), [n](const FleetView& v) {
             return v.node == n && v.strangers == 50;
@@ -277,20 +280,20 @@
     }
 }
 
-TEST(Processes, WithAllWordsLostNoFindingStands) {
+TEST(Processes, WithAllDatagramsLostNoVerdictStands) {
     Scenario s = fleet_day(6, 1, 24);
     s.troubles = {slow("box-5", 2, 21), links(TroubleKind::lossy, 8, 15, {"room-a"}, {"room-a"})};
     const Played p = play(s);
-    EXPECT_GT(when(p, "box-5", 2, true), 2) << p.told;
-    // kOldest of src/fleet: the bound on what may still count.
+    EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.told;
+    // Bounded by kMaxEvidenceAge of src/gossip, the maximum age of evidence that counts.
     for (const FleetView& v : p.result.views) {
         if (v.time <= 8 + 14 + 0.5) continue;
         EXPECT_TRUE(v.found.empty()) << "n" << v.node << " at " << v.time;
     }
 }
 
-// The list's news reaches a part of the nodes late; the judge sees to each node's own drains.
-TEST(Processes, AListThatIsLateForSomeBreaksNoDrain) {
+// A change of the endpoint list reaches some nodes late; the audit checks each node's own drains.
+TEST(Processes, ALateEndpointListBreaksNoDrain) {
     Scenario s = fleet_day(4, 1, 8);
     Trouble late = trouble(TroubleKind::list_late, 2, 3);
     late.nodes = {0, 1};
@@ -299,7 +302,7 @@
     s.troubles = {late, drain};
     const Played p = play(s);
     EXPECT_EQ(p.result.series.forwards[4].back(), 0) << p.told;
-    EXPECT_GT(p.result.series.forwards[4][3], 0) << "those that were told late still used it";
+    EXPECT_GT(p.result.series.forwards[4][3], 0) << "nodes with the old list still used it";
 }
 
 }  // namespace
