--- a/tests/days.h
+++ b/tests/days.h
@@ -1,6 +1,6 @@
-// Days of several daemons for the tests between processes: a scenario of thin traffic, its troubles, and the
-// playing of it on loopback, after which the judge must have found nothing. Real time; nothing here hangs on
-// its pace.
+// Scenarios with several daemons for the tests between processes: light traffic, faults, and a run on
+// loopback in real time, after which the auditor must have found no violation. No check here depends on the
+// speed of the machine.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,21 +18,22 @@
 
 namespace brookrelay::testkit {
 
-// Thin traffic on caches that have work to do: a node meets each of them about once a second.
+// Light traffic on servers with some work per request: a node uses each of them about once a second.
 inline Scenario fleet_day(int nodes, int zones, double length) {
-    Scenario s;
-    s.name = "processes";
-    s.length = length;
-    s.count_from = 1;
-    s.nodes = nodes;
-    s.talk = true;
-    s.zones.clear();
-    for (int z = 0; z < zones; ++z) s.zones.push_back("room-" + std::string(1, static_cast<char>('a' + z)));
-    ServerKind box;
-    box.count = 12;
-    box.slots = 4;
-    box.keys = 4000;
-    s.kinds = {box};
+    Scenario scenario;
+    scenario.name = "processes";
+    scenario.length = length;
+    scenario.count_from = 1;
+    scenario.nodes = nodes;
+    scenario.talk = true;
+    scenario.zones.clear();
+    for (int z = 0; z < zones; ++z)
+        scenario.zones.push_back("room-" + std::string(1, static_cast<char>('a' + z)));
+    ServerKind server_kind;
+    server_kind.count = 12;
+    server_kind.slots = 4;
+    server_kind.keys = 4000;
+    scenario.kinds = {server_kind};
     OperationPlan read;
     read.name = "read";
     read.share = 9;
@@ -45,61 +46,63 @@
     submit.share = 1;
     submit.promised.idempotency = Idempotency::idempotency_key;
     submit.promised.deduplication_window = 3;
-    s.operations = {read, submit};
-    s.clients.rate = 12.0 * nodes;
-    s.keys.count = 3000;
-    s.keys.skew = 0.4;
-    return s;
+    scenario.operations = {read, submit};
+    scenario.clients.rate = 12.0 * nodes;
+    scenario.keys.count = 3000;
+    scenario.keys.skew = 0.4;
+    return scenario;
 }
 
 inline Trouble trouble(TroubleKind kind, double at, double lasts) {
-    Trouble t;
-    t.kind = kind;
-    t.at = at;
-    t.lasts = lasts;
-    return t;
+    Trouble fault;
+    fault.kind = kind;
+    fault.at = at;
+    fault.lasts = lasts;
+    return fault;
 }
-// 400 times slower: an answer takes longer than anyone waits.
-inline Trouble slow(const std::string& who, double at, double lasts) {
-    Trouble t = trouble(TroubleKind::slow, at, lasts);
-    t.who = {who};
-    t.factor = 400;
-    return t;
+// Makes a server 400 times slower, so that an answer takes longer than any client waits.
+inline Trouble slow(const std::string& server, double at, double lasts) {
+    Trouble fault = trouble(TroubleKind::slow, at, lasts);
+    fault.who = {server};
+    fault.factor = 400;
+    return fault;
 }
 inline Trouble links(TroubleKind kind, double at, double lasts, std::vector<std::string> from,
                      std::vector<std::string> to = {}) {
-    Trouble t = trouble(kind, at, lasts);
-    t.from = std::move(from);
-    t.to = std::move(to);
-    return t;
+    Trouble fault = trouble(kind, at, lasts);
+    fault.from = std::move(from);
+    fault.to = std::move(to);
+    return fault;
 }
 
+// A finished run: its plan, its result and the summary as text.
 struct Played {
     DayPlan plan;
     DayResult result;
     std::string told;
 };
 
-inline Played play(const Scenario& s, std::uint64_t seed = 1, decltype(DayPlan::begun) begun = nullptr,
+// Runs a scenario, and expects no violation and no crash.
+inline Played play(const Scenario& scenario, std::uint64_t seed = 1, decltype(DayPlan::begun) begun = nullptr,
                    decltype(DayPlan::progress) progress = nullptr,
                    decltype(DayPlan::environment) environment = nullptr) {
-    Played p;
-    p.plan.scenario = s;
-    p.plan.seed = seed;
-    p.plan.begun = std::move(begun);
-    p.plan.progress = std::move(progress);
-    p.plan.environment = std::move(environment);
-    p.plan.program = BROOKRELAY_PROGRAM;
+    Played run;
+    run.plan.scenario = scenario;
+    run.plan.seed = seed;
+    run.plan.begun = std::move(begun);
+    run.plan.progress = std::move(progress);
+    run.plan.environment = std::move(environment);
+    run.plan.program = BROOKRELAY_PROGRAM;
     std::string name = testing::UnitTest::GetInstance()->current_test_info()->name();
-    std::replace(name.begin(), name.end(), '/', '-');  // of a case of several
-    p.plan.folder = testing::TempDir() + "processes-" + std::to_string(getpid()) + "-" + name;
-    std::filesystem::create_directories(p.plan.folder);
-    p.result = play_day(p.plan);
-    p.told = summary_text(p.plan, p.result);
-    EXPECT_EQ(p.result.failed, "");
-    EXPECT_TRUE(p.result.verdict.violations.empty()) << p.told;
-    EXPECT_EQ(p.result.crashes, 0) << p.told;
-    return p;
+    std::replace(name.begin(), name.end(), '/', '-');  // in names of parameterized tests
+    run.plan.folder = testing::TempDir() + "processes-" + std::to_string(getpid()) + "-" + name;
+    std::filesystem::create_directories(run.plan.folder);
+    run.result = play_day(run.plan);
+    run.told = summary_text(run.plan, run.result);
+    EXPECT_EQ(run.result.failed, "");
+    EXPECT_TRUE(run.result.verdict.violations.empty()) << run.told;
+    EXPECT_EQ(run.result.crashes, 0) << run.told;
+    return run;
 }
 
 }  // namespace brookrelay::testkit
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -1,6 +1,6 @@
-// A node of the program before scripted caches, an origin and discovery, for the tests that speak to it as
-// clients and operators would. Nothing here hangs on how fast the machine is: each wait is for something to
-// happen, and its limit is only there to end a test that has already failed.
+// A node of the program with scripted cache servers, an origin and a discovery server, for tests that act as
+// clients and operators. No check depends on the speed of the machine: each wait is for an event, and its
+// timeout only ends a test that has already failed.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -31,15 +31,15 @@
 
 namespace brookrelay::testkit {
 
-// What never comes fails the test at the line that waits for it, and the test goes on: returning from its
-// middle would leave scripts waiting for what only it tells them.
+// Waits for a condition. A timeout fails the test at the caller's line, and the test goes on: if it returned
+// early, scripts would wait forever for steps that only the test triggers.
 template <typename Condition>
 void wait_for(Condition condition, std::source_location from = std::source_location::current()) {
     for (int ms = 0; ms < kPatienceMs; ms += 5) {
         if (condition()) return;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    ADD_FAILURE_AT(from.file_name(), static_cast<int>(from.line())) << "what was waited for never came";
+    ADD_FAILURE_AT(from.file_name(), static_cast<int>(from.line())) << "timed out waiting for a condition";
 }
 
 inline std::string id_in(const std::string& command) {
@@ -61,23 +61,25 @@
     return "brookrelay_node_" + std::to_string(getpid()) + "_" + std::to_string(++count);
 }
 
+// Options of the fleet around the node.
 struct Around {
     int descriptors = 256;
     int connect_timeout_ms = 250;
     ScriptedPeer::Script watch = silent;
-    bool aside = true;  // false: caches fetch for themselves, and no origin is listed
+    bool aside = true;  // false: cache servers fetch by themselves, and no origin is listed
     int memory_mb = 192;
-    bool managed = false;    // has an operators' address
-    bool inherited = false;  // accepts on a listener that the test holds
-    std::string tmp = {};    // its TMPDIR; empty: the test's
+    bool managed = false;    // has a management address
+    bool inherited = false;  // accepts on a listening socket of the test
+    std::string tmp = {};    // TMPDIR of the daemon; empty: that of the test
     bool may_cancel = true;
-    const char* put = R"("deduplicated","group":"all","key_ttl_us":3000000)";  // the effect of a write
-    bool asked = false;  // lists come only when they are asked for, not pushed
+    // Idempotency of the write operation, as the rest of its JSON entry.
+    const char* put = R"("deduplicated","group":"all","key_ttl_us":3000000)";
+    bool asked = false;  // endpoint lists are polled, not pushed
     int drain_grace_ms = 0;
-    std::vector<std::string> environment = {};  // NAME=VALUE, added to the daemon's
+    std::vector<std::string> environment = {};  // NAME=VALUE, added to the daemon's environment
 };
 
-// A process of the node's beside the first: the same listener and TMPDIR, an operators' address of its own.
+// A further process of the same node: with the same listener and TMPDIR, and its own management address.
 struct Process {
     std::unique_ptr<DaemonProcess> daemon;
     int management = 0;
@@ -92,7 +94,7 @@
     }
 };
 
-// One node before `count` caches, an origin and discovery.
+// One node with `count` cache servers, an origin and a discovery server.
 class Fleet {
   public:
     explicit Fleet(std::size_t count, Around around = {}) {
@@ -106,14 +108,15 @@
             close(listener_);
             listener_ = -1;
         }
-        tmp_ = around.tmp;
+        tmpdir_ = around.tmp;
         daemon_ = std::make_unique<DaemonProcess>(DaemonProcess::Place{
-            BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_, {}, around.environment});
+            BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_, {}, around.environment});
         if (around.managed) management_ = free_address();
         std::string hosts = around.aside ? entry("origin", origin, "SERVING") : "";
-        for (ScriptedPeer& c : caches) hosts += (hosts.empty() ? "" : ",") + entry(name(c), c, "SERVING");
-        std::ostringstream told;
-        told
+        for (ScriptedPeer& cache : caches)
+            hosts += (hosts.empty() ? "" : ",") + entry(name(cache), cache, "SERVING");
+        std::ostringstream configuration;
+        configuration
             << R"({"name":"n1","listen":")" << own_loopback() << ":" << port_ << R"(","discovery":")"
             << discovery.address() << '"' << managed_at(management_) << R"(,"seed":"1f","limits":{"sockets":)"
             << around.descriptors << R"(,"memory_mb":)" << around.memory_mb
@@ -132,13 +135,13 @@
   "tardy_billed_value":0.2},
  {"name":"put","repeat":)"
             << around.put << R"(,"client_timeout_us":2000000}]}})";
-        told_ = told.str();
-        configure(told_);
+        configuration_ = configuration.str();
+        configure(configuration_);
         daemon_->start();
         wait_for([this] { return Line(own_loopback(), port_).up(); });
         Line line(own_loopback(), port_);
         line.send("mn\r\n");
-        EXPECT_EQ(line.until("\r\n"), "MN\r\n") << "the program does not serve";
+        EXPECT_EQ(line.until("\r\n"), "MN\r\n") << "the daemon does not answer";
     }
     ~Fleet() {
         daemon_->kill();
@@ -149,9 +152,9 @@
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
-    static std::string name(const ScriptedPeer& s) { return "s-" + std::to_string(s.port); }
-    static std::string entry(const std::string& host, const ScriptedPeer& s, const char* health) {
-        return R"({"host":")" + host + R"(","dial":")" + s.address() + R"(","site":"a","class":")" +
+    static std::string name(const ScriptedPeer& server) { return "s-" + std::to_string(server.port); }
+    static std::string entry(const std::string& host, const ScriptedPeer& server, const char* health) {
+        return R"({"host":")" + host + R"(","dial":")" + server.address() + R"(","site":"a","class":")" +
                (host == "origin" ? "origin" : "m") + R"(","block":0,"health":")" + health +
                R"(","share":1.0,"born_ms":0})";
     }
@@ -166,16 +169,16 @@
     static std::string managed_at(int port) {
         return port == 0 ? "" : R"(,"management":")" + own_loopback() + ":" + std::to_string(port) + '"';
     }
-    // Another process of this node, with the same files and listener.
+    // Starts another process of this node, with the same files and listener.
     Process second() const {
-        Process p(std::make_unique<DaemonProcess>(
-                      DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmp_}),
-                  free_address());
-        p.daemon->configure(told_with(managed_at(management_), managed_at(p.management)));
-        p.daemon->start();
-        return p;
+        Process process(std::make_unique<DaemonProcess>(DaemonProcess::Place{
+                            BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_}),
+                        free_address());
+        process.daemon->configure(told_with(managed_at(management_), managed_at(process.management)));
+        process.daemon->start();
+        return process;
     }
-    // What an operator's call is answered: the status, or 0 when it is none.
+    // Sends a request to the management address and returns the HTTP status, or 0 without a valid response.
     static int call(int port, const std::string& method, const std::string& target) {
         Line line(own_loopback(), port);
         if (!line.up()) return 0;
@@ -185,9 +188,9 @@
     }
     void signal(int number) const { daemon_->signal(number); }
     void configure(const std::string& text) const { daemon_->configure(text); }
-    // The configuration with one of its texts in another's place.
+    // Returns the configuration with the text `from` replaced by `to`.
     std::string told_with(const std::string& from, const std::string& to) const {
-        std::string text = told_;
+        std::string text = configuration_;
         const std::size_t at = text.find(from);
         EXPECT_NE(at, std::string::npos) << "not in the configuration: " << from;
         if (at == std::string::npos) return text;
@@ -200,9 +203,9 @@
     int times_logged(const std::string& text) const {
         std::ifstream file(daemon_->log_path());
         const std::string all(std::istreambuf_iterator<char>(file), {});
-        int n = 0;
-        for (std::size_t at = 0; (at = all.find(text, at)) != std::string::npos; at += text.size()) ++n;
-        return n;
+        int count = 0;
+        for (std::size_t at = 0; (at = all.find(text, at)) != std::string::npos; at += text.size()) ++count;
+        return count;
     }
     bool alive() const { return daemon_->running(); }
     int exit_code() {
@@ -223,12 +226,13 @@
     int port_ = 0;
     int management_ = 0;
     int listener_ = -1;
-    std::string tmp_;
+    std::string tmpdir_;
     std::unique_ptr<DaemonProcess> daemon_;
-    std::string told_;
+    std::string configuration_;
 };
 
-// A server whose next connection waits until it resumes; the kernel comes again for it within a second.
+// A server whose next connection is not accepted until it resumes; the kernel retries the handshake within a
+// second.
 struct Late {
     explicit Late(ScriptedPeer& at) : peer(at) {
         peer.stall();
@@ -244,42 +248,45 @@
     int before = 0;
 };
 
-// Discovery as a test tells it: a watch is answered by the next change, or soon by none.
+// A discovery server that the test controls: a watch is answered with the next change, or after a short time
+// with none.
 class Told {
   public:
     ScriptedPeer::Script script() {
         return [this](const std::string& request) {
             const std::size_t at = request.find("index=");
             if (at == std::string::npos) return Act{};
-            const int held = std::stoi(request.substr(at + 6));
-            asked_ = held;
-            for (int ms = 0; ms < 100 && held >= version_; ++ms)
+            const int held_version = std::stoi(request.substr(at + 6));
+            watched_version_ = held_version;
+            for (int ms = 0; ms < 100 && held_version >= version_; ++ms)
                 std::this_thread::sleep_for(std::chrono::milliseconds(1));
             const std::lock_guard lock(mutex_);
-            const std::size_t next = static_cast<std::size_t>(held - kFirst);
-            const std::string hosts = next < news_.size() ? news_[next] : "";
-            const bool whole = hosts.starts_with('!');
-            return Act{http(R"({"seq":)" + std::to_string(next < news_.size() ? held + 1 : held) +
-                            R"(,"whole":)" + (whole ? "true" : "false") + R"(,"hosts":[)" +
-                            hosts.substr(whole) + "]}")};
+            const std::size_t next = static_cast<std::size_t>(held_version - kFirst);
+            const std::string hosts = next < changes_.size() ? changes_[next] : "";
+            const bool is_full = hosts.starts_with('!');
+            return Act{http(R"({"seq":)" +
+                            std::to_string(next < changes_.size() ? held_version + 1 : held_version) +
+                            R"(,"whole":)" + (is_full ? "true" : "false") + R"(,"hosts":[)" +
+                            hosts.substr(is_full) + "]}")};
         };
     }
-    // And waits until the node has it: its next call says so. After a '!' come all the servers there are.
+    // Publishes a change and waits until the node has it, which its next watch shows. A leading '!' marks a
+    // full list.
     void tell(const std::string& hosts) {
         {
             const std::lock_guard lock(mutex_);
-            news_.push_back(hosts);
+            changes_.push_back(hosts);
         }
         ++version_;
-        wait_for([&] { return asked_ == version_; });
+        wait_for([&] { return watched_version_ == version_; });
     }
 
   private:
     static constexpr int kFirst = 7;
     std::atomic<int> version_{kFirst};
-    std::atomic<int> asked_{0};
+    std::atomic<int> watched_version_{0};
     std::mutex mutex_;
-    std::vector<std::string> news_;
+    std::vector<std::string> changes_;
 };
 
 }  // namespace brookrelay::testkit
--- a/tests/host.h
+++ b/tests/host.h
@@ -1,4 +1,4 @@
-// The tests' one helper: a host written by hand that keeps what the module did, and a small fleet.
+// Helper for the balancer's tests: a host that records the balancer's actions, and a small fleet.
 #pragma once
 
 #include <memory>
@@ -9,6 +9,7 @@
 
 namespace brookrelay {
 
+// An attempt that the balancer started.
 struct Sent {
     int inv;
     int cache;
@@ -17,12 +18,14 @@
 
 class RecordingHost final : public Host {
   public:
-    void start_attempt(int inv, int cache, double limit) override { sent.push_back({inv, cache, limit}); }
-    void cancel_attempt(int inv, int) override { cancelled.push_back(inv); }
-    void reject(int inv, double) override { throttled.push_back(inv); }
-    void fail(int inv) override { errored.push_back(inv); }
-    void check_health(int cache) override { probes.push_back(cache); }
-    void close_idle_connections(int cache) override { released.push_back(cache); }
+    void start_attempt(int request, int server, double limit) override {
+        sent.push_back({request, server, limit});
+    }
+    void cancel_attempt(int request, int) override { cancelled.push_back(request); }
+    void reject(int request, double) override { throttled.push_back(request); }
+    void fail(int request) override { errored.push_back(request); }
+    void check_health(int server) override { probes.push_back(server); }
+    void close_idle_connections(int server) override { released.push_back(server); }
     void poll_endpoints() override { ++watches; }
     void set_timer(double after, std::uint64_t token) override { timers.push_back({after, token}); }
     void log(std::string_view) override {}
@@ -37,9 +40,9 @@
     int watches = 0;
 };
 
-constexpr int kOrigin = 0;  // the origin's cache index in every test; the caches follow
+constexpr int kOrigin = 0;  // index of the origin in every test; the cache servers follow
 
-// A node in zone 0 with one operation of each kind: 0 idempotent, 1 deduplicated, 2 non-idempotent.
+// A node in zone 0 with one operation of each idempotency: 0 idempotent, 1 deduplicated, 2 non-idempotent.
 struct Fleet {
     Deployment deployment;
     std::vector<Endpoint> list;
@@ -61,10 +64,10 @@
         deployment.overload_multiple = 3;
         deployment.overload_window = 3;
         deployment.poll_interval = 10;
-        for (Idempotency repeat :
+        for (Idempotency idempotency :
              {Idempotency::idempotent, Idempotency::idempotency_key, Idempotency::none}) {
             Operation op;
-            op.idempotency = repeat;
+            op.idempotency = idempotency;
             op.deduplication_window = 1.2;
             op.latency_objective = 0.6;
             op.client_timeout = 1.2;
@@ -73,12 +76,12 @@
         }
         for (int c = 0; c <= caches; ++c) names.push_back("10.0.0." + std::to_string(c) + ":9000");
         for (int c = 0; c <= caches; ++c) {
-            Endpoint l;
-            l.server = c;
-            l.zone = c == kOrigin ? 0 : (c - 1) % zones;
-            l.kind = c == kOrigin ? 1 : 0;
-            l.cell = l.zone;
-            list.push_back(l);
+            Endpoint endpoint;
+            endpoint.server = c;
+            endpoint.zone = c == kOrigin ? 0 : (c - 1) % zones;
+            endpoint.kind = c == kOrigin ? 1 : 0;
+            endpoint.cell = endpoint.zone;
+            list.push_back(endpoint);
         }
     }
     void start(UpdateKind kind = UpdateKind::full, std::uint64_t seed = 7) {
@@ -86,40 +89,41 @@
         tell(kind);
     }
     void tell(UpdateKind kind) {
-        for (Endpoint& l : list) l.name = names[static_cast<std::size_t>(l.server)];
+        for (Endpoint& endpoint : list) endpoint.name = names[static_cast<std::size_t>(endpoint.server)];
         node->on_endpoints(now, kind, list);
     }
-    int arrive(std::uint64_t key, int operation = 0, bool write = false, double left = 1.2,
-               bool repeat = false, int tenant = -1) {
-        Request a;
-        a.tenant = tenant;
-        a.id = next++;
-        a.operation = operation;
-        a.has_key = true;
-        a.key = key;
-        a.is_write = write;
-        a.time_remaining = left;
-        a.is_client_retry = repeat;
-        node->on_request(now, a);
-        return a.id;
+    int arrive(std::uint64_t key, int operation = 0, bool write = false, double time_remaining = 1.2,
+               bool is_client_retry = false, int tenant = -1) {
+        Request request;
+        request.tenant = tenant;
+        request.id = next++;
+        request.operation = operation;
+        request.has_key = true;
+        request.key = key;
+        request.is_write = write;
+        request.time_remaining = time_remaining;
+        request.is_client_retry = is_client_retry;
+        node->on_request(now, request);
+        return request.id;
     }
-    // Where an idempotent invocation of this key goes, answered at once; -1: nowhere.
+    // Returns the server that an idempotent request for this key goes to, and answers it; -1: none.
     int owner(std::uint64_t key) {
         const std::size_t before = host.sent.size();
-        const int inv = arrive(key);
+        const int request = arrive(key);
         if (host.sent.size() == before) return -1;
-        const int at = host.sent.back().cache;
-        end(inv, 0, AttemptOutcome::succeeded, 0.05, true);
-        return at;
+        const int server = host.sent.back().cache;
+        end(request, 0, AttemptOutcome::succeeded, 0.05, true);
+        return server;
     }
-    void end(int inv, int forward, AttemptOutcome ending, double took = 0.05, bool over = false) {
-        node->on_attempt_finished(now, inv, forward, ending, took, over);
+    void end(int request, int attempt, AttemptOutcome outcome, double duration = 0.05,
+             bool answered = false) {
+        node->on_attempt_finished(now, request, attempt, outcome, duration, answered);
     }
-    int finals(int inv) const {
-        int n = 0;
-        for (int t : host.throttled) n += t == inv;
-        for (int e : host.errored) n += e == inv;
-        return n;
+    int finals(int request) const {
+        int count = 0;
+        for (int rejected : host.throttled) count += rejected == request;
+        for (int failed : host.errored) count += failed == request;
+        return count;
     }
 };
 
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -285,14 +285,14 @@
     s.troubles = {slow("box-5", 2, 21), links(TroubleKind::lossy, 8, 15, {"room-a"}, {"room-a"})};
     const Played p = play(s);
     EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.told;
-    // Bounded by kMaxEvidenceAge of src/gossip, the maximum age of evidence that counts.
+    // All verdicts expire within 14.5 s of the loss, less than kMaxEvidenceAge of src/gossip.
     for (const FleetView& v : p.result.views) {
         if (v.time <= 8 + 14 + 0.5) continue;
         EXPECT_TRUE(v.found.empty()) << "n" << v.node << " at " << v.time;
     }
 }
 
-// A change of the endpoint list reaches some nodes late; the audit checks each node's own drains.
+// A change of the endpoint list reaches some nodes late; the auditor checks each node's own drains.
 TEST(Processes, ALateEndpointListBreaksNoDrain) {
     Scenario s = fleet_day(4, 1, 8);
     Trouble late = trouble(TroubleKind::list_late, 2, 3);
