--- a/src/gossip/outlier_exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -109,8 +109,8 @@
     void on_zone_attempt_finished(double now, int zone, ServerKey server, ZoneAttempt outcome) {
         zone_failover_.on_attempt_finished(now, zone, server, outcome);
     }
-    void set_zone_admin_state(double now, int zone, bool out) {
-        zone_failover_.set_admin_state(now, zone, out);
+    void set_zone_admin_state(double now, int zone, bool drain) {
+        zone_failover_.set_admin_state(now, zone, drain);
     }
     // Number of servers that are listed in this node's zone.
     void set_local_server_count(int servers) { servers_in_own_zone_ = servers; }
--- a/src/gossip_agent/gossip_agent.h
+++ b/src/gossip_agent/gossip_agent.h
@@ -57,8 +57,8 @@
     void apply_configuration(const NodeConfig& config, const FleetQuotaLimits& limits);
     // Returns why an operator's command on a zone would have no effect here; empty if it would have one.
     std::string why_zones_unavailable() const;
-    void set_zone_admin_state(double now, int zone, bool out) {
-        exchange_.set_zone_admin_state(now, zone, out);
+    void set_zone_admin_state(double now, int zone, bool drain) {
+        exchange_.set_zone_admin_state(now, zone, drain);
     }
     // Reports the current zone weights again, after the balancer was reconfigured.
     void repeat_zone_changes(double now);
