--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -23,9 +23,10 @@
 // Owners that must agree for a verdict to count, and reporters that suffice once another owner reached the
 // verdict.
 constexpr int kAgree = 2;
-// Nodes that must report a server bad before an owner finds it bad for a zone: at least kVoicesLeast, and at
-// least kMinReporterRatio of the zone's nodes. Reports from other zones count towards these, but at least
-// kMinLocalReporters must come from the zone itself.
+// Nodes that must report a server bad before an owner finds it bad for a zone: at least kVoicesLeast (in a
+// zone of few nodes all but one, but at least two), and at least kMinReporterRatio of the zone's nodes.
+// Reports from other zones count towards these, but at least kMinLocalReporters must come from the zone
+// itself.
 constexpr int kVoicesLeast = 3;
 constexpr double kMinReporterRatio = 0.05;
 constexpr int kMinLocalReporters = 2;
@@ -114,7 +115,7 @@
         case AttemptOutcome::refused:
         case AttemptOutcome::reset:
             return AttemptHealth::bad;
-        case AttemptOutcome::busy:  // it says so itself, at once, and the gates answer it
+        case AttemptOutcome::busy:  // answered at once; the balancer's admission limits react to it
         case AttemptOutcome::cancelled:
         case AttemptOutcome::not_sent:
             break;
--- a/src/gossip/zone_failover.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -44,7 +44,7 @@
 // Seconds after which other nodes probe, so that a dead prober costs one turn.
 constexpr double kProbeTurnSeconds = 2.0;
 constexpr double kNoProbeInterval = 1e6;  // s; for nodes that do not probe in this turn
-constexpr double kMinStepDuration = 0.5;  // s of a step back into use
+constexpr double kMinStepDuration = 0.5;  // s of a step of a restore
 // Seconds; servers of a zone drained for less have kept their contents, so its steps take half as long.
 constexpr double kShortDrain = 3.0;
 // Seconds of answered probes before a restore after relapses, times 2 for each of them.
@@ -57,7 +57,7 @@
 constexpr double kStrainedRatio = 0.5;
 constexpr double kStrainedMultiple = 2.0;
 constexpr int kMinStrainedAttempts = 4;  // attempts within a second that are needed to tell
-// One strained report in this many holds the restore, or takes it back a step.
+// More than one strained report in this many holds the restore, or takes it back a step.
 constexpr int kStrainedReportersDivisor = 3;
 constexpr double kYoung = 5.0;           // s after a start in which a node adopts the step of its peers
 constexpr int kMinStartupReports = 2;    // reports that suffice for it; it errs on the side of caution
@@ -201,7 +201,7 @@
     for (std::size_t z = 0; z < pairs_.size(); ++z) {
         const auto stored = pairs_[z].reports.find(from);
         // A node that has just started or resumed uses a zone in full while its peers restore it in steps; it
-        // is told.
+        // gets a reply.
         differs = differs || (!is_reported[z] && pairs_[z].step < kStepHealthy && !pairs_[z].hand);
         if (is_reported[z] || stored == pairs_[z].reports.end() || stamp <= stored->second.stamp) continue;
         stored->second = {stamp, ZoneObservation::nothing, kStepHealthy, 0, now - late};
