--- a/src/gossip/zone_failover.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -163,8 +163,8 @@
         return ZoneObservation::reachable;
     const double silent_probability =
         (p.baseline_silent + 0.25) / (p.baseline_silent + p.baseline_answers + 1);
-    // With more traffic a short silence is enough: where a few servers still answer, some voters had an
-    // answer just now and object.
+    // The silence must last longer where a zone gets less traffic. If a few servers there still answer, some
+    // voters had an answer just now and object.
     const double quiet = p.step == kStepDrained ? 0 : std::min(kMinSilence / weight_of(p.step), kMaxSilence);
     const bool run = p.silent_count >= kMinSilentServers &&
                      std::pow(silent_probability, p.silent_run) < kSilenceProbability;
