--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -9,7 +9,7 @@
 #include <functional>
 #include <map>
 #include <memory>
-#include <rng>
+#include <random>
 #include <set>
 
 #include "model/outlier_fleet.h"
