--- a/src/gossip/messages.cpp
+++ b/src/gossip/messages.cpp
@@ -64,55 +64,54 @@
                           *verdicts = header.list(), *zones = header.list(), *requests = header.list(),
                           *grants = header.list();
     if (!header.is_valid()) return false;
-    NumberReader heartbeat_reader(*heartbeats), observation_reader(*observations), verdict_reader(*verdicts),
-        zone_reader(*zones), request_reader(*requests), grant_reader(*grants);
-    if (heartbeat_reader.size() % kHeartbeatFields != 0 ||
-        observation_reader.size() % kObservationFields != 0 || verdict_reader.size() % kVerdictFields != 0 ||
-        zone_reader.size() % kZoneReportFields != 0 || request_reader.size() % kLeaseRequestFields != 0 ||
-        grant_reader.size() % kLeaseGrantFields != 0)
+    NumberReader heartbeat_list(*heartbeats), observation_list(*observations), verdict_list(*verdicts),
+        zone_list(*zones), request_list(*requests), grant_list(*grants);
+    if (heartbeat_list.size() % kHeartbeatFields != 0 || observation_list.size() % kObservationFields != 0 ||
+        verdict_list.size() % kVerdictFields != 0 || zone_list.size() % kZoneReportFields != 0 ||
+        request_list.size() % kLeaseRequestFields != 0 || grant_list.size() % kLeaseGrantFields != 0)
         return false;
-    while (!heartbeat_reader.is_at_end()) {
-        const std::uint32_t node_and_zone = heartbeat_reader.next(kMaxNode * kZoneFactor);
-        const double age = heartbeat_reader.next(kMaxAgeSteps) * kAgeStepSeconds;
+    while (!heartbeat_list.is_at_end()) {
+        const std::uint32_t node_and_zone = heartbeat_list.next(kMaxNode * kZoneFactor);
+        const double age = heartbeat_list.next(kMaxAgeSteps) * kAgeStepSeconds;
         datagram.heartbeats.push_back({as_int(node_and_zone / kZoneFactor), age,
                                        std::min(as_int(node_and_zone % kZoneFactor), kMaxZones) - 1});
     }
-    while (!observation_reader.is_at_end()) {
+    while (!observation_list.is_at_end()) {
         Observation observation;
-        observation.server = observation_reader.next();
-        observation.successes = as_int(observation_reader.next(kMaxCount));
-        observation.failures = as_int(observation_reader.next(kMaxCount));
+        observation.server = observation_list.next();
+        observation.successes = as_int(observation_list.next(kMaxCount));
+        observation.failures = as_int(observation_list.next(kMaxCount));
         datagram.observations.push_back(observation);
     }
-    while (!verdict_reader.is_at_end()) {
+    while (!verdict_list.is_at_end()) {
         Verdict verdict;
-        verdict.server = verdict_reader.next();
-        verdict.owner = as_int(verdict_reader.next(kMaxNode));
-        verdict.stamp.incarnation = verdict_reader.next();
-        verdict.stamp.sequence = verdict_reader.next();
-        verdict.bad_zones = verdict_reader.next();
-        verdict.reporters = as_int(verdict_reader.next(kMaxNode));
-        verdict.age = verdict_reader.next(kMaxAgeSteps) * kAgeStepSeconds;
+        verdict.server = verdict_list.next();
+        verdict.owner = as_int(verdict_list.next(kMaxNode));
+        verdict.stamp.incarnation = verdict_list.next();
+        verdict.stamp.sequence = verdict_list.next();
+        verdict.bad_zones = verdict_list.next();
+        verdict.reporters = as_int(verdict_list.next(kMaxNode));
+        verdict.age = verdict_list.next(kMaxAgeSteps) * kAgeStepSeconds;
         datagram.verdicts.push_back(verdict);
     }
-    while (!zone_reader.is_at_end()) {
-        const int zone = as_int(zone_reader.next(kMaxZones - 1));
+    while (!zone_list.is_at_end()) {
+        const int zone = as_int(zone_list.next(kMaxZones - 1));
         const auto observation = static_cast<ZoneObservation>(
-            zone_reader.next(static_cast<std::uint32_t>(ZoneObservation::strained)));
-        const int step = as_int(zone_reader.next(kStepHealthy));
-        datagram.zone_reports.push_back({zone, observation, step, as_int(zone_reader.next(kMaxRelapses))});
+            zone_list.next(static_cast<std::uint32_t>(ZoneObservation::strained)));
+        const int step = as_int(zone_list.next(kStepHealthy));
+        datagram.zone_reports.push_back({zone, observation, step, as_int(zone_list.next(kMaxRelapses))});
     }
-    while (!request_reader.is_at_end()) {
-        const QuotaId quota = request_reader.next();
-        datagram.lease_requests.push_back({quota, request_reader.next(kMaxUnits)});
+    while (!request_list.is_at_end()) {
+        const QuotaId quota = request_list.next();
+        datagram.lease_requests.push_back({quota, request_list.next(kMaxUnits)});
     }
-    while (!grant_reader.is_at_end()) {
-        const QuotaId quota = grant_reader.next();
-        const std::uint32_t units = grant_reader.next(kMaxUnits);
-        datagram.lease_grants.push_back({quota, units, grant_reader.next()});
+    while (!grant_list.is_at_end()) {
+        const QuotaId quota = grant_list.next();
+        const std::uint32_t units = grant_list.next(kMaxUnits);
+        datagram.lease_grants.push_back({quota, units, grant_list.next()});
     }
-    return heartbeat_reader.is_valid() && observation_reader.is_valid() && verdict_reader.is_valid() &&
-           zone_reader.is_valid() && request_reader.is_valid() && grant_reader.is_valid();
+    return heartbeat_list.is_valid() && observation_list.is_valid() && verdict_list.is_valid() &&
+           zone_list.is_valid() && request_list.is_valid() && grant_list.is_valid();
 }
 
 }  // namespace
--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -426,8 +426,7 @@
     int reporters = 0;
     for (const auto& [zone, sum] : zones) reporters += sum.reporters;
     for (auto& [zone, sum] : zones) {
-        // Once the server is ejected it gets few attempts, so the newest reports decide whether it is still
-        // bad.
+        // An ejected server gets few attempts, so the newest reports decide whether it is still bad.
         std::sort(sum.newest.begin(), sum.newest.end());
         if (sum.newest.size() > kNewestReports) sum.newest.resize(kNewestReports);
         const auto newest_bad = std::count_if(sum.newest.begin(), sum.newest.end(),
--- a/src/gossip_agent/gossip_agent.cpp
+++ b/src/gossip_agent/gossip_agent.cpp
@@ -193,11 +193,10 @@
         if (name == server_names_.end()) continue;
         const bool was_bad = bad_servers_.contains(verdict.server);
         if (verdict.bad && !was_bad)
-            log_.line(Topic::node, "fleet_bad",
-                      "the nodes of this zone agree that " + name->second + " is bad");
+            log_.line(Topic::node, "fleet_bad", "this zone's nodes agree that " + name->second + " is bad");
         if (!verdict.bad && was_bad)
             log_.line(Topic::node, "fleet_well",
-                      "the nodes of this zone no longer agree that " + name->second + " is bad");
+                      "this zone's nodes no longer agree that " + name->second + " is bad");
         if (verdict.bad) {
             bad_servers_[verdict.server] = true;
         } else {
@@ -212,8 +211,8 @@
         const auto previous = last_zone_changes_.find(change.zone);
         if (previous == last_zone_changes_.end() || previous->second.weight != change.weight) {
             char text[160];
-            std::snprintf(text, sizeof text, "zone %s: weight %.3g%s", name.c_str(),
-                          change.weight, change.weight > 0 ? "" : ", drained");
+            std::snprintf(text, sizeof text, "zone %s: weight %.3g%s", name.c_str(), change.weight,
+                          change.weight > 0 ? "" : ", drained");
             log_.line(Topic::node,
                       change.weight <= 0  ? "zone_left"
                       : change.weight < 1 ? "zone_returning"
