--- a/src/gossip_agent/gossip_socket.h
+++ b/src/gossip_agent/gossip_socket.h
@@ -1,5 +1,5 @@
-// The socket to other nodes: datagrams out, datagrams in, and from which peer's address each came. It owns
-// the socket and its source, and decides nothing; what is in them is src/fleet's to read.
+// The UDP socket to other nodes: sends datagrams, and receives them with the number of the peer whose address
+// they came from. Owns the socket and its event source and decides nothing; src/gossip decodes the datagrams.
 #pragma once
 
 #include <functional>
@@ -18,27 +18,28 @@
     static constexpr int kUnknownPeer = -1;
     using OnDatagram = std::function<void(int from, std::string_view bytes)>;
 
-    explicit GossipSocket(OnDatagram told) : told_(std::move(told)) {}
+    explicit GossipSocket(OnDatagram on_datagram) : on_datagram_(std::move(on_datagram)) {}
     ~GossipSocket() { close(); }
     GossipSocket(const GossipSocket&) = delete;
     GossipSocket& operator=(const GossipSocket&) = delete;
 
-    bool listen(const std::string& own, const std::vector<std::string>& peers, std::string& complaint);
+    bool listen(const std::string& own_address, const std::vector<std::string>& peers,
+                std::string& error_text);
     bool listens() const { return socket_ != nullptr; }
-    // Lost without a word where the kernel does not take it: so may any datagram be.
+    // A datagram that the kernel does not accept is dropped silently, like any that is lost on the network.
     void send(int to, std::string_view bytes);
     void close();
 
   private:
     using AddressRef = std::unique_ptr<GSocketAddress, GObjectUnref>;
-    void readable();
-    static std::string key(GSocketAddress* address);
+    void on_readable();
+    static std::string address_key(GSocketAddress* address);
 
-    OnDatagram told_;
+    OnDatagram on_datagram_;
     SocketRef socket_;
     GSource* source_ = nullptr;
     std::vector<AddressRef> addresses_;
-    std::map<std::string, int> numbers_;  // by address
+    std::map<std::string, int> peer_by_address_;  // peer numbers
 };
 
 }  // namespace brookrelay
