--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -13,47 +13,58 @@
 namespace brookrelay {
 namespace {
 
-// Some descriptors are reserved for the listeners, the operators, the endpoint sources, the event loop and
-// the log. The rest is split once, so that neither side's flood can leave the other without any. Each attempt
-// belongs to some client, but not every client has one in flight, so the clients' share is the larger.
+// Descriptors reserved for the listeners, the admin server, the endpoint sources, the event loop and the log.
 constexpr int kReservedDescriptors = 16 + static_cast<int>(AdminServer::kMaxCallers);
+// The clients' share of the remaining descriptors; the server connections have the rest. The split is fixed,
+// so that a flood on one side cannot exhaust the descriptors of the other. Each attempt belongs to a client,
+// but not every client has an attempt in flight, so the clients' share is the larger one.
 constexpr double kClientsShare = 0.6;
 
-// s without an iteration; some timer is due four times as often. What arrives in a shorter pause counts as
-// received after it, and servers may be told at most 0.15 s more than is left.
+// Seconds without an iteration from which the process counts as paused; some timer is due four times as
+// often. Commands that arrive in a shorter pause count as received after it, which is within the 0.15 s that
+// a server may be told more than the client has left.
 constexpr double kPauseThreshold = 0.1;
-constexpr double kMaxCatchUp = 0.25;  // s after a pause in which the backlog is read, at most as long as it
+// Upper bound in seconds of the time after a pause in which the backlog is read; it is also at most as long
+// as the pause.
+constexpr double kMaxCatchUp = 0.25;
 
-// s since the sockets were looked at, after which they are looked at again before anything is sent: a list, a
-// client's close or an answer may have come meanwhile. A client's close may be 0.1 s old at a send.
+// Maximum age in seconds of the last poll of the sockets at which actions are still executed. Older than
+// that, the sockets are polled again first, because an endpoint update, a client's close or a reply may have
+// arrived since. The close of a client may be 0.1 s old when an attempt is sent for it.
 constexpr double kMaxFactAge = 0.02;
-constexpr int kMaxDeferrals = 3;  // iterations in a row; then the actions are carried out all the same
+// Consecutive iterations that may defer actions; after that they are executed at any age of the poll.
+constexpr int kMaxDeferrals = 3;
 
-// s that a started node waits for discovery before it serves by the list of its file. What the agent holds
-// counts as told from the start of the process; silent, it has to be done without.
+// Seconds that a started node waits for discovery before it serves with the endpoint list of its
+// configuration file. An update that the discovery agent already holds counts as known from the start of the
+// process; if the agent does not respond, the node has to serve without it.
 constexpr double kFirstListTimeout = 0.3;
 
 constexpr double kEvictionInterval = 1.0;    // s between checks, until all removed servers are evicted
-constexpr double kAnswerMargin = 0.05;       // s before its deadline at which a response has to be written
-constexpr double kHealthCheckTimeout = 0.5;  // s; a health check has no request whose deadline it shares
+constexpr double kAnswerMargin = 0.05;       // s before its deadline at which a streamed response is given up
+constexpr double kHealthCheckTimeout = 0.5;  // s; a health check has no request with a deadline
 
-constexpr double kAdminStateInterval = 0.025;  // s between reloads of what sibling processes wrote
+constexpr double kAdminStateInterval = 0.025;  // s between reloads of the state that sibling processes change
 
-constexpr double kListedRetryInterval = 1.0;  // s between attempts to write down names, after one that failed
+constexpr double kListedRetryInterval = 1.0;  // s between retries of names that could not be written to disk
 
 constexpr double kWarmStartInterval = 0.25;  // s between saves of the warm-start file
 
-constexpr int kDescriptorMargin = 16;     // that a sibling process may open between two updates
-constexpr double kMinBudgetShare = 0.25;  // two processes that both hold much must both go on
+constexpr int kDescriptorMargin = 16;  // descriptors that a sibling process may open between two updates
+// Lower bound of this process's budget share: if two processes both hold many descriptors, both must still be
+// able to serve.
+constexpr double kMinBudgetShare = 0.25;
 
-constexpr std::size_t kBufferFraction = 4;  // each side's buffers may hold a quarter of the memory
+constexpr std::size_t kBufferFraction = 4;  // the buffers of either side may use 1/4 of the memory
 
-// Marks the zones among the server names in the administrative state.
+// Distinguishes zones from server names in the administrative state.
 constexpr const char* kZoneKeyPrefix = "\x01zone:";
 
-constexpr const char* kNoFleet = "this node does not talk with others: [fleet] in the operators' file";
+constexpr const char* kNoFleet =
+    "gossip between nodes is disabled on this node: see [fleet] in the operators' file";
 constexpr const char* kFailed = "SERVER_ERROR failed\r\n";
 
+// Whether the outcome proves that the server did not execute the attempt.
 bool proves_not_run(AttemptOutcome outcome) {
     return outcome == AttemptOutcome::busy || outcome == AttemptOutcome::refused ||
            outcome == AttemptOutcome::not_sent || outcome == AttemptOutcome::miss;
@@ -71,7 +82,7 @@
     return static_cast<std::size_t>((descriptors - kReservedDescriptors) * part);
 }
 
-// Several nodes on one machine may share the state folder.
+// The node's own directory in the state folder, which several nodes of one machine may share.
 std::string node_folder(const NodeConfig& s) {
     if (s.state_folder.empty()) return {};
     std::string name = s.name + "-" + s.listen;
@@ -79,7 +90,7 @@
     return s.state_folder + "/brookrelay-" + name;
 }
 
-// FNV-1a: the same at every node, as the hash ring needs it; the balancer mixes it further.
+// FNV-1a. The hash ring requires the same hash at every node; the balancer mixes the value further.
 std::uint64_t hash_key(std::string_view key) {
     std::uint64_t h = 0xcbf29ce484222325ULL;
     for (const char c : key) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
@@ -104,7 +115,7 @@
               event_queue_.emplace_back(
                   [this, e = std::move(end)](double now) mutable { on_attempt_finished(now, e); });
           },
-          // Decided after all events of this iteration: whether the attempt is still to be sent.
+          // Whether the attempt is still sent is decided after all events of this iteration.
           [this](int request, int attempt, int server) {
               event_queue_.emplace_back([this, request, attempt, server](double) {
                   action_queue_.emplace_back(
@@ -177,7 +188,7 @@
                 });
             apply_connection_limit();
         } else {
-            log.line(Topic::node, "peers_off", "tells other nodes nothing: " + refusal);
+            log.line(Topic::node, "peers_off", "gossip between nodes is disabled: " + refusal);
         }
     }
     if (operator_config.registry_addresses.empty()) return;
@@ -227,11 +238,13 @@
         opening_timer_ = {};
         event_queue_.emplace_back([this](double) { open_for_clients(); });
     });
-    // No client can have come during the start, unless siblings hold the listener open.
+    // Unless sibling processes share the listener, no client can have connected during the start, so the
+    // start does not count as a pause.
     if (!has_shared_listener_) iteration_started_at_ = monotonic_now();
 }
 
-// Nobody can connect before, so that no request waits for the start of the process.
+// Starts to accept clients. Until then no client can connect, so no request waits for the start of the
+// process.
 void Node::open_for_clients() {
     timers_.cancel(opening_timer_);
     if (pending_listener_ == nullptr || shutdown_.has_begun()) return;
@@ -265,11 +278,12 @@
 
 bool Node::are_facts_stale() const { return monotonic_now() - poll_clock_.last() > kMaxFactAge; }
 
-// The guard before each send knows what the sockets have told so far. Where this iteration has taken long,
-// what has come meanwhile goes first: the rest of the actions waits for the next one, which begins at once.
+// The guard before each send knows only what has been read from the sockets. If this iteration has taken
+// long, the remaining actions are deferred to the next one, which begins at once and first handles what has
+// arrived in the meantime.
 void Node::carry_out_actions() {
     const bool may_defer = deferrals_ < kMaxDeferrals;
-    // Actions that these request are left to the next iteration.
+    // Actions that are queued by these actions are left to the next iteration.
     for (std::size_t left = action_queue_.size(); left > 0; --left) {
         if (may_defer && are_facts_stale()) {
             ++deferrals_;
@@ -290,7 +304,7 @@
     carry_out_actions();
 }
 
-// Only once no action is left that names one of these requests.
+// Releases finished requests once no queued action refers to one of them, and frees closed connections.
 void Node::release_finished() {
     if (action_queue_.empty()) {
         for (const int request : finished_requests_) requests_.release(request);
@@ -310,8 +324,8 @@
     return work;
 }
 
-// Anything that speaks against the new configuration is found before a part of it is applied. Events so far
-// reach the balancer under the old one, by whose indexes they were parsed.
+// All checks of the new configuration are made before any part of it is applied. Events queued so far are
+// passed to the balancer first, because they were parsed with the indexes of the old configuration.
 void Node::reload(const NodeConfig& config, const OperatorConfig& operator_config) {
     handle_events();
     carry_out_all_actions();
@@ -348,14 +362,15 @@
         endpoint_watch_.move_to(config.discovery, config.names, config.deployment.polls_endpoints);
 }
 
-// Only the fleet's quotas change in a running node; a change of the rest is logged and waits for a restart.
+// Applies the fleet quotas, the only part of the operators' configuration that can change in a running node.
+// Other changes are logged and take effect at the next start.
 void Node::apply_operator_config(const OperatorConfig& operator_config) {
     OperatorConfig effective = operator_config_;
     effective.fleet_quotas = operator_config.fleet_quotas;
     if (!(effective == operator_config))
         log_.line(
             Topic::node, "operator_file_waits",
-            "in the operators' file more than fleet.limits has changed: that counts from the next start");
+            "the operators' file has changes outside fleet.limits, which take effect at the next start");
     operator_config_ = effective;
     if (gossip_ == nullptr) return;
     gossip_->apply_configuration(config_, operator_config_.fleet_quotas);
@@ -371,16 +386,18 @@
 
 // ---- events ------------------------------------------------------------------------------------------
 
-// When a command that is read now arrived. After a process pause (stopped, or swapped out) commands have lain
-// in the sockets all that time. Taken for new, a write would run after its client retried elsewhere and was
-// served, past the time for which a retry is recognised: so they count as received before the pause.
+// The time at which a command that is read now counts as received. While the process is paused (stopped or
+// swapped out), commands wait in the sockets. If they counted as new, a write could run after its client has
+// retried it at another node and been served, and after the deduplication window has passed. So commands that
+// are read after a pause count as received when the pause began.
 double Node::arrival_time() {
     const double now = monotonic_now();
     if (now - iteration_started_at_ > kPauseThreshold && now >= catch_up_until_) {
         paused_since_ = iteration_started_at_;
         catch_up_until_ = now + std::min(kMaxCatchUp, now - paused_since_);
         char text[96];
-        std::snprintf(text, sizeof text, "stood still for %.2f s: what came meanwhile counts as come before",
+        std::snprintf(text, sizeof text,
+                      "stood still for %.2f s: waiting commands count as received before it",
                       now - iteration_started_at_);
         log_.line(Topic::node, "stood_still", text);
         metrics_.on_pause();
@@ -391,11 +408,11 @@
 int Node::on_command(const ClientConnections::RequestHandle& client, Command&& command, double received_at) {
     const int operation = index_of(config_.names.operations, command.attributes.operation);
     const bool is_full = config_.max_open_requests > 0 && requests_.open_count() >= config_.max_open_requests;
-    // Servers tell requests apart by their ids alone: with a duplicate id the response made for one client
-    // could be taken for the other's.
+    // Servers distinguish requests only by id: with a duplicate id, the response to one client's request
+    // could be sent to the other client.
     const bool is_taken = requests_.is_id_open(command.id);
     if (operation < 0 || is_taken || is_full) {
-        // The balancer never hears of this request: there is no room for it, or no name.
+        // The request is rejected here and the balancer is not told of it.
         const std::string text = operation < 0 ? "CLIENT_ERROR unknown operation\r\n"
                                  : is_taken    ? "CLIENT_ERROR id in use\r\n"
                                                : format_busy(0);
@@ -415,13 +432,13 @@
     ActiveRequest& active = requests_.at(request);
     metrics_.on_request();
     trace(TraceEvent::received, request, RequestTrace::kNoAttempt, ServerTable::kUnknown, {});
-    // A safety net: the balancer ends a request before this, or its client has long gone.
+    // Safety net: normally the balancer has ended the request before this time, or its client has closed.
     active.expiry_timer =
         timers_.schedule(active.deadline + config_.deployment.response_grace, [this, request] {
             requests_.at(request).expiry_timer = {};
             event_queue_.emplace_back([this, request](double then) {
                 if (requests_.at(request).answered) return;
-                log_.line(Topic::node, "outlived", "an invocation outlived its client timeout");
+                log_.line(Topic::node, "outlived", "a request was still open after its client's timeout");
                 respond(request, "SERVER_ERROR timed out\r\n");
                 abandon_request(then, request, RequestEnd::expired);
             });
@@ -440,7 +457,7 @@
     balancer_->on_request(now, arrival);
 }
 
-// By the time that the event is handled another request may have the slot.
+// When the event is handled, another request may occupy the slot, so the client is compared.
 void Node::on_connection_closed(const ClientConnections::RequestHandle& client, int request) {
     event_queue_.emplace_back([this, client, request](double now) {
         const ActiveRequest& active = requests_.at(request);
@@ -449,13 +466,14 @@
     });
 }
 
+// Ends a request and tells the balancer that its client no longer waits for it.
 void Node::abandon_request(double now, int request, RequestEnd end) {
     finish(request, end);
     balancer_->on_client_closed(now, request);
 }
 
-// Collecting a streamed response delays its first bytes, by which its client judges it: so it is written from
-// half of the time on that is left to the latency objective.
+// Collecting a streamed response delays its first byte, which determines its latency for the client. So
+// writing begins once half of the time left until the latency objective has passed.
 ClientConnections::StreamTerms Node::stream_terms(const ActiveRequest& active, std::size_t length,
                                                   double now) {
     const double due = std::min(active.deadline, active.received_at + active.operation.latency_objective);
@@ -472,7 +490,7 @@
     if (result.written && proves_not_run(result.outcome) && --active.possible_runs == 0)
         active.may_have_run_since = 0;
     if (result.stream != 0 && !active.answered) {
-        // The client gets its first bytes now, and no other attempt may answer it any more.
+        // The first bytes go to the client now, so no other attempt can answer the request.
         action_queue_.emplace_back([this, client = active.client, stream = result.stream,
                                     head = format_value_header(active.command.id, result.stream_length),
                                     terms = stream_terms(active, result.stream_length, now)]() mutable {
@@ -498,14 +516,14 @@
     finished_requests_.push_back(result.request);
 }
 
-// What a list changes counts for each send from here on (ServerTable::accepts_attempts); the balancer's rings
-// and the rest follow. All of it in time proportional to the change, but for full lists.
+// Applies an endpoint update. It takes effect for every later send (ServerTable::accepts_attempts) before the
+// balancer's rings follow. The cost is proportional to the change, except for full lists.
 void Node::apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& list) {
     std::vector<int> changed;
     std::vector<std::string> first_seen;
     work_.list_entries += list.servers.size();
     for (const EndpointRecord& record : list.servers) {
-        // The removal of a server that is unknown, or evicted by now, must not add it.
+        // The removal of a server that is unknown or already evicted must not add it.
         const bool is_known = servers_.contains(record.name);
         if (record.state == EndpointState::removed && !is_known) continue;
         if (!is_known) first_seen.push_back(record.name);
@@ -542,7 +560,7 @@
     open_for_clients();
 }
 
-// A full list removes the servers that it does not name.
+// Marks all servers that a full list does not contain as removed and appends them to `changed`.
 void Node::remove_unlisted(std::vector<int>& changed) {
     const std::unordered_set<int> listed(changed.begin(), changed.end());
     work_.servers += servers_.size();
@@ -567,17 +585,17 @@
     gossip_->on_endpoints(names, in_own_zone);
 }
 
-// Only servers that this node's own endpoint list has named count: a verdict of other nodes adds none.
+// A verdict on a server that this node's own endpoint list does not contain is ignored.
 void Node::on_outlier_verdict(double now, const std::string& name, bool bad, double apart) {
     const int known = servers_.find(name);
     if (known != ServerTable::kUnknown) balancer_->on_outlier_verdict(now, known, bad, apart);
 }
 
-// Registrations are treated as an endpoint update. A start that was observed counts from now: the start time
-// that a server reports is that of its own clock.
+// Converts registration changes to an endpoint update. If the start of a server was observed, it counts as
+// started now, because the start time that a server reports is taken from its own clock.
 void Node::on_registrations(const std::vector<RegistrationChange>& changes) {
     EndpointUpdate list;
-    // Servers found by the first look did not start just now: for them the reported start counts.
+    // Servers of the first view did not start just now, so their reported start time is used.
     const bool first = !std::exchange(has_registrations_, true);
     for (const RegistrationChange& c : changes) {
         EndpointRecord s;
@@ -599,7 +617,7 @@
     });
 }
 
-// Servers come and go for as long as the node runs, so the removed ones must not accumulate.
+// Evicts removed servers, which would otherwise accumulate for as long as the node runs.
 void Node::evict_removed_servers() {
     timers_.cancel(eviction_timer_);
     const double oldest = requests_.oldest_received_at(monotonic_now());
@@ -632,7 +650,8 @@
         [this, request, attempt, server, limit] { send_attempt(request, attempt, server, limit); });
 }
 
-// Asked whenever an attempt is about to be written, since everything may have changed since it was planned.
+// Called whenever an attempt is about to be written, because any condition may have changed since the
+// balancer requested it.
 SendRefusal Node::check_attempt(int request, int server) {
     const ActiveRequest& active = requests_.at(request);
     SendFacts facts;
@@ -668,21 +687,21 @@
     SendRefusal refusal = check_attempt(request, server);
     if (refusal == SendRefusal::none && time_left <= 0) refusal = SendRefusal::deadline_passed;
     if (refusal != SendRefusal::none) return refuse_attempt(request, attempt, server, refusal);
-    // Past its share of the fleet's quota a node sends nothing to the origin, and the client is to retry.
+    // Above its share of the fleet's quota, a node sends no attempt to the origin; the client has to retry.
     if (gossip_ != nullptr && servers_.is_origin(servers_.at(server)) &&
         !gossip_->admit_origin_attempt(monotonic_now()))
         return refuse_attempt(request, attempt, server, SendRefusal::over_quota);
     if (gossip_ != nullptr && !servers_.is_origin(servers_.at(server)))
         gossip_->on_attempt_started(monotonic_now(), attempt_key(request, attempt), servers_.at(server).name,
                                     servers_.at(server).zone, active.operation.latency_objective);
-    // The balancer assumes that a retry begins at most a connect timeout later: after that it could run
-    // beside the end of the time for which the first attempt is remembered.
+    // The balancer assumes that a retry begins at most one connect timeout after it is requested. Later, it
+    // could run when the deduplication window of the first attempt has ended.
     const bool is_keyed_retry = attempt > 0 && active.operation.idempotency == Idempotency::idempotency_key;
     pool_.start_attempt(request, attempt, server, active.command, time_left,
                         is_keyed_retry ? pool_.connect_timeout() : 0);
 }
 
-// The attempt's connection may carry it now, perhaps late.
+// The attempt's connection is ready, possibly long after the attempt was requested, so it is checked again.
 void Node::send_on_connection(int request, int attempt, int server) {
     const SendRefusal refusal = check_attempt(request, server);
     if (refusal != SendRefusal::none) {
@@ -693,7 +712,8 @@
     pool_.send(request, attempt, requests_.at(request).command);
 }
 
-// The last moment: what the check above allows has to hold for what is written.
+// Called immediately before an attempt is written. Reports a violation if a rule that check_attempt()
+// enforces does not hold for what is written.
 void Node::on_attempt_write(int request, int attempt, int server, double time_left) {
     ActiveRequest& active = requests_.at(request);
     const double now = monotonic_now();
@@ -785,7 +805,7 @@
                   server == ServerTable::kUnknown ? std::string_view() : servers_.at(server).name, detail);
 }
 
-// Nobody waits for the request any more, so what has not begun of it must not begin.
+// The request has been answered or its client is gone, so attempts that have not begun to run must not begin.
 void Node::cancel_half_sent(int request) {
     const int attempts = requests_.at(request).attempts;
     const bool may_cancel = config_.deployment.may_cancel;
@@ -811,9 +831,9 @@
     if (std::holds_alternative<TraceQuery>(action))
         return admin_server_.respond(caller, 200, trace_.text(monotonic_now()));
     if (accepts_clients_) return admin_server_.respond(caller, 200, "ready");
-    admin_server_.respond(
-        caller, 503,
-        shutdown_.has_begun() ? "ends, and takes no new clients" : "starts, and waits for its endpoint list");
+    admin_server_.respond(caller, 503,
+                          shutdown_.has_begun() ? "shutting down, accepts no new clients"
+                                                : "starting, waits for an endpoint list");
 }
 
 std::string Node::metrics_page() const {
@@ -826,7 +846,8 @@
                          clients_, violations_, iteration_monitor_);
 }
 
-// The response is sent after the iteration in which the balancer learned of the change and acted on it.
+// The response is queued as an action, so it is sent after the balancer has been told of the change and has
+// acted on it.
 void Node::change_server_state(std::uint64_t caller, const std::string& name, bool drain) {
     event_queue_.emplace_back([this, caller, name, drain](double now) {
         const auto say = [this, caller](int status, const char* text) {
@@ -835,18 +856,18 @@
         };
         const int known = servers_.find(name);
         if (known == ServerTable::kUnknown && !admin_state_.was_ever_listed(name))
-            return say(404, "no such cache server was ever listed");
-        // Without the origin no write and no miss could be answered, and no other server can replace it.
+            return say(404, "this cache server was never on the endpoint list");
+        // Without the origin, no write and no miss can be served, and no other server can replace it.
         if (known != ServerTable::kUnknown && servers_.is_origin(servers_.at(known)))
-            return say(409, "the origin cannot be taken out");
+            return say(409, "the origin cannot be drained");
         if (!(drain ? admin_state_.drain(name) : admin_state_.restore(name, wall_clock_.read().wall_now())))
-            return say(503, "could not be written down, nothing has changed");
+            return say(503, "the state could not be written to disk, nothing has changed");
         apply_admin_state(now, {name});
-        say(200, drain ? "out" : "may serve");
+        say(200, drain ? "drained" : "restored");
     });
 }
 
-// An operator drains or restores a zone for this node alone, through the states of zone failover.
+// Drains or restores a zone for this node only, by the states of zone failover.
 void Node::change_zone_state(std::uint64_t caller, const std::string& name, bool drain) {
     event_queue_.emplace_back([this, caller, name, drain](double now) {
         const auto say = [this, caller](int status, const std::string& text) {
@@ -855,14 +876,15 @@
         };
         const std::string key = kZoneKeyPrefix + name;
         if (gossip_ == nullptr) return say(404, kNoFleet);
-        if (index_of(config_.names.zones, name) < 0) return say(404, "no such zone");
+        if (index_of(config_.names.zones, name) < 0)
+            return say(404, "the node's configuration does not name this zone");
         const std::string refusal = gossip_->why_zones_unavailable();
         if (!refusal.empty()) return say(409, refusal);
-        if (drain && config_.names.zones.size() < 2) return say(409, "the only zone cannot be left");
+        if (drain && config_.names.zones.size() < 2) return say(409, "the only zone cannot be drained");
         if (!(drain ? admin_state_.drain(key) : admin_state_.restore(key, wall_clock_.read().wall_now())))
-            return say(503, "could not be written down, nothing has changed");
+            return say(503, "the state could not be written to disk, nothing has changed");
         apply_admin_state(now, {key});
-        say(200, drain ? "left" : "is taken back in steps");
+        say(200, drain ? "drained" : "is being restored in steps");
     });
 }
 
@@ -877,8 +899,9 @@
         if (known == ServerTable::kUnknown) continue;
         if (!servers_.set_admin_state(known, admin_state_.state_of(name), wall_clock_.read())) continue;
         const Server& s = servers_.at(known);
-        log_.line(Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
-                  name + (s.admin_state.drained ? " is out by hand" : " may serve again"));
+        log_.line(
+            Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
+            name + (s.admin_state.drained ? " is drained by an operator" : " is restored by an operator"));
         entries.push_back(servers_.endpoint(known));
         if (!servers_.accepts_attempts(known)) pool_.close_unstarted(known);
     }
@@ -907,7 +930,8 @@
     timers_.schedule(monotonic_now() + kListedRetryInterval, [this] { retry_listed(); });
 }
 
-// Descriptors and memory are one budget for all processes of this node: less what the siblings hold.
+// Descriptors and memory are one budget for all processes of this node. This process's share is what the
+// siblings do not use.
 void Node::update_budget_share() {
     if (sibling_processes_ == nullptr) return;
     sibling_processes_->publish(clients_.open_count() + pool_.open_count());
@@ -937,8 +961,8 @@
     if (!snapshot) return;
     balancer_->restore(now, *snapshot);
     log_.line(Topic::node, "recalled",
-              "goes on with what another process had learned of " + std::to_string(snapshot->servers.size()) +
-                  " cache servers");
+              "restored the warm-start snapshot of another process for " +
+                  std::to_string(snapshot->servers.size()) + " cache servers");
 }
 
 // ---- shutdown ----------------------------------------------------------------------------------------
@@ -946,9 +970,9 @@
 void Node::begin_shutdown() {
     if (shutdown_.has_begun()) return;
     log_.line(Topic::node, "told_to_end",
-              has_shared_listener_ ? "told to end: the other processes on the listener take who comes"
-                                   : "told to end: serves on until the front has moved away");
-    // The signal may have come at any time since the sockets were looked at before.
+              has_shared_listener_ ? "told to end: the other processes on the listener accept new clients"
+                                   : "told to end: serves until the front proxy has stopped sending");
+    // The signal may have arrived at any time since the previous poll.
     shutdown_.begin(poll_clock_.previous(), longest_client_timeout(), has_shared_listener_);
     accepts_clients_ = false;
     if (has_shared_listener_) {
@@ -988,7 +1012,7 @@
 
 void Node::fail_open_requests() {
     log_.line(Topic::node, "errored_before_kill",
-              std::to_string(requests_.open_count()) + " invocations errored before the kill");
+              std::to_string(requests_.open_count()) + " open requests failed before the kill");
     for (const int request : requests_.open_requests()) {
         event_queue_.emplace_back([this, request](double then) {
             fail(request);
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -1,10 +1,11 @@
-/// The proxy node: joins the clients' connections, the upstream pool, the endpoint sources, the gossip agent
-/// and the balancer. Each iteration gathers what is ready in an event queue, hands it to the balancer at one
-/// common `now`, and then carries out the actions that the balancer requested, in its order.
+/// The proxy node: connects the client connections, the upstream pool, the endpoint sources, the gossip agent
+/// and the balancer. Each event-loop iteration collects events in a queue, passes them to the balancer with
+/// one common `now`, and then executes the actions that the balancer requested, in the order of the requests.
 ///
-/// The node makes no balancing decision: no server, no time, no further attempt. It answers a request by
-/// itself only where the protocol calls for that: with the first success, for a command that names no known
-/// operation, and where a request would outlive its client's timeout or this node.
+/// The node makes no balancing decision: the balancer chooses servers, times and retries. The node responds
+/// to a request without the balancer only where the protocol requires it: with the first successful attempt,
+/// to a command that cannot be accepted (unknown operation, request id in use, too many open requests), and
+/// to a request that is still open after its client's timeout or near the end of a shutdown.
 #pragma once
 
 #include <cstdint>
@@ -43,31 +44,35 @@
 
 namespace brookrelay {
 
-/// A listener could not be opened; what() names the setting and the cause.
+/// Thrown if a listener cannot be opened; what() names the setting and the cause.
 class BindError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
+/// One proxy process. It implements Host, the interface through which the balancer requests actions.
 class Node final : public Host {
   public:
     /// `log` must outlive the node.
     Node(const NodeConfig& config, const OperatorConfig& operator_config, Log& log);
-    /// Starts; serves as soon as its endpoint list is confirmed, or could not be within a short time.
-    /// `inherited`: the descriptor of a clients' listener shared with other processes, which the node takes
-    /// over; else -1. Throws BindError.
+    /// Starts the node. It accepts clients once discovery has confirmed the endpoint list, or after a short
+    /// timeout without a confirmation. `inherited` is the descriptor of a client listener that is shared with
+    /// other processes and that the node takes ownership of, or -1. Throws BindError.
     void start(int inherited);
-    /// One round of the event loop, after the sources that were ready have been dispatched. Throws BindError
-    /// if the listener that start() has bound cannot be opened.
+    /// Handles the queued events and actions, once the event loop has dispatched its ready sources. Throws
+    /// BindError if listening on the address that start() bound fails.
     void run_iteration();
+    /// Whether events or actions are queued, so that the event loop must not block.
     bool has_work() const { return !event_queue_.empty() || !action_queue_.empty(); }
-    /// Takes over all that can change in a running node, or nothing, with the reason in the log. Of the
-    /// operators' configuration only the fleet's quotas change.
+    /// Applies a new configuration, or rejects it as a whole and logs the reason. Of the operators'
+    /// configuration, only the fleet quotas can change in a running node.
     void reload(const NodeConfig& config, const OperatorConfig& operator_config);
+    /// Begins a graceful shutdown; no effect if one has begun.
     void begin_shutdown();
+    /// Whether the shutdown is complete.
     bool is_done() const { return done_; }
 
-    // Host: what the balancer requests.
+    // Host: the actions that the balancer requests.
     void start_attempt(int request, int server, double limit) override;
     void cancel_attempt(int request, int attempt) override;
     void reject(int request, double retry_after) override;
@@ -137,7 +142,7 @@
     ViolationCounter violations_;
     Metrics metrics_;
     IterationMonitor iteration_monitor_;
-    IterationWork work_;  // of the node itself; work_done() adds that of its parts
+    IterationWork work_;  // counts of the node itself; work_done() adds those of its components
     RequestTrace trace_;
     std::unique_ptr<Balancer> balancer_;
     UpstreamPool pool_;
@@ -145,31 +150,32 @@
     EndpointWatch endpoint_watch_;
     AdminServer admin_server_;
     bool has_registrations_ = false;
-    std::unique_ptr<GossipAgent> gossip_;               // null: off, or not possible with the settings
-    std::unique_ptr<CoordinationClient> coordination_;  // null: endpoint_watch_ is used
+    std::unique_ptr<GossipAgent> gossip_;               // null if disabled or not possible with the settings
+    std::unique_ptr<CoordinationClient> coordination_;  // null if endpoint_watch_ is used instead
     std::vector<Event> event_queue_;
     std::deque<std::function<void()>> action_queue_;
-    int deferrals_ = 0;  // iterations in a row that have left actions to the next one
+    int deferrals_ = 0;  // consecutive iterations that deferred actions to the next one
     std::vector<int> finished_requests_;
     RequestTable requests_;
-    // The receiving request of each streamed response, by the id of the stream.
+    // The client request that receives each streamed response, by stream id.
     std::unordered_map<std::uint64_t, ClientConnections::RequestHandle> streams_;
     AdminState admin_state_;
-    WarmStartFile warm_start_file_;  // used where the listener is shared
+    WarmStartFile warm_start_file_;  // used only if the listener is shared
     ServerTable servers_;
-    std::unique_ptr<SiblingProcesses> sibling_processes_;  // null: the listener is not shared
+    std::unique_ptr<SiblingProcesses> sibling_processes_;  // null if the listener is not shared
+    // Monotonic times in seconds.
     double iteration_started_at_ = 0;
-    double endpoints_confirmed_at_ = 0;  // when their source last said that they are current
-    double paused_since_ = 0;            // when the last process pause began,
-    double catch_up_until_ = 0;          // and until when what is read counts as received then
-    double budget_share_ = 1;            // this process's part of the node's budget
+    double endpoints_confirmed_at_ = 0;  // when the endpoint source last confirmed that its list is current
+    double paused_since_ = 0;            // when the last pause of the process began
+    double catch_up_until_ = 0;          // commands read before this time count as received at paused_since_
+    double budget_share_ = 1;            // this process's share (0 to 1) of the node's descriptors and memory
     TimerQueue::Handle eviction_timer_;
     TimerQueue::Handle opening_timer_;
-    SocketRef pending_listener_;  // until the node opens for clients
+    SocketRef pending_listener_;  // the bound listener until the node accepts clients, then null
     GracefulShutdown shutdown_;
     bool done_ = false;
     bool accepts_clients_ = false;
-    bool has_shared_listener_ = false;  // with other processes of this node
+    bool has_shared_listener_ = false;  // the listener is shared with other processes of this node
 };
 
 }  // namespace brookrelay
--- a/src/proxy/request_trace.cpp
+++ b/src/proxy/request_trace.cpp
@@ -9,7 +9,7 @@
 constexpr std::array<const char*, 6> kEventNames{"received",        "attempt_started", "attempt_written",
                                                  "attempt_refused", "attempt_ended",   "ended"};
 
-// Truncated, and always terminated by the array's last character.
+// Copies `from`, truncated to the array's size; the last character always stays 0.
 template <std::size_t kSize>
 void copy(std::array<char, kSize>& to, std::string_view from) {
     to.fill(0);
--- a/src/proxy/request_trace.h
+++ b/src/proxy/request_trace.h
@@ -1,5 +1,5 @@
-/// The last events of requests, in a ring of fixed size: what happened to a request, with each of its
-/// attempts, can be read some seconds later. No I/O. Times are seconds on the monotonic clock.
+/// The most recent request events, in a ring buffer of fixed size, from which the history of a request and
+/// its attempts can be read some seconds later. No I/O. Times are seconds on the monotonic clock.
 #pragma once
 
 #include <array>
@@ -10,18 +10,19 @@
 
 namespace brookrelay {
 
-/// What happened to a request; the states it enters, in their usual order.
+/// The events of a request and its attempts, in their usual order.
 enum class TraceEvent { received, attempt_started, attempt_written, attempt_refused, attempt_ended, ended };
 
+/// Records events and formats them as text.
 class RequestTrace {
   public:
     static constexpr std::size_t kEvents = 1024;
     static constexpr int kNoAttempt = -1;
 
-    /// `detail` must live as long as the program: a name of a reason, an outcome or an end.
+    /// `detail` is the name of a reason, an outcome or a request end, and must have static storage duration.
     void record(double now, TraceEvent event, std::string_view id, int attempt, std::string_view server,
                 std::string_view detail);
-    /// One line for each event, the oldest first; `now` is what the ages in front are reckoned from.
+    /// One line per event, oldest first. Each line begins with the event's age at `now`.
     std::string text(double now) const;
 
   private:
@@ -35,7 +36,7 @@
         Text<25> server{};
         std::string_view detail;
     };
-    std::vector<Entry> entries_;  // grows up to kEvents, then the oldest is overwritten
+    std::vector<Entry> entries_;  // grows up to kEvents; after that the oldest entry is overwritten
     std::size_t next_ = 0;
 };
 
--- a/src/proxy/server_table.cpp
+++ b/src/proxy/server_table.cpp
@@ -6,10 +6,13 @@
 namespace brookrelay {
 namespace {
 
-constexpr double kEarliestStart = 1e-6;  // s, monotonic; 0 would mean that the start is unknown
+constexpr double kEarliestStart = 1e-6;  // s, monotonic; not 0, which would mean that the start is unknown
 constexpr double kListDelay = 0.5;       // s from a change at discovery until its list is applied here
-constexpr double kSameRestore = 0.5;     // s; marks closer together are one, whose file was rebased
+// Restore marks less than this many seconds apart are the same one, whose file time was adjusted after a step
+// of the wall clock.
+constexpr double kSameRestore = 0.5;
 
+// The index in `to` of the name that `from` has at `index`.
 int translate_index(const std::vector<std::string>& from, const std::vector<std::string>& to, int index) {
     const auto position = static_cast<std::size_t>(index);
     return index < 0 || position >= from.size() ? index : index_of(to, from[position]);
@@ -56,10 +59,12 @@
     (void)set_admin_state(number, admin_state, clock);
 }
 
-// A start that the list tells is a time of the wall clock, which may have been stepped here, before this
-// process began or since. What a later list tells anew has happened since the list before it: a time outside
-// of that is wrong, and a restart that was seen then counts from now. Of a server that is listed for the
-// first time it is not known whether it is new, so the later of both readings counts.
+// Converts a start time of the endpoint list to the monotonic clock. The listed time is a wall-clock time,
+// and the wall clock of this machine may have been stepped before this process started or later, so it is
+// converted with the current and with the initial offset. A start that is new in a later list happened after
+// the previous list: a result outside of that interval is wrong, and an observed restart then counts from
+// now. For a server that is listed for the first time it is unknown whether it has just started, so the later
+// of the two results is used.
 double ServerTable::estimate_start(double listed_start, bool is_restart, const ClockReading& clock) const {
     const double by_clock_now = listed_start - clock.wall_offset;
     const double by_clock_then = listed_start - initial_wall_offset_;
@@ -96,8 +101,8 @@
     return server.state == EndpointState::ready && (!server.admin_state.drained || is_origin(server));
 }
 
-// A server that an operator restored counts as started then: it was not used meanwhile, and is cold whenever
-// it may have been restarted.
+// A server that an operator restored counts as started at the restore: it received no attempts while it was
+// drained, and it may have been restarted, so it needs a slow start.
 double ServerTable::started_at(const Server& server) {
     return std::max(server.running_since, server.restored_since);
 }
@@ -135,9 +140,9 @@
         placements[static_cast<std::size_t>(number)] = placement;
         if (server.state == EndpointState::removed) continue;
         if (server.zone >= 0 && placement.zone < 0)
-            return "server " + name + " stands in a zone that 'localities' does not name";
+            return "server " + name + " is in a zone that 'localities' does not name";
         if (server.kind >= 0 && placement.kind < 0)
-            return "server " + name + " is of a kind that 'kinds' does not name";
+            return "server " + name + " has a kind that 'kinds' does not name";
     }
     return {};
 }
@@ -152,8 +157,8 @@
     }
 }
 
-// A request from a removed server's time may have an attempt in flight there, or be held to where its first
-// attempt went: so a number is free only once no such request is left.
+// A request that was received before the server was removed may have an attempt in flight there, or may be
+// bound to the server of its first attempt. So a number is freed only when no such request is left.
 bool ServerTable::evict_removed(double oldest_request, const std::function<bool(int)>& in_use,
                                 const std::function<void(int)>& on_evict) {
     for (auto position = removed_.begin(); position != removed_.end();) {
--- a/src/proxy/server_table.h
+++ b/src/proxy/server_table.h
@@ -1,6 +1,6 @@
-/// The servers this node knows, by the small numbers under which the balancer and the upstream pool know
-/// them. The table owns the numbering, the last known state of each server and the eviction of those that
-/// are gone; it learns of changes only from its owner.
+/// The servers that this node knows, by the small numbers that identify them to the balancer and the upstream
+/// pool. The table owns the numbering, the last known state of each server and the eviction of removed
+/// servers. All changes are made by its owner.
 #pragma once
 
 #include <deque>
@@ -17,63 +17,70 @@
 
 namespace brookrelay {
 
-/// A server as the endpoint list and the operators describe it.
+/// A server with its state from the endpoint list and from the operators. Times are monotonic, in seconds;
+/// wall-clock times are converted when they are first seen, so later steps of the wall clock do not change
+/// them.
 struct Server : EndpointRecord {
-    double removed_at = 0;  // monotonic, s; 0: it is listed
-    // When it started, and when an operator restored it: monotonic, s, as found when the list or the mark was
-    // first seen, whatever the wall clock does later. 0: long ago, or never.
-    double running_since = 0;
-    double restored_since = 0;
+    double removed_at = 0;      // 0 while the server is listed
+    double running_since = 0;   // when the server started; 0 if that was long ago or is unknown
+    double restored_since = 0;  // when an operator restored the server; 0 if that was long ago or never
     AdminState::ServerState admin_state;
 };
 
+/// The table of all known servers.
 class ServerTable {
   public:
     static constexpr int kUnknown = -1;
 
-    /// The zone and kind of a server as indexes into the configured names; -1: not told.
+    /// The zone and kind of a server as indexes into the configured names; -1 if the list does not have them.
     struct Placement {
         int zone = -1;
         int kind = -1;
     };
 
-    /// `deployment` must outlive the table. `wall_offset`: wall clock less monotonic clock as the process
-    /// started, s.
+    /// `deployment` must outlive the table. `wall_offset` is the wall clock minus the monotonic clock at the
+    /// start of the process, in seconds.
     ServerTable(const Deployment& deployment, double wall_offset);
 
-    int find(const std::string& name) const;  // kUnknown: there is none
+    /// The number of the server, or kUnknown.
+    int find(const std::string& name) const;
     bool contains(const std::string& name) const { return numbers_.contains(name); }
+    /// The number of the server; adds a server without an address if the name is unknown.
     int find_or_add(const std::string& name);
     Server& at(int number) { return servers_[static_cast<std::size_t>(number)]; }
     const Server& at(int number) const { return servers_[static_cast<std::size_t>(number)]; }
     const std::unordered_map<std::string, int>& numbers() const { return numbers_; }
     std::size_t size() const { return numbers_.size(); }
 
-    /// Takes over what `record` tells of a server; fields that it doesn't tell keep their value.
+    /// Updates a server from `record`; fields that the record does not have keep their value.
     void update(int number, const EndpointRecord& record, const AdminState::ServerState& admin_state,
                 const ClockReading& clock);
-    /// A list from discovery was applied as a whole at `now`: what later ones tell anew has happened since.
+    /// Notes that a list from discovery has been applied at `now`; starts that are new in a later list
+    /// happened after it.
     void on_list_applied(double now);
-    /// Takes over an operator's decision. Returns whether it differs from the one known.
+    /// Sets the state that an operator has decided. Returns whether it differs from the previous one.
     bool set_admin_state(int number, const AdminState::ServerState& state, const ClockReading& clock);
     bool is_origin(const Server& server) const;
-    /// Ready, and not drained by an operator.
+    /// Whether the server is ready and not drained by an operator, which never applies to the origin.
     bool accepts_attempts(int number) const;
-    /// Within its slow start, counted from the start that the endpoint list tells; false where none is told.
+    /// Whether the server is in its slow start, which counts from its listed start or its restore; false if
+    /// neither is known. The origin is never cold.
     bool is_cold(int number, double now) const;
-    /// The server as the balancer is told of it. The name in it points into the table until eviction.
+    /// The server in the form that the balancer takes. Its name is a view into the table, valid until
+    /// eviction.
     Endpoint endpoint(int number) const;
 
-    /// Fills `placements`, indexed by server number, with the places under the names `to` of all servers,
-    /// which are placed under the names `from`. Returns why that is impossible for some listed server; empty:
-    /// it is possible.
+    /// Translates the zones and kinds of all servers from the indexes of `from` to those of `to`;
+    /// `placements` is indexed by server number. Returns an error text if `to` lacks a name that a listed
+    /// server needs, or else an empty string.
     std::string translate_placements(const Names& from, const Names& to,
                                      std::vector<Placement>& placements) const;
 
-    /// After a change of its state: since when a removed server has been so. A listed one is not removed.
+    /// Updates the removal time after a change of the server's state: sets it for a newly removed server and
+    /// clears it for a listed one.
     void note_removal(int number, double now);
-    /// Evicts servers that were removed before `oldest_request` and that are not in use, calling `on_evict`
-    /// for each. Their numbers may then stand for others. Returns whether any removed server stays.
+    /// Evicts the servers that were removed before `oldest_request` and are not in use, and calls `on_evict`
+    /// for each. Their numbers may be reused. Returns whether any removed server is left.
     bool evict_removed(double oldest_request, const std::function<bool(int)>& in_use,
                        const std::function<void(int)>& on_evict);
 
@@ -83,11 +90,12 @@
 
     const Deployment& deployment_;
     const double initial_wall_offset_;
-    double last_list_at_ = 0;  // monotonic, s; 0: discovery has told no list yet
+    double last_list_at_ = 0;  // monotonic, s; 0 until a list from discovery has been applied
     std::unordered_map<std::string, int> numbers_;
-    std::deque<Server> servers_;  // a deque: the balancer holds views of the names while servers are added
+    // A deque does not move its elements: the balancer holds views of the names while servers are added.
+    std::deque<Server> servers_;
     std::vector<int> free_numbers_;
-    std::unordered_set<int> removed_;  // numbers of the servers with a removed_at
+    std::unordered_set<int> removed_;  // the numbers of removed servers
 };
 
 }  // namespace brookrelay
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -236,7 +236,7 @@
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(first), "online")), 200);
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "offline")), 200);
     // Both processes serve: each has to have looked by now.
-    wait_for([&] { return fleet.logged(Fleet::name(last) + " is out by hand"); });
+    wait_for([&] { return fleet.logged(Fleet::name(last) + " is drained by an operator"); });
     for (int k = 0; k < 5; ++k) EXPECT_EQ(heard_of_forty(fleet, last, "x" + std::to_string(k) + "-"), 0U);
     EXPECT_GT(heard_of_forty(fleet, first, "y"), 0U);
     fleet.signal(SIGKILL);
