--- a/src/proxy/admin_api.cpp
+++ b/src/proxy/admin_api.cpp
@@ -21,11 +21,12 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr int kMethodNotAllowed = 405;
-constexpr AdminError kNoSuchPath{kNotFound, "no such path"};
-constexpr AdminError kNeedsPost{kMethodNotAllowed, "the method here is POST"};
-constexpr AdminError kNeedsGet{kMethodNotAllowed, "the method here is GET"};
+constexpr AdminError kNoSuchPath{kNotFound, "unknown path"};
+constexpr AdminError kNeedsPost{kMethodNotAllowed, "this path requires the method POST"};
+constexpr AdminError kNeedsGet{kMethodNotAllowed, "this path requires the method GET"};
 
-// Nothing where the text isn't well-formed, or escapes one of `illegal_characters` (null: any is allowed).
+// Decodes percent-encoding. Returns nothing if the text is malformed or encodes one of `illegal_characters`
+// (null: every character is allowed).
 std::optional<std::string> unescape(std::string_view text, const char* illegal_characters) {
     const std::unique_ptr<char, decltype(&g_free)> plain(
         g_uri_unescape_string(std::string(text).c_str(), illegal_characters), &g_free);
@@ -33,10 +34,12 @@
     return std::string(plain.get());
 }
 
+// Whether the target has the form PREFIX/NAME/offline or PREFIX/NAME/online.
 bool is_state_change(std::string_view target, std::string_view prefix) {
     return target.starts_with(prefix) && (target.ends_with(kOffline) || target.ends_with(kOnline));
 }
 
+// The name and the direction of a state change, the same for servers and zones.
 struct StateChange {
     std::string name;
     bool drain = false;
@@ -60,13 +63,13 @@
 AdminAction parse_admin_request(const HttpRequest& request) {
     const std::string_view target(request.target);
     if (is_state_change(target, kServersPrefix)) {
-        const auto parsed = parse_state_change(request, kServersPrefix, "/", "no id");
+        const auto parsed = parse_state_change(request, kServersPrefix, "/", "the server name is malformed");
         if (const auto* error = std::get_if<AdminError>(&parsed)) return *error;
         const auto& change = std::get<StateChange>(parsed);
         return ServerStateChange{change.name, change.drain};
     }
     if (is_state_change(target, kZonesPrefix)) {
-        const auto parsed = parse_state_change(request, kZonesPrefix, nullptr, "no name");
+        const auto parsed = parse_state_change(request, kZonesPrefix, nullptr, "the zone name is malformed");
         if (const auto* error = std::get_if<AdminError>(&parsed)) return *error;
         const auto& change = std::get<StateChange>(parsed);
         return ZoneStateChange{change.name, change.drain};
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -5,15 +5,20 @@
 namespace brookrelay {
 namespace {
 
-// The front proxy goes on sending here for a while after SIGTERM; whoever is still unanswered near the kill
-// gets an error. The kill comes no sooner than the longest client timeout, kMaxKillDelay at the most, and
-// 0.7 s more.
-// At first the node serves as before: the connections that clients have may be the only way in while another
-// node starts.
+// The front proxy continues to send requests to this node for a while after SIGTERM. The platform's kill
+// comes no sooner than min(longest client timeout, kMaxKillDelay) + 0.7 s after the signal; requests that are
+// still open shortly before it fail with an error.
+
+// Seconds after the signal in which the node serves as before: the open client connections may be the only
+// way to reach the service while another node starts.
 constexpr double kServeOn = 1.0;
-constexpr double kFrontMovesAway = 0.5;  // after that; the front has sent nothing new for some time by then
-constexpr double kQuiet = 0.5;
-constexpr double kMaxKillDelay = 3.0;
+// Seconds after closes_at() until the front proxy counts as moved away; by then it has sent nothing new to
+// this node for some time.
+constexpr double kFrontMovesAway = 0.5;
+constexpr double kQuiet = 0.5;         // s without a command after which the clients count as gone
+constexpr double kMaxKillDelay = 3.0;  // s; longer client timeouts do not delay the kill further
+// Seconds after min(longest client timeout, kMaxKillDelay) at which open requests fail; 0.3 s before the
+// kill.
 constexpr double kAnswerMargin = 0.4;
 
 }  // namespace
@@ -22,7 +27,7 @@
     const double left = std::min(longest_client_timeout, kMaxKillDelay) + kAnswerMargin;
     began_at_ = now;
     last_answers_at_ = now + left;
-    // Where client timeouts are short the kill comes early, and what was taken must be answered before it.
+    // With short client timeouts the kill comes early, and accepted requests must be answered before it.
     closes_at_ = has_shared_listener ? now : now + std::min(kServeOn, left / 2);
 }
 
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -1,37 +1,41 @@
-/// The times of a graceful shutdown, from SIGTERM to the platform's kill. It owns the schedule only: the node
-/// closes the connections and answers the requests. All times are monotonic, in seconds.
+/// The schedule of a graceful shutdown, from SIGTERM to the platform's kill. It performs no action: the node
+/// closes the connections and responds to the requests. All times are monotonic, in seconds.
 #pragma once
 
 namespace brookrelay {
 
+/// Computes the next step of a shutdown from the time of the signal and the longest client timeout.
 class GracefulShutdown {
   public:
     enum class Step {
-        wait,                // look again after kCheckInterval
-        fail_open_requests,  // the kill is near: answer all that is open with an error
-        finish,
+        wait,                // call next_step() again after kCheckInterval
+        fail_open_requests,  // the kill is near: respond to all open requests with an error
+        finish,              // end the process
     };
-    static constexpr double kCheckInterval = 0.05;
+    static constexpr double kCheckInterval = 0.05;  // s
 
-    /// `now` is the earliest time at which the signal may have come, since the kill counts from there.
-    /// `longest_client_timeout` bounds how soon the kill may come. With a shared listener new clients go to
-    /// the other processes, so connections close at once; else only once another node had time to start.
+    /// `now` is the earliest time at which the signal may have arrived, because the time until the kill
+    /// counts from the signal. `longest_client_timeout` determines the earliest time of the kill. With a
+    /// shared listener, new clients connect to the other processes, so connections close at once; otherwise
+    /// they close only when another node has had time to start.
     void begin(double now, double longest_client_timeout, bool has_shared_listener);
-    /// The configuration has changed meanwhile; a shorter timeout may bring the kill earlier.
+    /// Takes the timeout of a configuration that was loaded after begin(). A shorter timeout may make the
+    /// kill earlier; a longer one does not delay it.
     void on_configuration(double longest_client_timeout);
     bool has_begun() const { return closes_at_ > 0; }
-    /// When the clients' connections are to be closed.
+    /// The time at which the node begins to close the client connections.
     double closes_at() const { return closes_at_; }
-    /// Whether the front proxy has had the time to stop sending here.
+    /// Whether the front proxy has had enough time to stop sending to this node.
     bool has_front_moved_away(double now) const;
-    /// From when on no client may have sent anything, for the clients to count as gone by `now`.
+    /// The clients count as gone at `now` if none has sent a command since the returned time.
     static double quiet_from(double now);
+    /// `clients_are_gone`: whether all client connections are closed or count as gone.
     Step next_step(double now, bool clients_are_gone, bool has_open_requests) const;
 
   private:
     double began_at_ = 0;
-    double closes_at_ = 0;  // 0: the shutdown has not begun
-    double last_answers_at_ = 0;
+    double closes_at_ = 0;        // 0: the shutdown has not begun
+    double last_answers_at_ = 0;  // when requests that are still open fail
 };
 
 }  // namespace brookrelay
--- a/src/proxy/iteration_monitor.cpp
+++ b/src/proxy/iteration_monitor.cpp
@@ -7,7 +7,7 @@
 namespace brookrelay {
 namespace {
 
-constexpr double kLongIteration = 0.05;  // s, from which it is logged
+constexpr double kLongIteration = 0.05;  // s; an iteration that takes at least this long is logged
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     std::snprintf(text.data(), text.size(),
                   "an iteration took %.3f s: %" PRIu64 " events, %" PRIu64 " actions, %" PRIu64
                   " list entries, %" PRIu64 " servers, %" PRIu64 " ring points, %" PRIu64
-                  " connections and %" PRIu64 " bytes of files looked at",
+                  " connections and %" PRIu64 " bytes of files processed",
                   took, work.events - before_.events, work.actions - before_.actions,
                   work.list_entries - before_.list_entries, work.servers - before_.servers,
                   work.ring_points - before_.ring_points, work.connections - before_.connections,
--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -11,7 +11,7 @@
 constexpr std::array<std::string_view, 9> kOutcomeNames{
     "succeeded", "failed", "busy", "timed_out", "refused", "reset", "cancelled", "not_sent", "miss"};
 
-// Writes the lines of one metric after another.
+// Formats metrics in the Prometheus text exposition format.
 class PageWriter {
   public:
     void begin(std::string_view name, std::string_view type, std::string_view help) {
@@ -61,48 +61,50 @@
 std::string Metrics::page(const Gauges& gauges, const ClientConnections& clients,
                           const ViolationCounter& violations, const IterationMonitor& iterations) const {
     PageWriter page;
-    page.counter("brookrelay_requests_total", "Requests taken up.", requests_);
-    page.begin("brookrelay_request_ends_total", "counter", "Requests ended, by how.");
+    page.counter("brookrelay_requests_total", "Requests accepted.", requests_);
+    page.begin("brookrelay_request_ends_total", "counter", "Requests ended, by result.");
     for (std::size_t i = 0; i < request_ends_.size(); ++i)
         page.sample("brookrelay_request_ends_total", "end", kRequestEnds[i], request_ends_[i]);
     page.begin("brookrelay_attempts_total", "counter", "Attempts ended, by outcome.");
     for (std::size_t i = 0; i < attempt_ends_.size(); ++i)
         page.sample("brookrelay_attempts_total", "outcome", kOutcomeNames[i], attempt_ends_[i]);
     page.begin("brookrelay_attempts_refused_total", "counter",
-               "Attempts that were not sent, by the guard's reason.");
+               "Attempts not sent, by the send guard's reason.");
     for (std::size_t i = 1; i < refusals_.size(); ++i)
         page.sample("brookrelay_attempts_refused_total", "reason", name_of(static_cast<SendRefusal>(i)),
                     refusals_[i]);
     page.begin("brookrelay_client_connections_closed_total", "counter",
-               "Connections of clients closed, by reason.");
+               "Client connections closed, by reason.");
     for (std::size_t i = 0; i < static_cast<std::size_t>(CloseReason::count); ++i)
         page.sample("brookrelay_client_connections_closed_total", "reason",
                     name_of(static_cast<CloseReason>(i)), clients.closed_count(static_cast<CloseReason>(i)));
     page.begin("brookrelay_violations_total", "counter",
-               "Rules that this process saw itself break, by kind.");
+               "Violations of its own rules detected by this process, by kind.");
     for (std::size_t i = 0; i < static_cast<std::size_t>(Violation::count); ++i)
         page.sample("brookrelay_violations_total", "kind", name_of(static_cast<Violation>(i)),
                     violations.count(static_cast<Violation>(i)));
-    page.counter("brookrelay_clock_steps_total", "Steps of the wall clock that were noticed.", clock_steps_);
-    page.counter("brookrelay_pauses_total", "Times that the process was held up.", pauses_);
-    page.counter("brookrelay_reloads_taken_total", "Configurations taken over.", reloads_taken_);
-    page.counter("brookrelay_reloads_refused_total", "Configurations refused.", reloads_refused_);
+    page.counter("brookrelay_clock_steps_total", "Steps of the wall clock that were detected.", clock_steps_);
+    page.counter("brookrelay_pauses_total", "Pauses of the process (stopped or swapped out).", pauses_);
+    page.counter("brookrelay_reloads_taken_total", "Configuration reloads applied.", reloads_taken_);
+    page.counter("brookrelay_reloads_refused_total", "Configuration reloads rejected.", reloads_refused_);
     page.counter("brookrelay_deferrals_total",
-                 "Iterations that left actions to the next one, to look at the sockets first.", deferrals_);
-    page.counter("brookrelay_lists_total", "Endpoint updates that were applied.", lists_);
-    page.counter("brookrelay_list_bytes_total", "Their bytes.", list_bytes_);
+                 "Iterations that deferred actions to the next one, to poll the sockets first.", deferrals_);
+    page.counter("brookrelay_lists_total", "Endpoint updates applied.", lists_);
+    page.counter("brookrelay_list_bytes_total", "Bytes of the endpoint updates applied.", list_bytes_);
     page.begin("brookrelay_list_seconds_total", "counter",
-               "From an update's first byte until it was applied.");
+               "Time from the first byte of an endpoint update until it was applied, summed.");
     page.sample("brookrelay_list_seconds_total", list_seconds_);
-    page.begin("brookrelay_list_seconds_max", "gauge", "The longest of these.");
+    page.begin("brookrelay_list_seconds_max", "gauge",
+               "Longest time from the first byte of an endpoint update until it was applied.");
     page.sample("brookrelay_list_seconds_max", longest_list_);
     page.counter("brookrelay_sends_total", "Attempts written.", sends_);
     page.begin("brookrelay_send_list_age_seconds_total", "counter",
-               "Since the endpoints were last confirmed, when an attempt was written.");
+               "Time since the endpoint list was last confirmed when an attempt was written, summed.");
     page.sample("brookrelay_send_list_age_seconds_total", send_list_age_);
-    page.begin("brookrelay_send_list_age_seconds_max", "gauge", "The longest of these.");
+    page.begin("brookrelay_send_list_age_seconds_max", "gauge",
+               "Longest time since the endpoint list was last confirmed when an attempt was written.");
     page.sample("brookrelay_send_list_age_seconds_max", oldest_send_list_);
-    page.begin("brookrelay_iteration_seconds", "histogram", "Iterations of the event loop, by their length.");
+    page.begin("brookrelay_iteration_seconds", "histogram", "Event-loop iterations, by duration.");
     std::uint64_t up_to = 0;
     for (std::size_t i = 0; i < iterations.histogram().size(); ++i) {
         up_to += iterations.histogram()[i];
@@ -114,7 +116,7 @@
     page.sample("brookrelay_iteration_seconds_sum", iterations.total_seconds());
     page.sample("brookrelay_iteration_seconds_count", static_cast<double>(up_to));
     for (const auto& [name, value] : gauges) {
-        page.begin(name, "gauge", "Present value.");
+        page.begin(name, "gauge", "Current value.");
         page.sample(name, value);
     }
     return page.take();
--- a/src/proxy/metrics.h
+++ b/src/proxy/metrics.h
@@ -1,5 +1,5 @@
-/// What the node counts of itself since it started, as a page in the Prometheus text exposition format
-/// (version 0.0.4). Counters only grow; gauges are passed in when the page is made. No I/O and no clock.
+/// The node's counters since its start, as a page in the Prometheus text exposition format (version 0.0.4).
+/// Counters only grow; gauges are passed in when the page is formatted. No I/O and no clock.
 #pragma once
 
 #include <array>
@@ -18,13 +18,14 @@
 
 namespace brookrelay {
 
-/// How a request ended. The set is closed: each request that was taken up ends by one of them.
+/// How a request ended. Each accepted request ends in exactly one of these ways; `count` is their number.
 enum class RequestEnd { served, streamed, rejected, failed, expired, client_closed, count };
 
-/// One word for the log, the trace and the metrics.
+/// The name in the log, the trace and the metrics; one word.
 std::string_view name_of(RequestEnd end);
 std::string_view name_of(AttemptOutcome outcome);
 
+/// Counts events and formats the metrics page.
 class Metrics {
   public:
     void on_request() { ++requests_; }
@@ -33,16 +34,17 @@
     void on_send_refused(SendRefusal refusal) { ++refusals_[static_cast<std::size_t>(refusal)]; }
     void on_clock_step() { ++clock_steps_; }
     void on_pause() { ++pauses_; }
-    /// A list was applied: `size` bytes, `latency` seconds after the first of them was read.
+    /// An endpoint update of `size` bytes was applied `latency` seconds after its first byte was read.
     void on_list(std::size_t size, double latency);
-    /// An attempt is written, `age` seconds after endpoints were confirmed last by their source.
+    /// An attempt is written `age` seconds after the endpoint source last confirmed its list.
     void on_send(double age);
-    /// Actions were left to the next iteration, since what is known of the sockets was too old.
+    /// Actions were deferred to the next iteration, because the last poll of the sockets was too old.
     void on_deferral() { ++deferrals_; }
     void on_reload(bool taken) { ++(taken ? reloads_taken_ : reloads_refused_); }
 
-    /// The present values of what goes up and down, by metric name.
+    /// Current values of gauges, by metric name.
     using Gauges = std::vector<std::pair<std::string_view, double>>;
+    /// The metrics page in the Prometheus text exposition format.
     std::string page(const Gauges& gauges, const ClientConnections& clients,
                      const ViolationCounter& violations, const IterationMonitor& iterations) const;
 
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -15,7 +15,7 @@
 namespace brookrelay {
 namespace {
 
-// What the signal handlers need.
+// The arguments of the signal handlers.
 struct SignalContext {
     const std::string& path;
     Log& log;
@@ -23,36 +23,38 @@
     const std::function<OperatorConfig()>& reload_operator_config;
 };
 
-// The environment overrides the file: two processes of one node may share the file, but not the admin
-// address.
+// Reads the configuration file and the environment, which overrides it: two processes of one node may share
+// the file, but not the admin address.
 NodeConfig read_configuration(const std::string& path) {
     NodeConfig config = read_node_config(path);
     if (const char* state_folder = std::getenv("TMPDIR")) config.state_folder = state_folder;
     const char* value = std::getenv("GW_MANAGEMENT");
     if (value == nullptr || *value == 0) return config;
     if (!parse_address(value))
-        throw ConfigurationError(std::string("GW_MANAGEMENT is not an address and port: '") + value + "'");
+        throw ConfigurationError(std::string("GW_MANAGEMENT: expected an address and port, found '") + value +
+                                 "'");
     config.admin_listen = value;
     return config;
 }
 
-// An invalid file must not end the service under the configuration that runs.
+// An invalid file is logged and does not end the process, which keeps its current configuration.
 void reload(const SignalContext& context) {
     try {
         context.node.reload(read_configuration(context.path), context.reload_operator_config());
-    } catch (const std::runtime_error& error) {  // of either file
+    } catch (const std::runtime_error& error) {  // from either configuration file
         context.log.line(Topic::node, "configuration_refused",
                          "new configuration not taken, the old one stays: " + std::string(error.what()));
     }
 }
 
-// The descriptor of the listener that the platform hands to each process; -1: it hands none.
+// The descriptor of the listener that the platform passes to each process, or -1 if it passes none.
 int inherited_descriptor() {
     const char* value = std::getenv("GW_ACCEPT_FD");
     if (value == nullptr || *value == 0) return -1;
     int descriptor = 0;
     if (!parse_number(std::string_view(value), descriptor))
-        throw ConfigurationError(std::string("GW_ACCEPT_FD is no descriptor: '") + value + "'");
+        throw ConfigurationError(std::string("GW_ACCEPT_FD: expected a descriptor number, found '") + value +
+                                 "'");
     return descriptor;
 }
 
@@ -93,7 +95,7 @@
         std::fprintf(stderr, "brookrelay: %s\n", error.what());
         return kBroken;
     }
-    log.line(Topic::node, "ends", "ends");
+    log.line(Topic::node, "ends", "shutdown complete");
     return kDone;
 }
 
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -1,5 +1,5 @@
-/// The daemon: reads the configuration at start, runs the event loop and handles the signals. It owns the
-/// node and the log, and never touches a socket.
+/// The daemon: reads the configuration, runs the event loop and handles signals. It owns the node and the
+/// log; all sockets belong to the node.
 #pragma once
 
 #include <functional>
@@ -9,9 +9,9 @@
 
 namespace brookrelay {
 
-/// Runs the node until it is done and returns the program's exit code: kDone after SIGTERM or SIGINT,
-/// kWrongUse for an invalid configuration, kBroken where it cannot listen. `reload_operator_config` is called
-/// on SIGHUP; what it throws as std::runtime_error is logged, and the running configuration stays.
+/// Runs the node until its shutdown is complete and returns the program's exit code: kDone after SIGTERM or
+/// SIGINT, kWrongUse for an invalid configuration, kBroken if it cannot listen. `reload_operator_config` is
+/// called on SIGHUP; a std::runtime_error from it is logged and the current configuration is kept.
 int serve(const std::string& config_path, const OperatorConfig& operator_config,
           const std::function<OperatorConfig()>& reload_operator_config);
 
--- a/src/proxy/sibling_processes.cpp
+++ b/src/proxy/sibling_processes.cpp
@@ -51,7 +51,7 @@
         if (file < 0) continue;
         struct stat status {};
         if (flock(file, LOCK_EX | LOCK_NB) == 0) {
-            unlinkat(dirfd(folder.get()), entry->d_name, 0);  // its process is gone
+            unlinkat(dirfd(folder.get()), entry->d_name, 0);  // not locked, so its process has ended
         } else if (fstat(file, &status) == 0) {
             ++others.processes;
             others.descriptors += static_cast<int>(status.st_size);
--- a/src/proxy/warm_start_file.cpp
+++ b/src/proxy/warm_start_file.cpp
@@ -13,7 +13,7 @@
 namespace brookrelay {
 namespace {
 
-constexpr double kMaxAge = 3.0;  // s; an older snapshot says little about the servers as they are now
+constexpr double kMaxAge = 3.0;  // s; an older snapshot says little about the current state of the servers
 
 constexpr double kUnknownAge = -1;
 
@@ -37,11 +37,11 @@
     std::rename(temporary_path.c_str(), path_.c_str());  // atomic: readers see the old file or the new one
 }
 
-// In seconds; negative where it is not known.
+// The age of the file in seconds, or a negative value if it is unknown.
 double WarmStartFile::age_of(const std::string& text, const ClockReading& clock) const {
     const auto written_at = parse_written_at(text);
     if (written_at) return written_at->boot_id == boot_id() ? clock.now - written_at->seconds : kUnknownAge;
-    // Written by an older program, which tells only by the file's own time.
+    // A file of an older version of the program has no time of writing, so its modification time is used.
     struct stat status {};
     if (stat(path_.c_str(), &status) != 0) return kUnknownAge;
     return clock.wall_now() - static_cast<double>(status.st_mtim.tv_sec);
--- a/src/proxy/warm_start_file.h
+++ b/src/proxy/warm_start_file.h
@@ -1,6 +1,6 @@
-/// The warm-start file: where one process of a node keeps the balancer's snapshot for the process that takes
-/// its place, which has no time to learn it anew. The class owns the path, not the file: every process of the
-/// node writes the same one, each time as a whole.
+/// The warm-start file, in which a process of a node saves the balancer's snapshot for the process that
+/// replaces it and has no time to learn the state again. The class owns the path, not the file: all processes
+/// of the node write the same file, each time as a whole.
 #pragma once
 
 #include <functional>
@@ -13,15 +13,16 @@
 
 namespace brookrelay {
 
+/// Saves and loads the balancer's snapshot.
 class WarmStartFile {
   public:
     explicit WarmStartFile(std::string path);
 
-    /// Replaces the file atomically; where the write fails the error is ignored, since the next save is near.
+    /// Replaces the file atomically. A write error is ignored, because the next save follows soon.
     void save(const WarmStartSnapshot& snapshot, const ClockReading& clock,
               const std::vector<std::string>& kinds, const std::function<std::string(int)>& name_of) const;
-    /// The snapshot, or nothing where the file is missing, malformed or too old. `number_of` returns -1 for a
-    /// server that is not known; its entries are left out.
+    /// Returns the snapshot, or nothing if the file is missing, malformed or too old. `number_of` returns -1
+    /// for an unknown server, whose entries are skipped.
     std::optional<WarmStartSnapshot> load(const ClockReading& clock, const std::vector<std::string>& kinds,
                                           const std::function<int(const std::string&)>& number_of) const;
 
