--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
-// The command line: parses the arguments and calls the module that carries the command out. Without a command
-// it serves, as the platform starts it. Exit codes: 0 done; 1 a rule broken or a check failed; 2 wrong usage
-// or a wrong file.
+// The command line: parses the arguments and calls the module that implements the command. Without a command,
+// the program runs the proxy node, which is how the platform starts it. Exit codes: 0 success; 1 a violated
+// rule or a failed check; 2 wrong usage or an invalid file.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <cstdlib>
@@ -20,6 +20,7 @@
 
 namespace {
 
+// Runs the node with the configuration file `given`, or if that is empty with the file named by GW_CONFIG.
 int serve_with(const std::string& given, const std::string& operator_path, const std::string& log_format) {
     std::string path = given;
     if (path.empty()) {
@@ -41,7 +42,7 @@
     return brookrelay::serve(path, read(), read);
 }
 
-// Everything that the command line may hold, and which command it names.
+// The options of all commands and the command to run.
 struct CommandLine {
     std::string config, operator_path, log_format;
     std::string file_to_check;
@@ -51,39 +52,44 @@
     brookrelay::RegistryWatchOptions registry_watch;
     brookrelay::CheckModelOptions check_model;
     brookrelay::FleetOptions fleet;
-    std::function<int()> run;  // of the command that was given; empty: none
+    std::function<int()> run;  // runs the given command; empty if none was given
 };
 
 void add_serve(CLI::App& app, CommandLine& line) {
-    CLI::App* serve = app.add_subcommand("serve", "serve until SIGTERM");
+    CLI::App* serve = app.add_subcommand("serve", "run the proxy node until SIGTERM");
     serve->add_option("--config", line.config,
-                      "the station's file (JSON); without it, the one GW_CONFIG names");
-    serve->add_option("--operator", line.operator_path, "the operators' own file (TOML)");
-    serve->add_option("--log-format", line.log_format, "human or json; goes before the operators' file")
+                      "the node's configuration file (JSON); default: the file that GW_CONFIG names");
+    serve->add_option("--operator", line.operator_path, "the operators' configuration file (TOML)");
+    serve->add_option("--log-format", line.log_format, "human or json; overrides the operators' file")
         ->check(CLI::IsMember({"human", "json"}));
 }
 
 void add_check(CLI::App& app, CommandLine& line) {
-    CLI::App* check = app.add_subcommand("check", "say what a file is, and all that is wrong with it");
-    check->add_option("FILE", line.file_to_check, "a station's, operators' or scenario file")->required();
+    CLI::App* check =
+        app.add_subcommand("check", "validate a configuration or scenario file and print all errors");
+    check->add_option("FILE", line.file_to_check, "a node's, operators' or scenario file")->required();
     check->callback([&line] { line.run = [&line] { return brookrelay::check_file(line.file_to_check); }; });
 }
 
 void add_load(CLI::App& rehearse, CommandLine& line) {
     brookrelay::LoadOptions& options = line.load;
     CLI::App* load =
-        rehearse.add_subcommand("load", "measure one daemon on one core before caches that answer at once");
+        rehearse.add_subcommand("load", "benchmark one daemon on one core with cache servers without delay");
     load->add_option("--daemon", options.daemons,
-                     "the program, this one if left out; several are measured in turn")
+                     "the daemon program, default: this one; several are measured in turn")
         ->allow_extra_args(false);
-    load->add_option("--clients", options.clients, "how many clients; several are measured one after another")
+    load->add_option("--clients", options.clients,
+                     "number of clients; several are measured one after another")
         ->delimiter(',')
         ->check(CLI::Range(1, 10000));
-    load->add_option("--rate", options.rate, "invocations a second; closed loop if left out")
+    load->add_option("--rate", options.rate, "requests per second; default: closed loop")
         ->check(CLI::PositiveNumber);
-    load->add_option("--seconds", options.seconds, "of each measurement")->check(CLI::Range(0.1, 3600.0));
-    load->add_option("--rounds", options.rounds, "how many times in all")->check(CLI::Range(1, 1000));
-    load->add_option("--value-bytes", options.value_bytes, "of each value")->check(CLI::Range(64, 60000));
+    load->add_option("--seconds", options.seconds, "duration of each measurement")
+        ->check(CLI::Range(0.1, 3600.0));
+    load->add_option("--rounds", options.rounds, "number of rounds of measurements")
+        ->check(CLI::Range(1, 1000));
+    load->add_option("--value-bytes", options.value_bytes, "size of each value")
+        ->check(CLI::Range(64, 60000));
     load->callback([&line] { line.run = [&line] { return brookrelay::measure_load(line.load); }; });
 }
 
@@ -91,37 +97,43 @@
     brookrelay::SoakCommandOptions& options = line.soak;
     CLI::App* soak = rehearse.add_subcommand(
         "soak",
-        "days of many daemons with faults drawn from a seed, that overlap; each failing one is printed");
-    soak->add_option("--seeds", options.seeds, "3, 1..200 or 1,4,9")->capture_default_str();
-    soak->add_option("--minutes", options.minutes, "no seed begins later")->check(CLI::PositiveNumber);
-    soak->add_option("--jobs", options.jobs, "days at the same time")->check(CLI::Range(1, 16));
-    soak->add_option("--nodes", options.nodes, "daemons of a day")->check(CLI::Range(2, 40));
-    soak->add_option("--daemon", options.daemon, "the program, this one if left out");
-    soak->add_option("--drop", options.dropped, "numbers of faults that are left out")->delimiter(',');
-    soak->add_flag("--without-shim", options.without_shim, "no steps of the clock, no failing system calls");
-    soak->add_flag("--shrink", options.shrink, "play a failing seed again without some of its faults");
-    soak->add_option("--out", options.out, "the folder for logs; a new one below rehearsals/ if left out");
+        "run many daemons with overlapping random faults derived from a seed, and print each failing seed");
+    soak->add_option("--seeds", options.seeds, "seeds, such as 3, 1..200 or 1,4,9")->capture_default_str();
+    soak->add_option("--minutes", options.minutes, "start no further seed after this many minutes")
+        ->check(CLI::PositiveNumber);
+    soak->add_option("--jobs", options.jobs, "number of seeds run at the same time")
+        ->check(CLI::Range(1, 16));
+    soak->add_option("--nodes", options.nodes, "number of daemons per run")->check(CLI::Range(2, 40));
+    soak->add_option("--daemon", options.daemon, "the daemon program, default: this one");
+    soak->add_option("--drop", options.dropped, "numbers of the faults to omit")->delimiter(',');
+    soak->add_flag("--without-shim", options.without_shim,
+                   "inject no clock steps and no system call failures");
+    soak->add_flag("--shrink", options.shrink, "run a failing seed again with fewer of its faults");
+    soak->add_option("--out", options.out, "the folder for logs; default: a new one below rehearsals/");
     soak->callback([&line] { line.run = [&line] { return brookrelay::soak(line.soak); }; });
 }
 
 void add_rehearse(CLI::App& app, CommandLine& line) {
     brookrelay::RehearseOptions& options = line.rehearse;
     CLI::App* rehearse =
-        app.add_subcommand("rehearse", "play a scenario's day against stand-ins and judge it by the rules");
-    rehearse->add_option("SCENARIO", options.scenario, "a file, or the name of one below scenarios/")
+        app.add_subcommand("rehearse", "run a scenario against fake servers and check it against the rules");
+    rehearse->add_option("SCENARIO", options.scenario, "a scenario file, or the name of one below scenarios/")
         ->capture_default_str();
     rehearse
         ->add_option("--daemon", options.daemons,
-                     "the program to rehearse, this one if left out; several are compared")
+                     "the daemon program, default: this one; several are compared")
         ->allow_extra_args(false);
-    rehearse->add_option("--seeds", options.seeds, "3, 1..5 or 1,4,9; the scenario's own if left out");
-    rehearse->add_option("--set", options.sets, "PATH=VALUE over the scenario's file; PATH=V1,V2 plays each")
+    rehearse->add_option("--seeds", options.seeds,
+                         "seeds, such as 3, 1..5 or 1,4,9; default: the scenario's seed");
+    rehearse
+        ->add_option("--set", options.sets,
+                     "PATH=VALUE overrides the scenario's file; PATH=V1,V2 runs each value")
         ->allow_extra_args(false);
-    rehearse->add_option("--jobs", options.jobs, "days of an experiment at the same time")
+    rehearse->add_option("--jobs", options.jobs, "number of scenario runs at the same time")
         ->check(CLI::Range(1, 64));
     rehearse->add_option("--out", options.out,
-                         "the folder for logs and reports; a new one below rehearsals/ if left out");
-    rehearse->add_flag("--quiet", options.quiet, "no progress");
+                         "the folder for logs and reports; default: a new one below rehearsals/");
+    rehearse->add_flag("--quiet", options.quiet, "print no progress");
     add_load(*rehearse, line);
     add_soak(*rehearse, line);
     // The callback of a subcommand runs before that of its parent.
@@ -132,32 +144,35 @@
 
 void add_registry(CLI::App& app, CommandLine& line) {
     brookrelay::RegistryWatchOptions& options = line.registry_watch;
-    CLI::App* registry = app.add_subcommand("registry", "server lists kept as ephemeral nodes");
+    CLI::App* registry =
+        app.add_subcommand("registry", "inspect endpoint lists kept as ephemeral registrations");
     registry->require_subcommand(1);
-    CLI::App* watch = registry->add_subcommand("watch", "print what a daemon would be told, until ended");
+    CLI::App* watch = registry->add_subcommand(
+        "watch", "print the endpoint changes that a daemon would apply, until SIGTERM");
     watch
         ->add_option("--address", options.addresses,
-                     "HOST:PORT of the coordination service; several of an ensemble")
+                     "HOST:PORT of the coordination service; several for an ensemble")
         ->delimiter(',')
         ->required();
     watch->add_option("--path", options.path, "the path whose children are the registrations")->required();
-    watch->add_option("--session", options.session_timeout, "the session's time-out in seconds")
+    watch->add_option("--session", options.session_timeout, "the session timeout in seconds")
         ->check(CLI::Range(0.1, 60.0));
     watch->callback(
         [&line] { line.run = [&line] { return brookrelay::watch_registry(line.registry_watch); }; });
 }
 
-// The command under its name of before, and under its present one, which --help does not list.
+// The command has two names: `explore`, the former one, and `check-model`, the current one, which --help does
+// not list.
 void add_check_model(CLI::App& app, CommandLine& line) {
     brookrelay::CheckModelOptions& options = line.check_model;
     for (const char* name : {"explore", "check-model"}) {
-        CLI::App* command =
-            app.add_subcommand(name, "every order of faults of a small fleet of three, in simulated time");
-        command->add_flag("--zones", options.zones, "a zone left and taken back");
-        command->add_flag("--limits", options.limits, "parts of a limit lent");
+        CLI::App* command = app.add_subcommand(
+            name, "check every order of faults in a fleet of three nodes, in simulated time");
+        command->add_flag("--zones", options.zones, "check zone failover");
+        command->add_flag("--limits", options.limits, "check the lending of quota shares");
         command
             ->add_option("--depth", options.depth,
-                         "happenings one after another; each more takes eight to ten times as long")
+                         "number of consecutive events; each further one takes eight to ten times as long")
             ->check(CLI::Range(1, 9));
         command->callback(
             [&line] { line.run = [&line] { return brookrelay::check_model(line.check_model); }; });
@@ -167,26 +182,25 @@
 
 void add_fleet(CLI::App& app, CommandLine& line) {
     brookrelay::FleetOptions& options = line.fleet;
-    CLI::App* fleet = app.add_subcommand("fleet", "what nodes know of one another and of the cache servers");
+    CLI::App* fleet =
+        app.add_subcommand("fleet", "show a node's state of peers, cache servers, quotas and zones");
     fleet->require_subcommand(1);
     CLI::App* status =
-        fleet->add_subcommand("status", "what one running node thinks: peers, words, findings");
-    status->add_option("--address", options.address, "HOST:PORT of the node's operators' address")
-        ->required();
-    status->add_flag("--json", options.json, "as the node says it");
+        fleet->add_subcommand("status", "show one running node's peers, reports and outlier verdicts");
+    status->add_option("--address", options.address, "HOST:PORT of the node's admin interface")->required();
+    status->add_flag("--json", options.json, "print the node's response as JSON");
     CLI::App* limits =
-        fleet->add_subcommand("limits", "one running node's parts of the limits that are the whole fleet's");
-    limits->add_option("--address", options.address, "HOST:PORT of the node's operators' address")
-        ->required();
-    limits->add_flag("--json", options.json, "as the node says it");
+        fleet->add_subcommand("limits", "show one running node's shares of the fleet-wide quotas");
+    limits->add_option("--address", options.address, "HOST:PORT of the node's admin interface")->required();
+    limits->add_flag("--json", options.json, "print the node's response as JSON");
     CLI::App* zones = fleet->add_subcommand(
-        "zones", "which zones one running node uses, and why; a zone left or taken back by hand");
-    zones->add_option("--address", options.address, "HOST:PORT of the node's operators' address")->required();
+        "zones", "show which zones one running node uses, and why; drain or restore a zone");
+    zones->add_option("--address", options.address, "HOST:PORT of the node's admin interface")->required();
     CLI::Option* leave = zones->add_option("--leave", options.leave,
-                                           "a zone that this node is to leave until it is taken back");
-    zones->add_option("--take-back", options.take_back, "a zone left by hand, back into use in steps")
+                                           "drain this zone at the node until it is restored by --take-back");
+    zones->add_option("--take-back", options.take_back, "restore a zone drained by --leave, in steps")
         ->excludes(leave);
-    zones->add_flag("--json", options.json, "as the node says it");
+    zones->add_flag("--json", options.json, "print the node's response as JSON");
     status->callback([&line] { line.run = [&line] { return brookrelay::fleet_status(line.fleet); }; });
     limits->callback([&line] { line.run = [&line] { return brookrelay::fleet_limits(line.fleet); }; });
     zones->callback([&line] { line.run = [&line] { return brookrelay::fleet_zones(line.fleet); }; });
@@ -196,10 +210,11 @@
 
 int main(int argc, char** argv) {
     CLI::App app{
-        "brookrelay: a proxy that spreads keys over cache servers before a slow origin.\n"
-        "Without a command it serves, by the file that GW_CONFIG names."};
+        "brookrelay: a proxy that distributes keys over cache servers in front of a slow origin.\n"
+        "Without a command it runs the proxy node with the configuration file that GW_CONFIG names."};
     app.set_version_flag("--version", std::string("brookrelay ") + BROOKRELAY_VERSION);
-    app.footer("Exit codes: 0 done, 1 a rule was broken or a check failed, 2 wrong usage or a wrong file.");
+    app.footer(
+        "Exit codes: 0 success, 1 a rule was violated or a check failed, 2 wrong usage or an invalid file.");
     app.require_subcommand(0, 1);
 
     CommandLine line;
@@ -212,7 +227,7 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        // Help and version come this way too, with 0.
+        // --help and --version are reported as exceptions too, with exit code 0.
         return app.exit(error) == 0 ? brookrelay::kDone : brookrelay::kWrongUse;
     }
     try {
