--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -7,10 +7,13 @@
 
 constexpr std::size_t kMaxRequestSize = 4096;
 constexpr int kMaxAcceptsPerIteration = 4;
-// s between two batches: a source of a higher priority that is always ready would starve the clients.
+// Seconds between two batches of accepts: an event source of higher priority that is always ready would
+// starve the clients.
 constexpr double kAcceptPause = 0.005;
-constexpr double kRequestTimeout = 5.0;  // s for the caller to send its request, and for the answer after it
-// s between the answer and the close: closing with unread bytes would reset the connection under the answer.
+constexpr double kRequestTimeout =
+    5.0;  // s from the accept until the request has to be complete and answered
+// Seconds between the response and the close. Closing a socket with unread input would reset the connection
+// before the caller has read the response.
 constexpr double kLingerTime = 0.5;
 
 const char* reason_phrase(int status) {
@@ -61,7 +64,7 @@
             caller.timeout = {};
             if (caller.responded) return close(id, caller);
             caller.request_read = true;
-            respond(id, 408, "no whole call in time");
+            respond(id, 408, "timeout: the request is incomplete");
         });
         caller.connection = std::make_unique<TcpConnection>(
             std::move(socket), kMaxRequestSize, budget_,
@@ -71,8 +74,8 @@
     listener_.pause(kAcceptPause);
 }
 
-// Closes the oldest connection that has not sent its whole request, or else the oldest one: a caller whose
-// request is complete gets its answer within one iteration of the event loop.
+// Closes the oldest connection without a complete request, or the oldest one if all requests are complete. A
+// caller with a complete request gets its response within one iteration of the event loop.
 void AdminServer::evict_oldest() {
     std::pair<const std::uint64_t, Caller>* oldest = nullptr;
     for (auto& entry : callers_) {
@@ -87,14 +90,14 @@
     if (event == TcpConnection::Event::closed) return close(id, caller);
     if (event != TcpConnection::Event::readable) return;
     TcpConnection& connection = *caller.connection;
-    // What follows the request, a body or a second request, is discarded.
+    // Input after the request head (a body or a second request) is discarded.
     if (caller.request_read) return connection.consume(connection.input().size());
     HttpRequest request;
     if (parse_http_request(connection.input(), request) == 0 && !connection.is_read_buffer_full()) return;
     caller.request_read = true;
     connection.consume(connection.input().size());
     if (request.valid) return on_request_(id, request);
-    respond(id, 400, "no call of HTTP/1.1");
+    respond(id, 400, "malformed HTTP/1.1 request");
 }
 
 void AdminServer::respond(std::uint64_t id, int status, std::string_view text) {
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,9 +1,9 @@
-// The HTTP/1.1 server on the operators' address, with one request a connection.
+// The HTTP/1.1 server of the admin interface, with one request per connection.
 //
-// It owns its listener and its connections. Its event sources have a higher priority than the clients', so
-// that it answers however busy the node is; the connections and the accepts of one event-loop iteration are
-// few, so that it does not delay the clients either. It does not interpret requests: the owner does, and
-// answers by respond(). Times are seconds on the monotonic clock.
+// It owns its listener and its connections. Its event sources have a higher priority than those of the
+// clients, so that it responds however busy the node is. The connections, and the accepts in one event-loop
+// iteration, are few, so that it does not delay the clients. It does not interpret requests: the owner does,
+// and responds by respond(). Times are seconds on the monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 namespace brookrelay {
 
-// A listener with at most kMaxCallers open connections; one more evicts the oldest.
+// Serves at most kMaxCallers open connections; a further connection evicts one of them.
 class AdminServer {
   public:
     static constexpr std::size_t kMaxCallers = 8;
@@ -33,17 +33,19 @@
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
-    // Starts to accept connections. False: the address could not be bound, and `complaint` has the reason.
+    // Starts to accept connections. Returns false if the address cannot be bound, with the reason in
+    // `complaint`.
     bool listen(const std::string& address, std::string& complaint);
-    // Sends the answer as plain text and closes; does nothing if the caller is gone or was answered.
+    // Sends a plain-text response and closes the connection; no effect if the caller has disconnected or
+    // already has a response.
     void respond(std::uint64_t id, int status, std::string_view text);
-    // Frees closed connections. Not to be called from inside a connection's callback.
+    // Frees closed connections. Must not be called from a connection's callback.
     void destroy_closed();
 
   private:
     struct Caller {
         std::unique_ptr<TcpConnection> connection;
-        bool request_read = false;  // completely received, or rejected
+        bool request_read = false;  // the request is complete or rejected
         bool responded = false;
         TimerQueue::Handle timeout;
     };
@@ -56,10 +58,10 @@
     TimerQueue& timers_;
     Log& log_;
     OnRequest on_request_;
-    ByteBudget budget_;  // not checked: few connections, each with a bounded buffer
+    ByteBudget budget_;  // not checked, because the few connections have bounded buffers
     Listener listener_;
-    std::map<std::uint64_t, Caller> callers_;  // by increasing id: the oldest first
-    std::vector<std::uint64_t> closed_;
+    std::map<std::uint64_t, Caller> callers_;  // ids increase, so the oldest connection is first
+    std::vector<std::uint64_t> closed_;        // ids of closed connections that are not freed yet
     std::size_t open_count_ = 0;
     std::uint64_t last_id_ = 0;
 };
--- a/src/admin/admin_state.cpp
+++ b/src/admin/admin_state.cpp
@@ -30,7 +30,8 @@
 };
 using GlibString = std::unique_ptr<char, GlibDeleter>;
 
-// Safe in a file name and as a line: names come from discovery and may hold any character.
+// Encodes a name for use in a file name or as a line: names come from discovery and may contain any
+// character.
 std::string percent_encoded(const std::string& name) {
     return GlibString(g_uri_escape_string(name.c_str(), nullptr, FALSE)).get();
 }
@@ -39,7 +40,7 @@
     return static_cast<double>(status.st_mtim.tv_sec) + static_cast<double>(status.st_mtim.tv_nsec) / 1e9;
 }
 
-// The marks in the directory, by server name. Deletes restore marks older than kRestoredMarkLifetime.
+// Reads the marks in the directory, by server name. Deletes restore marks older than kRestoredMarkLifetime.
 std::unordered_map<std::string, AdminState::ServerState> read_marks(DIR* directory, double wall_now) {
     std::unordered_map<std::string, AdminState::ServerState> marks;
     while (const dirent* entry = readdir(directory)) {
@@ -59,7 +60,8 @@
         if (wall_now - restored_at > kRestoredMarkLifetime) {
             unlinkat(dirfd(directory), entry->d_name, 0);
         } else {
-            // Drained again since the restore, it has both marks: the drain counts.
+            // A server that was drained again after a restore may have both marks; the drain takes
+            // precedence.
             marks.try_emplace(name.get(),
                               AdminState::ServerState{.drained = false, .restored_at = restored_at});
         }
@@ -102,7 +104,7 @@
     return true;
 }
 
-// Goes by the file and not by states_: another process may have drained the server since the last reload.
+// Checks the file and not states_, because another process may have drained the server since the last reload.
 bool AdminState::restore(const std::string& name, double wall_now) {
     if (directory_.empty()) {
         if (state_of(name).drained) states_[name] = {.drained = false, .restored_at = wall_now};
@@ -112,12 +114,12 @@
     const std::string restored_path = path(kRestoredPrefix, name);
     utimensat(AT_FDCWD, drained_path.c_str(), nullptr, 0);
     if (std::rename(drained_path.c_str(), restored_path.c_str()) != 0) {
-        // Not drained. If the mark went with a call whose sync failed, it is to be on the disk now.
+        // The server is not drained. If an earlier call renamed the mark but its sync failed, sync again.
         return errno == ENOENT && (access(restored_path.c_str(), F_OK) != 0 || sync_directory());
     }
     if (!sync_directory() && std::rename(restored_path.c_str(), drained_path.c_str()) == 0) return false;
     struct stat status {};
-    // The time that each later reload reads: a different one would count as another restore.
+    // Use the file's time, which each later reload reads; a different time would count as another restore.
     const double restored_at = stat(restored_path.c_str(), &status) == 0 ? modified_at(status) : wall_now;
     states_[name] = {.drained = false, .restored_at = restored_at};
     return true;
@@ -183,8 +185,9 @@
     record_listed(names);
 }
 
-// A single write, because several processes append to the file. One that was cut short, by a kill or a full
-// disk, has left half a line, which this one ends. Returns whether all of it was written.
+// Appends by a single write, because several processes append to the file. If an earlier write was cut short
+// by a kill or a full disk and left an incomplete line, that line is terminated first. Returns whether all
+// bytes were written.
 bool AdminState::append_listed(const std::string& lines) const {
     const FileDescriptor file(
         open((directory_ + "/listed").c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, kFileMode));
@@ -205,8 +208,8 @@
            (!directory_.empty() && in_listed_file(name));
 }
 
-// Half a line, left by a process that was killed, may look like another name: in_listed_file() reads it so
-// too.
+// An incomplete line, left by a killed process, may look like another name; in_listed_file() treats it the
+// same way.
 void AdminState::read_listed_file() {
     std::ifstream file(directory_ + "/listed");
     for (std::string line; std::getline(file, line);) {
