--- a/src/coordination/coordination_session.cpp
+++ b/src/coordination/coordination_session.cpp
@@ -11,18 +11,18 @@
 namespace brookrelay {
 namespace {
 
-// Request types, reserved transaction ids, the error code and the watch events of the protocol.
-constexpr std::int32_t kGetData = 4, kPing = 11, kGetChildren2 = 12;
-constexpr std::int32_t kWatchEventXid = -1, kPingXid = -2;
-constexpr std::int32_t kNoNodeError = -101;
-constexpr std::int32_t kNodeRemoved = 2, kDataChanged = 3, kChildrenChanged = 4;
+// Constants of the protocol.
+constexpr std::int32_t kGetData = 4, kPing = 11, kGetChildren2 = 12;              // request types
+constexpr std::int32_t kWatchEventXid = -1, kPingXid = -2;                        // reserved request ids
+constexpr std::int32_t kNoNodeError = -101;                                       // error code
+constexpr std::int32_t kNodeRemoved = 2, kDataChanged = 3, kChildrenChanged = 4;  // watch events
 
-constexpr std::size_t kReplyHeaderSize = 16;  // bytes: transaction id, order and error code
+constexpr std::size_t kReplyHeaderSize = 16;  // bytes: request id, order and error code
 
-// Ratios of the session timeout: the interval of pings, and the silence after which another server is tried.
-constexpr double kPingRatio = 1.0 / 3.0;
+constexpr double kPingRatio = 1.0 / 3.0;  // interval of pings, as a ratio of the session timeout
+// Time without a received frame after which another server is tried, as a ratio of the session timeout.
 constexpr double kSilenceRatio = 2.0 / 3.0;
-constexpr std::size_t kMaxChildren = 20000;
+constexpr std::size_t kMaxChildren = 20000;  // registrations in one listing
 
 }  // namespace
 
@@ -75,12 +75,12 @@
     const std::int32_t timeout = reader.number();
     const std::int64_t session = reader.long_number();
     const std::string password = reader.text();
-    if (!reader.sound()) return disconnect(now, "nonsense in the place of a greeting");
+    if (!reader.sound()) return disconnect(now, "malformed connect response");
     if (timeout <= 0 || session == 0) {
-        // Expired. Nothing depends on the old session, so the next connection asks for a new one.
+        // The session has expired. Nothing depends on it, so the next connection requests a new one.
         session_ = 0;
         password_.assign(kPasswordSize, '\0');
-        return disconnect(now, "the session had expired");
+        return disconnect(now, "the session has expired");
     }
     session_ = session;
     password_ = password;
@@ -94,13 +94,13 @@
     const std::int32_t xid = reader.number();
     const std::int64_t order = reader.long_number();
     const std::int32_t error = reader.number();
-    if (!reader.sound()) return disconnect(now, "an answer that is not whole");
+    if (!reader.sound()) return disconnect(now, "truncated reply header");
     const std::string_view body = payload.substr(kReplyHeaderSize);
     if (xid == kWatchEventXid) return on_watch_event(now, body);
     last_order_ = std::max(last_order_, order);
     if (xid == kPingXid) return;
     const auto found = pending_requests_.find(xid);
-    if (found == pending_requests_.end()) return disconnect(now, "an answer to nothing that was asked");
+    if (found == pending_requests_.end()) return disconnect(now, "reply to an unknown request");
     const PendingRequest request = std::move(found->second);
     pending_requests_.erase(found);
     if (request.type == RequestType::children) return on_children(now, order, body, error);
@@ -139,7 +139,7 @@
     const std::int32_t kind = reader.number();
     (void)reader.number();
     const std::string path = reader.text();
-    if (!reader.sound()) return disconnect(now, "an event that is not whole");
+    if (!reader.sound()) return disconnect(now, "malformed watch event");
     if (path == path_) {
         if (kind == kChildrenChanged || kind == kNodeRemoved) list_children();
         return;
@@ -150,7 +150,8 @@
     if (found == children_.end()) return;
     if (kind == kDataChanged) return read_child(name);
     if (kind != kNodeRemoved) return;
-    // Removed at once: the next listing may take long, and may hold a new child of the same name.
+    // The registration is removed at once: the next listing may take long, and may contain a new child of the
+    // same name.
     found->second.registration.reset();
     if (found->second.read_pending) found->second.reread_needed = true;
     publish_view(now, last_order_);
@@ -160,17 +161,17 @@
 void CoordinationSession::on_children(double now, std::int64_t order, std::string_view payload,
                                       std::int32_t error) {
     list_pending_ = false;
-    if (error != 0 && error != kNoNodeError) return disconnect(now, "the path may not be listed");
+    if (error != 0 && error != kNoNodeError) return disconnect(now, "listing the path was refused");
     std::vector<std::string> names;
     if (error == 0) {
         JuteReader reader(payload);
         names = reader.texts();
         if (!reader.sound() || names.size() > kMaxChildren)
-            return disconnect(now, "a listing that is not whole, or too long");
+            return disconnect(now, "malformed listing, or too many children");
     }
     const std::set<std::string> listed_names(names.begin(), names.end());
     std::erase_if(children_, [&](const auto& one) { return !listed_names.contains(one.first); });
-    // A new connection has no watches, so each child is read again; otherwise only those not known yet.
+    // A new connection has no watches, so each child is read again; otherwise only unknown children are read.
     for (const std::string& name : listed_names) {
         if (!listed_ || !children_[name].registration) {
             if (!listed_) children_[name].read_pending = false;
@@ -179,7 +180,8 @@
     }
     const bool first = !listed_;
     listed_ = true;
-    // The first listing is published once all its children have been read: until then the view is partial.
+    // The first listing of a connection is published when all its children have been read; until then the
+    // view is incomplete.
     if (!first || listed_names.empty()) publish_view(now, order);
     if (std::exchange(relist_pending_, false)) list_children();
 }
@@ -192,14 +194,14 @@
     child.read_pending = false;
     if (child.reread_needed) return read_child(name);
     if (error != 0) {
-        // Removed between the listing and the read.
+        // The child was removed between the listing and the read.
         children_.erase(found);
         list_children();
     } else {
         JuteReader reader(payload);
         const std::string data = reader.text();
         const std::int64_t created = reader.long_number();
-        if (!reader.sound()) return disconnect(now, "data that is not whole");
+        if (!reader.sound()) return disconnect(now, "malformed data of a child");
         std::string why;
         child.registration = read_(name, data, why);
         if (child.registration) {
@@ -225,8 +227,10 @@
 
 void CoordinationSession::tick(double now) {
     if (state_ == State::down) return;
-    // The same sums as in next_at(): differences may round to just before it, and tick() would be due again.
-    if (now >= last_received_at_ + kSilenceRatio * timeout_) return disconnect(now, "it says nothing");
+    // These sums must equal those of next_at(): differences could round to just before it, and tick() would
+    // be due again at once.
+    if (now >= last_received_at_ + kSilenceRatio * timeout_)
+        return disconnect(now, "the service does not respond");
     if (state_ == State::following && now >= last_sent_at_ + kPingRatio * timeout_) {
         JuteWriter writer;
         writer.number(kPingXid).number(kPing);
--- a/src/coordination/coordination_session.h
+++ b/src/coordination/coordination_session.h
@@ -1,15 +1,15 @@
 // The client side of one session with a coordination service (its published protocol), which follows the
 // children of one path.
 //
-// It owns the session, which moves from server to server of the ensemble, and the children with their data.
-// It knows no socket and no clock: bytes and times are arguments, and what is to be sent or closed goes out
-// by callbacks. It does not interpret registrations: each complete view goes to ServiceRegistrations with the
-// transaction id of the service as its order. Protocol errors close the connection by Out::hang_up with a
-// reason. Times are seconds on the monotonic clock.
+// It owns the session, which continues when the connection moves to another server of the ensemble, and the
+// children with their data. It has no I/O and no clock: received bytes and times are arguments, and frames to
+// send and connections to close are passed to callbacks. It does not interpret registrations: each complete
+// view is passed to ServiceRegistrations with the service's transaction id as its order. After a protocol
+// error the connection is closed by Out::hang_up with a reason. Times are seconds on the monotonic clock.
 //
-// No change is missed: children are listed with a watch and each is read with one, so whatever changes after
-// a read triggers an event; a child that is re-created between two listings triggers its own. After a lost
-// connection everything is listed again, so that no watch has to be restored.
+// No change is missed: children are listed with a watch and each child is read with a watch, so every change
+// after a read triggers an event; a child that is re-created between two listings triggers its own event.
+// After a lost connection all children are listed again, so that no watch has to be restored.
 #pragma once
 
 #include <cstdint>
@@ -23,46 +23,46 @@
 
 namespace brookrelay {
 
-// The protocol's state machine; the owner passes in connection events and received frames.
+// The state machine of the protocol; the owner passes in connection events and received frames.
 class CoordinationSession {
   public:
-    // Where the session's output goes.
+    // The callbacks of the session.
     struct Out {
         std::function<void(const std::string& frame)> send;
-        std::function<void(const char* why)> hang_up;  // close the connection
-        // A child whose data is invalid.
+        std::function<void(const char* why)> hang_up;  // closes the connection
+        // Called for a child whose data is invalid and which is therefore ignored.
         std::function<void(const std::string& child, const std::string& why)> left_out;
     };
-    // Decodes a child's data; nothing if it is invalid, with the reason in `why`.
+    // Decodes a child's data. Returns nothing if the data is invalid, with the reason in `why`.
     using Read = std::function<std::optional<Registration>(const std::string& child, const std::string& data,
                                                            std::string& why)>;
 
-    // `path` has no trailing slash; `timeout` is the session timeout to ask for, s.
+    // `path` has no trailing slash; `timeout` is the session timeout to request, in seconds.
     CoordinationSession(std::string path, double timeout, ServiceRegistrations& registrations, Read read,
                         Out out);
 
-    // A connection to any server of the ensemble has been opened.
+    // To be called when a connection to any server of the ensemble has been opened.
     void up(double now);
-    // A frame has been received, without its length prefix.
+    // To be called with each received frame, without its length prefix.
     void received(double now, std::string_view payload);
-    // The connection is lost, or could not be opened.
+    // To be called when the connection is lost or could not be opened.
     void broke(double now);
-    // Sends pings and detects a silent service; to be called at next_at().
+    // Sends pings and detects a service that does not respond; to be called at next_at().
     void tick(double now);
     // The time of the next tick(); infinity without a connection.
     double next_at() const;
     // Whether the session is established.
     bool follows() const { return state_ == State::following; }
-    // The service's id of the session; 0 before the first.
+    // The service's id of the session; 0 before the first session.
     std::int64_t session() const { return session_; }
 
   private:
     enum class State { down, connecting, following };
     enum class RequestType { children, data };
     struct Child {
-        bool read_pending = false;   // a read of its data is in flight
-        bool reread_needed = false;  // and will be outdated when it is answered
-        std::optional<Registration> registration;
+        bool read_pending = false;                 // a read of its data is in flight
+        bool reread_needed = false;                // the result of that read will be outdated
+        std::optional<Registration> registration;  // as last read; none before, or if its data is invalid
     };
     struct PendingRequest {
         RequestType type = RequestType::children;
@@ -82,7 +82,8 @@
     void publish_view(double now, std::int64_t order);
     void disconnect(double now, const char* why);
 
-    static constexpr std::size_t kPasswordSize = 16;  // bytes, of a new session
+    static constexpr std::size_t kPasswordSize =
+        16;  // bytes of the empty password that requests a new session
 
     const std::string path_;
     const double requested_timeout_;
@@ -92,13 +93,15 @@
     State state_ = State::down;
     std::int64_t session_ = 0;
     std::string password_ = std::string(kPasswordSize, '\0');
-    double timeout_ = 0;  // s, as granted by the service
+    double timeout_ = 0;  // session timeout granted by the service, s
     double last_received_at_ = 0, last_sent_at_ = 0;
-    std::int64_t last_order_ = 0;  // the highest order in any reply
-    std::int32_t xid_ = 0;
+    std::int64_t last_order_ = 0;  // the highest transaction id of the service in any reply
+    std::int32_t xid_ = 0;         // id of the last request
     std::map<std::int32_t, PendingRequest> pending_requests_;
     std::map<std::string, Child> children_;
-    bool list_pending_ = false, relist_pending_ = false, listed_ = false;
+    bool list_pending_ = false;    // a listing is in flight
+    bool relist_pending_ = false;  // another listing is needed after it
+    bool listed_ = false;          // this connection has had a listing
 };
 
 }  // namespace brookrelay
--- a/src/coordination/jute.cpp
+++ b/src/coordination/jute.cpp
@@ -3,6 +3,7 @@
 namespace brookrelay {
 namespace {
 
+// Appends the lowest `bytes` bytes of `value` in big-endian order.
 void put(std::string& out, std::uint64_t value, int bytes) {
     for (int i = bytes - 1; i >= 0; --i) out += static_cast<char>(value >> (8 * i) & 0xff);
 }
@@ -44,7 +45,7 @@
 std::vector<std::string> JuteReader::texts() {
     const std::int32_t count = number();
     std::vector<std::string> values;
-    // Each string takes at least the four bytes of its count.
+    // Each string takes at least the 4 bytes of its length.
     if (count < -1 || (count > 0 && static_cast<std::size_t>(count) > rest_.size() / 4)) {
         sound_ = false;
         rest_ = {};
--- a/src/coordination/service_registrations.cpp
+++ b/src/coordination/service_registrations.cpp
@@ -33,13 +33,13 @@
     Entry& entry = found->second;
     const bool is_same = !is_new && entry.registration.created == registration.created;
     if (entry.state == RegistrationState::suspect && is_same) {
-        // It was never removed, as suspected.
+        // The same registration is back, so it was never removed.
         entry.registration = registration;
         entry.state = RegistrationState::ready;
         return;
     }
     if ((entry.state == RegistrationState::ready || entry.state == RegistrationState::waiting) && is_same) {
-        // Of its data only a change of the address is reported.
+        // A change of its data is reported only if the address has changed.
         const bool address_changed = entry.registration.address != registration.address;
         entry.registration = registration;
         if (address_changed && entry.state == RegistrationState::ready)
@@ -48,7 +48,7 @@
             entry.flap_count = 0;
         return;
     }
-    // Re-created between two views: the removal in between counts as any other.
+    // The registration was re-created between two views; the removal in between counts as any other.
     if (!is_new && !is_same && entry.state != RegistrationState::removed) on_removed(now, entry);
     entry.registration = registration;
     entry.changed_at = now;
@@ -85,7 +85,7 @@
     const auto removed_count = static_cast<double>(recent_removals_.size());
     const auto remaining_count = static_cast<double>(standing() - doubted());
     const auto suspect_count = static_cast<double>(doubted());
-    // While some are suspect, further removals are suspect too.
+    // Suspect registrations count as removed here, so that further removals become suspect too.
     const bool is_mass_removal = removed_count + suspect_count >= bounds_.wiped_least &&
                                  removed_count + suspect_count >
                                      bounds_.wiped_part * (removed_count + suspect_count + remaining_count);
@@ -95,7 +95,7 @@
         if (entry.state != RegistrationState::removed) continue;
         entry.state = RegistrationState::suspect;
         entry.wait_ends_at = now + bounds_.doubted_most;
-        // Not reported as a fresh start: the server has most likely been running all the time.
+        // Not reported as a fresh start, because the server has most likely been running all the time.
         report(entry, EndpointState::ready, false);
     }
 }
@@ -123,13 +123,14 @@
             entry.state = RegistrationState::ready;
             report(entry, EndpointState::ready, true);
         }
-        // Without a connection there is no newer evidence against suspect entries than the doubted view.
+        // Without a connection, the suspected view is the only evidence against a suspect entry, so it is
+        // kept.
         if (entry.state == RegistrationState::suspect && connected_ && now >= entry.wait_ends_at) {
             entry.state = RegistrationState::removed;
             entry.changed_at = now;
             report(entry, EndpointState::removed, false);
         }
-        // Bounds the table: names that never return are erased.
+        // Names that never return are erased, so that the table does not grow without bound.
         const bool is_expired = entry.state == RegistrationState::removed &&
                                 now - entry.changed_at > std::max(bounds_.forgiven_after, bounds_.trust_most);
         found = is_expired ? entries_.erase(found) : std::next(found);
@@ -147,7 +148,7 @@
 }
 
 void ServiceRegistrations::report(Entry& entry, EndpointState standing, bool fresh) {
-    // Supersedes a change of the same registration that has not been taken yet.
+    // Replaces an earlier change of the same registration that has not been taken yet.
     std::erase_if(changes_, [&](const RegistrationChange& c) {
         const bool is_same = c.who.name == entry.registration.name;
         if (is_same && c.fresh && standing == EndpointState::ready) fresh = true;
--- a/src/coordination/service_registrations.h
+++ b/src/coordination/service_registrations.h
@@ -1,21 +1,23 @@
-// Turns the views of a coordination service (ephemeral registrations, each with its creation id) into the
-// endpoint changes that the balancer is given.
+// Converts the views of a coordination service (ephemeral registrations, each with its creation id) to the
+// endpoint changes that are passed to the balancer.
 //
-// It owns what is known of each registration, and decides when one counts as removed, how long a flapping one
-// has to wait, and when a view is not believed. No I/O and no clock: `now` is an argument in seconds and
-// never decreases. It reports no errors. It never empties the list because the service cannot be reached, and
-// never delays the removal of a single server: rule 3's grace begins when the node learns of the removal.
+// It owns the state of each registration, and decides when one counts as removed, how long the start of a
+// flapping one is delayed, and when a view is suspected to be wrong. No I/O and no clock: `now` is an
+// argument in seconds and never decreases. It reports no errors. It never empties the list because the
+// service cannot be reached, and never delays the removal of a single server: the grace period of rule 3
+// begins when the node learns of the removal.
 //
-// The rules, with their bounds (the defaults are in Bounds below):
+// The rules (the defaults of their bounds are in Bounds below):
 //   removed   a registration that is missing from a newer view is removed at once.
-//   new       one that appears, or has another creation id, is a fresh start and gets a slow start.
-//   flapping  after repeated removals soon after a start, the next start is reported later, up to a bound; a
-//             removal is never delayed. A long stable time resets the count.
+//   new       a registration that appears, or has another creation id, is a fresh start with a slow start.
+//   flapping  after repeated removals soon after a start, the report of the next start is delayed, up to a
+//             bound; a removal is never delayed. A long stable time resets the count.
 //   order     a view older than the last one (from a lagging replica) is ignored.
-//   lost      without the service the last list stays in use, whatever its age.
-//   suspect   when more than a ratio of all registrations is removed within a short window, the service is
-//             suspected and not the fleet: they are kept (those already reported as removed are restored) for
-//             a bounded time, or until an operator confirms the removal.
+//   lost      without a connection to the service, the last list stays in use, whatever its age.
+//   suspect   if more than a ratio of all registrations is removed within a short window, a fault of the
+//   service
+//             is suspected: the registrations are kept (those already reported as removed are restored) for a
+//             bounded time, or until an operator confirms the removal.
 #pragma once
 
 #include <cstdint>
@@ -31,13 +33,13 @@
 // One ephemeral registration, as decoded from the service.
 struct Registration {
     std::string name;
-    std::int64_t created = 0;  // the service's creation id: a different one means another start
+    std::int64_t created = 0;  // the service's creation id; a different id means a new start
     std::string address;
     int zone = 0, kind = 0, cell = 0;
-    double started = 0;  // wall clock, s, as registered; 0: long ago
+    double started = 0;  // wall clock, s, as registered; 0 means long ago
 };
 
-// A change of one registration that the balancer has to be given.
+// A change of one registration to be passed to the balancer.
 struct RegistrationChange {
     Registration who;
     EndpointState standing = EndpointState::ready;
@@ -48,31 +50,32 @@
 class ServiceRegistrations {
   public:
     struct Bounds {
-        double flap_within = 10;  // s from start to removal that count as a flap
+        double flap_within = 10;  // s; a removal at most this long after the start is a flap
         double trust_after =
-            0.5;                 // s that a start waits after the second flap; doubles with each further one
-        double trust_most = 30;  // s, upper bound of that wait
-        double forgiven_after = 60;  // s of stability that reset the flap count
+            0.5;                 // s that a start is delayed after the second flap; doubles with each further
+        double trust_most = 30;  // s, upper bound of that delay
+        double forgiven_after = 60;  // s of stability after which the flap count is reset
         double wiped_within = 1;     // s, window in which removals are counted
-        double wiped_part = 0.5;     // suspect above this ratio of all available registrations
-        int wiped_least = 3;         // and from this number of removals
+        double wiped_part = 0.5;     // removals are suspect above this ratio of all available registrations
+        int wiped_least = 3;         // removals are suspect only from this number on
         double doubted_most = 30;    // s that suspect registrations are kept
     };
 
     explicit ServiceRegistrations(Bounds bounds) : bounds_(bounds) {}
     ServiceRegistrations() : ServiceRegistrations(Bounds{}) {}
 
-    // Applies a full view as of `order`, the service's transaction id. False: it is older than an earlier
-    // one.
+    // Applies a full view as of `order`, the service's transaction id. Returns false if the view is older
+    // than an earlier one and is ignored.
     bool view(double now, std::int64_t order, const std::vector<Registration>& all);
+    // To be called when the service is reachable; view() calls it.
     void connected(double now);
-    // The session is lost, or the service unreachable.
+    // To be called when the session is lost or the service is unreachable.
     void lost(double now);
     // An operator confirms that the suspect registrations are removed.
     void believe(double now);
-    // Handles expired waits; to be called at next_at().
+    // Handles expired delays; to be called at next_at().
     void tick(double now);
-    // The time of the next wait to expire; infinity if there is none.
+    // The time at which the next delay expires; infinity if there is none.
     double next_at() const;
 
     // The changes since the last call, in the order in which they are to be applied.
@@ -82,20 +85,20 @@
     std::size_t standing() const;
     // The number of suspect registrations.
     std::size_t doubted() const;
-    // Seconds since the service was lost: 0 while it is connected, or before the first view.
+    // Seconds since the connection to the service was lost; 0 while connected and before the first view.
     double age(double now) const;
 
   private:
     enum class RegistrationState {
         ready,
-        waiting,  // flapping: its start is not reported yet
-        suspect,  // missing from the view, but kept
+        waiting,  // flapping, its start is not reported yet
+        suspect,  // missing from the view but kept
         removed
     };
     struct Entry {
         Registration registration;
         RegistrationState state = RegistrationState::removed;
-        double changed_at = 0;    // time of the last start or removal
+        double changed_at = 0;    // when it was last started or removed
         double wait_ends_at = 0;  // when a waiting or suspect state expires
         int flap_count = 0;
     };
--- a/src/discovery/coordination_client.cpp
+++ b/src/discovery/coordination_client.cpp
@@ -9,11 +9,12 @@
 namespace brookrelay {
 namespace {
 
-// s; the delay doubles with each failure, and each is jittered by a factor of 0.5 to 1.5.
+// Bounds of the delay before a reconnect, in seconds. The delay doubles with each failure, and each delay is
+// multiplied by a random factor of 0.5 to 1.5.
 constexpr double kMinReconnectDelay = 0.05;
 constexpr double kMaxReconnectDelay = 2;
-constexpr double kConnectTimeout = 1;  // s
-constexpr std::size_t kMaxInputSize = 2 * (std::size_t{1} << 20);
+constexpr double kConnectTimeout = 1;                              // s
+constexpr std::size_t kMaxInputSize = 2 * (std::size_t{1} << 20);  // bytes of unread input
 
 }  // namespace
 
@@ -33,7 +34,7 @@
                 },
                 [this](const std::string& child, const std::string& reason) {
                     log_.line(Topic::discovery, "registration_left_out",
-                              "registry: " + child + " is left out: " + reason);
+                              "registry: " + child + " is ignored: " + reason);
                 }}),
       reconnect_delay_(kMinReconnectDelay) {
     std::shuffle(addresses_.begin(), addresses_.end(), random_);
@@ -49,7 +50,7 @@
     timers_.cancel(session_timer_);
     session_timer_ = timers_.schedule(monotonic_now() + kConnectTimeout, [this] {
         session_timer_ = {};
-        on_failure("no connection came up");
+        on_failure("connect timeout");
     });
 }
 
@@ -67,9 +68,9 @@
         std::string_view payload;
         bool is_valid = true;
         const std::size_t frame_size = read_frame(connection_->input(), payload, is_valid);
-        if (!is_valid) return on_failure("a frame of an impossible length");
+        if (!is_valid) return on_failure("received a frame with an invalid length");
         if (frame_size == 0) break;
-        const std::string frame(payload);  // consume() may move the buffer that the payload points into
+        const std::string frame(payload);  // copied, because consume() may move the buffer of the payload
         connection_->consume(frame_size);
         session_.received(monotonic_now(), frame);
         if (session_.follows()) reconnect_delay_ = kMinReconnectDelay;
@@ -89,7 +90,7 @@
     if (disconnected_ && reconnect_timer_ == TimerQueue::Handle{}) {
         session_.broke(now);
         connection_->close();
-        // Many nodes lose the service at the same moment: jitter keeps them from reconnecting together.
+        // Many nodes lose the service at the same moment; jitter prevents simultaneous reconnects.
         const double jitter =
             0.5 + static_cast<double>(random_() - std::ranlux24_base::min()) /
                       static_cast<double>(std::ranlux24_base::max() - std::ranlux24_base::min());
--- a/src/discovery/coordination_client.h
+++ b/src/discovery/coordination_client.h
@@ -1,10 +1,10 @@
 // The connection to a coordination service that holds the endpoints as ephemeral registrations.
 //
-// It owns one connection at a time, to the addresses of the ensemble in a random order, and the timers:
+// It owns one connection at a time, to the addresses of the ensemble in random order, and the timers:
 // reconnects back off exponentially with jitter. CoordinationSession implements the protocol, and
-// ServiceRegistrations decides what the views mean. Losing the service never removes an endpoint. Failures
-// are logged under the topic `discovery` and retried; none is reported to the owner. Times are seconds on
-// the monotonic clock.
+// ServiceRegistrations converts the views to endpoint changes. A loss of the service never removes an
+// endpoint. Failures are logged under the topic `discovery` and retried; none is reported to the owner. Times
+// are seconds on the monotonic clock.
 #pragma once
 
 #include <functional>
@@ -21,20 +21,21 @@
 
 namespace brookrelay {
 
-// Follows one path of the service and hands over the changes of its registrations.
+// Follows one path of the service and reports the changes of its registrations.
 class CoordinationClient {
   public:
     // Called with at least one change, in the order in which they are to be applied.
     using OnChanges = std::function<void(std::vector<RegistrationChange>&&)>;
 
-    // `session_timeout` is what the session asks of the service, s; `seed` is for the order of addresses and
-    // the jitter; `read` decodes the data of one registration. `addresses` must not be empty.
+    // `session_timeout` is the timeout in seconds that the session requests from the service; `seed`
+    // determines the order of addresses and the jitter; `read` decodes the data of one registration.
+    // `addresses` must not be empty.
     CoordinationClient(TimerQueue& timers, Log& log, std::vector<std::string> addresses, std::string path,
                        double session_timeout, std::uint64_t seed, CoordinationSession::Read read,
                        OnChanges on_changes);
     // Opens the first connection.
     void start();
-    // Seconds since the endpoint list was last known to be current: 0 while connected.
+    // Seconds since the endpoint list was last known to be current; 0 while connected.
     double age() const { return registrations_.age(monotonic_now()); }
 
   private:
@@ -42,7 +43,7 @@
     void on_event(TcpConnection::Event event);
     void read_frames();
     void on_failure(const std::string& reason);
-    // After every event: schedules a reconnect if one is due, reports changes and sets the next timer.
+    // Called after every event: schedules a reconnect if one is due, reports changes and sets the next timer.
     void process_changes();
 
     TimerQueue& timers_;
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -10,31 +10,35 @@
 namespace brookrelay {
 namespace {
 
-// A change has to reach the node within 6 s of discovery having it and being reachable, whatever becomes of
-// the requests in between. A silent watch costs of that the time until it is given up, plus the time until
-// the next request is answered: docs/design.md has the sum. Longer timeouts would mean fewer requests where
-// each one is paid for.
-constexpr double kWatchTimeout = 4;                 // s that a watch may wait for a change
-constexpr double kWatchTimeoutAfterSilence = 0.25;  // s; the first after a timeout: discovery may be down
-constexpr double kResponseAllowance = 1;            // s beyond the watch timeout, connecting included
-constexpr double kFullListTimeout = 1.25;           // s for a full list's first byte, connecting included
-// s without a byte of a response that has begun. A response that flows is waited for: a list of thousands of
-// servers takes seconds over a slow connection, and asking for it anew would begin it anew.
+// A change must reach the node within 6 s after discovery has it and is reachable, also if requests fail in
+// the meantime. A watch without a response uses up its timeout and the time until the next request is
+// answered; docs/design.md adds these times up. Longer timeouts would save requests where each one is paid
+// for.
+
+constexpr double kWatchTimeout = 4;  // s that discovery may hold a watch until there is a change
+// Watch timeout in seconds of the first request after a timeout, when discovery may be down.
+constexpr double kWatchTimeoutAfterSilence = 0.25;
+constexpr double kResponseAllowance = 1;   // s beyond the watch timeout until the first byte, with connecting
+constexpr double kFullListTimeout = 1.25;  // s until the first byte of a full list, with connecting
+// Seconds without a byte after which a response that has begun counts as stalled. A response that makes
+// progress is waited for: a list of thousands of servers takes seconds over a slow connection, and a new
+// request would transfer it from the beginning.
 constexpr double kStallTimeout = 0.75;
-constexpr double kMaxTransfer = 30;     // s from a response's first byte to its last: it only trickles
-constexpr double kRecheckDelay = 0.01;  // s, where a timer is due and bytes lie in the socket
-// s that the first request of a process may wait: what is known so far is the list of a file, and an answer,
-// also one without changes, tells whether it is current.
+constexpr double kMaxTransfer = 30;     // s from a response's first byte to its last, if it only trickles
+constexpr double kRecheckDelay = 0.01;  // s until the next check if the timer expires with unread input
+// Watch timeout in seconds of the first request of a process. Until then only the list of the configuration
+// file is known, and any response, even one without changes, tells whether that list is current.
 constexpr double kConfirmationTimeout = 0.001;
-// s to the next attempt after a failure. The delay doubles and is jittered, since nodes that started together
-// fail together, and would otherwise retry together for as long as they are rejected.
+// Bounds of the delay before a retry, in seconds. The delay doubles and is jittered, because nodes that
+// started together fail together, and would otherwise retry together for as long as they are rejected.
 constexpr double kMinRetryDelay = 0.05;
 constexpr double kMaxRetryDelay = 1;
-constexpr std::int64_t kNoVersion = -1;                  // asks for the full list
-constexpr std::size_t kMaxListSize = 8UL * 1024 * 1024;  // bytes: tens of thousands of servers
+constexpr std::int64_t kNoVersion = -1;                  // requests the full list
+constexpr std::size_t kMaxListSize = 8UL * 1024 * 1024;  // bytes, enough for tens of thousands of servers
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-// A watch's head may come at once, and its body only with a change.
+// Whether body bytes have arrived. The head of a watch's response may arrive at once, but its body only with
+// a change.
 bool has_begun_body(std::string_view response) {
     const std::size_t head = response.find(kHeadEnd);
     return head != std::string_view::npos && response.size() > head + kHeadEnd.size();
@@ -52,7 +56,8 @@
       on_update_(std::move(on_update)),
       on_failed_(std::move(on_failed)),
       version_(config.cached_endpoints.version),
-      is_confirmed_(config.deployment.polls_endpoints),  // where each request is paid for
+      // Each polled request is paid for, so none is sent only to confirm the list.
+      is_confirmed_(config.deployment.polls_endpoints),
       retry_delay_(kMinRetryDelay),
       random_(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32))) {}
 
@@ -92,7 +97,7 @@
             "?index=" + std::to_string(version_) + "&wait=" + std::to_string(static_cast<int>(wait * 1e3));
     }
     connection_->write(format_http_request("GET", target, address_, {}, {}));
-    // Discovery may be silent with its connection open, and may come back without ever answering this
+    // Discovery may stop responding with its connection open, and may recover without ever answering this
     // request.
     arm_request_timer(monotonic_now() + timeout);
 }
@@ -105,14 +110,14 @@
     });
 }
 
-// After a hold of the loop the timer may be due while the answer lies in the socket.
+// After a delay of the event loop, the timer may expire while the response is unread in the socket.
 void EndpointWatch::on_request_timeout() {
     const double now = monotonic_now();
     if (connection_->has_unreceived_input()) return arm_request_timer(now + kRecheckDelay);
     const double flows_until = last_byte_at_ + kStallTimeout;
     if (first_byte_at_ > 0 && now < std::min(flows_until, first_byte_at_ + kMaxTransfer))
         return arm_request_timer(flows_until);
-    on_failure(first_byte_at_ == 0 ? "no answer" : "the answer stands still", true);
+    on_failure(first_byte_at_ == 0 ? "response timeout" : "the response stalled", true);
 }
 
 void EndpointWatch::connect() {
@@ -125,7 +130,7 @@
 void EndpointWatch::on_event(TcpConnection::Event event) {
     if (event == TcpConnection::Event::readable) read_response();
     if (event != TcpConnection::Event::closed) return;
-    // Closed between two requests, it is reopened by the next one.
+    // A connection that was closed between two requests is reopened by the next request.
     if (request_pending_ && connection_->ended_cleanly() && !connection_->input().empty()) {
         read_response(true);
     } else if (request_pending_) {
@@ -141,8 +146,8 @@
     HttpResponse response;
     const std::size_t response_size =
         parse_http_response(connection_->input(), kMaxListSize, response, ended);
-    if (response_size == 0 && ended) return on_failure("connection lost within an answer");
-    // Of any status but 200 the header is enough: the end of such a body may never come.
+    if (response_size == 0 && ended) return on_failure("connection lost within a response");
+    // For a status other than 200 the header is sufficient, because the end of such a body may never arrive.
     const bool refused = response.body_until_close && response.status != 200;
     if (response_size == 0 && !connection_->is_read_buffer_full() && !refused) {
         if (request_pending_ && has_begun_body(connection_->input()))
@@ -150,29 +155,31 @@
         return;
     }
     if (!request_pending_ || !response.valid || response.status != 200) {
-        // Discovery may have lost its versions and not know ours any more. One that only rejects with 503
-        // still knows it, and the full list would cost it more.
+        // Discovery may have lost its versions and no longer know the one held here, so the full list is
+        // requested. If it only rejects with 503, it still knows the version, and a full list would cost
+        // more.
         if (!response.valid || response.status != 503) version_ = kNoVersion;
-        return on_failure("nonsense, or status " + std::to_string(response.status));
+        return on_failure("malformed response, or status " + std::to_string(response.status));
     }
     connection_->consume(response_size);
     EndpointUpdate update;
     try {
         rapidjson::Document document;
         document.Parse(response.body.data(), response.body.size());
-        if (document.HasParseError()) throw ConfigurationError("the list is not JSON");
+        if (document.HasParseError()) throw ConfigurationError("the endpoint list is not valid JSON");
         update = parse_endpoint_update(document, names_);
     } catch (const ConfigurationError& error) {
         return on_failure(error.what());
     }
-    // The list of a lagging replica would bring back draining servers. If discovery has lost its versions,
-    // its answer to the request for the full list is accepted.
+    // An older list, from a lagging replica, would restore draining servers. If discovery has lost its
+    // versions, its response to the following request for the full list is accepted.
     if (update.version < version_) {
         version_ = kNoVersion;
         return on_failure("a list older than the one held");
     }
     for (const std::string& complaint : update.errors) {
-        log_.line(Topic::discovery, "entry_left_out", "an entry was left out: " + complaint);
+        log_.line(Topic::discovery, "entry_left_out",
+                  "ignored an invalid entry of the endpoint list: " + complaint);
     }
     request_pending_ = false;
     timers_.cancel(request_timer_);
@@ -184,7 +191,7 @@
     update.first_byte_at = first_byte_at_;
     on_update_(std::move(update));
     if (!response.keep_alive) connection_->close();
-    // From the event loop, and not from inside the connection that the request may replace.
+    // Sent from the event loop, not from a callback of the connection, which the request may replace.
     retry_timer_ = timers_.schedule(monotonic_now(), [this] {
         retry_timer_ = {};
         send_request();
@@ -198,13 +205,14 @@
 }
 
 void EndpointWatch::on_failure(const std::string& why, bool timed_out) {
-    log_.line(Topic::discovery, "call_failed", "call failed: " + why);
-    // After the first timeout of a watch most of the time for a change is used up, so the next request goes
-    // out without waiting for the owner; the watches of many nodes end at different times. Any other failure
-    // may have hit all nodes at the same moment.
+    log_.line(Topic::discovery, "call_failed", "request failed: " + why);
+    // After the first timeout of a watch, most of the 6 s for a change are used up, so the next request does
+    // not wait for the owner. That is safe, because the watches of many nodes end at different times; any
+    // other failure may have affected all nodes at the same moment.
     const bool silent = timed_out && !std::exchange(last_request_timed_out_, timed_out);
     disconnect();
-    timers_.cancel(retry_timer_);  // bytes that nobody asked for may come before the next request is sent
+    // Unsolicited bytes may cause a failure while the next request is scheduled.
+    timers_.cancel(retry_timer_);
     watching_ = false;
     if (polls_ && !silent) return on_failed_();
     const double jitter =
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -1,13 +1,12 @@
 // Follows discovery's endpoint list by long polling (a watch) over HTTP/1.1.
 //
-// It owns one connection and the version of the list that the node holds. It hands over each update as
-// decoded and does not interpret it. Failures (timeouts, lost connections, malformed or outdated answers)
-// are logged under the topic `discovery` and change nothing; the watch retries with a jittered, doubling
-// delay, or reports them by OnFailed where the balancer decides when to poll. Times are seconds on the
-// monotonic clock.
+// It owns one connection and the version of the list that the node holds. It passes on each decoded update
+// without interpreting it. Failures (timeouts, lost connections, malformed or outdated responses) are logged
+// under the topic `discovery` and change nothing; the watch retries with a jittered, doubling delay, or
+// reports them by OnFailed if the balancer decides when to poll. Times are seconds on the monotonic clock.
 //
-// Its sources go before those of clients and servers, and it reads all that has come: a list that lies in the
-// socket is known before a request that lies in another one is begun.
+// Its event sources have a higher priority than those of clients and servers, and it reads all input that has
+// arrived: an update that has arrived is applied before a request that has arrived is started.
 #pragma once
 
 #include <cstdint>
@@ -31,11 +30,11 @@
 
     EndpointWatch(TimerQueue& timers, Log& log, const NodeConfig& config, OnUpdate on_update,
                   OnFailed on_failed);
-    // Sends a request, unless a watch is running already.
+    // Sends a request, unless a watch is already running.
     void poll();
     // Changes the address and the names by which updates are decoded. If either is new, the full list is
-    // requested at once: another discovery has its own versions, and entries that the old names could not
-    // resolve come again only in a full list.
+    // requested at once: another discovery service has its own versions, and entries that the old names could
+    // not resolve are sent again only in a full list. `polls`: whether the balancer decides when to poll.
     void move_to(const std::string& address, const Names& names, bool polls);
 
   private:
@@ -52,21 +51,21 @@
     Log& log_;
     std::string address_;
     Names names_;
-    bool polls_;  // lists come on request only, and the balancer decides when to poll again
+    bool polls_;  // updates are sent only on request, and the balancer decides when to poll
     OnUpdate on_update_;
     OnFailed on_failed_;
-    std::int64_t version_;
-    ByteBudget budget_;  // not checked: one connection with a bounded buffer
+    std::int64_t version_;  // of the list held; kNoVersion requests the full list
+    ByteBudget budget_;     // not checked, because the one connection has a bounded buffer
     std::unique_ptr<TcpConnection> connection_;
     bool request_pending_ = false;
-    bool last_request_timed_out_ = false;  // at least one request since the last answer
+    bool last_request_timed_out_ = false;  // a request has timed out since the last valid response
     bool watching_ = false;
-    bool is_confirmed_;  // by an answer of discovery: the list held is no longer only that of a file
-    // When bytes of the response under way have come, monotonic; 0: none have.
+    bool is_confirmed_;  // discovery has responded, so the list held is no longer only that of the file
+    // When the first and the last byte of the current response arrived, monotonic; 0 if none has.
     double first_byte_at_ = 0;
     double last_byte_at_ = 0;
     TimerQueue::Handle request_timer_;
-    TimerQueue::Handle retry_timer_;  // the next request, or the next attempt after a failure
+    TimerQueue::Handle retry_timer_;  // for the next request, or for the retry after a failure
     double retry_delay_;
     std::ranlux24_base random_;
 };
