--- a/src/coordination/coordination_session.h
+++ b/src/coordination/coordination_session.h
@@ -99,9 +99,9 @@
     std::int32_t xid_ = 0;         // id of the last request
     std::map<std::int32_t, PendingRequest> pending_requests_;
     std::map<std::string, Child> children_;
-    bool list_pending_ = false;    // a listing is in flight
-    bool relist_pending_ = false;  // another listing is needed after it
-    bool listed_ = false;          // this connection has had a listing
+    // Whether a listing is in flight, whether another one is needed after it, and whether this connection has
+    // had a listing.
+    bool list_pending_ = false, relist_pending_ = false, listed_ = false;
 };
 
 }  // namespace brookrelay
