--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -45,8 +45,8 @@
       on_request_(std::move(on_request)),
       listener_(timers, G_PRIORITY_HIGH, [this] { accept_connections(); }) {}
 
-bool AdminServer::listen(const std::string& address, std::string& complaint) {
-    SocketRef socket = listen_on(address, complaint);
+bool AdminServer::listen(const std::string& address, std::string& error) {
+    SocketRef socket = listen_on(address, error);
     if (socket == nullptr) return false;
     listener_.open(std::move(socket));
     return true;
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -34,8 +34,8 @@
     AdminServer& operator=(const AdminServer&) = delete;
 
     // Starts to accept connections. Returns false if the address cannot be bound, with the reason in
-    // `complaint`.
-    bool listen(const std::string& address, std::string& complaint);
+    // `error`.
+    bool listen(const std::string& address, std::string& error);
     // Sends a plain-text response and closes the connection; no effect if the caller has disconnected or
     // already has a response.
     void respond(std::uint64_t id, int status, std::string_view text);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,8 +21,8 @@
 namespace {
 
 // Runs the node with the configuration file `given`, or if that is empty with the file named by GW_CONFIG.
-int serve_with(const std::string& given, const std::string& operator_path, const std::string& log_format) {
-    std::string path = given;
+int run_node(const std::string& config_path, const std::string& operator_path, const std::string& log_format) {
+    std::string path = config_path;
     if (path.empty()) {
         const char* variable = std::getenv("GW_CONFIG");
         if (variable == nullptr) {
@@ -232,7 +232,7 @@
     }
     try {
         if (line.run) return line.run();
-        return serve_with(line.config, line.operator_path, line.log_format);
+        return run_node(line.config, line.operator_path, line.log_format);
     } catch (const brookrelay::ConfigurationFileError& error) {
         std::fprintf(stderr, "%s\n", error.what());
         return brookrelay::kWrongUse;
--- a/src/proxy/iteration_monitor.h
+++ b/src/proxy/iteration_monitor.h
@@ -41,7 +41,7 @@
   private:
     double began_at_ = 0;
     double total_seconds_ = 0;
-    IterationWork before_;
+    IterationWork work_before_;
     Histogram histogram_{};
 };
 
--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -6,7 +6,7 @@
 namespace brookrelay {
 namespace {
 
-constexpr std::array<std::string_view, static_cast<std::size_t>(RequestEnd::count)> kRequestEnds{
+constexpr std::array<std::string_view, static_cast<std::size_t>(RequestEnd::count)> kRequestEndNames{
     "served", "streamed", "rejected", "failed", "expired", "client_closed"};
 constexpr std::array<std::string_view, 9> kOutcomeNames{
     "succeeded", "failed", "busy", "timed_out", "refused", "reset", "cancelled", "not_sent", "miss"};
@@ -42,20 +42,20 @@
 
 }  // namespace
 
-std::string_view name_of(RequestEnd end) { return kRequestEnds[static_cast<std::size_t>(end)]; }
+std::string_view name_of(RequestEnd end) { return kRequestEndNames[static_cast<std::size_t>(end)]; }
 std::string_view name_of(AttemptOutcome outcome) { return kOutcomeNames[static_cast<std::size_t>(outcome)]; }
 
 void Metrics::on_list(std::size_t size, double latency) {
     ++lists_;
     list_bytes_ += size;
-    list_seconds_ += latency;
-    longest_list_ = std::max(longest_list_, latency);
+    total_list_seconds_ += latency;
+    max_list_seconds_ = std::max(max_list_seconds_, latency);
 }
 
 void Metrics::on_send(double age) {
     ++sends_;
-    send_list_age_ += age;
-    oldest_send_list_ = std::max(oldest_send_list_, age);
+    total_send_list_age_ += age;
+    max_send_list_age_ = std::max(max_send_list_age_, age);
 }
 
 std::string Metrics::page(const Gauges& gauges, const ClientConnections& clients,
@@ -64,7 +64,7 @@
     page.counter("brookrelay_requests_total", "Requests accepted.", requests_);
     page.begin("brookrelay_request_ends_total", "counter", "Requests ended, by result.");
     for (std::size_t i = 0; i < request_ends_.size(); ++i)
-        page.sample("brookrelay_request_ends_total", "end", kRequestEnds[i], request_ends_[i]);
+        page.sample("brookrelay_request_ends_total", "end", kRequestEndNames[i], request_ends_[i]);
     page.begin("brookrelay_attempts_total", "counter", "Attempts ended, by outcome.");
     for (std::size_t i = 0; i < attempt_ends_.size(); ++i)
         page.sample("brookrelay_attempts_total", "outcome", kOutcomeNames[i], attempt_ends_[i]);
@@ -93,28 +93,28 @@
     page.counter("brookrelay_list_bytes_total", "Bytes of the endpoint updates applied.", list_bytes_);
     page.begin("brookrelay_list_seconds_total", "counter",
                "Time from the first byte of an endpoint update until it was applied, summed.");
-    page.sample("brookrelay_list_seconds_total", list_seconds_);
+    page.sample("brookrelay_list_seconds_total", total_list_seconds_);
     page.begin("brookrelay_list_seconds_max", "gauge",
                "Longest time from the first byte of an endpoint update until it was applied.");
-    page.sample("brookrelay_list_seconds_max", longest_list_);
+    page.sample("brookrelay_list_seconds_max", max_list_seconds_);
     page.counter("brookrelay_sends_total", "Attempts written.", sends_);
     page.begin("brookrelay_send_list_age_seconds_total", "counter",
                "Time since the endpoint list was last confirmed when an attempt was written, summed.");
-    page.sample("brookrelay_send_list_age_seconds_total", send_list_age_);
+    page.sample("brookrelay_send_list_age_seconds_total", total_send_list_age_);
     page.begin("brookrelay_send_list_age_seconds_max", "gauge",
                "Longest time since the endpoint list was last confirmed when an attempt was written.");
-    page.sample("brookrelay_send_list_age_seconds_max", oldest_send_list_);
+    page.sample("brookrelay_send_list_age_seconds_max", max_send_list_age_);
     page.begin("brookrelay_iteration_seconds", "histogram", "Event-loop iterations, by duration.");
-    std::uint64_t up_to = 0;
+    std::uint64_t cumulative_count = 0;
     for (std::size_t i = 0; i < iterations.histogram().size(); ++i) {
-        up_to += iterations.histogram()[i];
+        cumulative_count += iterations.histogram()[i];
         std::array<char, 16> bound{"+Inf"};
         if (i < IterationMonitor::kBucketBounds.size())
             std::snprintf(bound.data(), bound.size(), "%g", IterationMonitor::kBucketBounds[i]);
-        page.sample("brookrelay_iteration_seconds_bucket", "le", bound.data(), up_to);
+        page.sample("brookrelay_iteration_seconds_bucket", "le", bound.data(), cumulative_count);
     }
     page.sample("brookrelay_iteration_seconds_sum", iterations.total_seconds());
-    page.sample("brookrelay_iteration_seconds_count", static_cast<double>(up_to));
+    page.sample("brookrelay_iteration_seconds_count", static_cast<double>(cumulative_count));
     for (const auto& [name, value] : gauges) {
         page.begin(name, "gauge", "Current value.");
         page.sample(name, value);
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -31,7 +31,7 @@
 // Maximum age in seconds of the last poll of the sockets at which actions are still executed. Older than
 // that, the sockets are polled again first, because an endpoint update, a client's close or a reply may have
 // arrived since. The close of a client may be 0.1 s old when an attempt is sent for it.
-constexpr double kMaxFactAge = 0.02;
+constexpr double kMaxPollAge = 0.02;
 // Consecutive iterations that may defer actions; after that they are executed at any age of the poll.
 constexpr int kMaxDeferrals = 3;
 
@@ -41,7 +41,7 @@
 constexpr double kFirstListTimeout = 0.3;
 
 constexpr double kEvictionInterval = 1.0;    // s between checks, until all removed servers are evicted
-constexpr double kAnswerMargin = 0.05;       // s before its deadline at which a streamed response is given up
+constexpr double kStreamGiveUpMargin = 0.05;       // s before its deadline at which a streamed response is given up
 constexpr double kHealthCheckTimeout = 0.5;  // s; a health check has no request with a deadline
 
 constexpr double kAdminStateInterval = 0.025;  // s between reloads of the state that sibling processes change
@@ -60,9 +60,9 @@
 // Distinguishes zones from server names in the administrative state.
 constexpr const char* kZoneKeyPrefix = "\x01zone:";
 
-constexpr const char* kNoFleet =
+constexpr const char* kGossipDisabled =
     "gossip between nodes is disabled on this node: see [fleet] in the operators' file";
-constexpr const char* kFailed = "SERVER_ERROR failed\r\n";
+constexpr const char* kFailedReply = "SERVER_ERROR failed\r\n";
 
 // Whether the outcome proves that the server did not execute the attempt.
 bool proves_not_run(AttemptOutcome outcome) {
@@ -83,18 +83,18 @@
 }
 
 // The node's own directory in the state folder, which several nodes of one machine may share.
-std::string node_folder(const NodeConfig& s) {
-    if (s.state_folder.empty()) return {};
-    std::string name = s.name + "-" + s.listen;
+std::string node_folder(const NodeConfig& config) {
+    if (config.state_folder.empty()) return {};
+    std::string name = config.name + "-" + config.listen;
     std::replace(name.begin(), name.end(), '/', '_');
-    return s.state_folder + "/brookrelay-" + name;
+    return config.state_folder + "/brookrelay-" + name;
 }
 
 // FNV-1a. The hash ring requires the same hash at every node; the balancer mixes the value further.
 std::uint64_t hash_key(std::string_view key) {
-    std::uint64_t h = 0xcbf29ce484222325ULL;
-    for (const char c : key) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    return h;
+    std::uint64_t hash = 0xcbf29ce484222325ULL;
+    for (const char c : key) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+    return hash;
 }
 
 }  // namespace
@@ -111,9 +111,10 @@
       pool_(
           timers_, log, config.deployment, connection_budget(config.descriptors, 1 - kClientsShare),
           buffer_budget(config.memory_mb),
-          [this](UpstreamPool::AttemptResult&& end) {
-              event_queue_.emplace_back(
-                  [this, e = std::move(end)](double now) mutable { on_attempt_finished(now, e); });
+          [this](UpstreamPool::AttemptResult&& result) {
+              event_queue_.emplace_back([this, result = std::move(result)](double now) mutable {
+                  on_attempt_finished(now, result);
+              });
           },
           // Whether the attempt is still sent is decided after all events of this iteration.
           [this](int request, int attempt, int server) {
@@ -128,15 +129,15 @@
           {[this](std::uint64_t stream) {
                return streams_.contains(stream) ? clients_.stream_capacity(streams_[stream]) : 0;
            },
-           [this](std::uint64_t stream, std::string_view piece) {
-               clients_.write_chunk(streams_[stream], piece);
+           [this](std::uint64_t stream, std::string_view chunk) {
+               clients_.write_chunk(streams_[stream], chunk);
            },
-           [this](std::uint64_t stream, bool whole) {
-               const auto at = streams_.find(stream);
-               if (at == streams_.end()) return;
-               const ClientConnections::RequestHandle client = at->second;
-               streams_.erase(at);
-               clients_.end_stream(client, whole, kFailed);
+           [this](std::uint64_t stream, bool is_complete) {
+               const auto found = streams_.find(stream);
+               if (found == streams_.end()) return;
+               const ClientConnections::RequestHandle client = found->second;
+               streams_.erase(found);
+               clients_.end_stream(client, is_complete, kFailedReply);
            }}),
       clients_(
           timers_, log, violations_, connection_budget(config.descriptors, kClientsShare),
@@ -154,15 +155,15 @@
            }}),
       endpoint_watch_(
           timers_, log, config,
-          [this](EndpointUpdate&& list) {
-              event_queue_.emplace_back([this, record = std::move(list)](double now) {
-                  apply_endpoint_update(now, record.is_full ? UpdateKind::full : UpdateKind::delta, record);
+          [this](EndpointUpdate&& update) {
+              event_queue_.emplace_back([this, update = std::move(update)](double now) {
+                  apply_endpoint_update(now, update.is_full ? UpdateKind::full : UpdateKind::delta, update);
               });
           },
           [this] { event_queue_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
       admin_server_(
           timers_, log,
-          [this](std::uint64_t caller, const HttpRequest& call) { handle_admin_request(caller, call); }),
+          [this](std::uint64_t caller, const HttpRequest& request) { handle_admin_request(caller, request); }),
       admin_state_(node_folder(config)),
       warm_start_file_(node_folder(config) + "/learned"),
       servers_(config_.deployment, wall_clock_.read().wall_offset) {
@@ -177,14 +178,14 @@
                         if (gossip_->limits_connections()) pool_.enforce_connection_limit();
                     });
                 },
-                [this](double now, const std::string& name, bool bad, double apart) {
-                    on_outlier_verdict(now, name, bad, apart);
+                [this](double now, const std::string& name, bool is_bad, double probe_interval) {
+                    on_outlier_verdict(now, name, is_bad, probe_interval);
                 },
-                [this](double now, const gossip::ZoneFailover::Change& o) {
-                    balancer_->set_zone_weight(now, o.zone, o.weight, o.probe_interval);
+                [this](double now, const gossip::ZoneFailover::Change& change) {
+                    balancer_->set_zone_weight(now, change.zone, change.weight, change.probe_interval);
                 },
-                [this](double now, int tenant, double part) {
-                    balancer_->set_tenant_quota_share(now, tenant, part);
+                [this](double now, int tenant, double share) {
+                    balancer_->set_tenant_quota_share(now, tenant, share);
                 });
             apply_connection_limit();
         } else {
@@ -192,18 +193,18 @@
         }
     }
     if (operator_config.registry_addresses.empty()) return;
-    const auto read = [this](const std::string&, const std::string& data,
-                             std::string& why) -> std::optional<Registration> {
+    const auto decode = [this](const std::string&, const std::string& data,
+                               std::string& reason) -> std::optional<Registration> {
         try {
             return read_registration(data, config_.names);
-        } catch (const ConfigurationError& bad) {
-            why = bad.what();
+        } catch (const ConfigurationError& error) {
+            reason = error.what();
             return std::nullopt;
         }
     };
     coordination_ = std::make_unique<CoordinationClient>(
         timers_, log, operator_config.registry_addresses, operator_config.registry_path,
-        operator_config.registry_session_timeout, config.seed, read,
+        operator_config.registry_session_timeout, config.seed, decode,
         [this](std::vector<RegistrationChange>&& changes) { on_registrations(changes); });
 }
 
@@ -218,14 +219,14 @@
         throw BindError("field 'management': " + error);
     iteration_started_at_ = monotonic_now();
     endpoints_confirmed_at_ = iteration_started_at_;
-    const std::vector<std::string> by_hand = admin_state_.reload(wall_clock_.read().wall_now());
-    event_queue_.emplace_back([this, by_hand](double now) {
+    const std::vector<std::string> admin_changes = admin_state_.reload(wall_clock_.read().wall_now());
+    event_queue_.emplace_back([this, admin_changes](double now) {
         apply_endpoint_update(now, UpdateKind::cached_on_disk, config_.cached_endpoints);
-        apply_admin_state(now, by_hand);
+        apply_admin_state(now, admin_changes);
         load_warm_start(now);
     });
     handle_events();
-    carry_out_all_actions();
+    run_all_actions();
     const bool has_agent = coordination_ == nullptr && !config_.deployment.polls_endpoints;
     if (coordination_ != nullptr) coordination_->start();
     if (has_agent) endpoint_watch_.poll();
@@ -261,11 +262,11 @@
 void Node::run_iteration() {
     (void)arrival_time();
     iteration_started_at_ = monotonic_now();
-    iteration_monitor_.begin(iteration_started_at_, work_done());
+    iteration_monitor_.begin(iteration_started_at_, total_work());
     handle_events();
-    carry_out_actions();
-    const std::string complaint = iteration_monitor_.end(monotonic_now(), work_done());
-    if (!complaint.empty()) log_.line(Topic::node, "slow_iteration", complaint);
+    run_actions();
+    const std::string warning = iteration_monitor_.end(monotonic_now(), total_work());
+    if (!warning.empty()) log_.line(Topic::node, "slow_iteration", warning);
 }
 
 void Node::handle_events() {
@@ -276,16 +277,16 @@
     for (const Event& event : events) event(now);
 }
 
-bool Node::are_facts_stale() const { return monotonic_now() - poll_clock_.last() > kMaxFactAge; }
+bool Node::is_poll_stale() const { return monotonic_now() - poll_clock_.last() > kMaxPollAge; }
 
 // The guard before each send knows only what has been read from the sockets. If this iteration has taken
 // long, the remaining actions are deferred to the next one, which begins at once and first handles what has
 // arrived in the meantime.
-void Node::carry_out_actions() {
+void Node::run_actions() {
     const bool may_defer = deferrals_ < kMaxDeferrals;
     // Actions that are queued by these actions are left to the next iteration.
-    for (std::size_t left = action_queue_.size(); left > 0; --left) {
-        if (may_defer && are_facts_stale()) {
+    for (std::size_t remaining = action_queue_.size(); remaining > 0; --remaining) {
+        if (may_defer && is_poll_stale()) {
             ++deferrals_;
             metrics_.on_deferral();
             return;
@@ -299,9 +300,9 @@
     release_finished();
 }
 
-void Node::carry_out_all_actions() {
+void Node::run_all_actions() {
     deferrals_ = kMaxDeferrals;
-    carry_out_actions();
+    run_actions();
 }
 
 // Releases finished requests once no queued action refers to one of them, and frees closed connections.
@@ -315,7 +316,7 @@
     admin_server_.destroy_closed();
 }
 
-IterationWork Node::work_done() const {
+IterationWork Node::total_work() const {
     IterationWork work = work_;
     work.servers += balancer_->work().servers;
     work.ring_points = balancer_->work().ring_points;
@@ -328,7 +329,7 @@
 // passed to the balancer first, because they were parsed with the indexes of the old configuration.
 void Node::reload(const NodeConfig& config, const OperatorConfig& operator_config) {
     handle_events();
-    carry_out_all_actions();
+    run_all_actions();
     std::vector<ServerTable::Placement> placements;
     std::string refusal = why_not_reloadable(config_, config);
     if (refusal.empty()) refusal = servers_.translate_placements(config_.names, config.names, placements);
@@ -410,11 +411,11 @@
     const bool is_full = config_.max_open_requests > 0 && requests_.open_count() >= config_.max_open_requests;
     // Servers distinguish requests only by id: with a duplicate id, the response to one client's request
     // could be sent to the other client.
-    const bool is_taken = requests_.is_id_open(command.id);
-    if (operation < 0 || is_taken || is_full) {
+    const bool is_duplicate_id = requests_.is_id_open(command.id);
+    if (operation < 0 || is_duplicate_id || is_full) {
         // The request is rejected here and the balancer is not told of it.
         const std::string text = operation < 0 ? "CLIENT_ERROR unknown operation\r\n"
-                                 : is_taken    ? "CLIENT_ERROR id in use\r\n"
+                                 : is_duplicate_id    ? "CLIENT_ERROR id in use\r\n"
                                                : format_busy(0);
         event_queue_.emplace_back([this, client, text](double) { clients_.respond(client, text); });
         return ClientConnections::kNoRequest;
@@ -477,7 +478,7 @@
 ClientConnections::StreamTerms Node::stream_terms(const ActiveRequest& active, std::size_t length,
                                                   double now) {
     const double due = std::min(active.deadline, active.received_at + active.operation.latency_objective);
-    return {length, now + std::max(0.0, due - now) / 2, active.deadline - kAnswerMargin};
+    return {length, now + std::max(0.0, due - now) / 2, active.deadline - kStreamGiveUpMargin};
 }
 
 void Node::on_attempt_finished(double now, UpstreamPool::AttemptResult& result) {
@@ -518,11 +519,11 @@
 
 // Applies an endpoint update. It takes effect for every later send (ServerTable::accepts_attempts) before the
 // balancer's rings follow. The cost is proportional to the change, except for full lists.
-void Node::apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& list) {
+void Node::apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& update) {
     std::vector<int> changed;
     std::vector<std::string> first_seen;
-    work_.list_entries += list.servers.size();
-    for (const EndpointRecord& record : list.servers) {
+    work_.list_entries += update.servers.size();
+    for (const EndpointRecord& record : update.servers) {
         // The removal of a server that is unknown or already evicted must not add it.
         const bool is_known = servers_.contains(record.name);
         if (record.state == EndpointState::removed && !is_known) continue;
@@ -533,19 +534,19 @@
         const Server& s = servers_.at(server);
         pool_.add_server(server, s.name, s.address, servers_.is_origin(s));
     }
-    if (list.is_full) remove_unlisted(changed);
+    if (update.is_full) remove_unlisted(changed);
     std::vector<Endpoint> entries;
     entries.reserve(changed.size());
     for (const int server : changed) {
         entries.push_back(servers_.endpoint(server));
-        servers_.note_removal(server, now);
+        servers_.update_removal_time(server, now);
         if (!servers_.accepts_attempts(server)) pool_.close_unstarted(server);
     }
-    if (!entries.empty() || list.is_full) {
+    if (!entries.empty() || update.is_full) {
         log_.line(Topic::discovery, "list",
-                  "version " + std::to_string(list.version) + ": " + std::to_string(list.servers.size()) +
+                  "version " + std::to_string(update.version) + ": " + std::to_string(update.servers.size()) +
                       " servers told, " + std::to_string(servers_.size()) + " known" +
-                      (list.is_full ? " (whole list)" : ""));
+                      (update.is_full ? " (whole list)" : ""));
     }
     if (!first_seen.empty()) admin_state_.record_listed(first_seen);
     balancer_->on_endpoints(now, kind, entries);
@@ -556,7 +557,7 @@
     if (kind == UpdateKind::cached_on_disk) return;
     servers_.on_list_applied(now);
     endpoints_confirmed_at_ = monotonic_now();
-    if (list.size > 0) metrics_.on_list(list.size, endpoints_confirmed_at_ - list.first_byte_at);
+    if (update.size > 0) metrics_.on_list(update.size, endpoints_confirmed_at_ - update.first_byte_at);
     open_for_clients();
 }
 
@@ -586,34 +587,34 @@
 }
 
 // A verdict on a server that this node's own endpoint list does not contain is ignored.
-void Node::on_outlier_verdict(double now, const std::string& name, bool bad, double apart) {
-    const int known = servers_.find(name);
-    if (known != ServerTable::kUnknown) balancer_->on_outlier_verdict(now, known, bad, apart);
+void Node::on_outlier_verdict(double now, const std::string& name, bool is_bad, double probe_interval) {
+    const int server = servers_.find(name);
+    if (server != ServerTable::kUnknown) balancer_->on_outlier_verdict(now, server, is_bad, probe_interval);
 }
 
 // Converts registration changes to an endpoint update. If the start of a server was observed, it counts as
 // started now, because the start time that a server reports is taken from its own clock.
 void Node::on_registrations(const std::vector<RegistrationChange>& changes) {
-    EndpointUpdate list;
+    EndpointUpdate update;
     // Servers of the first view did not start just now, so their reported start time is used.
-    const bool first = !std::exchange(has_registrations_, true);
-    for (const RegistrationChange& c : changes) {
-        EndpointRecord s;
-        s.name = c.who.name;
-        s.address = c.who.address;
-        s.zone = c.who.zone;
-        s.kind = c.who.kind;
-        s.cell = c.who.cell;
-        s.state = c.standing;
-        const int known = servers_.find(s.name);
-        s.started_at = first                            ? c.who.started
-                       : c.fresh                        ? wall_clock_.read().wall_now()
-                       : known != ServerTable::kUnknown ? servers_.at(known).started_at
-                                                        : 0;
-        list.servers.push_back(std::move(s));
+    const bool is_first_view = !std::exchange(has_registrations_, true);
+    for (const RegistrationChange& change : changes) {
+        EndpointRecord record;
+        record.name = change.who.name;
+        record.address = change.who.address;
+        record.zone = change.who.zone;
+        record.kind = change.who.kind;
+        record.cell = change.who.cell;
+        record.state = change.standing;
+        const int server = servers_.find(record.name);
+        record.started_at = is_first_view                     ? change.who.started
+                            : change.fresh                    ? wall_clock_.read().wall_now()
+                            : server != ServerTable::kUnknown ? servers_.at(server).started_at
+                                                              : 0;
+        update.servers.push_back(std::move(record));
     }
-    event_queue_.emplace_back([this, record = std::move(list)](double now) {
-        apply_endpoint_update(now, UpdateKind::delta, record);
+    event_queue_.emplace_back([this, update = std::move(update)](double now) {
+        apply_endpoint_update(now, UpdateKind::delta, update);
     });
 }
 
@@ -675,9 +676,9 @@
                       " at " + servers_.at(server).name + " not sent: " + std::string(name_of(refusal)));
     event_queue_.emplace_back(
         [this,
-         e = UpstreamPool::AttemptResult{
+         result = UpstreamPool::AttemptResult{
              request, attempt, server, AttemptOutcome::not_sent, 0, {}, 0, 0, false}](double now) mutable {
-            on_attempt_finished(now, e);
+            on_attempt_finished(now, result);
         });
 }
 
@@ -717,20 +718,20 @@
 void Node::on_attempt_write(int request, int attempt, int server, double time_left) {
     ActiveRequest& active = requests_.at(request);
     const double now = monotonic_now();
-    const auto ids = [&] {
+    const auto describe_attempt = [&] {
         return "request " + active.command.id + ", attempt " + std::to_string(attempt) + " at " +
                servers_.at(server).name;
     };
     if (active.answered || now >= active.deadline || !servers_.accepts_attempts(server))
-        violations_.report(Violation::sent_unasked, ids());
+        violations_.report(Violation::sent_unasked, describe_attempt());
     if (time_left > active.deadline - now + kToldDeadlineSlack)
-        violations_.report(Violation::deadline_too_long, ids());
+        violations_.report(Violation::deadline_too_long, describe_attempt());
     const bool repeats = active.possible_runs > 0;
     if (repeats && active.operation.idempotency == Idempotency::none)
-        violations_.report(Violation::sent_unasked, ids());
+        violations_.report(Violation::sent_unasked, describe_attempt());
     if (repeats && active.operation.idempotency == Idempotency::idempotency_key &&
         now >= active.may_have_run_since + active.operation.deduplication_window)
-        violations_.report(Violation::window_passed, ids());
+        violations_.report(Violation::window_passed, describe_attempt());
     if (active.possible_runs++ == 0) active.may_have_run_since = now;
     metrics_.on_send(now - endpoints_confirmed_at_);
     trace(TraceEvent::attempt_written, request, attempt, server, {});
@@ -746,7 +747,7 @@
 }
 
 void Node::fail(int request) {
-    respond(request, kFailed);
+    respond(request, kFailedReply);
     finish(request, RequestEnd::failed);
 }
 
@@ -823,7 +824,7 @@
     if (const auto* change = std::get_if<ZoneStateChange>(&action))
         return change_zone_state(caller, change->zone, change->drain);
     if (std::holds_alternative<FleetStateQuery>(action)) {
-        return gossip_ == nullptr ? admin_server_.respond(caller, 404, kNoFleet)
+        return gossip_ == nullptr ? admin_server_.respond(caller, 404, kGossipDisabled)
                                   : admin_server_.respond(caller, 200, gossip_->state_json(monotonic_now()));
     }
     if (std::holds_alternative<MetricsQuery>(action))
@@ -850,41 +851,41 @@
 // acted on it.
 void Node::change_server_state(std::uint64_t caller, const std::string& name, bool drain) {
     event_queue_.emplace_back([this, caller, name, drain](double now) {
-        const auto say = [this, caller](int status, const char* text) {
+        const auto reply = [this, caller](int status, const char* text) {
             action_queue_.emplace_back(
                 [this, caller, status, text] { admin_server_.respond(caller, status, text); });
         };
-        const int known = servers_.find(name);
-        if (known == ServerTable::kUnknown && !admin_state_.was_ever_listed(name))
-            return say(404, "this cache server was never on the endpoint list");
+        const int server = servers_.find(name);
+        if (server == ServerTable::kUnknown && !admin_state_.was_ever_listed(name))
+            return reply(404, "this cache server was never on the endpoint list");
         // Without the origin, no write and no miss can be served, and no other server can replace it.
-        if (known != ServerTable::kUnknown && servers_.is_origin(servers_.at(known)))
-            return say(409, "the origin cannot be drained");
+        if (server != ServerTable::kUnknown && servers_.is_origin(servers_.at(server)))
+            return reply(409, "the origin cannot be drained");
         if (!(drain ? admin_state_.drain(name) : admin_state_.restore(name, wall_clock_.read().wall_now())))
-            return say(503, "the state could not be written to disk, nothing has changed");
+            return reply(503, "the state could not be written to disk, nothing has changed");
         apply_admin_state(now, {name});
-        say(200, drain ? "drained" : "restored");
+        reply(200, drain ? "drained" : "restored");
     });
 }
 
 // Drains or restores a zone for this node only, by the states of zone failover.
 void Node::change_zone_state(std::uint64_t caller, const std::string& name, bool drain) {
     event_queue_.emplace_back([this, caller, name, drain](double now) {
-        const auto say = [this, caller](int status, const std::string& text) {
+        const auto reply = [this, caller](int status, const std::string& text) {
             action_queue_.emplace_back(
                 [this, caller, status, text] { admin_server_.respond(caller, status, text); });
         };
         const std::string key = kZoneKeyPrefix + name;
-        if (gossip_ == nullptr) return say(404, kNoFleet);
+        if (gossip_ == nullptr) return reply(404, kGossipDisabled);
         if (index_of(config_.names.zones, name) < 0)
-            return say(404, "the node's configuration does not name this zone");
+            return reply(404, "the node's configuration does not name this zone");
         const std::string refusal = gossip_->why_zones_unavailable();
-        if (!refusal.empty()) return say(409, refusal);
-        if (drain && config_.names.zones.size() < 2) return say(409, "the only zone cannot be drained");
+        if (!refusal.empty()) return reply(409, refusal);
+        if (drain && config_.names.zones.size() < 2) return reply(409, "the only zone cannot be drained");
         if (!(drain ? admin_state_.drain(key) : admin_state_.restore(key, wall_clock_.read().wall_now())))
-            return say(503, "the state could not be written to disk, nothing has changed");
+            return reply(503, "the state could not be written to disk, nothing has changed");
         apply_admin_state(now, {key});
-        say(200, drain ? "drained" : "is being restored in steps");
+        reply(200, drain ? "drained" : "is being restored in steps");
     });
 }
 
@@ -895,15 +896,15 @@
             gossip_->set_zone_admin_state(
                 now, index_of(config_.names.zones, name.substr(std::string_view(kZoneKeyPrefix).size())),
                 admin_state_.state_of(name).drained);
-        const int known = servers_.find(name);
-        if (known == ServerTable::kUnknown) continue;
-        if (!servers_.set_admin_state(known, admin_state_.state_of(name), wall_clock_.read())) continue;
-        const Server& s = servers_.at(known);
+        const int server = servers_.find(name);
+        if (server == ServerTable::kUnknown) continue;
+        if (!servers_.set_admin_state(server, admin_state_.state_of(name), wall_clock_.read())) continue;
+        const Server& s = servers_.at(server);
         log_.line(
             Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
             name + (s.admin_state.drained ? " is drained by an operator" : " is restored by an operator"));
-        entries.push_back(servers_.endpoint(known));
-        if (!servers_.accepts_attempts(known)) pool_.close_unstarted(known);
+        entries.push_back(servers_.endpoint(server));
+        if (!servers_.accepts_attempts(server)) pool_.close_unstarted(server);
     }
     if (!entries.empty()) balancer_->on_endpoints(now, UpdateKind::delta, entries);
 }
@@ -935,11 +936,11 @@
 void Node::update_budget_share() {
     if (sibling_processes_ == nullptr) return;
     sibling_processes_->publish(clients_.open_count() + pool_.open_count());
-    const SiblingProcesses::Usage others = sibling_processes_->others_usage();
-    const double all = config_.descriptors - kReservedDescriptors;
-    const double taken_by_siblings =
-        others.descriptors + others.processes * (kReservedDescriptors + kDescriptorMargin);
-    const double share = std::max(1 - taken_by_siblings / all, kMinBudgetShare);
+    const SiblingProcesses::Usage siblings = sibling_processes_->others_usage();
+    const double total_descriptors = config_.descriptors - kReservedDescriptors;
+    const double used_by_siblings =
+        siblings.descriptors + siblings.processes * (kReservedDescriptors + kDescriptorMargin);
+    const double share = std::max(1 - used_by_siblings / total_descriptors, kMinBudgetShare);
     if (share == budget_share_) return;
     budget_share_ = share;
     clients_.set_budget_share(share);
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -88,9 +88,9 @@
     using Event = std::function<void(double now)>;
 
     void handle_events();
-    void carry_out_actions();
-    void carry_out_all_actions();
-    bool are_facts_stale() const;
+    void run_actions();
+    void run_all_actions();
+    bool is_poll_stale() const;
     void release_finished();
     void open_for_clients();
     double longest_client_timeout() const;
@@ -102,7 +102,7 @@
     static ClientConnections::StreamTerms stream_terms(const ActiveRequest& active, std::size_t length,
                                                        double now);
     void abandon_request(double now, int request, RequestEnd end);
-    void apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& list);
+    void apply_endpoint_update(double now, UpdateKind kind, const EndpointUpdate& update);
     void remove_unlisted(std::vector<int>& changed);
     void on_registrations(const std::vector<RegistrationChange>& changes);
     void apply_operator_config(const OperatorConfig& operator_config);
@@ -118,7 +118,7 @@
     void finish(int request, RequestEnd end);
     void trace(TraceEvent event, int request, int attempt, int server, std::string_view detail);
     std::string metrics_page() const;
-    IterationWork work_done() const;
+    IterationWork total_work() const;
     void check_shutdown();
     void fail_open_requests();
     void handle_admin_request(std::uint64_t caller, const HttpRequest& http_request);
@@ -130,7 +130,7 @@
     void update_budget_share();
     void save_warm_start();
     void load_warm_start(double now);
-    void on_outlier_verdict(double now, const std::string& name, bool bad, double apart);
+    void on_outlier_verdict(double now, const std::string& name, bool is_bad, double probe_interval);
     void publish_endpoints();
 
     NodeConfig config_;
@@ -142,7 +142,7 @@
     ViolationCounter violations_;
     Metrics metrics_;
     IterationMonitor iteration_monitor_;
-    IterationWork work_;  // counts of the node itself; work_done() adds those of its components
+    IterationWork work_;  // counts of the node itself; total_work() adds those of its components
     RequestTrace trace_;
     std::unique_ptr<Balancer> balancer_;
     UpstreamPool pool_;
--- a/src/proxy/request_trace.cpp
+++ b/src/proxy/request_trace.cpp
@@ -20,9 +20,9 @@
 
 void RequestTrace::record(double now, TraceEvent event, std::string_view id, int attempt,
                           std::string_view server, std::string_view detail) {
-    if (entries_.size() < kEvents) entries_.emplace_back();
+    if (entries_.size() < kCapacity) entries_.emplace_back();
     Entry& entry = entries_[next_];
-    next_ = (next_ + 1) % kEvents;
+    next_ = (next_ + 1) % kCapacity;
     entry.at = now;
     entry.event = event;
     entry.attempt = attempt;
@@ -32,20 +32,20 @@
 }
 
 std::string RequestTrace::text(double now) const {
-    std::string all;
-    const std::size_t first = entries_.size() < kEvents ? 0 : next_;
+    std::string lines;
+    const std::size_t first = entries_.size() < kCapacity ? 0 : next_;
     for (std::size_t i = 0; i < entries_.size(); ++i) {
         const Entry& entry = entries_[(first + i) % entries_.size()];
         std::array<char, 200> line{};
         std::snprintf(line.data(), line.size(), "%.3f s ago, request %s: %s", now - entry.at, entry.id.data(),
                       kEventNames[static_cast<std::size_t>(entry.event)]);
-        all += line.data();
+        lines += line.data();
         if (entry.attempt != kNoAttempt)
-            all.append(" ").append(std::to_string(entry.attempt)).append(" at ").append(entry.server.data());
-        if (!entry.detail.empty()) all.append(", ").append(entry.detail);
-        all += "\n";
+            lines.append(" ").append(std::to_string(entry.attempt)).append(" at ").append(entry.server.data());
+        if (!entry.detail.empty()) lines.append(", ").append(entry.detail);
+        lines += "\n";
     }
-    return all;
+    return lines;
 }
 
 }  // namespace brookrelay
--- a/src/proxy/request_trace.h
+++ b/src/proxy/request_trace.h
@@ -16,7 +16,7 @@
 /// Records events and formats them as text.
 class RequestTrace {
   public:
-    static constexpr std::size_t kEvents = 1024;
+    static constexpr std::size_t kCapacity = 1024;
     static constexpr int kNoAttempt = -1;
 
     /// `detail` is the name of a reason, an outcome or a request end, and must have static storage duration.
@@ -36,7 +36,7 @@
         Text<25> server{};
         std::string_view detail;
     };
-    std::vector<Entry> entries_;  // grows up to kEvents; after that the oldest entry is overwritten
+    std::vector<Entry> entries_;  // grows up to kCapacity; after that the oldest entry is overwritten
     std::size_t next_ = 0;
 };
 
--- a/src/proxy/server_table.cpp
+++ b/src/proxy/server_table.cpp
@@ -10,7 +10,7 @@
 constexpr double kListDelay = 0.5;       // s from a change at discovery until its list is applied here
 // Restore marks less than this many seconds apart are the same one, whose file time was adjusted after a step
 // of the wall clock.
-constexpr double kSameRestore = 0.5;
+constexpr double kRestoreTolerance = 0.5;
 
 // The index in `to` of the name that `from` has at `index`.
 int translate_index(const std::vector<std::string>& from, const std::vector<std::string>& to, int index) {
@@ -66,12 +66,12 @@
 // now. For a server that is listed for the first time it is unknown whether it has just started, so the later
 // of the two results is used.
 double ServerTable::estimate_start(double listed_start, bool is_restart, const ClockReading& clock) const {
-    const double by_clock_now = listed_start - clock.wall_offset;
-    const double by_clock_then = listed_start - initial_wall_offset_;
+    const double by_current_offset = listed_start - clock.wall_offset;
+    const double by_initial_offset = listed_start - initial_wall_offset_;
     const double latest =
-        std::max(std::min(std::max(by_clock_now, by_clock_then), clock.now), kEarliestStart);
+        std::max(std::min(std::max(by_current_offset, by_initial_offset), clock.now), kEarliestStart);
     if (last_list_at_ == 0) return latest;
-    for (const double start : {by_clock_now, by_clock_then}) {
+    for (const double start : {by_current_offset, by_initial_offset}) {
         if (start >= last_list_at_ - kListDelay && start <= clock.now) return start;
     }
     return is_restart ? clock.now : latest;
@@ -82,14 +82,14 @@
 bool ServerTable::set_admin_state(int number, const AdminState::ServerState& state,
                                   const ClockReading& clock) {
     Server& server = at(number);
-    const bool is_new = state.drained != server.admin_state.drained ||
-                        std::abs(state.restored_at - server.admin_state.restored_at) >= kSameRestore;
+    const bool is_changed = state.drained != server.admin_state.drained ||
+                        std::abs(state.restored_at - server.admin_state.restored_at) >= kRestoreTolerance;
     server.admin_state = state;
-    if (is_new)
+    if (is_changed)
         server.restored_since = state.restored_at == 0 ? 0
                                                        : std::clamp(state.restored_at - clock.wall_offset,
                                                                     kEarliestStart, clock.now);
-    return is_new;
+    return is_changed;
 }
 
 bool ServerTable::is_origin(const Server& server) const {
@@ -147,7 +147,7 @@
     return {};
 }
 
-void ServerTable::note_removal(int number, double now) {
+void ServerTable::update_removal_time(int number, double now) {
     Server& server = at(number);
     if (server.state != EndpointState::removed) {
         server.removed_at = 0;
--- a/src/proxy/server_table.h
+++ b/src/proxy/server_table.h
@@ -78,7 +78,7 @@
 
     /// Updates the removal time after a change of the server's state: sets it for a newly removed server and
     /// clears it for a listed one.
-    void note_removal(int number, double now);
+    void update_removal_time(int number, double now);
     /// Evicts the servers that were removed before `oldest_request` and are not in use, and calls `on_evict`
     /// for each. Their numbers may be reused. Returns whether any removed server is left.
     bool evict_removed(double oldest_request, const std::function<bool(int)>& in_use,
--- a/src/proxy/sibling_processes.cpp
+++ b/src/proxy/sibling_processes.cpp
@@ -24,25 +24,25 @@
 SiblingProcesses::SiblingProcesses(std::string folder) : folder_(std::move(folder)) {
     if (folder_.empty()) return;
     file_name_ = std::string(kFilePrefix) + std::to_string(getpid());
-    file_ = open((folder_ + "/" + file_name_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (file_ >= 0) flock(file_, LOCK_EX | LOCK_NB);
+    descriptor_ = open((folder_ + "/" + file_name_).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    if (descriptor_ >= 0) flock(descriptor_, LOCK_EX | LOCK_NB);
     publish(0);
 }
 
 SiblingProcesses::~SiblingProcesses() {
-    if (file_ < 0) return;
+    if (descriptor_ < 0) return;
     unlink((folder_ + "/" + file_name_).c_str());
-    close(file_);
+    close(descriptor_);
 }
 
 void SiblingProcesses::publish(int descriptors) {
-    if (file_ < 0 || descriptors == published_) return;
-    if (ftruncate(file_, descriptors) == 0) published_ = descriptors;
+    if (descriptor_ < 0 || descriptors == published_descriptors_) return;
+    if (ftruncate(descriptor_, descriptors) == 0) published_descriptors_ = descriptors;
 }
 
 SiblingProcesses::Usage SiblingProcesses::others_usage() const {
     Usage others;
-    const std::unique_ptr<DIR, CloseFolder> folder(file_ < 0 ? nullptr : opendir(folder_.c_str()));
+    const std::unique_ptr<DIR, CloseFolder> folder(descriptor_ < 0 ? nullptr : opendir(folder_.c_str()));
     if (folder == nullptr) return others;
     while (const dirent* entry = readdir(folder.get())) {
         const std::string_view name(entry->d_name);
