--- a/src/coordination/coordination_session.cpp
+++ b/src/coordination/coordination_session.cpp
@@ -27,15 +27,16 @@
 }  // namespace
 
 CoordinationSession::CoordinationSession(std::string path, double timeout,
-                                         ServiceRegistrations& registrations, Read read, Out out)
+                                         ServiceRegistrations& registrations, Decode decode,
+                                         Callbacks callbacks)
     : path_(std::move(path)),
       requested_timeout_(timeout),
       registrations_(registrations),
-      read_(std::move(read)),
-      out_(std::move(out)),
+      decode_(std::move(decode)),
+      callbacks_(std::move(callbacks)),
       timeout_(timeout) {}
 
-void CoordinationSession::up(double now) {
+void CoordinationSession::on_connected(double now) {
     state_ = State::connecting;
     pending_requests_.clear();
     list_pending_ = relist_pending_ = listed_ = false;
@@ -46,46 +47,46 @@
 void CoordinationSession::send_connect_request(double now) {
     JuteWriter writer;
     writer.number(0).long_number(last_order_).number(static_cast<std::int32_t>(requested_timeout_ * 1e3));
-    writer.long_number(session_).text(password_).flag(false);
+    writer.long_number(session_id_).text(password_).flag(false);
     last_sent_at_ = now;
-    out_.send(writer.frame());
+    callbacks_.send(writer.frame());
 }
 
-void CoordinationSession::broke(double now) {
+void CoordinationSession::on_disconnected(double now) {
     if (state_ == State::down) return;
     state_ = State::down;
     pending_requests_.clear();
-    registrations_.lost(now);
+    registrations_.on_connection_lost(now);
 }
 
-void CoordinationSession::disconnect(double now, const char* why) {
-    broke(now);
-    out_.hang_up(why);
+void CoordinationSession::disconnect(double now, const char* reason) {
+    on_disconnected(now);
+    callbacks_.close_connection(reason);
 }
 
-void CoordinationSession::received(double now, std::string_view payload) {
+void CoordinationSession::on_frame(double now, std::string_view payload) {
     last_received_at_ = now;
     if (state_ == State::connecting) return on_connect_response(now, payload);
-    if (state_ == State::following) on_reply(now, payload);
+    if (state_ == State::established) on_reply(now, payload);
 }
 
 void CoordinationSession::on_connect_response(double now, std::string_view payload) {
     JuteReader reader(payload);
     (void)reader.number();
     const std::int32_t timeout = reader.number();
-    const std::int64_t session = reader.long_number();
+    const std::int64_t session_id = reader.long_number();
     const std::string password = reader.text();
     if (!reader.sound()) return disconnect(now, "malformed connect response");
-    if (timeout <= 0 || session == 0) {
+    if (timeout <= 0 || session_id == 0) {
         // The session has expired. Nothing depends on it, so the next connection requests a new one.
-        session_ = 0;
+        session_id_ = 0;
         password_.assign(kPasswordSize, '\0');
         return disconnect(now, "the session has expired");
     }
-    session_ = session;
+    session_id_ = session_id;
     password_ = password;
     timeout_ = timeout / 1e3;
-    state_ = State::following;
+    state_ = State::established;
     list_children();
 }
 
@@ -111,7 +112,7 @@
     JuteWriter writer;
     writer.number(++xid_).number(type).text(path).flag(true);
     pending_requests_.emplace(xid_, std::move(request));
-    out_.send(writer.frame());
+    callbacks_.send(writer.frame());
 }
 
 void CoordinationSession::list_children() {
@@ -136,20 +137,20 @@
 
 void CoordinationSession::on_watch_event(double now, std::string_view payload) {
     JuteReader reader(payload);
-    const std::int32_t kind = reader.number();
+    const std::int32_t event_type = reader.number();
     (void)reader.number();
     const std::string path = reader.text();
     if (!reader.sound()) return disconnect(now, "malformed watch event");
     if (path == path_) {
-        if (kind == kChildrenChanged || kind == kNodeRemoved) list_children();
+        if (event_type == kChildrenChanged || event_type == kNodeRemoved) list_children();
         return;
     }
     if (!path.starts_with(path_ + "/")) return;
     const std::string name = path.substr(path_.size() + 1);
     const auto found = children_.find(name);
     if (found == children_.end()) return;
-    if (kind == kDataChanged) return read_child(name);
-    if (kind != kNodeRemoved) return;
+    if (event_type == kDataChanged) return read_child(name);
+    if (event_type != kNodeRemoved) return;
     // The registration is removed at once: the next listing may take long, and may contain a new child of the
     // same name.
     found->second.registration.reset();
@@ -170,7 +171,7 @@
             return disconnect(now, "malformed listing, or too many children");
     }
     const std::set<std::string> listed_names(names.begin(), names.end());
-    std::erase_if(children_, [&](const auto& one) { return !listed_names.contains(one.first); });
+    std::erase_if(children_, [&](const auto& item) { return !listed_names.contains(item.first); });
     // A new connection has no watches, so each child is read again; otherwise only unknown children are read.
     for (const std::string& name : listed_names) {
         if (!listed_ || !children_[name].registration) {
@@ -178,11 +179,11 @@
             read_child(name);
         }
     }
-    const bool first = !listed_;
+    const bool is_first_listing = !listed_;
     listed_ = true;
     // The first listing of a connection is published when all its children have been read; until then the
     // view is incomplete.
-    if (!first || listed_names.empty()) publish_view(now, order);
+    if (!is_first_listing || listed_names.empty()) publish_view(now, order);
     if (std::exchange(relist_pending_, false)) list_children();
 }
 
@@ -200,29 +201,29 @@
     } else {
         JuteReader reader(payload);
         const std::string data = reader.text();
-        const std::int64_t created = reader.long_number();
+        const std::int64_t creation_id = reader.long_number();
         if (!reader.sound()) return disconnect(now, "malformed data of a child");
-        std::string why;
-        child.registration = read_(name, data, why);
+        std::string reason;
+        child.registration = decode_(name, data, reason);
         if (child.registration) {
             child.registration->name = name;
-            child.registration->created = created;
+            child.registration->creation_id = creation_id;
         } else {
-            out_.left_out(name, why);
+            callbacks_.on_invalid_child(name, reason);
             child.registration.reset();
         }
     }
     const bool all_read = std::none_of(children_.begin(), children_.end(),
-                                       [](const auto& one) { return one.second.read_pending; });
+                                       [](const auto& item) { return item.second.read_pending; });
     if (all_read) publish_view(now, order);
 }
 
 void CoordinationSession::publish_view(double now, std::int64_t order) {
-    std::vector<Registration> all;
+    std::vector<Registration> registrations;
     for (const auto& [name, child] : children_) {
-        if (child.registration) all.push_back(*child.registration);
+        if (child.registration) registrations.push_back(*child.registration);
     }
-    (void)registrations_.view(now, std::max(order, last_order_), all);
+    (void)registrations_.apply_view(now, std::max(order, last_order_), registrations);
 }
 
 void CoordinationSession::tick(double now) {
@@ -231,18 +232,18 @@
     // be due again at once.
     if (now >= last_received_at_ + kSilenceRatio * timeout_)
         return disconnect(now, "the service does not respond");
-    if (state_ == State::following && now >= last_sent_at_ + kPingRatio * timeout_) {
+    if (state_ == State::established && now >= last_sent_at_ + kPingRatio * timeout_) {
         JuteWriter writer;
         writer.number(kPingXid).number(kPing);
         last_sent_at_ = now;
-        out_.send(writer.frame());
+        callbacks_.send(writer.frame());
     }
 }
 
 double CoordinationSession::next_at() const {
     if (state_ == State::down) return std::numeric_limits<double>::infinity();
     const double silent = last_received_at_ + kSilenceRatio * timeout_;
-    return state_ == State::following ? std::min(silent, last_sent_at_ + kPingRatio * timeout_) : silent;
+    return state_ == State::established ? std::min(silent, last_sent_at_ + kPingRatio * timeout_) : silent;
 }
 
 }  // namespace brookrelay
--- a/src/coordination/coordination_session.h
+++ b/src/coordination/coordination_session.h
@@ -5,7 +5,8 @@
 // children with their data. It has no I/O and no clock: received bytes and times are arguments, and frames to
 // send and connections to close are passed to callbacks. It does not interpret registrations: each complete
 // view is passed to ServiceRegistrations with the service's transaction id as its order. After a protocol
-// error the connection is closed by Out::hang_up with a reason. Times are seconds on the monotonic clock.
+// error the connection is closed by Callbacks::close_connection with a reason. Times are seconds on the
+// monotonic clock.
 //
 // No change is missed: children are listed with a watch and each child is read with a watch, so every change
 // after a read triggers an event; a child that is re-created between two listings triggers its own event.
@@ -27,37 +28,37 @@
 class CoordinationSession {
   public:
     // The callbacks of the session.
-    struct Out {
+    struct Callbacks {
         std::function<void(const std::string& frame)> send;
-        std::function<void(const char* why)> hang_up;  // closes the connection
+        std::function<void(const char* reason)> close_connection;  // closes the connection
         // Called for a child whose data is invalid and which is therefore ignored.
-        std::function<void(const std::string& child, const std::string& why)> left_out;
+        std::function<void(const std::string& child, const std::string& reason)> on_invalid_child;
     };
-    // Decodes a child's data. Returns nothing if the data is invalid, with the reason in `why`.
-    using Read = std::function<std::optional<Registration>(const std::string& child, const std::string& data,
-                                                           std::string& why)>;
+    // Decodes a child's data. Returns nothing if the data is invalid, with the reason in `reason`.
+    using Decode = std::function<std::optional<Registration>(const std::string& child,
+                                                             const std::string& data, std::string& reason)>;
 
     // `path` has no trailing slash; `timeout` is the session timeout to request, in seconds.
-    CoordinationSession(std::string path, double timeout, ServiceRegistrations& registrations, Read read,
-                        Out out);
+    CoordinationSession(std::string path, double timeout, ServiceRegistrations& registrations, Decode decode,
+                        Callbacks callbacks);
 
     // To be called when a connection to any server of the ensemble has been opened.
-    void up(double now);
+    void on_connected(double now);
     // To be called with each received frame, without its length prefix.
-    void received(double now, std::string_view payload);
+    void on_frame(double now, std::string_view payload);
     // To be called when the connection is lost or could not be opened.
-    void broke(double now);
+    void on_disconnected(double now);
     // Sends pings and detects a service that does not respond; to be called at next_at().
     void tick(double now);
     // The time of the next tick(); infinity without a connection.
     double next_at() const;
     // Whether the session is established.
-    bool follows() const { return state_ == State::following; }
+    bool is_established() const { return state_ == State::established; }
     // The service's id of the session; 0 before the first session.
-    std::int64_t session() const { return session_; }
+    std::int64_t session_id() const { return session_id_; }
 
   private:
-    enum class State { down, connecting, following };
+    enum class State { down, connecting, established };
     enum class RequestType { children, data };
     struct Child {
         bool read_pending = false;                 // a read of its data is in flight
@@ -80,7 +81,7 @@
     void on_data(double now, std::int64_t order, const std::string& child, std::string_view payload,
                  std::int32_t error);
     void publish_view(double now, std::int64_t order);
-    void disconnect(double now, const char* why);
+    void disconnect(double now, const char* reason);
 
     static constexpr std::size_t kPasswordSize =
         16;  // bytes of the empty password that requests a new session
@@ -88,10 +89,10 @@
     const std::string path_;
     const double requested_timeout_;
     ServiceRegistrations& registrations_;
-    Read read_;
-    Out out_;
+    Decode decode_;
+    Callbacks callbacks_;
     State state_ = State::down;
-    std::int64_t session_ = 0;
+    std::int64_t session_id_ = 0;
     std::string password_ = std::string(kPasswordSize, '\0');
     double timeout_ = 0;  // session timeout granted by the service, s
     double last_received_at_ = 0, last_sent_at_ = 0;
--- a/src/coordination/jute.cpp
+++ b/src/coordination/jute.cpp
@@ -92,7 +92,7 @@
     sound = true;
     if (in.size() < 4) return 0;
     const std::int32_t length = JuteReader(in).number();
-    if (length < 0 || static_cast<std::size_t>(length) > kFrameMost) {
+    if (length < 0 || static_cast<std::size_t>(length) > kMaxFrameSize) {
         sound = false;
         return 0;
     }
--- a/src/coordination/jute.h
+++ b/src/coordination/jute.h
@@ -12,7 +12,7 @@
 
 namespace brookrelay {
 
-constexpr std::size_t kFrameMost = 1 << 20;  // bytes; the service's default limit for a message
+constexpr std::size_t kMaxFrameSize = 1 << 20;  // bytes; the service's default limit for a message
 
 // Decodes values from `bytes`, which must outlive the reader.
 class JuteReader {
@@ -48,7 +48,7 @@
 };
 
 // Returns the size of the first frame in `in` including its length prefix, or 0 if the frame is incomplete.
-// `payload` points into `in`. `sound` becomes false if the length is negative or above kFrameMost.
+// `payload` points into `in`. `sound` becomes false if the length is negative or above kMaxFrameSize.
 std::size_t read_frame(std::string_view in, std::string_view& payload, bool& sound);
 
 }  // namespace brookrelay
--- a/src/coordination/service_registrations.h
+++ b/src/coordination/service_registrations.h
@@ -33,7 +33,7 @@
 // One ephemeral registration, as decoded from the service.
 struct Registration {
     std::string name;
-    std::int64_t created = 0;  // the service's creation id; a different id means a new start
+    std::int64_t creation_id = 0;  // the service's creation id; a different id means a new start
     std::string address;
     int zone = 0, kind = 0, cell = 0;
     double started = 0;  // wall clock, s, as registered; 0 means long ago
@@ -50,15 +50,15 @@
 class ServiceRegistrations {
   public:
     struct Bounds {
-        double flap_within = 10;  // s; a removal at most this long after the start is a flap
-        double trust_after =
-            0.5;                 // s that a start is delayed after the second flap; doubles with each further
-        double trust_most = 30;  // s, upper bound of that delay
-        double forgiven_after = 60;  // s of stability after which the flap count is reset
-        double wiped_within = 1;     // s, window in which removals are counted
-        double wiped_part = 0.5;     // removals are suspect above this ratio of all available registrations
-        int wiped_least = 3;         // removals are suspect only from this number on
-        double doubted_most = 30;    // s that suspect registrations are kept
+        double max_flap_uptime = 10;  // s; a removal at most this long after the start is a flap
+        // s by which a start is delayed after the second flap; doubles with each further flap
+        double initial_start_delay = 0.5;
+        double max_start_delay = 30;      // s, upper bound of that delay
+        double flap_reset_time = 60;      // s of stability after which the flap count is reset
+        double mass_removal_window = 1;   // s, window in which removals are counted
+        double mass_removal_ratio = 0.5;  // of all available registrations; above it removals are suspect
+        int min_mass_removals = 3;        // removals are suspect only from this number on
+        double max_suspect_time = 30;     // s that suspect registrations are kept
     };
 
     explicit ServiceRegistrations(Bounds bounds) : bounds_(bounds) {}
@@ -66,13 +66,13 @@
 
     // Applies a full view as of `order`, the service's transaction id. Returns false if the view is older
     // than an earlier one and is ignored.
-    bool view(double now, std::int64_t order, const std::vector<Registration>& all);
-    // To be called when the service is reachable; view() calls it.
-    void connected(double now);
+    bool apply_view(double now, std::int64_t order, const std::vector<Registration>& registrations);
+    // To be called when the service is reachable; apply_view() calls it.
+    void on_connected(double now);
     // To be called when the session is lost or the service is unreachable.
-    void lost(double now);
+    void on_connection_lost(double now);
     // An operator confirms that the suspect registrations are removed.
-    void believe(double now);
+    void confirm_removals(double now);
     // Handles expired delays; to be called at next_at().
     void tick(double now);
     // The time at which the next delay expires; infinity if there is none.
@@ -82,9 +82,9 @@
     std::vector<RegistrationChange> take_changes();
 
     // The number of registrations reported as ready, suspect ones included.
-    std::size_t standing() const;
+    std::size_t count_available() const;
     // The number of suspect registrations.
-    std::size_t doubted() const;
+    std::size_t count_suspect() const;
     // Seconds since the connection to the service was lost; 0 while connected and before the first view.
     double age(double now) const;
 
@@ -105,7 +105,7 @@
 
     void on_registered(double now, const Registration& registration);
     void on_removed(double now, Entry& entry);
-    void report(Entry& entry, EndpointState standing, bool fresh);
+    void report(Entry& entry, EndpointState state, bool fresh);
     void suspect_mass_removal(double now);
 
     Bounds bounds_;
--- a/src/discovery/coordination_client.cpp
+++ b/src/discovery/coordination_client.cpp
@@ -20,13 +20,13 @@
 
 CoordinationClient::CoordinationClient(TimerQueue& timers, Log& log, std::vector<std::string> addresses,
                                        std::string path, double session_timeout, std::uint64_t seed,
-                                       CoordinationSession::Read read, OnChanges on_changes)
+                                       CoordinationSession::Decode decode, OnChanges on_changes)
     : timers_(timers),
       log_(log),
       addresses_(std::move(addresses)),
       random_(static_cast<std::ranlux24_base::result_type>(seed)),
       on_changes_(std::move(on_changes)),
-      session_(std::move(path), session_timeout, registrations_, std::move(read),
+      session_(std::move(path), session_timeout, registrations_, std::move(decode),
                {[this](const std::string& frame) { connection_->write(frame); },
                 [this](const char* reason) {
                     log_.line(Topic::discovery, "registry_lost", std::string("registry: ") + reason);
@@ -56,7 +56,7 @@
 
 void CoordinationClient::on_event(TcpConnection::Event event) {
     if (event == TcpConnection::Event::connected) {
-        session_.up(monotonic_now());
+        session_.on_connected(monotonic_now());
         process_changes();
     }
     if (event == TcpConnection::Event::readable) read_frames();
@@ -72,8 +72,8 @@
         if (frame_size == 0) break;
         const std::string frame(payload);  // copied, because consume() may move the buffer of the payload
         connection_->consume(frame_size);
-        session_.received(monotonic_now(), frame);
-        if (session_.follows()) reconnect_delay_ = kMinReconnectDelay;
+        session_.on_frame(monotonic_now(), frame);
+        if (session_.is_established()) reconnect_delay_ = kMinReconnectDelay;
     }
     process_changes();
 }
@@ -88,7 +88,7 @@
     const double now = monotonic_now();
     timers_.cancel(session_timer_);
     if (disconnected_ && reconnect_timer_ == TimerQueue::Handle{}) {
-        session_.broke(now);
+        session_.on_disconnected(now);
         connection_->close();
         // Many nodes lose the service at the same moment; jitter prevents simultaneous reconnects.
         const double jitter =
--- a/src/discovery/coordination_client.h
+++ b/src/discovery/coordination_client.h
@@ -31,7 +31,7 @@
     // determines the order of addresses and the jitter; `read` decodes the data of one registration.
     // `addresses` must not be empty.
     CoordinationClient(TimerQueue& timers, Log& log, std::vector<std::string> addresses, std::string path,
-                       double session_timeout, std::uint64_t seed, CoordinationSession::Read read,
+                       double session_timeout, std::uint64_t seed, CoordinationSession::Decode decode,
                        OnChanges on_changes);
     // Opens the first connection.
     void start();
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -62,15 +62,15 @@
       random_(static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32))) {}
 
 void EndpointWatch::poll() {
-    if (watching_) return;
-    watching_ = true;
+    if (is_watching_) return;
+    is_watching_ = true;
     send_request();
 }
 
-void EndpointWatch::move_to(const std::string& address, const Names& names, bool polls) {
+void EndpointWatch::reconfigure(const std::string& address, const Names& names, bool polls) {
     polls_ = polls;
     const bool unchanged = address == address_ && names == names_;
-    if (unchanged && (watching_ || polls)) return;
+    if (unchanged && (is_watching_ || polls)) return;
     address_ = address;
     names_ = names;
     version_ = kNoVersion;
@@ -78,7 +78,7 @@
     retry_delay_ = kMinRetryDelay;
     if (connection_ != nullptr) disconnect();
     timers_.cancel(retry_timer_);
-    watching_ = true;
+    is_watching_ = true;
     send_request();
 }
 
@@ -114,9 +114,9 @@
 void EndpointWatch::on_request_timeout() {
     const double now = monotonic_now();
     if (connection_->has_unreceived_input()) return arm_request_timer(now + kRecheckDelay);
-    const double flows_until = last_byte_at_ + kStallTimeout;
-    if (first_byte_at_ > 0 && now < std::min(flows_until, first_byte_at_ + kMaxTransfer))
-        return arm_request_timer(flows_until);
+    const double stalls_at = last_byte_at_ + kStallTimeout;
+    if (first_byte_at_ > 0 && now < std::min(stalls_at, first_byte_at_ + kMaxTransfer))
+        return arm_request_timer(stalls_at);
     on_failure(first_byte_at_ == 0 ? "response timeout" : "the response stalled", true);
 }
 
@@ -177,9 +177,9 @@
         version_ = kNoVersion;
         return on_failure("a list older than the one held");
     }
-    for (const std::string& complaint : update.errors) {
+    for (const std::string& error : update.errors) {
         log_.line(Topic::discovery, "entry_left_out",
-                  "ignored an invalid entry of the endpoint list: " + complaint);
+                  "ignored an invalid entry of the endpoint list: " + error);
     }
     request_pending_ = false;
     timers_.cancel(request_timer_);
@@ -209,12 +209,12 @@
     // After the first timeout of a watch, most of the 6 s for a change are used up, so the next request does
     // not wait for the owner. That is safe, because the watches of many nodes end at different times; any
     // other failure may have affected all nodes at the same moment.
-    const bool silent = timed_out && !std::exchange(last_request_timed_out_, timed_out);
+    const bool is_first_timeout = timed_out && !std::exchange(last_request_timed_out_, timed_out);
     disconnect();
     // Unsolicited bytes may cause a failure while the next request is scheduled.
     timers_.cancel(retry_timer_);
-    watching_ = false;
-    if (polls_ && !silent) return on_failed_();
+    is_watching_ = false;
+    if (polls_ && !is_first_timeout) return on_failed_();
     const double jitter =
         0.5 + static_cast<double>(random_()) / static_cast<double>(std::ranlux24_base::max());
     retry_timer_ = timers_.schedule(monotonic_now() + retry_delay_ * jitter, [this] {
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -35,7 +35,7 @@
     // Changes the address and the names by which updates are decoded. If either is new, the full list is
     // requested at once: another discovery service has its own versions, and entries that the old names could
     // not resolve are sent again only in a full list. `polls`: whether the balancer decides when to poll.
-    void move_to(const std::string& address, const Names& names, bool polls);
+    void reconfigure(const std::string& address, const Names& names, bool polls);
 
   private:
     void send_request();
@@ -59,7 +59,7 @@
     std::unique_ptr<TcpConnection> connection_;
     bool request_pending_ = false;
     bool last_request_timed_out_ = false;  // a request has timed out since the last valid response
-    bool watching_ = false;
+    bool is_watching_ = false;
     bool is_confirmed_;  // discovery has responded, so the list held is no longer only that of the file
     // When the first and the last byte of the current response arrived, monotonic; 0 if none has.
     double first_byte_at_ = 0;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,7 +21,8 @@
 namespace {
 
 // Runs the node with the configuration file `given`, or if that is empty with the file named by GW_CONFIG.
-int run_node(const std::string& config_path, const std::string& operator_path, const std::string& log_format) {
+int run_node(const std::string& config_path, const std::string& operator_path,
+             const std::string& log_format) {
     std::string path = config_path;
     if (path.empty()) {
         const char* variable = std::getenv("GW_CONFIG");
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -15,7 +15,7 @@
 // Seconds after closes_at() until the front proxy counts as moved away; by then it has sent nothing new to
 // this node for some time.
 constexpr double kFrontProxyDelay = 0.5;
-constexpr double kQuietTime = 0.5;         // s without a command after which the clients count as gone
+constexpr double kQuietTime = 0.5;     // s without a command after which the clients count as gone
 constexpr double kMaxKillDelay = 3.0;  // s; longer client timeouts do not delay the kill further
 // Seconds after min(longest client timeout, kMaxKillDelay) at which open requests fail; 0.3 s before the
 // kill.
--- a/src/proxy/graceful_shutdown.h
+++ b/src/proxy/graceful_shutdown.h
@@ -34,7 +34,7 @@
 
   private:
     double began_at_ = 0;
-    double closes_at_ = 0;        // 0: the shutdown has not begun
+    double closes_at_ = 0;         // 0: the shutdown has not begun
     double fail_requests_at_ = 0;  // when requests that are still open fail
 };
 
--- a/src/proxy/metrics.h
+++ b/src/proxy/metrics.h
@@ -52,7 +52,8 @@
     static constexpr std::size_t kOutcomes = static_cast<std::size_t>(AttemptOutcome::miss) + 1;
     static constexpr std::size_t kRefusals = static_cast<std::size_t>(SendRefusal::over_quota) + 1;
     std::uint64_t deferrals_ = 0, lists_ = 0, list_bytes_ = 0, sends_ = 0;
-    double total_list_seconds_ = 0, max_list_seconds_ = 0, total_send_list_age_ = 0, max_send_list_age_ = 0;  // s
+    double total_list_seconds_ = 0, max_list_seconds_ = 0, total_send_list_age_ = 0,
+           max_send_list_age_ = 0;  // s
     std::uint64_t requests_ = 0, clock_steps_ = 0, pauses_ = 0, reloads_taken_ = 0, reloads_refused_ = 0;
     std::array<std::uint64_t, static_cast<std::size_t>(RequestEnd::count)> request_ends_{};
     std::array<std::uint64_t, kOutcomes> attempt_ends_{};
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -40,8 +40,9 @@
 // process; if the agent does not respond, the node has to serve without it.
 constexpr double kFirstListTimeout = 0.3;
 
-constexpr double kEvictionInterval = 1.0;    // s between checks, until all removed servers are evicted
-constexpr double kStreamGiveUpMargin = 0.05;       // s before its deadline at which a streamed response is given up
+constexpr double kEvictionInterval = 1.0;  // s between checks, until all removed servers are evicted
+constexpr double kStreamGiveUpMargin =
+    0.05;                                    // s before its deadline at which a streamed response is given up
 constexpr double kHealthCheckTimeout = 0.5;  // s; a health check has no request with a deadline
 
 constexpr double kAdminStateInterval = 0.025;  // s between reloads of the state that sibling processes change
@@ -161,9 +162,10 @@
               });
           },
           [this] { event_queue_.emplace_back([this](double now) { balancer_->on_poll_failed(now); }); }),
-      admin_server_(
-          timers_, log,
-          [this](std::uint64_t caller, const HttpRequest& request) { handle_admin_request(caller, request); }),
+      admin_server_(timers_, log,
+                    [this](std::uint64_t caller, const HttpRequest& request) {
+                        handle_admin_request(caller, request);
+                    }),
       admin_state_(node_folder(config)),
       warm_start_file_(node_folder(config) + "/learned"),
       servers_(config_.deployment, wall_clock_.read().wall_offset) {
@@ -360,7 +362,7 @@
                   (has_new_names ? ", names changed" : ""));
     if (shutdown_.has_begun()) shutdown_.on_configuration(longest_client_timeout());
     if (coordination_ == nullptr)
-        endpoint_watch_.move_to(config.discovery, config.names, config.deployment.polls_endpoints);
+        endpoint_watch_.reconfigure(config.discovery, config.names, config.deployment.polls_endpoints);
 }
 
 // Applies the fleet quotas, the only part of the operators' configuration that can change in a running node.
@@ -414,9 +416,9 @@
     const bool is_duplicate_id = requests_.is_id_open(command.id);
     if (operation < 0 || is_duplicate_id || is_full) {
         // The request is rejected here and the balancer is not told of it.
-        const std::string text = operation < 0 ? "CLIENT_ERROR unknown operation\r\n"
-                                 : is_duplicate_id    ? "CLIENT_ERROR id in use\r\n"
-                                               : format_busy(0);
+        const std::string text = operation < 0     ? "CLIENT_ERROR unknown operation\r\n"
+                                 : is_duplicate_id ? "CLIENT_ERROR id in use\r\n"
+                                                   : format_busy(0);
         event_queue_.emplace_back([this, client, text](double) { clients_.respond(client, text); });
         return ClientConnections::kNoRequest;
     }
--- a/src/proxy/request_trace.cpp
+++ b/src/proxy/request_trace.cpp
@@ -41,7 +41,10 @@
                       kEventNames[static_cast<std::size_t>(entry.event)]);
         lines += line.data();
         if (entry.attempt != kNoAttempt)
-            lines.append(" ").append(std::to_string(entry.attempt)).append(" at ").append(entry.server.data());
+            lines.append(" ")
+                .append(std::to_string(entry.attempt))
+                .append(" at ")
+                .append(entry.server.data());
         if (!entry.detail.empty()) lines.append(", ").append(entry.detail);
         lines += "\n";
     }
--- a/src/proxy/server_table.cpp
+++ b/src/proxy/server_table.cpp
@@ -83,7 +83,7 @@
                                   const ClockReading& clock) {
     Server& server = at(number);
     const bool is_changed = state.drained != server.admin_state.drained ||
-                        std::abs(state.restored_at - server.admin_state.restored_at) >= kRestoreTolerance;
+                            std::abs(state.restored_at - server.admin_state.restored_at) >= kRestoreTolerance;
     server.admin_state = state;
     if (is_changed)
         server.restored_since = state.restored_at == 0 ? 0
--- a/src/proxy/sibling_processes.h
+++ b/src/proxy/sibling_processes.h
@@ -28,9 +28,9 @@
 
   private:
     std::string folder_;
-    std::string file_name_;  // of this process's file, without the folder
-    int descriptor_ = -1;          // the descriptor of this process's file
-    int published_descriptors_ = -1;     // the number of descriptors last published
+    std::string file_name_;           // of this process's file, without the folder
+    int descriptor_ = -1;             // the descriptor of this process's file
+    int published_descriptors_ = -1;  // the number of descriptors last published
 };
 
 }  // namespace brookrelay
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -18,16 +18,16 @@
 
 // One follower and one service, and the messages between them, which stay on the way until deliver().
 struct Pair {
-    std::deque<std::string> to_follower;
+    std::deque<std::string> to_session;
     std::uint64_t connection = 0;
     double now = 0;
     std::vector<std::string> left_out, hung_up;
     FakeCoordinator service{{[this](std::uint64_t c, const std::string& frame) {
-                                 if (c == connection) to_follower.push_back(frame.substr(4));
+                                 if (c == connection) to_session.push_back(frame.substr(4));
                              },
                              [](std::uint64_t) {}}};
     ServiceRegistrations registrations;
-    CoordinationSession follower{
+    CoordinationSession session{
         "/fleet",
         4,
         registrations,
@@ -60,14 +60,14 @@
     }
     void up() {
         ++connection;
-        to_follower.clear();
-        follower.up(now);
+        to_session.clear();
+        session.on_connected(now);
     }
     bool deliver_one() {
-        if (to_follower.empty()) return false;
-        const std::string payload = to_follower.front();
-        to_follower.pop_front();
-        follower.received(now, payload);
+        if (to_session.empty()) return false;
+        const std::string payload = to_session.front();
+        to_session.pop_front();
+        session.on_frame(now, payload);
         return true;
     }
     void deliver() {
@@ -134,8 +134,8 @@
     p.up();
     p.deliver();
     (void)p.told();
-    const std::int64_t session = p.follower.session();
-    p.follower.broke(p.now);
+    const std::int64_t session_id = p.session.session_id();
+    p.session.on_disconnected(p.now);
     p.service.ended(p.connection);
     EXPECT_EQ(p.told(), "");
     p.drop("a");
@@ -143,19 +143,19 @@
     p.add("b");
     p.up();
     p.deliver();
-    EXPECT_EQ(p.follower.session(), session);
+    EXPECT_EQ(p.session.session_id(), session_id);
     EXPECT_EQ(p.told(), "+b -a");
     // Expired: the first connection learns it, the next one begins anew.
-    p.service.expire(session);
-    p.follower.broke(p.now);
+    p.service.expire(session_id);
+    p.session.on_disconnected(p.now);
     p.up();
     p.deliver();
     EXPECT_EQ(p.hung_up, (std::vector<std::string>{"the session has expired"}));
     EXPECT_EQ(p.told(), "");
     p.up();
     p.deliver();
-    EXPECT_NE(p.follower.session(), session);
-    EXPECT_TRUE(p.follower.follows());
+    EXPECT_NE(p.session.session_id(), session_id);
+    EXPECT_TRUE(p.session.is_established());
     EXPECT_EQ(p.told(), "");
 }
 
@@ -165,22 +165,22 @@
     p.up();
     p.deliver();
     for (int i = 0; i < 100; ++i) {
-        p.now = p.follower.next_at();
-        p.follower.tick(p.now);
+        p.now = p.session.next_at();
+        p.session.tick(p.now);
         p.deliver();
         p.service.touch(p.now, p.owner);
         p.service.tick(p.now);
     }
     EXPECT_GT(p.now, 100);  // far beyond its time-out, and it still follows
-    EXPECT_TRUE(p.follower.follows());
+    EXPECT_TRUE(p.session.is_established());
     EXPECT_TRUE(p.hung_up.empty());
     const double silent_from = p.now;
     while (p.hung_up.empty()) {
-        p.now = p.follower.next_at();
-        p.follower.tick(p.now);
+        p.now = p.session.next_at();
+        p.session.tick(p.now);
     }
     EXPECT_LE(p.now - silent_from, 4 * 2.0 / 3.0 + 0.01);
-    EXPECT_EQ(p.registrations.standing(), 1U);
+    EXPECT_EQ(p.registrations.count_available(), 1U);
 }
 
 // Changes, losses and reconnections at random places between the messages: in the end the picture is the
@@ -208,7 +208,7 @@
                     break;
                 case 3:
                     if (chance() % 4 == 0) {
-                        p.follower.broke(p.now);
+                        p.session.on_disconnected(p.now);
                         p.service.ended(p.connection);
                         p.up();
                     }
@@ -216,7 +216,7 @@
                 default:
                     (void)p.deliver_one();
             }
-            p.follower.tick(p.now);
+            p.session.tick(p.now);
             if (!p.hung_up.empty()) {
                 p.hung_up.clear();
                 p.service.ended(p.connection);
@@ -224,10 +224,10 @@
             }
         }
         p.deliver();
-        ASSERT_TRUE(p.follower.follows());
+        ASSERT_TRUE(p.session.is_established());
         // Doubts and damping pass with time, and the truth is left.
         p.registrations.tick(p.now + 100);
-        EXPECT_EQ(p.registrations.standing(), p.service.children("/fleet").size());
+        EXPECT_EQ(p.registrations.count_available(), p.service.children("/fleet").size());
     }
 }
 
@@ -247,9 +247,9 @@
                         .number(0)
                         .payload() +
                     bytes;
-        p.follower.received(p.now, bytes);
+        p.session.on_frame(p.now, bytes);
         p.deliver();
-        EXPECT_LE(p.registrations.standing(), 1U);
+        EXPECT_LE(p.registrations.count_available(), 1U);
     }
 }
 
--- a/tests/registrations_test.cpp
+++ b/tests/registrations_test.cpp
@@ -12,10 +12,10 @@
 
 using namespace brookrelay;
 
-Registration box(const std::string& name, std::int64_t created = 1) {
+Registration box(const std::string& name, std::int64_t creation_id = 1) {
     Registration r;
     r.name = name;
-    r.created = created;
+    r.creation_id = creation_id;
     r.address = "127.0.0.1:1";
     return r;
 }
@@ -41,17 +41,17 @@
 
 TEST(Registrations, TellsWhoComesAndGoes) {
     ServiceRegistrations r;
-    EXPECT_TRUE(r.view(0, 1, {box("a"), box("b"), box("c"), box("d")}));
+    EXPECT_TRUE(r.apply_view(0, 1, {box("a"), box("b"), box("c"), box("d")}));
     EXPECT_EQ(told(r), "+a +b +c +d");
-    EXPECT_TRUE(r.view(100, 2, {box("a"), box("c"), box("d")}));
+    EXPECT_TRUE(r.apply_view(100, 2, {box("a"), box("c"), box("d")}));
     EXPECT_EQ(told(r), "-b");  // in the same call: nothing waits
-    EXPECT_TRUE(r.view(101, 3, {box("a"), box("c", 9), box("d")}));
+    EXPECT_TRUE(r.apply_view(101, 3, {box("a"), box("c", 9), box("d")}));
     EXPECT_EQ(told(r), "+c");  // replaced within one gap: a new start
-    EXPECT_FALSE(r.view(102, 2, {box("a")}));
+    EXPECT_FALSE(r.apply_view(102, 2, {box("a")}));
     EXPECT_EQ(told(r), "");  // older than what is known
     Registration moved = box("a");
     moved.address = "127.0.0.2:1";
-    EXPECT_TRUE(r.view(103, 4, {moved, box("c", 9), box("d")}));
+    EXPECT_TRUE(r.apply_view(103, 4, {moved, box("c", 9), box("d")}));
     EXPECT_EQ(told(r), "=a");
 }
 
@@ -66,16 +66,16 @@
     for (int i = 0; i < 300; ++i, now += 0.2) {
         with = others;
         with.push_back(box("flap", 100 + i));
-        (void)r.view(now, ++order, with);
+        (void)r.apply_view(now, ++order, with);
         if (told(r).find("+flap") != std::string::npos) ++comings;
-        (void)r.view(now + 0.1, ++order, others);
+        (void)r.apply_view(now + 0.1, ++order, others);
         (void)told(r);
     }
     EXPECT_LE(comings, 4);  // the first ones; then it is gone again before it is trusted
-    EXPECT_EQ(r.standing(), 5U);
+    EXPECT_EQ(r.count_available(), 5U);
     // It comes to stay: trusted within the bound.
     with.back() = box("flap", 999);
-    (void)r.view(now, ++order, with);
+    (void)r.apply_view(now, ++order, with);
     EXPECT_EQ(told(r), "");
     longest = r.next_at() - now;
     EXPECT_LE(longest, 30.0);
@@ -83,49 +83,49 @@
     r.tick(r.next_at());
     EXPECT_EQ(told(r), "+flap");
     // Steady for long, it is forgiven, and its next coming waits for nothing.
-    (void)r.view(now + 200, ++order, with);
-    (void)r.view(now + 201, ++order, others);
+    (void)r.apply_view(now + 200, ++order, with);
+    (void)r.apply_view(now + 201, ++order, others);
     EXPECT_EQ(told(r), "-flap");
     with.back() = box("flap", 1000);
-    (void)r.view(now + 202, ++order, with);
+    (void)r.apply_view(now + 202, ++order, with);
     EXPECT_EQ(told(r), "+flap");
 }
 
 TEST(Registrations, AListWipedCleanIsDoubted) {
     ServiceRegistrations r;
-    (void)r.view(0, 1, boxes(10));
+    (void)r.apply_view(0, 1, boxes(10));
     (void)told(r);
-    (void)r.view(100, 2, {});
+    (void)r.apply_view(100, 2, {});
     EXPECT_EQ(told(r), "=b0 =b1 =b2 =b3 =b4 =b5 =b6 =b7 =b8 =b9");  // kept as they were, none of them fresh
-    EXPECT_EQ(r.doubted(), 10U);
+    EXPECT_EQ(r.count_suspect(), 10U);
     // Half come back under their old creation: nothing to tell. One is a new start.
     std::vector<Registration> some = boxes(4);
     some.push_back(box("b4", 77));
-    (void)r.view(101, 3, some);
+    (void)r.apply_view(101, 3, some);
     EXPECT_NE(told(r).find("+b4"), std::string::npos);
-    EXPECT_EQ(r.doubted(), 5U);
+    EXPECT_EQ(r.count_suspect(), 5U);
     r.tick(129.9);
     EXPECT_EQ(told(r), "");
     r.tick(130.1);
     EXPECT_EQ(told(r), "-b5 -b6 -b7 -b8 -b9");
-    EXPECT_EQ(r.standing(), 5U);
+    EXPECT_EQ(r.count_available(), 5U);
 }
 
 // Sessions that expire one after another within a moment, each in a view of its own.
 TEST(Registrations, AWipeInManyViewsIsDoubtedToo) {
     ServiceRegistrations r;
-    (void)r.view(0, 1, boxes(10));
+    (void)r.apply_view(0, 1, boxes(10));
     (void)told(r);
-    for (int gone = 1; gone <= 10; ++gone) (void)r.view(100 + 0.02 * gone, 1 + gone, boxes(10, gone));
-    EXPECT_EQ(r.standing(), 10U);
-    EXPECT_EQ(r.doubted(), 10U);
-    r.believe(101);  // an operator knows better
-    EXPECT_EQ(r.standing(), 0U);
+    for (int gone = 1; gone <= 10; ++gone) (void)r.apply_view(100 + 0.02 * gone, 1 + gone, boxes(10, gone));
+    EXPECT_EQ(r.count_available(), 10U);
+    EXPECT_EQ(r.count_suspect(), 10U);
+    r.confirm_removals(101);  // an operator knows better
+    EXPECT_EQ(r.count_available(), 0U);
     // Over a longer time they are gone, one by one.
     ServiceRegistrations slow;
-    (void)slow.view(0, 1, boxes(10));
-    for (int gone = 1; gone <= 10; ++gone) (void)slow.view(100 + 2.0 * gone, 1 + gone, boxes(10, gone));
-    EXPECT_EQ(slow.standing(), 0U);
+    (void)slow.apply_view(0, 1, boxes(10));
+    for (int gone = 1; gone <= 10; ++gone) (void)slow.apply_view(100 + 2.0 * gone, 1 + gone, boxes(10, gone));
+    EXPECT_EQ(slow.count_available(), 0U);
 }
 
 TEST(Registrations, FewAreNeverHeldBack) {
@@ -136,28 +136,28 @@
                  {10, 5, false}, {10, 6, true}, {1000, 500, false}};
     for (const auto& c : cases) {
         ServiceRegistrations r;
-        (void)r.view(0, 1, boxes(c.all));
-        (void)r.view(100, 2, boxes(c.all, c.go));
-        EXPECT_EQ(r.doubted(), c.doubted ? static_cast<std::size_t>(c.go) : 0U) << c.all << " " << c.go;
-        EXPECT_EQ(r.standing(), static_cast<std::size_t>(c.doubted ? c.all : c.all - c.go));
+        (void)r.apply_view(0, 1, boxes(c.all));
+        (void)r.apply_view(100, 2, boxes(c.all, c.go));
+        EXPECT_EQ(r.count_suspect(), c.doubted ? static_cast<std::size_t>(c.go) : 0U) << c.all << " " << c.go;
+        EXPECT_EQ(r.count_available(), static_cast<std::size_t>(c.doubted ? c.all : c.all - c.go));
     }
 }
 
 TEST(Registrations, WithoutTheCoordinatorTheListStands) {
     ServiceRegistrations r;
-    (void)r.view(0, 1, boxes(5));
+    (void)r.apply_view(0, 1, boxes(5));
     (void)told(r);
-    r.lost(10);
+    r.on_connection_lost(10);
     r.tick(4000);
     EXPECT_EQ(told(r), "");
-    EXPECT_EQ(r.standing(), 5U);
+    EXPECT_EQ(r.count_available(), 5U);
     EXPECT_DOUBLE_EQ(r.age(70), 60);
     // Those who are doubted stay for as long as it is away.
-    (void)r.view(4100, 2, {});
+    (void)r.apply_view(4100, 2, {});
     (void)told(r);
-    r.lost(4101);
+    r.on_connection_lost(4101);
     r.tick(5000);
-    EXPECT_EQ(r.standing(), 5U);
+    EXPECT_EQ(r.count_available(), 5U);
     EXPECT_EQ(r.next_at(), INFINITY);
 }
 
@@ -166,10 +166,10 @@
     for (int i = 0; i < 5000; ++i) {
         std::vector<Registration> all = boxes(4);
         all.push_back(box("once-" + std::to_string(i), i));
-        (void)r.view(i, i, all);
+        (void)r.apply_view(i, i, all);
         (void)r.take_changes();
     }
-    EXPECT_EQ(r.standing(), 5U);
+    EXPECT_EQ(r.count_available(), 5U);
 }
 
 }  // namespace
