--- a/tests/coordinator_test.cpp
+++ b/tests/coordinator_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in coordinator by its wire, message by message, and with bytes that are none.
+// The fake coordination service at the level of its protocol: single messages, and random bytes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,6 +16,7 @@
 using namespace brookrelay;
 using namespace brookrelay::testkit;
 
+// Connections to the service, with the frames that it sent to each of them.
 struct Peer {
     std::map<std::uint64_t, std::vector<std::string>> sent;
     std::vector<std::uint64_t> hung_up;
@@ -28,7 +29,7 @@
                              [this](std::uint64_t c) { hung_up.push_back(c); }}};
 
     std::string last(std::uint64_t c) { return sent[c].empty() ? "" : sent[c].back(); }
-    // Session id and password.
+    // Opens or resumes a session. Returns its id and password.
     std::pair<std::int64_t, std::string> connect(double now, std::uint64_t c, int timeout_ms,
                                                  std::int64_t session = 0,
                                                  const std::string& password = std::string(16, '\0'),
@@ -42,7 +43,7 @@
         const std::int64_t id = in.long_number();
         return {id, in.text()};
     }
-    // The answer's error; the reader stands behind the header.
+    // Sends a request and returns the error code of the reply; `rest` receives the reply after its header.
     std::int32_t call(double now, std::uint64_t c, CoordinatorCall type, const JuteWriter& body,
                       std::string* rest = nullptr) {
         JuteWriter head;
@@ -72,14 +73,14 @@
         EXPECT_EQ(call(now, c, CoordinatorCall::get_children2, w, &rest), 0);
         JuteReader in(rest);
         auto names = in.texts();
-        for (int i = 0; i < 17; ++i) (void)in.number();  // the stat: 68 bytes
+        for (int i = 0; i < 17; ++i) (void)in.number();  // the stat structure: 68 bytes
         EXPECT_TRUE(in.sound() && in.at_end());
         return names;
     }
     int xid = 0;
 };
 
-// An event's kind and path; kind 0: it is none.
+// The type and path of a watch event; type 0 if the message is not an event.
 std::pair<int, std::string> event_of(const std::string& payload) {
     JuteReader in(payload);
     if (in.number() != -1) return {0, ""};
@@ -107,10 +108,10 @@
     EXPECT_EQ(p.children(0.3, 1, "/fleet", true).size(), 2U);
     p.service.ended(2);
     p.service.tick(1.05);
-    EXPECT_EQ(p.service.children("/fleet").size(), 2U);  // its session may move yet
+    EXPECT_EQ(p.service.children("/fleet").size(), 2U);  // the session may still move to another connection
     p.service.tick(1.2);
     EXPECT_EQ(p.service.children("/fleet").size(), 0U);
-    // Asked for twice, a watch fires once.
+    // A watch that was set twice triggers once.
     EXPECT_EQ(event_of(p.last(1)), (std::pair<int, std::string>{4, "/fleet"}));
     EXPECT_EQ(std::count_if(p.sent[1].begin(), p.sent[1].end(),
                             [](const auto& f) { return event_of(f).first != 0; }),
@@ -126,16 +127,16 @@
     EXPECT_EQ(p.hung_up, (std::vector<std::uint64_t>{1}));
     p.service.tick(1.2);
     EXPECT_TRUE(p.service.exists("/a"));
-    EXPECT_EQ(p.connect(1.2, 3, 1000, id, std::string(16, 'x')).first, 0);  // not its password
+    EXPECT_EQ(p.connect(1.2, 3, 1000, id, std::string(16, 'x')).first, 0);  // wrong password
     p.service.tick(2);
     EXPECT_FALSE(p.service.exists("/a"));
     EXPECT_EQ(p.connect(2, 4, 1000, id, password).first, 0);  // expired
-    // A client that has seen what this one has not yet is sent elsewhere.
+    // A client that has seen a later transaction than this server is disconnected, to try another server.
     p.connect(2, 5, 1000, 0, std::string(16, '\0'), 1 << 20);
     EXPECT_EQ(p.hung_up.back(), 5U);
 }
 
-// What happened between a lost connection and the next is told when watches are set again.
+// Changes between a lost connection and the next one are reported when the watches are set again.
 TEST(FakeCoordinator, SetsWatchesAgainWithoutAGap) {
     Peer p;
     const auto [id, password] = p.connect(0, 1, 5000);
@@ -168,7 +169,8 @@
         p.connect(1, c, 1000);
         std::string bytes(chance() % 60, '\0');
         for (char& b : bytes) b = static_cast<char>(chance());
-        // Often a known call with spoilt arguments: pure chance would hardly ever name one.
+        // Three of four messages have a request type with malformed arguments, which random bytes alone would
+        // hardly ever have.
         if (chance() % 4 != 0) {
             JuteWriter head;
             head.number(1).number(static_cast<std::int32_t>(chance() % 14));
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -1,5 +1,5 @@
-// The follower against the stand-in coordinator, without sockets: each step of the clock and each message is
-// the test's. What the decision module would be told is looked at after it.
+// The coordination session against the fake coordination service, without sockets: the test controls the
+// clock and the delivery of each message, and checks the endpoint changes that result.
 #include <gtest/gtest.h>
 
 #include <boost/random/mersenne_twister.hpp>
@@ -16,7 +16,7 @@
 using namespace brookrelay;
 using testkit::FakeCoordinator;
 
-// One follower and one service, and the messages between them, which stay on the way until deliver().
+// One session and one service. Messages to the session are queued until deliver() or deliver_one().
 struct Pair {
     std::deque<std::string> to_session;
     std::uint64_t connection = 0;
@@ -95,19 +95,19 @@
     EXPECT_EQ(p.told(), "+a +b +c +d");
     EXPECT_EQ(p.left_out, (std::vector<std::string>{"e: no address"}));
     p.drop("b");
-    // One message is enough to be told: no answer of the service is waited for.
+    // The watch event alone is sufficient: no reply of the service is waited for.
     EXPECT_TRUE(p.deliver_one());
     EXPECT_EQ(p.told(), "-b");
     p.deliver();
     p.add("f");
     p.deliver();
     EXPECT_EQ(p.told(), "+f");
-    // Removed and created again before anything of it is heard.
+    // Removed and created again before any event is delivered.
     p.drop("a");
     p.add("a");
     p.deliver();
     EXPECT_EQ(p.told(), "+a");
-    // Its data changes while it is being read.
+    // The data changes while it is being read.
     (void)p.service.set(p.now, "/fleet/c", "127.0.0.1:2");
     EXPECT_TRUE(p.deliver_one());
     (void)p.service.set(p.now, "/fleet/c", "127.0.0.1:3");
@@ -115,13 +115,13 @@
     EXPECT_EQ(p.told(), "=c");
 }
 
-// A removal in the midst of the first reading does not pass a part for the whole: answers come in their
-// order.
+// A removal during the first read of the children does not cause an incomplete view to be published: replies
+// arrive in order.
 TEST(Follower, ShowsNoPartOfTheFirstPicture) {
     Pair p;
     for (const char* name : {"a", "b", "c", "d", "e"}) p.add(name);
     p.up();
-    EXPECT_TRUE(p.deliver_one());  // the greeting: the listing is on its way
+    EXPECT_TRUE(p.deliver_one());  // the connect response; the listing is now in flight
     p.drop("a");
     std::string first;
     while (first.empty() && p.deliver_one()) first = p.told();
@@ -145,7 +145,7 @@
     p.deliver();
     EXPECT_EQ(p.session.session_id(), session_id);
     EXPECT_EQ(p.told(), "+b -a");
-    // Expired: the first connection learns it, the next one begins anew.
+    // The session expires: the first connection is told so, and the next one opens a new session.
     p.service.expire(session_id);
     p.session.on_disconnected(p.now);
     p.up();
@@ -171,7 +171,7 @@
         p.service.touch(p.now, p.owner);
         p.service.tick(p.now);
     }
-    EXPECT_GT(p.now, 100);  // far beyond its time-out, and it still follows
+    EXPECT_GT(p.now, 100);  // far longer than the session timeout
     EXPECT_TRUE(p.session.is_established());
     EXPECT_TRUE(p.hung_up.empty());
     const double silent_from = p.now;
@@ -183,8 +183,8 @@
     EXPECT_EQ(p.registrations.count_available(), 1U);
 }
 
-// Changes, losses and reconnections at random places between the messages: in the end the picture is the
-// truth.
+// Changes, lost connections and reconnects at random points between the messages: in the end the
+// registrations equal those of the service.
 TEST(Follower, EndsWithTheTruthWhateverTheOrder) {
     for (unsigned seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE(seed);
@@ -225,7 +225,7 @@
         }
         p.deliver();
         ASSERT_TRUE(p.session.is_established());
-        // Doubts and damping pass with time, and the truth is left.
+        // Suspect registrations and delayed starts expire.
         p.registrations.tick(p.now + 100);
         EXPECT_EQ(p.registrations.count_available(), p.service.children("/fleet").size());
     }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,5 +1,5 @@
-// The program itself, over loopback sockets: it is started with small stand-ins for caches, the origin and
-// discovery, and spoken to as clients would.
+// The proxy program over loopback sockets, with scripted fakes for the cache servers, the origin and
+// discovery, and requests as clients send them.
 #include <gtest/gtest.h>
 
 #include "fleet.h"
@@ -111,7 +111,7 @@
         EXPECT_EQ(fleet.ask(read_of("7f3a", "b2")), "VA 5 Ob2\r\n");
         EXPECT_TRUE(fleet.alive());
     }
-    // A connection that the cache closed while it was idle costs nobody anything.
+    // A connection that the cache closed while it was idle fails no request.
     Fleet fleet(1);
     fleet.caches.front().plays([](const std::string& m) { return Act{hit(m).text, true}; });
     for (const char* id : {"c1", "c2", "c3"}) {
@@ -127,8 +127,9 @@
     EXPECT_EQ(bad_origin.ask(read_of("7f3a", "o1", 600)), "SERVER_ERROR busy\r\n");
 }
 
-// A server that answers, however spoilt, is neither unresponsive nor full. Taken for resets, such answers
-// shut the gate before a sound origin: on the bench a third of the writes was rejected.
+// A server that sends malformed responses is neither unresponsive nor overloaded. When such responses counted
+// as connection resets, a healthy origin was ejected, and on the test bench a third of the writes was
+// rejected.
 TEST(Proxy, MalformedRepliesDoNotEjectACache) {
     Fleet fleet(2);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "s0")), "VA 5 Os0\r\n");
@@ -139,7 +140,7 @@
         const std::string id = "s" + std::to_string(n);
         EXPECT_EQ(fleet.ask(read_of("7f3a", id)), "VA 5 O" + id + "\r\n");
     }
-    EXPECT_EQ(owner.heard().size(), 6U);  // asked first each time
+    EXPECT_EQ(owner.heard().size(), 6U);  // the first attempt goes to it each time
 }
 
 TEST(Proxy, AnAttemptAtAnUnresponsiveCacheTimesOut) {
@@ -148,7 +149,8 @@
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "s1", 300));
     EXPECT_EQ(line.until("\r\n"), "SERVER_ERROR busy\r\n");
-    wait_for([&] { return fleet.caches.front().ended == 1; });  // and told so, by closing its connection
+    // The proxy cancels the attempt by closing its connection.
+    wait_for([&] { return fleet.caches.front().ended == 1; });
 }
 
 TEST(Proxy, AttemptsForADisconnectedClientAreCancelled) {
@@ -220,7 +222,8 @@
     EXPECT_TRUE(fleet.caches.front().heard().empty());
 }
 
-// Under its number another server comes to stand; what still comes from the old one must not reach it.
+// The number of an evicted server is reused for another one. Results of attempts at the old server must not
+// be attributed to the new one.
 TEST(Proxy, RemovedServersAreForgotten) {
     Told told;
     Fleet fleet(2, {256, 250, told.script()});
@@ -249,7 +252,7 @@
         EXPECT_EQ(fleet.ask(read_of("1", id)), std::string("VA 5 O") + id + "\r\n");
     EXPECT_EQ(fresh.heard().size(), 3U);
     EXPECT_EQ(old.heard().size(), 1U);
-    // A new one at the address of one that has gone is met on connections of its own.
+    // A new server at the address of a removed one gets its own connections.
     const int before = fresh.connections;
     told.tell(deleted("next") + "," + Fleet::entry("after", fresh, "SERVING"));
     EXPECT_EQ(fleet.ask(read_of("1", "a1")), "VA 5 Oa1\r\n");
@@ -266,8 +269,8 @@
     });
 }
 
-// SIGHUP used to end the node. A new discovery is asked at once, though the old one holds a watch open, and
-// for everything, since its versions are its own.
+// SIGHUP used to end the node. After a reload with a new discovery address, the full list is requested there
+// at once, because each discovery service has its own versions, although the old one still holds a watch.
 TEST(Proxy, ANewConfigurationIsTakenWhileItServes) {
     Fleet fleet(2);
     ScriptedPeer& kept = fleet.caches.back();
@@ -295,12 +298,12 @@
         const std::string id = "n" + std::to_string(k);
         EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
-    EXPECT_LE(fleet.caches.front().heard().size(), 1U);  // what it served before
+    EXPECT_LE(fleet.caches.front().heard().size(), 1U);  // only the read before the reload
 }
 
-// There and back under load: operations, tenants and kinds are numbered anew, sizes come and go, some
-// attempts are held over each switch. Each command gets one answer, each write runs once, no read is sent
-// twice.
+// Reloads to changed settings and back under load: the indexes of operations, tenants and kinds change,
+// fields are added and removed, and some attempts are in flight during each reload. Each command gets one
+// response, each write runs once, and no read is sent twice.
 TEST(Proxy, SettingsAreSwitchedThereAndBackUnderLoad) {
     Fleet fleet(3);
     std::atomic<bool> hold{false};
@@ -319,7 +322,7 @@
         ASSERT_NE(at, std::string::npos) << from;
         text.replace(at, from.size(), to);
     };
-    // The way back names each key that it came by: one that lacks some is taken for a broken file.
+    // The original settings have all keys of the changed ones: a reload that lacks a key is rejected.
     std::string here = fleet.told_with("\"discovery\":\"pushed\"",
                                        "\"discovery\":\"pushed\",\"weights\":\"off\",\"parties\":[]");
     std::string there = fleet.told_with("[\"m\",\"origin\"]", "[\"origin\",\"new\",\"m\"]");
@@ -414,7 +417,7 @@
     }
 }
 
-// A connection that is not up when a drain is told would begin its attempt after it.
+// An attempt whose connection is still being opened when its server is drained would be sent after the drain.
 TEST(Proxy, ADrainCancelsAttemptsThatAreNotConnected) {
     std::string news;
     std::atomic<bool> tell{false};
@@ -426,11 +429,11 @@
     Fleet fleet(2, {256, 60000, watch});
     ScriptedPeer& drained = fleet.caches.front();
     drained.stall();
-    const Line filler(own_loopback(), drained.port);  // with this one its queue is full: no other comes up
+    const Line filler(own_loopback(), drained.port);  // fills the listen queue, so that no connect completes
     news = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
            "]}";
     std::list<Line> lines;
-    for (int k = 0; k < 8; ++k) {  // few enough for one cache to be trusted with all at once
+    for (int k = 0; k < 8; ++k) {  // few enough for one cache to get them all at once
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send(read_of("k" + std::to_string(k), "w" + std::to_string(k), 60000));
     }
@@ -439,8 +442,8 @@
     EXPECT_TRUE(drained.heard().empty());
 }
 
-// Caches hold larger values than clients may write: taken for nonsense, they cost a tenth of a busy day's
-// reads.
+// Caches hold larger values than clients may write. When such values were rejected as malformed, a tenth of
+// the reads of a busy day failed.
 TEST(Proxy, LargeValuesArePassedOnWhole) {
     Fleet fleet(1);
     const std::string large(1000 * 1000, 'x');
@@ -451,8 +454,7 @@
     line.send(read_of("1", "l1"));
     EXPECT_EQ(line.until("\r\n"), "VA 1000000 Ol1\r\n");
     EXPECT_TRUE(line.bytes(large.size() + 2) == large + "\r\n");
-    // Also to a client that takes them late, when the last of its commands has already lost it the
-    // connection.
+    // Also to a client that reads late, after its malformed last command has already ended its connection.
     std::string many;
     for (int n = 0; n < 12; ++n) many += read_of("1", "m" + std::to_string(n));
     line.send(many + "ms k x O1 Pc=put,d=9\r\n");
@@ -465,7 +467,7 @@
     EXPECT_TRUE(line.closed_by_peer());
 }
 
-// Each buffer is bounded by itself; all of them full at once would be more than the node may have.
+// Each buffer is bounded, but all buffers together could exceed the node's memory limit.
 TEST(Proxy, TheBuffersOfAllClientsTogetherAreBounded) {
     Fleet fleet(1, {256, 250, silent, true, 16});  // 4 MB for the clients' buffers
     std::list<Line> lines;
@@ -537,7 +539,8 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// AttemptHealth on the bench: served with a value made for another client's request.
+// Seen on the test bench: a client was served with the value of another client's
+// request that had the same id.
 TEST(Proxy, AnIdStillInUseIsRejected) {
     Fleet fleet(1);
     std::atomic<bool> go{false};
@@ -551,10 +554,11 @@
     EXPECT_EQ(fleet.ask(read_of("2", "same")), "CLIENT_ERROR id in use\r\n");
     go = true;
     EXPECT_EQ(first.until("hello\r\n"), "VA 5 Osame\r\nhello\r\n");
-    EXPECT_EQ(fleet.ask(read_of("2", "same")), "VA 5 Osame\r\n");  // not open any more
+    EXPECT_EQ(fleet.ask(read_of("2", "same")), "VA 5 Osame\r\n");  // the first request has ended
 }
 
-// Half a command, or nothing at all, keeps a descriptor for nothing; slow but going on is honest.
+// A client that sends an incomplete command or nothing occupies a descriptor and is closed. A slow client
+// that makes progress is served.
 TEST(Proxy, StalledClientsAreClosedAndSlowOnesServed) {
     Fleet fleet(1);
     Line half(own_loopback(), fleet.port());
@@ -579,8 +583,8 @@
     EXPECT_EQ(kept.until("\r\n"), "VA 5 Ok1\r\n");
 }
 
-// AttemptHealth on the bench with 80 descriptors: a client that had just connected was taken for an idle one
-// and closed with its command unread.
+// Seen on the test bench with 80 descriptors: a client that had just connected
+// counted as idle and was closed with its command unread.
 TEST(Proxy, AtTheConnectionLimitAnsweredClientsAreClosed) {
     Fleet fleet(1, {64, 250, silent});  // room for 28 clients
     std::list<Line> lines;
@@ -593,7 +597,8 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// AttemptHealth on the bench: clients that asked once and stayed held every connection that clients may hold.
+// Seen on the test bench: clients that sent one request and stayed connected
+// occupied all client connections.
 TEST(Proxy, OnlySomeIdleClientsAreKept) {
     Fleet fleet(1);  // room for 144 clients
     std::list<Line> lines;
@@ -602,7 +607,7 @@
         lines.back().send(read_of("7f3a", "s" + std::to_string(n)));
         EXPECT_TRUE(lines.back().until("hello\r\n").ends_with("hello\r\n"));
     }
-    // The one in front has been idle for longest; the last keeps its place.
+    // The first client has been idle for the longest time and is closed; the last one is kept.
     EXPECT_TRUE(lines.front().closed_by_peer());
     lines.back().send(read_of("7f3a", "again"));
     EXPECT_EQ(lines.back().until("\r\n"), "VA 5 Oagain\r\n");
@@ -627,8 +632,8 @@
     fleet.signal(SIGTERM);
     wait_for([&] { return fleet.logged("told to end"); });
     used.send(read_of("7f3a", "used"));
-    EXPECT_EQ(used.until("hello\r\n"),
-              "VA 5 Oused\r\nhello\r\n");  // a connection that is there goes on serving
+    // A connection that is open is still served.
+    EXPECT_EQ(used.until("hello\r\n"), "VA 5 Oused\r\nhello\r\n");
     EXPECT_TRUE(idle.closed_by_peer());
     Line late(own_loopback(), fleet.port());
     late.send(read_of("7f3a", "late"));
@@ -638,7 +643,7 @@
     EXPECT_EQ(held.until("hello\r\n"), "VA 5 Oheld\r\nhello\r\n");
     EXPECT_TRUE(held.closed_by_peer());
     EXPECT_EQ(fleet.exit_code(), 0);
-    // Connections that say nothing go on coming; they must not keep it until the kill.
+    // Further connections without any command must not delay the exit until the kill.
     Fleet pestered(1);
     std::atomic<bool> ended{false};
     std::thread pest([&] {
@@ -654,7 +659,7 @@
     ended = true;
     pest.join();
     const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - told;
-    EXPECT_LT(took.count(), 2400);  // else 2.9 s
+    EXPECT_LT(took.count(), 2400);  // it takes 2.9 s if the connections delay the exit
     Fleet stuck(1);
     stuck.caches.front().plays(silent);
     Line last(own_loopback(), stuck.port());
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -1,4 +1,4 @@
-// The node as its operators meet it: their management address, a new process in the place of the old one.
+// The node's interfaces for operators: the admin address, and a new process that replaces the old one.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -15,8 +15,8 @@
     return around;
 }
 
-// A command that lay in the socket of a stopped process is past its time when it is read: answered at once,
-// and nothing is sent for it. One whose client still waits is served.
+// A command that waited in the socket of a stopped process may be past its deadline when it is read: it is
+// rejected at once without an attempt. A command whose client still waits is served.
 TEST(Operations, RequestsReceivedWhileStoppedKeepTheirAge) {
     Fleet fleet(2);
     Line lapsed(own_loopback(), fleet.port()), waits(own_loopback(), fleet.port());
@@ -57,7 +57,8 @@
     }
 }
 
-// Who connects and finishes no call holds up nobody, however many they are, nor at the limit of descriptors.
+// Admin connections without a complete request do not block other callers, however many they are, also at the
+// descriptor limit.
 TEST(Operations, UnfinishedManagementCallsBlockNobody) {
     Around around = run_by_operators();
     around.descriptors = 64;
@@ -76,7 +77,8 @@
     for (int k = 0; k < 5; ++k) EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 200);
 }
 
-// Two processes on one listener: what the old one has it answers, whoever comes later meets the new one.
+// Two processes on one listener: the old one answers the commands that it has received, and new clients
+// connect to the new one.
 TEST(Operations, ANewProcessTakesOverFromTheOldOne) {
     Around around = run_by_operators();
     around.inherited = true;
@@ -116,7 +118,7 @@
     EXPECT_EQ(fleet.ask(read_of("last", "l1")), "VA 5 Ol1\r\n");
 }
 
-// A second process that is killed, or cannot start, leaves the first one serving.
+// A second process that is killed or cannot start does not affect the first one.
 TEST(Operations, ASecondProcessThatFailsLeavesTheFirstServing) {
     Around around = run_by_operators();
     around.inherited = true;
@@ -141,7 +143,7 @@
     EXPECT_NE(said.find("GW_ACCEPT_FD: descriptor 5 is no listening socket"), std::string::npos);
 }
 
-// A folder of its own for the processes of one node, as the platform's TMPDIR is.
+// A temporary folder for the processes of one node, as the platform passes it in TMPDIR.
 class Scratch {
   public:
     Scratch() { path_ = mkdtemp(path_.data()); }
@@ -156,7 +158,7 @@
     return "/control/cache-servers/" + name + "/" + what;
 }
 
-// Reads of many keys; how many of them came to one cache.
+// Sends 40 reads of different keys and returns how many of them one cache received.
 std::size_t heard_of_forty(const Fleet& fleet, ScriptedPeer& cache, const std::string& prefix) {
     const std::size_t before = cache.heard().size();
     Line line(own_loopback(), fleet.port());
@@ -167,7 +169,8 @@
     return cache.heard().size() - before;
 }
 
-// From the yes on nothing goes there, whatever the list says meanwhile; one call back ends it.
+// After the response to a drain the server gets no attempts, whatever the endpoint list contains, until one
+// restore.
 TEST(Operations, ACacheTakenOfflineGetsNothingWhateverTheListSays) {
     const Scratch scratch;
     Told told;
@@ -203,7 +206,7 @@
         told.tell("!" + other);
         return fleet.logged(" 2 known (whole list)");
     });
-    EXPECT_EQ(call(name, "offline"), 200);  // forgotten, but it was listed once
+    EXPECT_EQ(call(name, "offline"), 200);  // evicted, but it was listed once
     told.tell(Fleet::entry(name, cache, "SERVING"));
     EXPECT_EQ(heard_of_forty(fleet, cache, "d"), 0U);
     struct Case {
@@ -221,7 +224,8 @@
     EXPECT_EQ(heard_of_forty(fleet, cache, "e"), 0U);
 }
 
-// What one process is told the other keeps to, also one that starts later, or after the first was killed.
+// A drain or restore at one process applies to all processes of the node, also to one that starts later, and
+// after the first process was killed.
 TEST(Operations, ACacheTakenOfflineIsSoForAllProcessesOfTheNode) {
     const Scratch scratch;
     Around around = run_by_operators();
@@ -235,7 +239,7 @@
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(first), "online")), 200);
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "offline")), 200);
-    // Both processes serve: each has to have looked by now.
+    // Both processes serve, so the first one must have reloaded the state.
     wait_for([&] { return fleet.logged(Fleet::name(last) + " is drained by an operator"); });
     for (int k = 0; k < 5; ++k) EXPECT_EQ(heard_of_forty(fleet, last, "x" + std::to_string(k) + "-"), 0U);
     EXPECT_GT(heard_of_forty(fleet, first, "y"), 0U);
@@ -246,7 +250,8 @@
     wait_for([&] { return heard_of_forty(fleet, last, "v") > 0; });
 }
 
-// Clients of both count: together they hold no more than one process may, and who was killed holds nothing.
+// The connections of both processes together stay within the limit of one process, and the share of a killed
+// process becomes available.
 TEST(Operations, TwoProcessesShareOneDescriptorLimit) {
     const Scratch scratch;
     Around around = run_by_operators();
@@ -256,7 +261,7 @@
     Fleet fleet(1, around);
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
-    std::list<Line> lines;  // new ones, which are let go for nobody
+    std::list<Line> lines;  // new connections, which are not closed in favour of others
     for (int k = 0; k < 130; ++k) {
         lines.emplace_back(own_loopback(), fleet.port());
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
@@ -269,7 +274,8 @@
     wait_for([&] { return fleet.daemon().figures().descriptors > 65; });
 }
 
-// Rejected it has lost nothing: it asks on for news of the version that it holds, and serves meanwhile.
+// When discovery rejects a request, the node keeps its version, continues to request updates of it, and
+// serves in the meantime.
 TEST(Operations, DiscoveryThatRejectsCallersIsAskedForUpdates) {
     std::atomic<int> calls{0};
     Around around;
@@ -285,7 +291,7 @@
 
 constexpr std::size_t kLong = 4 * 1024 * 1024;
 
-// Other bytes at each place, so that a piece that is lost, or comes twice, shows.
+// The bytes differ by position, so that a lost or repeated chunk is detected.
 const std::string& long_value() {
     static const std::string value = [] {
         std::string v(kLong, 0);
@@ -298,7 +304,8 @@
     return "VA " + std::to_string(kLong) + " O" + id_in(command) + " h1\r\n";
 }
 
-// From a cache and, after a miss, from the origin: the first bytes before the rest is there, then all of it.
+// From a cache, and after a miss from the origin: the client gets the first bytes before the rest has
+// arrived, and then the complete value.
 TEST(Operations, LongValuesAreStreamed) {
     for (const bool missed : {false, true}) {
         SCOPED_TRACE(missed ? "from the origin" : "from a cache");
@@ -333,14 +340,15 @@
     }
 }
 
-// Once some of it is written nothing else may answer, and the client can tell that it is not whole.
+// Once a part of a streamed value is written, no other attempt may answer the request, and the client can
+// detect that the value is incomplete.
 TEST(Operations, ATruncatedLongValueIsNoticedByTheClient) {
     struct Case {
-        std::string sent;  // behind the head
+        std::string sent;  // after the head
     };
     const std::string half = long_value().substr(0, kLong / 2);
     for (const Case& c : {Case{half}, Case{long_value()}, Case{long_value() + "xx"}}) {
-        SCOPED_TRACE(testing::Message() << c.sent.size() << " bytes behind the head");
+        SCOPED_TRACE(testing::Message() << c.sent.size() << " bytes after the head");
         Fleet fleet(2, run_by_operators());
         for (ScriptedPeer& cache : fleet.caches)
             cache.plays([&](const std::string& m) { return Act{long_head(m) + c.sent, true}; });
@@ -353,7 +361,8 @@
         EXPECT_TRUE(got == long_value().substr(0, got.size()));
         EXPECT_TRUE(line.closed_by_peer());
         EXPECT_TRUE(fleet.origin.heard().empty());
-        // With a command behind it that is read, closing would lose that one: each has its own error line.
+        // If another command of the client is already read, closing would lose it, so each command gets its
+        // own error line.
         Line both(own_loopback(), fleet.port());
         both.send(read_of("7f3a", "b2") + read_of("7f3a", "b3"));
         EXPECT_EQ(both.until("\r\n"), "SERVER_ERROR failed\r\n");
@@ -364,7 +373,7 @@
             << last.substr(0, 80);
         EXPECT_TRUE(fleet.alive());
     }
-    // The other way round, the server is let go.
+    // If the client disconnects, the connection to the server is closed.
     Fleet fleet(1, run_by_operators());
     fleet.caches.front().plays(
         [&](const std::string& m) { return Act{long_head(m) + half + half + "\r\n"}; });
@@ -374,7 +383,8 @@
         EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Og1\r\n");
     }
     wait_for([&] { return fleet.caches.front().ended == 1; });
-    // Behind an answer that waits, nothing of it is written yet: then it is an error line.
+    // While an earlier response of the client is pending, no part of the value is written, so the client gets
+    // an error line.
     std::atomic<bool> go{false};
     fleet.caches.front().plays([&](const std::string& m) {
         while (id_in(m) == "first" && !go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -390,7 +400,7 @@
         << second.substr(0, 80);
 }
 
-// More at once than the node's memory, with clients that take them late and writers that pause.
+// Values that together exceed the node's memory, with clients that read late and writers that pause.
 TEST(Operations, ManyLongValuesFitInLittleMemory) {
     Around around = run_by_operators();
     around.memory_mb = 48;
@@ -438,11 +448,11 @@
         EXPECT_TRUE(message.substr(message.find("\r\n\r\n") + 4) == long_value());
     EXPECT_EQ(fleet.origin.heard().size(), 6U);
     const double most = fleet.daemon().figures().rss_most_mb;
-    std::printf("long values: %.1f MB at the most\n", most);
+    std::printf("long values: %.1f MB at most\n", most);
     EXPECT_LT(most, 40);
 }
 
-// The folder is named after the node; a new name in a reload leaves the process with the one that it has.
+// The state folder is named after the node; after a reload with another name the process keeps its folder.
 TEST(Operations, AReloadWithAnotherNameKeepsTheStateFolder) {
     const Scratch scratch;
     Around around = run_by_operators();
@@ -460,17 +470,17 @@
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("configuration read again"); });
     std::filesystem::remove(snapshot());
-    wait_for([&] { return !snapshot().empty(); });  // it is written again
+    wait_for([&] { return !snapshot().empty(); });  // written again at the same place
 }
 
-// The body of an operator's GET.
+// The body of the response to a GET request of the admin interface.
 std::string page(const Fleet& fleet, const std::string& target) {
     Line line(own_loopback(), fleet.management());
     line.send("GET " + target + " HTTP/1.1\r\nHost: node\r\n\r\n");
     return line.until("\r\n\r\n") + line.until("no such text");
 }
 
-// What was served, refused and closed shows, and that no rule was broken.
+// The metrics page counts served and rejected requests, closed connections and violated rules.
 TEST(Operations, MetricsAndTraceTellWhatHappened) {
     Fleet fleet(1, run_by_operators());
     EXPECT_EQ(fleet.ask(read_of("7f3a", "m1")), "VA 5 Om1\r\n");
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,5 +1,5 @@
-// What has to survive kills, full disks and a wall clock that is stepped: the state folder, the warm start
-// and the slow start of servers.
+// State that must survive kills, full disks and steps of the wall clock: the state folder, the warm start and
+// the slow start of servers. Also the schedule of a shutdown.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -18,7 +18,7 @@
 
 constexpr double kHour = 3600;
 
-// A folder of the test's own, removed at its end.
+// A temporary folder, removed at the end of the test.
 class Folder {
   public:
     Folder() {
@@ -36,12 +36,12 @@
 
 // ---- the state folder ------------------------------------------------------------------------------------
 
-// A kill, or a full disk, in the middle of a write leaves half a line.
+// A kill or a full disk during a write leaves an incomplete line.
 TEST(StateFolder, HalfALineSpoilsNoOtherName) {
     const Folder folder;
     AdminState state(folder.at("state"));
     state.record_listed({"s-1"});
-    std::ofstream(folder.at("state/listed"), std::ios::app) << "s-1";  // of "s-17"
+    std::ofstream(folder.at("state/listed"), std::ios::app) << "s-1";  // the beginning of "s-17"
     state.record_listed({"s-2", "s-3"});
     for (const char* name : {"s-1", "s-2", "s-3"}) EXPECT_TRUE(state.was_ever_listed(name)) << name;
     EXPECT_FALSE(state.was_ever_listed("s-17"));
@@ -51,14 +51,14 @@
 
 constexpr double kSlowStart = 30;
 
-// A table of one server that is known from the first list and starts anew later, while the wall clock of this
-// node is stepped by `step` before it starts, or after that.
+// A table with one server that is known from the first list and restarts later. The wall clock of this node
+// is stepped by `step_before` seconds before the process starts and by `step_after` seconds after that.
 struct Restart {
     Deployment deployment;
     std::unique_ptr<ServerTable> table;
     int server = 0;
     double now = 1000;
-    static constexpr double kTrueOffset = 1e9;  // of the others' clocks
+    static constexpr double kTrueOffset = 1e9;  // wall clock minus monotonic clock on the other machines, s
 
     explicit Restart(double step_before, double step_after) {
         deployment.slow_start_duration = kSlowStart;
@@ -96,8 +96,8 @@
 
 // ---- the warm start --------------------------------------------------------------------------------------
 
-// What a process wrote an hour ago says nothing, also where the clock was set back by that hour since; what
-// it wrote just now counts, also where the clock was set on or back meanwhile.
+// A snapshot that was written an hour ago is ignored, also if the clock was set back by that hour since. A
+// recent snapshot is used, also if the clock was stepped in either direction since.
 TEST(WarmStart, CountsByItsRealAge) {
     const Folder folder;
     const WarmStartFile file(folder.at("learned"));
@@ -111,9 +111,9 @@
     }
 }
 
-// ---- the times of a shutdown -----------------------------------------------------------------------------
+// ---- the schedule of a shutdown --------------------------------------------------------------------------
 
-// The kill comes the shorter of the longest client timeout and 3 s, and 0.7 s, after the signal.
+// The kill comes min(longest client timeout, 3 s) + 0.7 s after the signal.
 TEST(ShutdownTimes, OpenRequestsAreFailedBeforeTheKillOfEachTimeout) {
     for (const double timeout : {0.2, 1.0, 9.0}) {
         GracefulShutdown shutdown;
@@ -130,7 +130,7 @@
     EXPECT_EQ(shutdown.next_step(100.7, false, true), GracefulShutdown::Step::wait);
     shutdown.on_configuration(0.2);
     EXPECT_EQ(shutdown.next_step(100.7, false, true), GracefulShutdown::Step::fail_open_requests);
-    shutdown.on_configuration(3.0);  // a longer one does not bring the kill later for sure
+    shutdown.on_configuration(3.0);  // a longer timeout does not certainly delay the kill
     EXPECT_EQ(shutdown.next_step(100.7, false, true), GracefulShutdown::Step::fail_open_requests);
 }
 
--- a/tests/registrations_test.cpp
+++ b/tests/registrations_test.cpp
@@ -1,5 +1,4 @@
-// What is made of ephemeral registrations: views written by hand, and what the decision module is told of
-// them.
+// The endpoint changes that result from views of ephemeral registrations.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -26,7 +25,7 @@
     return all;
 }
 
-// "+a" ready and fresh, "=a" ready as it was, "-a" gone.
+// The changes as text: "+a" ready after a fresh start, "=a" ready without a new start, "-a" removed.
 std::string told(ServiceRegistrations& r) {
     std::string all;
     for (const RegistrationChange& c : r.take_changes()) {
@@ -44,11 +43,11 @@
     EXPECT_TRUE(r.apply_view(0, 1, {box("a"), box("b"), box("c"), box("d")}));
     EXPECT_EQ(told(r), "+a +b +c +d");
     EXPECT_TRUE(r.apply_view(100, 2, {box("a"), box("c"), box("d")}));
-    EXPECT_EQ(told(r), "-b");  // in the same call: nothing waits
+    EXPECT_EQ(told(r), "-b");  // in the same call, without a delay
     EXPECT_TRUE(r.apply_view(101, 3, {box("a"), box("c", 9), box("d")}));
-    EXPECT_EQ(told(r), "+c");  // replaced within one gap: a new start
+    EXPECT_EQ(told(r), "+c");  // re-created between two views: a new start
     EXPECT_FALSE(r.apply_view(102, 2, {box("a")}));
-    EXPECT_EQ(told(r), "");  // older than what is known
+    EXPECT_EQ(told(r), "");  // older than the last view
     Registration moved = box("a");
     moved.address = "127.0.0.2:1";
     EXPECT_TRUE(r.apply_view(103, 4, {moved, box("c", 9), box("d")}));
@@ -62,7 +61,7 @@
     int comings = 0;
     const std::vector<Registration> others = boxes(5);
     std::vector<Registration> with = others;
-    // Five times a second for a minute.
+    // The registration flaps 5 times a second for 1 minute.
     for (int i = 0; i < 300; ++i, now += 0.2) {
         with = others;
         with.push_back(box("flap", 100 + i));
@@ -71,9 +70,9 @@
         (void)r.apply_view(now + 0.1, ++order, others);
         (void)told(r);
     }
-    EXPECT_LE(comings, 4);  // the first ones; then it is gone again before it is trusted
+    EXPECT_LE(comings, 4);  // only the first starts; the later ones are removed again before their delay ends
     EXPECT_EQ(r.count_available(), 5U);
-    // It comes to stay: trusted within the bound.
+    // It stays: its start is reported within the bound of the delay.
     with.back() = box("flap", 999);
     (void)r.apply_view(now, ++order, with);
     EXPECT_EQ(told(r), "");
@@ -82,7 +81,7 @@
     EXPECT_GT(longest, 5.0);
     r.tick(r.next_at());
     EXPECT_EQ(told(r), "+flap");
-    // Steady for long, it is forgiven, and its next coming waits for nothing.
+    // After a long stable time the flap count is reset, and its next start is not delayed.
     (void)r.apply_view(now + 200, ++order, with);
     (void)r.apply_view(now + 201, ++order, others);
     EXPECT_EQ(told(r), "-flap");
@@ -96,9 +95,9 @@
     (void)r.apply_view(0, 1, boxes(10));
     (void)told(r);
     (void)r.apply_view(100, 2, {});
-    EXPECT_EQ(told(r), "=b0 =b1 =b2 =b3 =b4 =b5 =b6 =b7 =b8 =b9");  // kept as they were, none of them fresh
+    EXPECT_EQ(told(r), "=b0 =b1 =b2 =b3 =b4 =b5 =b6 =b7 =b8 =b9");  // kept, without a fresh start
     EXPECT_EQ(r.count_suspect(), 10U);
-    // Half come back under their old creation: nothing to tell. One is a new start.
+    // Some return with their old creation id, which changes nothing. One is a new start.
     std::vector<Registration> some = boxes(4);
     some.push_back(box("b4", 77));
     (void)r.apply_view(101, 3, some);
@@ -111,7 +110,7 @@
     EXPECT_EQ(r.count_available(), 5U);
 }
 
-// Sessions that expire one after another within a moment, each in a view of its own.
+// Sessions that expire one after another within a short time, each in a separate view.
 TEST(Registrations, AWipeInManyViewsIsDoubtedToo) {
     ServiceRegistrations r;
     (void)r.apply_view(0, 1, boxes(10));
@@ -119,9 +118,9 @@
     for (int gone = 1; gone <= 10; ++gone) (void)r.apply_view(100 + 0.02 * gone, 1 + gone, boxes(10, gone));
     EXPECT_EQ(r.count_available(), 10U);
     EXPECT_EQ(r.count_suspect(), 10U);
-    r.confirm_removals(101);  // an operator knows better
+    r.confirm_removals(101);  // an operator confirms the removals
     EXPECT_EQ(r.count_available(), 0U);
-    // Over a longer time they are gone, one by one.
+    // Over a longer time each of them is removed.
     ServiceRegistrations slow;
     (void)slow.apply_view(0, 1, boxes(10));
     for (int gone = 1; gone <= 10; ++gone) (void)slow.apply_view(100 + 2.0 * gone, 1 + gone, boxes(10, gone));
@@ -152,7 +151,7 @@
     EXPECT_EQ(told(r), "");
     EXPECT_EQ(r.count_available(), 5U);
     EXPECT_DOUBLE_EQ(r.age(70), 60);
-    // Those who are doubted stay for as long as it is away.
+    // Suspect registrations are kept for as long as the service is unreachable.
     (void)r.apply_view(4100, 2, {});
     (void)told(r);
     r.on_connection_lost(4101);
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -1,4 +1,5 @@
-// Following over sockets: `brookrelay registry watch` against the stand-in coordinator, with what goes wrong.
+// `brookrelay registry watch` and a daemon over sockets, against the fake coordination service and its
+// faults.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -24,6 +25,7 @@
 using namespace brookrelay;
 using namespace brookrelay::testkit;
 
+// Runs `brookrelay registry watch` and the service that it watches.
 class Watched {
   public:
     Watched()
@@ -38,7 +40,7 @@
         if (child_ == 0) {
             std::freopen((path_ + ".out").c_str(), "w", stdout);
             std::freopen((path_ + ".err").c_str(), "w", stderr);
-            for (int fd = 3; fd < 1024; ++fd) close(fd);  // the server's sockets are not the watcher's
+            for (int fd = 3; fd < 1024; ++fd) close(fd);  // the child must not inherit the server's sockets
             execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "registry", "watch", "--address", address.c_str(),
                   "--path", "/fleet", "--session", "1.5", nullptr);
             _exit(127);
@@ -69,7 +71,7 @@
     void drop(const std::string& name) {
         on_loop([&] { (void)server_.service().remove("/fleet/" + name); });
     }
-    // Waits for it; false if it never comes.
+    // Waits until the text is in the output; false if it is not there after 10 s.
     bool says(const std::string& text, const char* where = ".out") {
         for (int i = 0; i < 1000; ++i) {
             std::ifstream file(path_ + where);
@@ -114,8 +116,8 @@
     EXPECT_TRUE(w.says("cold box-5"));
 }
 
-// A node that follows registrations: what stands there is asked, what goes is asked no more, what comes is
-// asked.
+// A node with the coordination service as its endpoint source: attempts go to registered servers, stop after
+// a removal and begin after a registration.
 TEST(Registry, ADaemonFollowsRegistrations) {
     Io io;
     const Clock clock;
@@ -173,7 +175,7 @@
         }
         return good;
     };
-    // Until both are known.
+    // Wait until both servers are known.
     for (int i = 0; i < 500 && (boxes[0].heard().empty() || boxes[1].heard().empty()); ++i) {
         if (ask(4) == 0) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
