--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -17,11 +17,11 @@
 using testkit::FakeCoordinator;
 
 // One session and one service. Messages to the session are queued until deliver() or deliver_one().
-struct Pair {
+struct SessionAndService {
     std::deque<std::string> to_session;
     std::uint64_t connection = 0;
     double now = 0;
-    std::vector<std::string> left_out, hung_up;
+    std::vector<std::string> ignored, disconnects;
     FakeCoordinator service{{[this](std::uint64_t c, const std::string& frame) {
                                  if (c == connection) to_session.push_back(frame.substr(4));
                              },
@@ -41,13 +41,13 @@
             return r;
         },
         {[this](const std::string& frame) { service.received(now, connection, frame.substr(4)); },
-         [this](const char* why) { hung_up.emplace_back(why); },
+         [this](const char* why) { disconnects.emplace_back(why); },
          [this](const std::string& child, const std::string& why) {
-             left_out.push_back(child + ": " + why);
+             ignored.push_back(child + ": " + why);
          }}};
     std::int64_t owner = 0;
 
-    Pair() {
+    SessionAndService() {
         (void)service.create(0, 0, "/fleet", "", false, false);
         owner = service.open_session(0, 40);
     }
@@ -55,10 +55,10 @@
         EXPECT_EQ(service.create(now, owner, "/fleet/" + name, data, true, false),
                   testkit::CoordinatorError::none);
     }
-    void drop(const std::string& name) {
+    void remove(const std::string& name) {
         EXPECT_EQ(service.remove("/fleet/" + name), testkit::CoordinatorError::none);
     }
-    void up() {
+    void connect() {
         ++connection;
         to_session.clear();
         session.on_connected(now);
@@ -73,7 +73,7 @@
     void deliver() {
         while (deliver_one()) continue;
     }
-    std::string told() {
+    std::string take_changes_text() {
         std::string all;
         for (const RegistrationChange& c : registrations.take_changes()) {
             all += (all.empty() ? "" : " ") +
@@ -86,170 +86,170 @@
     }
 };
 
-TEST(Follower, ShowsWhoIsThereAndWhoGoes) {
-    Pair p;
-    for (const char* name : {"a", "b", "c", "d"}) p.add(name);
-    p.add("e", "bad");
-    p.up();
-    p.deliver();
-    EXPECT_EQ(p.told(), "+a +b +c +d");
-    EXPECT_EQ(p.left_out, (std::vector<std::string>{"e: no address"}));
-    p.drop("b");
+TEST(CoordinationSession, ReportsRegistrationsAndRemovals) {
+    SessionAndService pair;
+    for (const char* name : {"a", "b", "c", "d"}) pair.add(name);
+    pair.add("e", "bad");
+    pair.connect();
+    pair.deliver();
+    EXPECT_EQ(pair.take_changes_text(), "+a +b +c +d");
+    EXPECT_EQ(pair.ignored, (std::vector<std::string>{"e: no address"}));
+    pair.remove("b");
     // The watch event alone is sufficient: no reply of the service is waited for.
-    EXPECT_TRUE(p.deliver_one());
-    EXPECT_EQ(p.told(), "-b");
-    p.deliver();
-    p.add("f");
-    p.deliver();
-    EXPECT_EQ(p.told(), "+f");
+    EXPECT_TRUE(pair.deliver_one());
+    EXPECT_EQ(pair.take_changes_text(), "-b");
+    pair.deliver();
+    pair.add("f");
+    pair.deliver();
+    EXPECT_EQ(pair.take_changes_text(), "+f");
     // Removed and created again before any event is delivered.
-    p.drop("a");
-    p.add("a");
-    p.deliver();
-    EXPECT_EQ(p.told(), "+a");
+    pair.remove("a");
+    pair.add("a");
+    pair.deliver();
+    EXPECT_EQ(pair.take_changes_text(), "+a");
     // The data changes while it is being read.
-    (void)p.service.set(p.now, "/fleet/c", "127.0.0.1:2");
-    EXPECT_TRUE(p.deliver_one());
-    (void)p.service.set(p.now, "/fleet/c", "127.0.0.1:3");
-    p.deliver();
-    EXPECT_EQ(p.told(), "=c");
+    (void)pair.service.set(pair.now, "/fleet/c", "127.0.0.1:2");
+    EXPECT_TRUE(pair.deliver_one());
+    (void)pair.service.set(pair.now, "/fleet/c", "127.0.0.1:3");
+    pair.deliver();
+    EXPECT_EQ(pair.take_changes_text(), "=c");
 }
 
 // A removal during the first read of the children does not cause an incomplete view to be published: replies
 // arrive in order.
-TEST(Follower, ShowsNoPartOfTheFirstPicture) {
-    Pair p;
-    for (const char* name : {"a", "b", "c", "d", "e"}) p.add(name);
-    p.up();
-    EXPECT_TRUE(p.deliver_one());  // the connect response; the listing is now in flight
-    p.drop("a");
+TEST(CoordinationSession, PublishesNoIncompleteFirstView) {
+    SessionAndService pair;
+    for (const char* name : {"a", "b", "c", "d", "e"}) pair.add(name);
+    pair.connect();
+    EXPECT_TRUE(pair.deliver_one());  // the connect response; the listing is now in flight
+    pair.remove("a");
     std::string first;
-    while (first.empty() && p.deliver_one()) first = p.told();
+    while (first.empty() && pair.deliver_one()) first = pair.take_changes_text();
     EXPECT_EQ(first, "+b +c +d +e");
 }
 
-TEST(Follower, SeesWhatHappenedWhileItWasAway) {
-    Pair p;
-    for (const char* name : {"a", "b", "c", "d", "e"}) p.add(name);
-    p.up();
-    p.deliver();
-    (void)p.told();
-    const std::int64_t session_id = p.session.session_id();
-    p.session.on_disconnected(p.now);
-    p.service.ended(p.connection);
-    EXPECT_EQ(p.told(), "");
-    p.drop("a");
-    p.drop("b");
-    p.add("b");
-    p.up();
-    p.deliver();
-    EXPECT_EQ(p.session.session_id(), session_id);
-    EXPECT_EQ(p.told(), "+b -a");
+TEST(CoordinationSession, ReportsChangesAfterAReconnect) {
+    SessionAndService pair;
+    for (const char* name : {"a", "b", "c", "d", "e"}) pair.add(name);
+    pair.connect();
+    pair.deliver();
+    (void)pair.take_changes_text();
+    const std::int64_t session_id = pair.session.session_id();
+    pair.session.on_disconnected(pair.now);
+    pair.service.ended(pair.connection);
+    EXPECT_EQ(pair.take_changes_text(), "");
+    pair.remove("a");
+    pair.remove("b");
+    pair.add("b");
+    pair.connect();
+    pair.deliver();
+    EXPECT_EQ(pair.session.session_id(), session_id);
+    EXPECT_EQ(pair.take_changes_text(), "+b -a");
     // The session expires: the first connection is told so, and the next one opens a new session.
-    p.service.expire(session_id);
-    p.session.on_disconnected(p.now);
-    p.up();
-    p.deliver();
-    EXPECT_EQ(p.hung_up, (std::vector<std::string>{"the session has expired"}));
-    EXPECT_EQ(p.told(), "");
-    p.up();
-    p.deliver();
-    EXPECT_NE(p.session.session_id(), session_id);
-    EXPECT_TRUE(p.session.is_established());
-    EXPECT_EQ(p.told(), "");
+    pair.service.expire(session_id);
+    pair.session.on_disconnected(pair.now);
+    pair.connect();
+    pair.deliver();
+    EXPECT_EQ(pair.disconnects, (std::vector<std::string>{"the session has expired"}));
+    EXPECT_EQ(pair.take_changes_text(), "");
+    pair.connect();
+    pair.deliver();
+    EXPECT_NE(pair.session.session_id(), session_id);
+    EXPECT_TRUE(pair.session.is_established());
+    EXPECT_EQ(pair.take_changes_text(), "");
 }
 
-TEST(Follower, PingsAndLeavesASilentService) {
-    Pair p;
-    p.add("a");
-    p.up();
-    p.deliver();
+TEST(CoordinationSession, PingsAndDisconnectsFromASilentService) {
+    SessionAndService pair;
+    pair.add("a");
+    pair.connect();
+    pair.deliver();
     for (int i = 0; i < 100; ++i) {
-        p.now = p.session.next_at();
-        p.session.tick(p.now);
-        p.deliver();
-        p.service.touch(p.now, p.owner);
-        p.service.tick(p.now);
+        pair.now = pair.session.next_at();
+        pair.session.tick(pair.now);
+        pair.deliver();
+        pair.service.touch(pair.now, pair.owner);
+        pair.service.tick(pair.now);
     }
-    EXPECT_GT(p.now, 100);  // far longer than the session timeout
-    EXPECT_TRUE(p.session.is_established());
-    EXPECT_TRUE(p.hung_up.empty());
-    const double silent_from = p.now;
-    while (p.hung_up.empty()) {
-        p.now = p.session.next_at();
-        p.session.tick(p.now);
+    EXPECT_GT(pair.now, 100);  // far longer than the session timeout
+    EXPECT_TRUE(pair.session.is_established());
+    EXPECT_TRUE(pair.disconnects.empty());
+    const double silent_from = pair.now;
+    while (pair.disconnects.empty()) {
+        pair.now = pair.session.next_at();
+        pair.session.tick(pair.now);
     }
-    EXPECT_LE(p.now - silent_from, 4 * 2.0 / 3.0 + 0.01);
-    EXPECT_EQ(p.registrations.count_available(), 1U);
+    EXPECT_LE(pair.now - silent_from, 4 * 2.0 / 3.0 + 0.01);
+    EXPECT_EQ(pair.registrations.count_available(), 1U);
 }
 
 // Changes, lost connections and reconnects at random points between the messages: in the end the
 // registrations equal those of the service.
-TEST(Follower, EndsWithTheTruthWhateverTheOrder) {
+TEST(CoordinationSession, ConvergesForRandomOrdersOfMessages) {
     for (unsigned seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE(seed);
-        boost::random::mt19937 chance(seed);
-        Pair p;
-        p.up();
+        boost::random::mt19937 generator(seed);
+        SessionAndService pair;
+        pair.connect();
         for (int step = 0; step < 120; ++step) {
-            p.now += 0.4;
-            p.service.touch(p.now, p.owner);
-            const std::string name = "s" + std::to_string(chance() % 6);
-            switch (chance() % 8) {
+            pair.now += 0.4;
+            pair.service.touch(pair.now, pair.owner);
+            const std::string name = "s" + std::to_string(generator() % 6);
+            switch (generator() % 8) {
                 case 0:
                 case 1:
-                    if (p.service.exists("/fleet/" + name))
-                        p.drop(name);
+                    if (pair.service.exists("/fleet/" + name))
+                        pair.remove(name);
                     else
-                        p.add(name);
+                        pair.add(name);
                     break;
                 case 2:
-                    (void)p.service.set(p.now, "/fleet/" + name, "127.0.0.1:" + std::to_string(step));
+                    (void)pair.service.set(pair.now, "/fleet/" + name, "127.0.0.1:" + std::to_string(step));
                     break;
                 case 3:
-                    if (chance() % 4 == 0) {
-                        p.session.on_disconnected(p.now);
-                        p.service.ended(p.connection);
-                        p.up();
+                    if (generator() % 4 == 0) {
+                        pair.session.on_disconnected(pair.now);
+                        pair.service.ended(pair.connection);
+                        pair.connect();
                     }
                     break;
                 default:
-                    (void)p.deliver_one();
+                    (void)pair.deliver_one();
             }
-            p.session.tick(p.now);
-            if (!p.hung_up.empty()) {
-                p.hung_up.clear();
-                p.service.ended(p.connection);
-                p.up();
+            pair.session.tick(pair.now);
+            if (!pair.disconnects.empty()) {
+                pair.disconnects.clear();
+                pair.service.ended(pair.connection);
+                pair.connect();
             }
         }
-        p.deliver();
-        ASSERT_TRUE(p.session.is_established());
+        pair.deliver();
+        ASSERT_TRUE(pair.session.is_established());
         // Suspect registrations and delayed starts expire.
-        p.registrations.tick(p.now + 100);
-        EXPECT_EQ(p.registrations.count_available(), p.service.children("/fleet").size());
+        pair.registrations.tick(pair.now + 100);
+        EXPECT_EQ(pair.registrations.count_available(), pair.service.children("/fleet").size());
     }
 }
 
-TEST(Follower, SurvivesBytesThatAreNone) {
-    boost::random::mt19937 chance(3);
+TEST(CoordinationSession, SurvivesRandomBytes) {
+    boost::random::mt19937 generator(3);
     for (int i = 0; i < 3000; ++i) {
-        Pair p;
-        p.add("a");
-        p.up();
-        if (chance() % 2 == 0) p.deliver();
-        std::string bytes(chance() % 80, '\0');
-        for (char& b : bytes) b = static_cast<char>(chance());
-        if (chance() % 2 == 0)
+        SessionAndService pair;
+        pair.add("a");
+        pair.connect();
+        if (generator() % 2 == 0) pair.deliver();
+        std::string bytes(generator() % 80, '\0');
+        for (char& b : bytes) b = static_cast<char>(generator());
+        if (generator() % 2 == 0)
             bytes = JuteWriter()
-                        .number(static_cast<std::int32_t>(chance() % 4) - 1)
+                        .number(static_cast<std::int32_t>(generator() % 4) - 1)
                         .long_number(9)
                         .number(0)
                         .payload() +
                     bytes;
-        p.session.on_frame(p.now, bytes);
-        p.deliver();
-        EXPECT_LE(p.registrations.count_available(), 1U);
+        pair.session.on_frame(pair.now, bytes);
+        pair.deliver();
+        EXPECT_LE(pair.registrations.count_available(), 1U);
     }
 }
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -16,16 +16,16 @@
         EXPECT_EQ(line.until("\r\n"), "VA 5 Oid" + std::to_string(n) + "\r\n");
         EXPECT_EQ(line.bytes(7), "hello\r\n");
     }
-    int asked = 0, connections = 0;
-    for (ScriptedPeer& c : fleet.caches) {
-        for (const std::string& command : c.heard()) {
-            ++asked;
+    int attempts = 0, connections = 0;
+    for (ScriptedPeer& cache : fleet.caches) {
+        for (const std::string& command : cache.heard()) {
+            ++attempts;
             EXPECT_TRUE(command.starts_with("mg 7f3a v Oid"));
             EXPECT_NE(command.find("Pc=read,t=acme,d="), std::string::npos);
         }
-        connections += c.connections;
+        connections += cache.connections;
     }
-    EXPECT_EQ(asked, 3);
+    EXPECT_EQ(attempts, 3);
     EXPECT_EQ(connections, 1);
     EXPECT_TRUE(fleet.origin.heard().empty());
 }
@@ -166,55 +166,56 @@
     EXPECT_EQ(fleet.ask(read_of("7f3a", "l2")), "VA 5 Ol2\r\n");
 }
 
-TEST(Proxy, ADrainingCacheGetsNothingOnceItIsTold) {
-    std::string news;
-    std::atomic<bool> tell{false};
-    std::atomic<bool> told{false};
+TEST(Proxy, ADrainingCacheGetsNoFurtherAttempts) {
+    std::string update;
+    std::atomic<bool> send_update{false};
+    std::atomic<bool> update_received{false};
     const auto watch = [&](const std::string& request) {
         if (request.find("index=8&") != std::string::npos) {
-            told = true;
+            update_received = true;
             return Act{};
         }
-        while (!tell) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return Act{http(news)};
+        while (!send_update) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        return Act{http(update)};
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
-    news = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
-           "]}";
-    const auto all = [&fleet](const char* prefix) {
+    update = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
+             "]}";
+    const auto read_all_keys = [&fleet](const char* prefix) {
         Line line(own_loopback(), fleet.port());
         for (int k = 0; k < 40; ++k) {
             line.send(read_of("k" + std::to_string(k), prefix + std::to_string(k)));
             EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
         }
     };
-    all("d");
+    read_all_keys("d");
     EXPECT_FALSE(drained.heard().empty());
     EXPECT_FALSE(fleet.caches.back().heard().empty());
-    tell = true;
-    wait_for([&] { return told.load(); });
+    send_update = true;
+    wait_for([&] { return update_received.load(); });
     const std::size_t before = drained.heard().size();
-    all("e");
+    read_all_keys("e");
     EXPECT_EQ(drained.heard().size(), before);
 }
 
-TEST(Proxy, DiscoveryThatLostItsVersionsIsAskedForTheWholeList) {
-    std::string whole;
-    std::atomic<bool> tell{false};
-    std::atomic<bool> told{false};
+TEST(Proxy, AFullListIsRequestedIfDiscoveryLostItsVersions) {
+    std::string full_list;
+    std::atomic<bool> send_list{false};
+    std::atomic<bool> list_received{false};
     const auto watch = [&](const std::string& request) {
-        told = request.find("index=3&") != std::string::npos;
-        if (told) return Act{};
-        while (!tell) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        list_received = request.find("index=3&") != std::string::npos;
+        if (list_received) return Act{};
+        while (!send_list) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         const bool versioned = request.find("index=") != std::string::npos;
-        return Act{versioned ? http("", "404 Unknown") : http(whole)};
+        return Act{versioned ? http("", "404 Unknown") : http(full_list)};
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& kept = fleet.caches.back();
-    whole = R"({"seq":3,"whole":true,"hosts":[)" + Fleet::entry(Fleet::name(kept), kept, "SERVING") + "]}";
-    tell = true;
-    wait_for([&] { return told.load(); });
+    full_list =
+        R"({"seq":3,"whole":true,"hosts":[)" + Fleet::entry(Fleet::name(kept), kept, "SERVING") + "]}";
+    send_list = true;
+    wait_for([&] { return list_received.load(); });
     for (int k = 0; k < 10; ++k) {
         const std::string id = "v" + std::to_string(k);
         EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
@@ -224,64 +225,64 @@
 
 // The number of an evicted server is reused for another one. Results of attempts at the old server must not
 // be attributed to the new one.
-TEST(Proxy, RemovedServersAreForgotten) {
-    Told told;
-    Fleet fleet(2, {256, 250, told.script()});
-    ScriptedPeer& old = fleet.caches.front();
-    ScriptedPeer& fresh = fleet.caches.back();
-    std::atomic<bool> go{false};
-    const auto held = [&go](const std::string& m) {
-        while (id_in(m) == "held" && !go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+TEST(Proxy, RemovedServersAreEvicted) {
+    Told updates;
+    Fleet fleet(2, {256, 250, updates.script()});
+    ScriptedPeer& old_server = fleet.caches.front();
+    ScriptedPeer& new_server = fleet.caches.back();
+    std::atomic<bool> release{false};
+    const auto hold_script = [&release](const std::string& m) {
+        while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     };
-    old.plays(held);
+    old_server.plays(hold_script);
     const auto deleted = [](const std::string& host) {
         return R"({"host":")" + host + R"(","health":"DELETED"})";
     };
-    told.tell(deleted(Fleet::name(fresh)));
+    updates.tell(deleted(Fleet::name(new_server)));
     Line line(own_loopback(), fleet.port());
     line.send(read_of("1", "held"));
-    wait_for([&] { return old.heard().size() == 1; });
-    told.tell(deleted(Fleet::name(old)));
-    told.tell(Fleet::entry("next", fresh, "SERVING"));
+    wait_for([&] { return old_server.heard().size() == 1; });
+    updates.tell(deleted(Fleet::name(old_server)));
+    updates.tell(Fleet::entry("next", new_server, "SERVING"));
     EXPECT_EQ(fleet.ask(read_of("1", "n1")), "VA 5 On1\r\n");
-    EXPECT_EQ(fresh.heard().size(), 1U);
-    go = true;
+    EXPECT_EQ(new_server.heard().size(), 1U);
+    release = true;
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Oheld\r\nhello\r\n");
     for (const char* id : {"n2", "n3"})
         EXPECT_EQ(fleet.ask(read_of("1", id)), std::string("VA 5 O") + id + "\r\n");
-    EXPECT_EQ(fresh.heard().size(), 3U);
-    EXPECT_EQ(old.heard().size(), 1U);
+    EXPECT_EQ(new_server.heard().size(), 3U);
+    EXPECT_EQ(old_server.heard().size(), 1U);
     // A new server at the address of a removed one gets its own connections.
-    const int before = fresh.connections;
-    told.tell(deleted("next") + "," + Fleet::entry("after", fresh, "SERVING"));
+    const int before = new_server.connections;
+    updates.tell(deleted("next") + "," + Fleet::entry("after", new_server, "SERVING"));
     EXPECT_EQ(fleet.ask(read_of("1", "a1")), "VA 5 Oa1\r\n");
-    EXPECT_EQ(fresh.connections, before + 1);
+    EXPECT_EQ(new_server.connections, before + 1);
     std::string last = "after";
     for (const char* name : {"g1", "g2", "g3", "g4"}) {
-        told.tell(deleted(last) + "," + Fleet::entry(name, fresh, "SERVING"));
+        updates.tell(deleted(last) + "," + Fleet::entry(name, new_server, "SERVING"));
         last = name;
     }
-    told.tell(deleted(last) + "," + deleted("never-known"));
+    updates.tell(deleted(last) + "," + deleted("never-known"));
     wait_for([&] {
-        told.tell(Fleet::entry("origin", fleet.origin, "SERVING"));
+        updates.tell(Fleet::entry("origin", fleet.origin, "SERVING"));
         return fleet.logged(" 1 known");
     });
 }
 
 // SIGHUP used to end the node. After a reload with a new discovery address, the full list is requested there
 // at once, because each discovery service has its own versions, although the old one still holds a watch.
-TEST(Proxy, ANewConfigurationIsTakenWhileItServes) {
+TEST(Proxy, AReloadSwitchesToAnotherDiscovery) {
     Fleet fleet(2);
     ScriptedPeer& kept = fleet.caches.back();
     ScriptedPeer other(true);
-    std::atomic<bool> told{false};
-    const std::string whole =
+    std::atomic<bool> was_polled{false};
+    const std::string full_list =
         R"({"seq":1,"whole":true,"hosts":[)" + Fleet::entry(Fleet::name(kept), kept, "SERVING") + "]}";
     other.plays([&](const std::string& request) {
         const bool versioned = request.find("index=") != std::string::npos;
-        told = told || versioned;
-        return versioned ? Act{} : Act{http(whole)};
+        was_polled = was_polled || versioned;
+        return versioned ? Act{} : Act{http(full_list)};
     });
     wait_for([&] { return fleet.discovery.heard().size() == 1; });
     fleet.configure(fleet.told_with("\"pushed\"", "\"never\""));
@@ -291,7 +292,7 @@
     EXPECT_TRUE(fleet.alive());
     fleet.configure(fleet.told_with(fleet.discovery.address(), other.address()));
     fleet.signal(SIGHUP);
-    wait_for([&] { return told.load() && fleet.discovery.ended == 1; });
+    wait_for([&] { return was_polled.load() && fleet.discovery.ended == 1; });
     ASSERT_FALSE(other.heard().empty());
     EXPECT_TRUE(other.heard().front().starts_with("GET /discovery/hosts HTTP/1.1\r\n"));
     for (int k = 0; k < 10; ++k) {
@@ -304,7 +305,7 @@
 // Reloads to changed settings and back under load: the indexes of operations, tenants and kinds change,
 // fields are added and removed, and some attempts are in flight during each reload. Each command gets one
 // response, each write runs once, and no read is sent twice.
-TEST(Proxy, SettingsAreSwitchedThereAndBackUnderLoad) {
+TEST(Proxy, ReloadsUnderLoadLoseOrRepeatNoRequest) {
     Fleet fleet(3);
     std::atomic<bool> hold{false};
     std::atomic<int> held{0};
@@ -317,27 +318,30 @@
     };
     for (ScriptedPeer& c : fleet.caches) c.plays([&](const std::string& m) { return holding(m, hit(m)); });
     fleet.origin.plays([&](const std::string& m) { return holding(m, Act{http("made")}); });
-    const auto put_in = [](std::string& text, const std::string& from, const std::string& to) {
+    const auto replace_in = [](std::string& text, const std::string& from, const std::string& to) {
         const std::size_t at = text.find(from);
         ASSERT_NE(at, std::string::npos) << from;
         text.replace(at, from.size(), to);
     };
     // The original settings have all keys of the changed ones: a reload that lacks a key is rejected.
-    std::string here = fleet.told_with("\"discovery\":\"pushed\"",
-                                       "\"discovery\":\"pushed\",\"weights\":\"off\",\"parties\":[]");
-    std::string there = fleet.told_with("[\"m\",\"origin\"]", "[\"origin\",\"new\",\"m\"]");
-    const auto put = [&](const std::string& from, const std::string& to) { put_in(there, from, to); };
-    put("\"origin_kind\":1", "\"origin_kind\":0");
-    put("\"discovery\":\"pushed\"",
+    std::string original = fleet.told_with("\"discovery\":\"pushed\"",
+                                           "\"discovery\":\"pushed\",\"weights\":\"off\",\"parties\":[]");
+    std::string changed = fleet.told_with("[\"m\",\"origin\"]", "[\"origin\",\"new\",\"m\"]");
+    const auto replace = [&](const std::string& from, const std::string& to) {
+        replace_in(changed, from, to);
+    };
+    replace("\"origin_kind\":1", "\"origin_kind\":0");
+    replace(
+        "\"discovery\":\"pushed\"",
         "\"discovery\":\"pushed\",\"weights\":\"live\",\"parties\":[{\"name\":\"acme\",\"quota_per_s\":0}]");
-    put("\"operations\":[",
-        R"("operations":[{"name":"bid","repeat":"at_most_once","client_timeout_us":2000000},
+    replace("\"operations\":[",
+            R"("operations":[{"name":"bid","repeat":"at_most_once","client_timeout_us":2000000},
  {"name":"put","repeat":"deduplicated","group":"all","key_ttl_us":3000000,"client_timeout_us":2000000},)");
-    put(R"(,
+    replace(R"(,
  {"name":"put","repeat":"deduplicated","group":"all","key_ttl_us":3000000,"client_timeout_us":2000000}]}})",
-        "]}}");
+            "]}}");
     std::atomic<bool> stop{false};
-    std::atomic<int> reads{0}, writes{0}, wrong{0};
+    std::atomic<int> reads{0}, writes{0}, unexpected_responses{0};
     std::vector<std::thread> clients;
     for (int t = 0; t < 4; ++t) {
         clients.emplace_back([&, t] {
@@ -347,53 +351,54 @@
                 const std::string key = "k" + std::to_string(n % 50);
                 if (n % 5 == 0) {
                     line.send("ms " + key + " 1 O" + id + " Pc=put,t=acme,d=10000,k=" + id + "\r\nx\r\n");
-                    wrong += line.until("\r\n") != "HD O" + id + " cmade\r\n";
+                    unexpected_responses += line.until("\r\n") != "HD O" + id + " cmade\r\n";
                     ++writes;
                 } else {
                     line.send(read_of(key, id));
-                    wrong += line.until("\r\n") != "VA 5 O" + id + "\r\n" || line.bytes(7) != "hello\r\n";
+                    unexpected_responses +=
+                        line.until("\r\n") != "VA 5 O" + id + "\r\n" || line.bytes(7) != "hello\r\n";
                     ++reads;
                 }
             }
         });
     }
-    int switches = 0;
-    for (const std::string& told : {there, here, there, here}) {
-        SCOPED_TRACE(testing::Message() << "switch " << switches + 1);
+    int reloads = 0;
+    for (const std::string& settings : {changed, original, changed, original}) {
+        SCOPED_TRACE(testing::Message() << "switch " << reloads + 1);
         hold = true;
         const int before = held;
         Line read(own_loopback(), fleet.port()), write(own_loopback(), fleet.port());
-        const std::string id = "hold" + std::to_string(++switches);
+        const std::string id = "hold" + std::to_string(++reloads);
         read.send(read_of("held", id + "r"));
         write.send("ms other 1 O" + id + "w Pc=put,t=acme,d=10000,k=" + id + "\r\nx\r\n");
         wait_for([&] { return held == before + 2; });
-        fleet.configure(told);
+        fleet.configure(settings);
         fleet.signal(SIGHUP);
-        wait_for([&] { return fleet.times_logged("settings taken") == switches; });
-        if (switches % 2 == 1) {
-            EXPECT_EQ(fleet.ask("ms b 1 Obid" + std::to_string(switches) + " Pc=bid,d=10000\r\nx\r\n"),
-                      "HD Obid" + std::to_string(switches) + " cmade\r\n");
+        wait_for([&] { return fleet.times_logged("settings taken") == reloads; });
+        if (reloads % 2 == 1) {
+            EXPECT_EQ(fleet.ask("ms b 1 Obid" + std::to_string(reloads) + " Pc=bid,d=10000\r\nx\r\n"),
+                      "HD Obid" + std::to_string(reloads) + " cmade\r\n");
         } else {
-            EXPECT_TRUE(fleet.ask("ms b 1 Obid" + std::to_string(switches) + " Pc=bid,d=10000\r\nx\r\n")
+            EXPECT_TRUE(fleet.ask("ms b 1 Obid" + std::to_string(reloads) + " Pc=bid,d=10000\r\nx\r\n")
                             .starts_with("CLIENT_ERROR unknown operation"));
         }
         hold = false;
         EXPECT_EQ(read.until("\r\n"), "VA 5 O" + id + "r\r\n");
         EXPECT_EQ(write.until("\r\n"), "HD O" + id + "w cmade\r\n");
-        const int so_far = reads;
-        wait_for([&] { return reads > so_far + 50; });
+        const int reads_before = reads;
+        wait_for([&] { return reads > reads_before + 50; });
     }
     stop = true;
     for (std::thread& c : clients) c.join();
     int sent_reads = 0;
     for (ScriptedPeer& c : fleet.caches) sent_reads += static_cast<int>(c.heard().size());
-    EXPECT_EQ(wrong, 0);
+    EXPECT_EQ(unexpected_responses, 0);
     EXPECT_GT(writes, 0);
-    EXPECT_EQ(sent_reads, reads + switches);
-    EXPECT_EQ(static_cast<int>(fleet.origin.heard().size()), writes + switches + switches / 2);
+    EXPECT_EQ(sent_reads, reads + reloads);
+    EXPECT_EQ(static_cast<int>(fleet.origin.heard().size()), writes + reloads + reloads / 2);
 }
 
-TEST(Proxy, SettingsThatCannotChangeLiveLeaveAllAsItWas) {
+TEST(Proxy, AReloadOfFixedSettingsIsRejected) {
     Fleet fleet(1);
     struct Case {
         const char *from, *to, *line;
@@ -419,32 +424,32 @@
 
 // An attempt whose connection is still being opened when its server is drained would be sent after the drain.
 TEST(Proxy, ADrainCancelsAttemptsThatAreNotConnected) {
-    std::string news;
-    std::atomic<bool> tell{false};
+    std::string update;
+    std::atomic<bool> send_update{false};
     const auto watch = [&](const std::string& request) {
         if (request.find("index=8&") != std::string::npos) return Act{};
-        while (!tell) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return Act{http(news)};
+        while (!send_update) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        return Act{http(update)};
     };
     Fleet fleet(2, {256, 60000, watch});
     ScriptedPeer& drained = fleet.caches.front();
     drained.stall();
     const Line filler(own_loopback(), drained.port);  // fills the listen queue, so that no connect completes
-    news = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
-           "]}";
+    update = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
+             "]}";
     std::list<Line> lines;
     for (int k = 0; k < 8; ++k) {  // few enough for one cache to get them all at once
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send(read_of("k" + std::to_string(k), "w" + std::to_string(k), 60000));
     }
-    tell = true;
+    send_update = true;
     for (Line& line : lines) EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
     EXPECT_TRUE(drained.heard().empty());
 }
 
 // Caches hold larger values than clients may write. When such values were rejected as malformed, a tenth of
 // the reads of a busy day failed.
-TEST(Proxy, LargeValuesArePassedOnWhole) {
+TEST(Proxy, LargeValuesAreForwardedCompletely) {
     Fleet fleet(1);
     const std::string large(1000 * 1000, 'x');
     fleet.caches.front().plays([&](const std::string& m) {
@@ -455,9 +460,9 @@
     EXPECT_EQ(line.until("\r\n"), "VA 1000000 Ol1\r\n");
     EXPECT_TRUE(line.bytes(large.size() + 2) == large + "\r\n");
     // Also to a client that reads late, after its malformed last command has already ended its connection.
-    std::string many;
-    for (int n = 0; n < 12; ++n) many += read_of("1", "m" + std::to_string(n));
-    line.send(many + "ms k x O1 Pc=put,d=9\r\n");
+    std::string commands;
+    for (int n = 0; n < 12; ++n) commands += read_of("1", "m" + std::to_string(n));
+    line.send(commands + "ms k x O1 Pc=put,d=9\r\n");
     std::this_thread::sleep_for(std::chrono::milliseconds(1500));
     for (int n = 0; n < 12; ++n) {
         EXPECT_EQ(line.until("\r\n"), "VA 1000000 Om" + std::to_string(n) + "\r\n");
@@ -468,7 +473,7 @@
 }
 
 // Each buffer is bounded, but all buffers together could exceed the node's memory limit.
-TEST(Proxy, TheBuffersOfAllClientsTogetherAreBounded) {
+TEST(Proxy, TheBuffersOfAllClientsAreBoundedTogether) {
     Fleet fleet(1, {256, 250, silent, true, 16});  // 4 MB for the clients' buffers
     std::list<Line> lines;
     for (int n = 0; n < 100; ++n) {
@@ -485,10 +490,10 @@
 
 TEST(Proxy, SplitAndPipelinedCommandsAreAnsweredInOrder) {
     Fleet fleet(2);
-    std::atomic<bool> go{false};
+    std::atomic<bool> release{false};
     for (ScriptedPeer& c : fleet.caches) {
-        c.plays([&go](const std::string& m) {
-            while (id_in(m) == "slow" && !go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        c.plays([&release](const std::string& m) {
+            while (id_in(m) == "slow" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
             return hit(m);
         });
     }
@@ -499,15 +504,15 @@
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Or1\r\nhello\r\n");
     line.send(read_of("1", "slow") + read_of("2", "quick") + "mn\r\n");
     wait_for([&] { return fleet.caches.front().heard().size() + fleet.caches.back().heard().size() == 3; });
-    go = true;
+    release = true;
     EXPECT_EQ(line.until("MN\r\n"), "VA 5 Oslow\r\nhello\r\nVA 5 Oquick\r\nhello\r\nMN\r\n");
-    std::string many, each;
+    std::string commands, replies;
     for (int n = 0; n < 200; ++n) {
-        many += "mn\r\n";
-        each += "MN\r\n";
+        commands += "mn\r\n";
+        replies += "MN\r\n";
     }
-    line.send(many);
-    EXPECT_EQ(line.bytes(each.size()), each);
+    line.send(commands);
+    EXPECT_EQ(line.bytes(replies.size()), replies);
     const std::string large(64 * 1024, 'x');
     fleet.origin.plays([](const std::string& m) { return Act{http(m.substr(m.find("\r\n\r\n") + 4))}; });
     line.send("ms 7f3a 65536 Ow2 Pc=put,d=5000\r\n" + large + "\r\n");
@@ -543,16 +548,16 @@
 // request that had the same id.
 TEST(Proxy, AnIdStillInUseIsRejected) {
     Fleet fleet(1);
-    std::atomic<bool> go{false};
-    fleet.caches.front().plays([&go](const std::string& m) {
-        while (!go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    std::atomic<bool> release{false};
+    fleet.caches.front().plays([&release](const std::string& m) {
+        while (!release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
     Line first(own_loopback(), fleet.port());
     first.send(read_of("1", "same"));
     wait_for([&] { return fleet.caches.front().heard().size() == 1; });
     EXPECT_EQ(fleet.ask(read_of("2", "same")), "CLIENT_ERROR id in use\r\n");
-    go = true;
+    release = true;
     EXPECT_EQ(first.until("hello\r\n"), "VA 5 Osame\r\nhello\r\n");
     EXPECT_EQ(fleet.ask(read_of("2", "same")), "VA 5 Osame\r\n");  // the first request has ended
 }
@@ -561,26 +566,26 @@
 // that makes progress is served.
 TEST(Proxy, StalledClientsAreClosedAndSlowOnesServed) {
     Fleet fleet(1);
-    Line half(own_loopback(), fleet.port());
-    half.send("ms 7f3a 5 Oh1 Pc=put,d=5000\r\nv");
-    Line mute(own_loopback(), fleet.port());
-    Line kept(own_loopback(), fleet.port());
-    kept.send("mn\r\n");
-    EXPECT_EQ(kept.until("\r\n"), "MN\r\n");
-    Line slow(own_loopback(), fleet.port());
+    Line incomplete(own_loopback(), fleet.port());
+    incomplete.send("ms 7f3a 5 Oh1 Pc=put,d=5000\r\nv");
+    Line silent_client(own_loopback(), fleet.port());
+    Line idle(own_loopback(), fleet.port());
+    idle.send("mn\r\n");
+    EXPECT_EQ(idle.until("\r\n"), "MN\r\n");
+    Line slow_client(own_loopback(), fleet.port());
     std::thread writer([&] {
         for (const char* part : {"mg 7f3a ", "v Os1", " Pc=rea", "d,d=5000\r\n"}) {
-            slow.send(part);
+            slow_client.send(part);
             std::this_thread::sleep_for(std::chrono::milliseconds(800));
         }
     });
-    EXPECT_EQ(half.until("\r\n"), "CLIENT_ERROR incomplete command\r\n");
-    EXPECT_TRUE(half.closed_by_peer());
-    EXPECT_TRUE(mute.closed_by_peer());
-    EXPECT_EQ(slow.until("hello\r\n"), "VA 5 Os1\r\nhello\r\n");
+    EXPECT_EQ(incomplete.until("\r\n"), "CLIENT_ERROR incomplete command\r\n");
+    EXPECT_TRUE(incomplete.closed_by_peer());
+    EXPECT_TRUE(silent_client.closed_by_peer());
+    EXPECT_EQ(slow_client.until("hello\r\n"), "VA 5 Os1\r\nhello\r\n");
     writer.join();
-    kept.send(read_of("7f3a", "k1"));
-    EXPECT_EQ(kept.until("\r\n"), "VA 5 Ok1\r\n");
+    idle.send(read_of("7f3a", "k1"));
+    EXPECT_EQ(idle.until("\r\n"), "VA 5 Ok1\r\n");
 }
 
 // Seen on the test bench with 80 descriptors: a client that had just connected
@@ -613,11 +618,11 @@
     EXPECT_EQ(lines.back().until("\r\n"), "VA 5 Oagain\r\n");
 }
 
-TEST(Proxy, AtShutdownItServesOnAndThenExits) {
+TEST(Proxy, AShutdownAnswersOpenRequestsAndThenExits) {
     Fleet fleet(1);
-    std::atomic<bool> go{false};
-    fleet.caches.front().plays([&go](const std::string& m) {
-        while (id_in(m) == "held" && !go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    std::atomic<bool> release{false};
+    fleet.caches.front().plays([&release](const std::string& m) {
+        while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
     Line idle(own_loopback(), fleet.port());
@@ -639,35 +644,35 @@
     late.send(read_of("7f3a", "late"));
     EXPECT_EQ(late.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
     EXPECT_TRUE(late.closed_by_peer());
-    go = true;
+    release = true;
     EXPECT_EQ(held.until("hello\r\n"), "VA 5 Oheld\r\nhello\r\n");
     EXPECT_TRUE(held.closed_by_peer());
     EXPECT_EQ(fleet.exit_code(), 0);
     // Further connections without any command must not delay the exit until the kill.
-    Fleet pestered(1);
+    Fleet busy_fleet(1);
     std::atomic<bool> ended{false};
-    std::thread pest([&] {
+    std::thread connector([&] {
         std::list<Line> lines;
         while (!ended) {
-            lines.emplace_back(own_loopback(), pestered.port());
+            lines.emplace_back(own_loopback(), busy_fleet.port());
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
         }
     });
-    const auto told = std::chrono::steady_clock::now();
-    pestered.signal(SIGTERM);
-    EXPECT_EQ(pestered.exit_code(), 0);
+    const auto signalled_at = std::chrono::steady_clock::now();
+    busy_fleet.signal(SIGTERM);
+    EXPECT_EQ(busy_fleet.exit_code(), 0);
     ended = true;
-    pest.join();
-    const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - told;
-    EXPECT_LT(took.count(), 2400);  // it takes 2.9 s if the connections delay the exit
-    Fleet stuck(1);
-    stuck.caches.front().plays(silent);
-    Line last(own_loopback(), stuck.port());
+    connector.join();
+    const std::chrono::duration<double, std::milli> elapsed = std::chrono::steady_clock::now() - signalled_at;
+    EXPECT_LT(elapsed.count(), 2400);  // it takes 2.9 s if the connections delay the exit
+    Fleet stuck_fleet(1);
+    stuck_fleet.caches.front().plays(silent);
+    Line last(own_loopback(), stuck_fleet.port());
     last.send(read_of("7f3a", "last", 60000));
-    wait_for([&] { return stuck.caches.front().heard().size() == 1; });
-    stuck.signal(SIGTERM);
+    wait_for([&] { return stuck_fleet.caches.front().heard().size() == 1; });
+    stuck_fleet.signal(SIGTERM);
     EXPECT_TRUE(last.until("\r\n").starts_with("SERVER_ERROR "));
-    EXPECT_EQ(stuck.exit_code(), 0);
+    EXPECT_EQ(stuck_fleet.exit_code(), 0);
 }
 
 }  // namespace
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace brookrelay::testkit;
 
-Around run_by_operators() {
+Around with_admin_address() {
     Around around;
     around.managed = true;
     return around;
@@ -19,20 +19,20 @@
 // rejected at once without an attempt. A command whose client still waits is served.
 TEST(Operations, RequestsReceivedWhileStoppedKeepTheirAge) {
     Fleet fleet(2);
-    Line lapsed(own_loopback(), fleet.port()), waits(own_loopback(), fleet.port());
+    Line expired(own_loopback(), fleet.port()), waiting(own_loopback(), fleet.port());
     EXPECT_TRUE(fleet.ask(read_of("a", "1")).starts_with("VA 5 O1"));
     fleet.signal(SIGSTOP);
-    lapsed.send(read_of("b", "2", 500));
-    waits.send(read_of("c", "3", 10000));
+    expired.send(read_of("b", "2", 500));
+    waiting.send(read_of("c", "3", 10000));
     std::this_thread::sleep_for(std::chrono::milliseconds(1200));
     fleet.signal(SIGCONT);
-    EXPECT_TRUE(lapsed.until("\r\n").starts_with("SERVER_ERROR busy"));
-    EXPECT_TRUE(waits.until("\r\n").starts_with("VA 5 O3"));
+    EXPECT_TRUE(expired.until("\r\n").starts_with("SERVER_ERROR busy"));
+    EXPECT_TRUE(waiting.until("\r\n").starts_with("VA 5 O3"));
     EXPECT_TRUE(fleet.logged("stood still for"));
 }
 
-TEST(Operations, ManagementCallsGetTheirStatusAndMalformedOnes400) {
-    Fleet fleet(1, run_by_operators());
+TEST(Operations, AdminRequestsGetTheirStatusAndMalformedOnes400) {
+    Fleet fleet(1, with_admin_address());
     struct Case {
         const char* method;
         const char* target;
@@ -59,8 +59,8 @@
 
 // Admin connections without a complete request do not block other callers, however many they are, also at the
 // descriptor limit.
-TEST(Operations, UnfinishedManagementCallsBlockNobody) {
-    Around around = run_by_operators();
+TEST(Operations, IncompleteAdminRequestsDoNotBlockOthers) {
+    Around around = with_admin_address();
     around.descriptors = 64;
     Fleet fleet(1, around);
     fleet.caches.front().plays(silent);
@@ -69,10 +69,10 @@
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send(read_of("7f3a", "w" + std::to_string(k)));
     }
-    std::list<Line> mute;
+    std::list<Line> incomplete;
     for (int k = 0; k < 12; ++k) {
-        mute.emplace_back(own_loopback(), fleet.management());
-        if (k % 2 == 0) mute.back().send("POST /control/cache-ser");
+        incomplete.emplace_back(own_loopback(), fleet.management());
+        if (k % 2 == 0) incomplete.back().send("POST /control/cache-ser");
     }
     for (int k = 0; k < 5; ++k) EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 200);
 }
@@ -80,12 +80,12 @@
 // Two processes on one listener: the old one answers the commands that it has received, and new clients
 // connect to the new one.
 TEST(Operations, ANewProcessTakesOverFromTheOldOne) {
-    Around around = run_by_operators();
+    Around around = with_admin_address();
     around.inherited = true;
     Fleet fleet(1, around);
-    std::atomic<bool> go{false};
-    fleet.caches.front().plays([&go](const std::string& m) {
-        while (id_in(m) == "held" && !go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    std::atomic<bool> release{false};
+    fleet.caches.front().plays([&release](const std::string& m) {
+        while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
     Line idle(own_loopback(), fleet.port());
@@ -93,8 +93,8 @@
     EXPECT_EQ(idle.until("\r\n"), "MN\r\n");
     Line held(own_loopback(), fleet.port());
     held.send(read_of("7f3a", "held") + read_of("7f3a", "behind"));
-    Line half(own_loopback(), fleet.port());
-    half.send("mg 7f3a v Ohalf Pc=re");
+    Line incomplete(own_loopback(), fleet.port());
+    incomplete.send("mg 7f3a v Ohalf Pc=re");
     wait_for([&] { return !fleet.caches.front().heard().empty(); });
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
@@ -106,11 +106,11 @@
         const std::string id = "n" + std::to_string(k);
         EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
-    half.send("ad,d=900\r\n");
-    EXPECT_EQ(half.until("hello\r\n"), "VA 5 Ohalf\r\nhello\r\n");
-    EXPECT_TRUE(half.closed_by_peer());
+    incomplete.send("ad,d=900\r\n");
+    EXPECT_EQ(incomplete.until("hello\r\n"), "VA 5 Ohalf\r\nhello\r\n");
+    EXPECT_TRUE(incomplete.closed_by_peer());
     EXPECT_TRUE(fleet.alive());
-    go = true;
+    release = true;
     EXPECT_EQ(held.until("hello\r\n"), "VA 5 Oheld\r\nhello\r\n");
     EXPECT_EQ(held.until("hello\r\n"), "VA 5 Obehind\r\nhello\r\n");
     EXPECT_TRUE(held.closed_by_peer());
@@ -120,7 +120,7 @@
 
 // A second process that is killed or cannot start does not affect the first one.
 TEST(Operations, ASecondProcessThatFailsLeavesTheFirstServing) {
-    Around around = run_by_operators();
+    Around around = with_admin_address();
     around.inherited = true;
     Fleet fleet(1, around);
     Process next = fleet.second();
@@ -129,25 +129,25 @@
     for (int k = 0; k < 5; ++k) EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
     int fd[2];
     ASSERT_EQ(pipe(fd), 0);
-    Process made(std::make_unique<DaemonProcess>(
-                     DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
-                 0);
-    DaemonProcess& wrong = *made.daemon;
-    wrong.configure(fleet.told_with("\"pushed\"", "\"pushed\""));
-    wrong.start();
-    wait_for([&] { return !wrong.running(); });
-    EXPECT_EQ(wrong.exit_code(), 1);
+    Process failing(std::make_unique<DaemonProcess>(
+                        DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
+                    0);
+    DaemonProcess& failing_daemon = *failing.daemon;
+    failing_daemon.configure(fleet.told_with("\"pushed\"", "\"pushed\""));
+    failing_daemon.start();
+    wait_for([&] { return !failing_daemon.running(); });
+    EXPECT_EQ(failing_daemon.exit_code(), 1);
     EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
-    std::ifstream log(wrong.log_path());
-    const std::string said(std::istreambuf_iterator<char>(log), {});
-    EXPECT_NE(said.find("GW_ACCEPT_FD: descriptor 5 is no listening socket"), std::string::npos);
+    std::ifstream log(failing_daemon.log_path());
+    const std::string log_text(std::istreambuf_iterator<char>(log), {});
+    EXPECT_NE(log_text.find("GW_ACCEPT_FD: descriptor 5 is no listening socket"), std::string::npos);
 }
 
 // A temporary folder for the processes of one node, as the platform passes it in TMPDIR.
-class Scratch {
+class TemporaryFolder {
   public:
-    Scratch() { path_ = mkdtemp(path_.data()); }
-    ~Scratch() { std::filesystem::remove_all(path_); }
+    TemporaryFolder() { path_ = mkdtemp(path_.data()); }
+    ~TemporaryFolder() { std::filesystem::remove_all(path_); }
     const std::string& path() const { return path_; }
 
   private:
@@ -159,7 +159,7 @@
 }
 
 // Sends 40 reads of different keys and returns how many of them one cache received.
-std::size_t heard_of_forty(const Fleet& fleet, ScriptedPeer& cache, const std::string& prefix) {
+std::size_t send_reads_and_count(const Fleet& fleet, ScriptedPeer& cache, const std::string& prefix) {
     const std::size_t before = cache.heard().size();
     Line line(own_loopback(), fleet.port());
     for (int k = 0; k < 40; ++k) {
@@ -171,12 +171,12 @@
 
 // After the response to a drain the server gets no attempts, whatever the endpoint list contains, until one
 // restore.
-TEST(Operations, ACacheTakenOfflineGetsNothingWhateverTheListSays) {
-    const Scratch scratch;
-    Told told;
-    Around around = run_by_operators();
+TEST(Operations, ADrainedServerGetsNoAttemptsWhateverTheListSays) {
+    const TemporaryFolder scratch;
+    Told updates;
+    Around around = with_admin_address();
     around.tmp = scratch.path();
-    around.watch = told.script();
+    around.watch = updates.script();
     Fleet fleet(2, around);
     ScriptedPeer& cache = fleet.caches.front();
     const std::string name = Fleet::name(cache);
@@ -185,30 +185,30 @@
     const auto call = [&](const std::string& id, const char* what) {
         return Fleet::call(fleet.management(), "POST", server_call(id, what));
     };
-    EXPECT_GT(heard_of_forty(fleet, cache, "a"), 0U);
+    EXPECT_GT(send_reads_and_count(fleet, cache, "a"), 0U);
     EXPECT_EQ(call(name, "offline"), 200);
     const std::string deleted = R"({"host":")" + name + R"(","health":"DELETED"})";
     int round = 0;
-    for (const std::string& news :
+    for (const std::string& update :
          {std::string(), Fleet::entry(name, cache, "SERVING"), Fleet::entry(name, cache, "DRAINING"), deleted,
           Fleet::entry(name, cache, "SERVING"), "!" + other,
           "!" + other + "," + Fleet::entry(name, cache, "SERVING")}) {
         SCOPED_TRACE(testing::Message() << "round " << round);
-        if (!news.empty()) told.tell(news);
-        EXPECT_EQ(heard_of_forty(fleet, cache, "b" + std::to_string(round++) + "-"), 0U);
+        if (!update.empty()) updates.tell(update);
+        EXPECT_EQ(send_reads_and_count(fleet, cache, "b" + std::to_string(round++) + "-"), 0U);
     }
     EXPECT_EQ(call(name, "offline"), 200);
     EXPECT_EQ(call(name, "offline"), 200);
     EXPECT_EQ(call(name, "online"), 200);
-    EXPECT_GT(heard_of_forty(fleet, cache, "c"), 0U);
+    EXPECT_GT(send_reads_and_count(fleet, cache, "c"), 0U);
     EXPECT_EQ(call(name, "online"), 200);
     wait_for([&] {
-        told.tell("!" + other);
+        updates.tell("!" + other);
         return fleet.logged(" 2 known (whole list)");
     });
     EXPECT_EQ(call(name, "offline"), 200);  // evicted, but it was listed once
-    told.tell(Fleet::entry(name, cache, "SERVING"));
-    EXPECT_EQ(heard_of_forty(fleet, cache, "d"), 0U);
+    updates.tell(Fleet::entry(name, cache, "SERVING"));
+    EXPECT_EQ(send_reads_and_count(fleet, cache, "d"), 0U);
     struct Case {
         std::string target;
         int status;
@@ -221,14 +221,14 @@
                                                      {server_call(name, "away"), 404}})
         EXPECT_EQ(Fleet::call(fleet.management(), "POST", c.target), c.status) << c.target;
     EXPECT_EQ(Fleet::call(fleet.management(), "GET", server_call(name, "online")), 405);
-    EXPECT_EQ(heard_of_forty(fleet, cache, "e"), 0U);
+    EXPECT_EQ(send_reads_and_count(fleet, cache, "e"), 0U);
 }
 
 // A drain or restore at one process applies to all processes of the node, also to one that starts later, and
 // after the first process was killed.
-TEST(Operations, ACacheTakenOfflineIsSoForAllProcessesOfTheNode) {
-    const Scratch scratch;
-    Around around = run_by_operators();
+TEST(Operations, ADrainAppliesToAllProcessesOfTheNode) {
+    const TemporaryFolder scratch;
+    Around around = with_admin_address();
     around.inherited = true;
     around.tmp = scratch.path();
     Fleet fleet(2, around);
@@ -241,20 +241,21 @@
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "offline")), 200);
     // Both processes serve, so the first one must have reloaded the state.
     wait_for([&] { return fleet.logged(Fleet::name(last) + " is drained by an operator"); });
-    for (int k = 0; k < 5; ++k) EXPECT_EQ(heard_of_forty(fleet, last, "x" + std::to_string(k) + "-"), 0U);
-    EXPECT_GT(heard_of_forty(fleet, first, "y"), 0U);
+    for (int k = 0; k < 5; ++k)
+        EXPECT_EQ(send_reads_and_count(fleet, last, "x" + std::to_string(k) + "-"), 0U);
+    EXPECT_GT(send_reads_and_count(fleet, first, "y"), 0U);
     fleet.signal(SIGKILL);
     EXPECT_EQ(fleet.exit_code(), 128 + SIGKILL);
-    EXPECT_EQ(heard_of_forty(fleet, last, "z"), 0U);
+    EXPECT_EQ(send_reads_and_count(fleet, last, "z"), 0U);
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "online")), 200);
-    wait_for([&] { return heard_of_forty(fleet, last, "v") > 0; });
+    wait_for([&] { return send_reads_and_count(fleet, last, "v") > 0; });
 }
 
 // The connections of both processes together stay within the limit of one process, and the share of a killed
 // process becomes available.
 TEST(Operations, TwoProcessesShareOneDescriptorLimit) {
-    const Scratch scratch;
-    Around around = run_by_operators();
+    const TemporaryFolder scratch;
+    Around around = with_admin_address();
     around.inherited = true;
     around.tmp = scratch.path();
     around.descriptors = 128;  // 62 for clients
@@ -266,17 +267,17 @@
         lines.emplace_back(own_loopback(), fleet.port());
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
-    const int both = fleet.daemon().figures().descriptors + next.daemon->figures().descriptors;
-    std::printf("two processes: %d descriptors\n", both);
-    EXPECT_GT(both, 50);
-    EXPECT_LE(both, 128);
+    const int total = fleet.daemon().figures().descriptors + next.daemon->figures().descriptors;
+    std::printf("two processes: %d descriptors\n", total);
+    EXPECT_GT(total, 50);
+    EXPECT_LE(total, 128);
     next.daemon->kill();
     wait_for([&] { return fleet.daemon().figures().descriptors > 65; });
 }
 
 // When discovery rejects a request, the node keeps its version, continues to request updates of it, and
 // serves in the meantime.
-TEST(Operations, DiscoveryThatRejectsCallersIsAskedForUpdates) {
+TEST(Operations, ARejectionByDiscoveryKeepsTheVersion) {
     std::atomic<int> calls{0};
     Around around;
     around.watch = [&](const std::string&) {
@@ -289,52 +290,54 @@
         EXPECT_NE(asked.find("index=7&"), std::string::npos);
 }
 
-constexpr std::size_t kLong = 4 * 1024 * 1024;
+constexpr std::size_t kLongValueSize = 4 * 1024 * 1024;
 
 // The bytes differ by position, so that a lost or repeated chunk is detected.
 const std::string& long_value() {
     static const std::string value = [] {
-        std::string v(kLong, 0);
+        std::string v(kLongValueSize, 0);
         for (std::size_t i = 0; i < v.size(); ++i) v[i] = static_cast<char>('a' + (i * 7 + i / 1000) % 26);
         return v;
     }();
     return value;
 }
-std::string long_head(const std::string& command) {
-    return "VA " + std::to_string(kLong) + " O" + id_in(command) + " h1\r\n";
+std::string long_value_header(const std::string& command) {
+    return "VA " + std::to_string(kLongValueSize) + " O" + id_in(command) + " h1\r\n";
 }
 
 // From a cache, and after a miss from the origin: the client gets the first bytes before the rest has
 // arrived, and then the complete value.
 TEST(Operations, LongValuesAreStreamed) {
-    for (const bool missed : {false, true}) {
-        SCOPED_TRACE(missed ? "from the origin" : "from a cache");
-        Fleet fleet(2, run_by_operators());
-        std::atomic<bool> go{false};
-        const auto held = [&go] {
-            while (!go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    for (const bool is_miss : {false, true}) {
+        SCOPED_TRACE(is_miss ? "from the origin" : "from a cache");
+        Fleet fleet(2, with_admin_address());
+        std::atomic<bool> release{false};
+        const auto wait_for_release = [&release] {
+            while (!release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         };
         const std::string first = long_value().substr(0, 100'000);
         const std::string rest = long_value().substr(100'000);
         for (ScriptedPeer& c : fleet.caches)
             c.plays([&](const std::string& m) {
-                return missed ? miss(m) : Act{long_head(m) + first, false, held, rest + "\r\n"};
+                return is_miss ? miss(m)
+                               : Act{long_value_header(m) + first, false, wait_for_release, rest + "\r\n"};
             });
         fleet.origin.plays([&](const std::string&) {
-            return Act{"HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLong) + "\r\n\r\n" + first,
-                       true, held, rest};
+            return Act{
+                "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLongValueSize) + "\r\n\r\n" + first,
+                true, wait_for_release, rest};
         });
         Line line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "l1"));
-        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Ol1\r\n");
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Ol1\r\n");
         EXPECT_TRUE(line.bytes(first.size()) == first);
         line.send(read_of("7f3a", "l2"));  // in the middle of the first value
         EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
-        go = true;
+        release = true;
         EXPECT_TRUE(line.bytes(rest.size()) == rest);
         EXPECT_EQ(line.bytes(2), "\r\n");
-        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Ol2\r\n");
-        EXPECT_TRUE(line.bytes(kLong) == long_value());
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Ol2\r\n");
+        EXPECT_TRUE(line.bytes(kLongValueSize) == long_value());
         EXPECT_EQ(line.bytes(2), "\r\n");
         EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
     }
@@ -342,23 +345,23 @@
 
 // Once a part of a streamed value is written, no other attempt may answer the request, and the client can
 // detect that the value is incomplete.
-TEST(Operations, ATruncatedLongValueIsNoticedByTheClient) {
+TEST(Operations, AClientDetectsATruncatedLongValue) {
     struct Case {
         std::string sent;  // after the head
     };
-    const std::string half = long_value().substr(0, kLong / 2);
+    const std::string half = long_value().substr(0, kLongValueSize / 2);
     for (const Case& c : {Case{half}, Case{long_value()}, Case{long_value() + "xx"}}) {
         SCOPED_TRACE(testing::Message() << c.sent.size() << " bytes after the head");
-        Fleet fleet(2, run_by_operators());
+        Fleet fleet(2, with_admin_address());
         for (ScriptedPeer& cache : fleet.caches)
-            cache.plays([&](const std::string& m) { return Act{long_head(m) + c.sent, true}; });
+            cache.plays([&](const std::string& m) { return Act{long_value_header(m) + c.sent, true}; });
         Line line(own_loopback(), fleet.port());
         line.send("mn\r\n" + read_of("7f3a", "b1"));
         EXPECT_EQ(line.until("\r\n"), "MN\r\n");
-        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Ob1\r\n");
-        const std::string got = line.bytes(kLong + 2);
-        EXPECT_LT(got.size(), kLong);
-        EXPECT_TRUE(got == long_value().substr(0, got.size()));
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Ob1\r\n");
+        const std::string received = line.bytes(kLongValueSize + 2);
+        EXPECT_LT(received.size(), kLongValueSize);
+        EXPECT_TRUE(received == long_value().substr(0, received.size()));
         EXPECT_TRUE(line.closed_by_peer());
         EXPECT_TRUE(fleet.origin.heard().empty());
         // If another command of the client is already read, closing would lose it, so each command gets its
@@ -368,32 +371,32 @@
         EXPECT_EQ(both.until("\r\n"), "SERVER_ERROR failed\r\n");
         const std::string last = both.until("\r\n");
         EXPECT_TRUE(last == "SERVER_ERROR failed\r\n" ||
-                    (last == "VA " + std::to_string(kLong) + " Ob3\r\n" &&
-                     both.bytes(kLong + 2).size() < kLong && both.closed_by_peer()))
+                    (last == "VA " + std::to_string(kLongValueSize) + " Ob3\r\n" &&
+                     both.bytes(kLongValueSize + 2).size() < kLongValueSize && both.closed_by_peer()))
             << last.substr(0, 80);
         EXPECT_TRUE(fleet.alive());
     }
     // If the client disconnects, the connection to the server is closed.
-    Fleet fleet(1, run_by_operators());
+    Fleet fleet(1, with_admin_address());
     fleet.caches.front().plays(
-        [&](const std::string& m) { return Act{long_head(m) + half + half + "\r\n"}; });
+        [&](const std::string& m) { return Act{long_value_header(m) + half + half + "\r\n"}; });
     {
         Line line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "g1"));
-        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLong) + " Og1\r\n");
+        EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Og1\r\n");
     }
     wait_for([&] { return fleet.caches.front().ended == 1; });
     // While an earlier response of the client is pending, no part of the value is written, so the client gets
     // an error line.
-    std::atomic<bool> go{false};
+    std::atomic<bool> release{false};
     fleet.caches.front().plays([&](const std::string& m) {
-        while (id_in(m) == "first" && !go) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return id_in(m) == "first" ? hit(m) : Act{long_head(m), true};
+        while (id_in(m) == "first" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        return id_in(m) == "first" ? hit(m) : Act{long_value_header(m), true};
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "first") + read_of("7f3b", "second"));
     wait_for([&] { return fleet.caches.front().ended == 2; });
-    go = true;
+    release = true;
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Ofirst\r\nhello\r\n");
     const std::string second = line.until("\r\n");
     EXPECT_TRUE(second == "SERVER_ERROR failed\r\n" || (second.starts_with("VA ") && line.closed_by_peer()))
@@ -402,12 +405,13 @@
 
 // Values that together exceed the node's memory, with clients that read late and writers that pause.
 TEST(Operations, ManyLongValuesFitInLittleMemory) {
-    Around around = run_by_operators();
+    Around around = with_admin_address();
     around.memory_mb = 48;
     Fleet fleet(2, around);
     for (ScriptedPeer& c : fleet.caches)
         c.plays([&](const std::string& m) {
-            return m.find("short") == std::string::npos ? Act{long_head(m) + long_value() + "\r\n"} : hit(m);
+            return m.find("short") == std::string::npos ? Act{long_value_header(m) + long_value() + "\r\n"}
+                                                        : hit(m);
         });
     std::list<Line> readers;
     for (int k = 0; k < 30; ++k) {
@@ -418,14 +422,15 @@
     for (int k = 0; k < 6; ++k) {
         const std::string id = "w" + std::to_string(k);
         writers.emplace_back(own_loopback(), fleet.port());
-        writers.back().send("ms " + id + " " + std::to_string(kLong) + " O" + id + " Pc=put,d=9000,k=" + id +
-                            "\r\n");
+        writers.back().send("ms " + id + " " + std::to_string(kLongValueSize) + " O" + id +
+                            " Pc=put,d=9000,k=" + id + "\r\n");
     }
     std::vector<std::thread> writing;
     for (Line& writer : writers) {
         writing.emplace_back([&writer] {
             for (const std::size_t part : {0U, 1U}) {
-                writer.send(long_value().substr(part * kLong / 2, kLong / 2) + (part == 1 ? "\r\n" : ""));
+                writer.send(long_value().substr(part * kLongValueSize / 2, kLongValueSize / 2) +
+                            (part == 1 ? "\r\n" : ""));
                 std::this_thread::sleep_for(std::chrono::milliseconds(20));
             }
         });
@@ -440,22 +445,23 @@
         EXPECT_EQ(writer.until("\r\n"), "HD Ow" + std::to_string(k++) + " cmade\r\n");
     k = 0;
     for (Line& reader : readers) {
-        EXPECT_EQ(reader.until("\r\n"), "VA " + std::to_string(kLong) + " Or" + std::to_string(k++) + "\r\n");
-        EXPECT_TRUE(reader.bytes(kLong) == long_value());
+        EXPECT_EQ(reader.until("\r\n"),
+                  "VA " + std::to_string(kLongValueSize) + " Or" + std::to_string(k++) + "\r\n");
+        EXPECT_TRUE(reader.bytes(kLongValueSize) == long_value());
         EXPECT_EQ(reader.bytes(2), "\r\n");
     }
     for (const std::string& message : fleet.origin.heard())
         EXPECT_TRUE(message.substr(message.find("\r\n\r\n") + 4) == long_value());
     EXPECT_EQ(fleet.origin.heard().size(), 6U);
-    const double most = fleet.daemon().figures().rss_most_mb;
-    std::printf("long values: %.1f MB at most\n", most);
-    EXPECT_LT(most, 40);
+    const double max_rss_mb = fleet.daemon().figures().rss_most_mb;
+    std::printf("long values: %.1f MB at most\n", max_rss_mb);
+    EXPECT_LT(max_rss_mb, 40);
 }
 
 // The state folder is named after the node; after a reload with another name the process keeps its folder.
 TEST(Operations, AReloadWithAnotherNameKeepsTheStateFolder) {
-    const Scratch scratch;
-    Around around = run_by_operators();
+    const TemporaryFolder scratch;
+    Around around = with_admin_address();
     around.inherited = true;
     around.tmp = scratch.path();
     Fleet fleet(1, around);
@@ -474,19 +480,19 @@
 }
 
 // The body of the response to a GET request of the admin interface.
-std::string page(const Fleet& fleet, const std::string& target) {
+std::string get_page(const Fleet& fleet, const std::string& target) {
     Line line(own_loopback(), fleet.management());
     line.send("GET " + target + " HTTP/1.1\r\nHost: node\r\n\r\n");
     return line.until("\r\n\r\n") + line.until("no such text");
 }
 
 // The metrics page counts served and rejected requests, closed connections and violated rules.
-TEST(Operations, MetricsAndTraceTellWhatHappened) {
-    Fleet fleet(1, run_by_operators());
+TEST(Operations, MetricsAndTraceRecordRequests) {
+    Fleet fleet(1, with_admin_address());
     EXPECT_EQ(fleet.ask(read_of("7f3a", "m1")), "VA 5 Om1\r\n");
     fleet.caches.front().plays([](const std::string&) { return Act{"SERVER_ERROR busy\r\n"}; });
     EXPECT_TRUE(fleet.ask(read_of("7f3a", "m2", 300)).starts_with("SERVER_ERROR "));
-    const std::string metrics = page(fleet, "/metrics");
+    const std::string metrics = get_page(fleet, "/metrics");
     for (const char* line :
          {"# TYPE brookrelay_requests_total counter\nbrookrelay_requests_total 2\n",
           "brookrelay_request_ends_total{end=\"served\"} 1\n",
@@ -495,7 +501,7 @@
           "brookrelay_client_connections_closed_total{reason=\"peer_closed\"} ",
           "brookrelay_violations_total{kind=\"commands_lost\"} 0\n", "brookrelay_open_requests 0\n"})
         EXPECT_NE(metrics.find(line), std::string::npos) << line << metrics;
-    const std::string trace = page(fleet, "/control/trace");
+    const std::string trace = get_page(fleet, "/control/trace");
     std::size_t at = 0;
     for (const char* step : {"request m1: received", "request m1: attempt_started 0 at s-",
                              "request m1: attempt_written 0 at s-", "request m1: attempt_ended 0 at s-",
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -19,15 +19,15 @@
 constexpr double kHour = 3600;
 
 // A temporary folder, removed at the end of the test.
-class Folder {
+class TemporaryFolder {
   public:
-    Folder() {
+    TemporaryFolder() {
         std::string pattern = testing::TempDir() + "recovery-XXXXXX";
         path_ = mkdtemp(pattern.data());
     }
-    ~Folder() { std::filesystem::remove_all(path_); }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    ~TemporaryFolder() { std::filesystem::remove_all(path_); }
+    TemporaryFolder(const TemporaryFolder&) = delete;
+    TemporaryFolder& operator=(const TemporaryFolder&) = delete;
     std::string at(const std::string& name) const { return path_ + "/" + name; }
 
   private:
@@ -37,8 +37,8 @@
 // ---- the state folder ------------------------------------------------------------------------------------
 
 // A kill or a full disk during a write leaves an incomplete line.
-TEST(StateFolder, HalfALineSpoilsNoOtherName) {
-    const Folder folder;
+TEST(StateFolder, AnIncompleteLineDamagesNoOtherName) {
+    const TemporaryFolder folder;
     AdminState state(folder.at("state"));
     state.record_listed({"s-1"});
     std::ofstream(folder.at("state/listed"), std::ios::app) << "s-1";  // the beginning of "s-17"
@@ -53,14 +53,14 @@
 
 // A table with one server that is known from the first list and restarts later. The wall clock of this node
 // is stepped by `step_before` seconds before the process starts and by `step_after` seconds after that.
-struct Restart {
+struct RestartedServer {
     Deployment deployment;
     std::unique_ptr<ServerTable> table;
     int server = 0;
     double now = 1000;
     static constexpr double kTrueOffset = 1e9;  // wall clock minus monotonic clock on the other machines, s
 
-    explicit Restart(double step_before, double step_after) {
+    explicit RestartedServer(double step_before, double step_after) {
         deployment.slow_start_duration = kSlowStart;
         table = std::make_unique<ServerTable>(deployment, kTrueOffset + step_before);
         server = table->find_or_add("s-1");
@@ -80,11 +80,11 @@
     }
 };
 
-TEST(SlowStart, OfAServerThatWasSeenToRestartLastsItsTimeWhateverTheWallClockSays) {
+TEST(SlowStart, IsCorrectForAnObservedRestartWhateverTheWallClockSays) {
     for (const double before : {0.0, 5.0, -5.0, kHour, -kHour}) {
         for (const double after : {0.0, 5.0, -5.0, kHour, -kHour}) {
             SCOPED_TRACE(testing::Message() << before << " s before the start, " << after << " s after it");
-            const Restart restart(before, after);
+            const RestartedServer restart(before, after);
             EXPECT_TRUE(restart.table->is_cold(restart.server, restart.now + kSlowStart - 1));
             EXPECT_FALSE(restart.table->is_cold(restart.server, restart.now + kSlowStart + 1));
             const double started_at = restart.table->endpoint(restart.server).started_at;
@@ -98,8 +98,8 @@
 
 // A snapshot that was written an hour ago is ignored, also if the clock was set back by that hour since. A
 // recent snapshot is used, also if the clock was stepped in either direction since.
-TEST(WarmStart, CountsByItsRealAge) {
-    const Folder folder;
+TEST(WarmStart, IsLoadedByItsRealAge) {
+    const TemporaryFolder folder;
     const WarmStartFile file(folder.at("learned"));
     const auto name_of = [](int) { return std::string("s-1"); };
     const auto number_of = [](const std::string&) { return 0; };
@@ -114,7 +114,7 @@
 // ---- the schedule of a shutdown --------------------------------------------------------------------------
 
 // The kill comes min(longest client timeout, 3 s) + 0.7 s after the signal.
-TEST(ShutdownTimes, OpenRequestsAreFailedBeforeTheKillOfEachTimeout) {
+TEST(ShutdownTimes, OpenRequestsFailBeforeTheKillForEachTimeout) {
     for (const double timeout : {0.2, 1.0, 9.0}) {
         GracefulShutdown shutdown;
         shutdown.begin(100, timeout, false);
@@ -124,7 +124,7 @@
     }
 }
 
-TEST(ShutdownTimes, AShorterTimeoutByAReloadCountsFromTheSignal) {
+TEST(ShutdownTimes, AShorterTimeoutAfterAReloadCountsFromTheSignal) {
     GracefulShutdown shutdown;
     shutdown.begin(100, 3.0, false);
     EXPECT_EQ(shutdown.next_step(100.7, false, true), GracefulShutdown::Step::wait);
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -26,9 +26,9 @@
 using namespace brookrelay::testkit;
 
 // Runs `brookrelay registry watch` and the service that it watches.
-class Watched {
+class RegistryWatch {
   public:
-    Watched()
+    RegistryWatch()
         : guard_(io_.get_executor()), server_(io_, clock_, own_loopback()), thread_([this] { io_.run(); }) {
         path_ = testing::TempDir() + "registry-" + std::to_string(getpid());
         on_loop([this] {
@@ -46,17 +46,17 @@
             _exit(127);
         }
     }
-    ~Watched() {
+    ~RegistryWatch() {
         kill(child_, SIGTERM);
         waitpid(child_, nullptr, 0);
         guard_.reset();
         io_.stop();
         thread_.join();
     }
-    void on_loop(const std::function<void()>& what) {
+    void on_loop(const std::function<void()>& function) {
         std::promise<void> done;
         boost::asio::post(io_, [&] {
-            what();
+            function();
             done.set_value();
         });
         done.get_future().wait();
@@ -68,11 +68,11 @@
                                            false);
         });
     }
-    void drop(const std::string& name) {
+    void remove(const std::string& name) {
         on_loop([&] { (void)server_.service().remove("/fleet/" + name); });
     }
     // Waits until the text is in the output; false if it is not there after 10 s.
-    bool says(const std::string& text, const char* where = ".out") {
+    bool wait_for_output(const std::string& text, const char* where = ".out") {
         for (int i = 0; i < 1000; ++i) {
             std::ifstream file(path_ + where);
             if (std::string(std::istreambuf_iterator<char>(file), {}).find(text) != std::string::npos)
@@ -94,31 +94,32 @@
     std::string path_;
 };
 
-TEST(Registry, FollowsThroughWhatGoesWrong) {
-    Watched w;
-    w.add("box-1");
-    w.add("box-2");
-    EXPECT_TRUE(w.says("cold box-1 127.0.0.1:11411\n") && w.says("cold box-2"));
-    w.drop("box-1");
-    EXPECT_TRUE(w.says("gone box-1"));
-    w.on_loop([&] { w.server().unreachable(true); });
-    EXPECT_TRUE(w.says("registry: connection lost", ".err"));
-    w.add("box-3");
-    w.on_loop([&] { w.server().unreachable(false); });
-    EXPECT_TRUE(w.says("cold box-3"));
-    w.on_loop([&] { w.server().garble(); });
-    w.add("box-4");
-    EXPECT_TRUE(w.says("cold box-4"));
-    w.on_loop([&] { w.server().silence(true); });
-    EXPECT_TRUE(w.says("the service does not respond", ".err"));
-    w.add("box-5");
-    w.on_loop([&] { w.server().silence(false); });
-    EXPECT_TRUE(w.says("cold box-5"));
+TEST(Registry, WatchContinuesAfterFaultsOfTheService) {
+    RegistryWatch watcher;
+    watcher.add("box-1");
+    watcher.add("box-2");
+    EXPECT_TRUE(watcher.wait_for_output("cold box-1 127.0.0.1:11411\n") &&
+                watcher.wait_for_output("cold box-2"));
+    watcher.remove("box-1");
+    EXPECT_TRUE(watcher.wait_for_output("gone box-1"));
+    watcher.on_loop([&] { watcher.server().unreachable(true); });
+    EXPECT_TRUE(watcher.wait_for_output("registry: connection lost", ".err"));
+    watcher.add("box-3");
+    watcher.on_loop([&] { watcher.server().unreachable(false); });
+    EXPECT_TRUE(watcher.wait_for_output("cold box-3"));
+    watcher.on_loop([&] { watcher.server().garble(); });
+    watcher.add("box-4");
+    EXPECT_TRUE(watcher.wait_for_output("cold box-4"));
+    watcher.on_loop([&] { watcher.server().silence(true); });
+    EXPECT_TRUE(watcher.wait_for_output("the service does not respond", ".err"));
+    watcher.add("box-5");
+    watcher.on_loop([&] { watcher.server().silence(false); });
+    EXPECT_TRUE(watcher.wait_for_output("cold box-5"));
 }
 
 // A node with the coordination service as its endpoint source: attempts go to registered servers, stop after
 // a removal and begin after a registration.
-TEST(Registry, ADaemonFollowsRegistrations) {
+TEST(Registry, ADaemonAppliesRegistrations) {
     Io io;
     const Clock clock;
     FakeCoordinatorServer server(io, clock, own_loopback());
@@ -135,30 +136,30 @@
         });
         (void)server.service().create(0, owner, "/fleet/box-" + std::to_string(i), data(i), true, false);
     }
-    const std::string base = testing::TempDir() + "registered-" + std::to_string(getpid());
+    const std::string file_prefix = testing::TempDir() + "registered-" + std::to_string(getpid());
     int port = 0;
     close(bound_socket(port));
-    std::ofstream(base + ".json")
+    std::ofstream(file_prefix + ".json")
         << R"({"name":"n0","listen":")" << own_loopback() << ":" << port
         << R"(","discovery":"127.0.0.1:1","seed":"1","known":{"seq":1,"whole":true,"hosts":[]},
  "settings":{"localities":["a"],"kinds":["m"],"permissions":{"cancel":true,"most_forwards":3,"connect_timeout_us":250000},
  "operations":[{"name":"read","repeat":"idempotent","client_timeout_us":2000000}]}})";
-    std::ofstream(base + ".toml") << "[registry]\naddresses = [\"" << server.address()
-                                  << "\"]\npath = \"/fleet\"\n";
+    std::ofstream(file_prefix + ".toml")
+        << "[registry]\naddresses = [\"" << server.address() << "\"]\npath = \"/fleet\"\n";
     const pid_t child = fork();
     if (child == 0) {
-        std::freopen((base + ".log").c_str(), "w", stderr);
+        std::freopen((file_prefix + ".log").c_str(), "w", stderr);
         for (int fd = 3; fd < 1024; ++fd) close(fd);
-        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "serve", "--config", (base + ".json").c_str(),
-              "--operator", (base + ".toml").c_str(), nullptr);
+        execl(BROOKRELAY_PROGRAM, BROOKRELAY_PROGRAM, "serve", "--config", (file_prefix + ".json").c_str(),
+              "--operator", (file_prefix + ".toml").c_str(), nullptr);
         _exit(127);
     }
     boost::asio::executor_work_guard<Io::executor_type> guard(io.get_executor());
     std::thread loop([&] { io.run(); });
-    const auto on_loop = [&](const std::function<void()>& what) {
+    const auto on_loop = [&](const std::function<void()>& function) {
         std::promise<void> done;
         boost::asio::post(io, [&] {
-            what();
+            function();
             done.set_value();
         });
         done.get_future().wait();
@@ -166,14 +167,14 @@
     int asked = 0;
     const auto ask = [&](int count) {
         Line line(own_loopback(), port);
-        int good = 0;
+        int served = 0;
         for (int i = 0; i < count && line.up(); ++i) {
             const std::string id = std::to_string(++asked);
             line.send("mg " + id + " v Oi" + id + " Pc=read,d=1000\r\n");
             const std::string first = line.until("\r\n");
-            if (first.starts_with("VA ")) good += line.until("\r\n") == "hello\r\n" ? 1 : 0;
+            if (first.starts_with("VA ")) served += line.until("\r\n") == "hello\r\n" ? 1 : 0;
         }
-        return good;
+        return served;
     };
     // Wait until both servers are known.
     for (int i = 0; i < 500 && (boxes[0].heard().empty() || boxes[1].heard().empty()); ++i) {
@@ -205,7 +206,7 @@
     loop.join();
 }
 
-TEST(Registration, IsReadAndChecked) {
+TEST(Registration, IsDecodedAndValidated) {
     const Names names{{"a"}, {"box"}, {}, {}};
     const Registration r = read_registration(
         R"({"address":"127.0.0.1:1","zone":"a","kind":"box","cell":3,"started_ms":2500})", names);
@@ -219,12 +220,12 @@
         {R"({"address":"nowhere","zone":"a","kind":"box"})", "not an address"},
         {R"({"address":"127.0.0.1:1","zone":"z","kind":"box"})", "names the unknown 'z'"},
         {R"({"address":"127.0.0.1:1","zone":"a"})", "kind"}};
-    for (const auto& [data, said] : wrong) {
+    for (const auto& [data, expected] : wrong) {
         try {
             (void)read_registration(data, names);
             ADD_FAILURE() << data;
-        } catch (const ConfigurationError& bad) {
-            EXPECT_NE(std::string(bad.what()).find(said), std::string::npos) << bad.what();
+        } catch (const ConfigurationError& error) {
+            EXPECT_NE(std::string(error.what()).find(expected), std::string::npos) << error.what();
         }
     }
 }
