--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -866,7 +866,7 @@
         if (!(drain ? admin_state_.drain(name) : admin_state_.restore(name, wall_clock_.read().wall_now())))
             return reply(503, "the state could not be written to disk, nothing has changed");
         apply_admin_state(now, {name});
-        reply(200, drain ? "drained" : "restored");
+        reply(200, drain ? "out" : "may serve");
     });
 }
 
@@ -887,7 +887,7 @@
         if (!(drain ? admin_state_.drain(key) : admin_state_.restore(key, wall_clock_.read().wall_now())))
             return reply(503, "the state could not be written to disk, nothing has changed");
         apply_admin_state(now, {key});
-        reply(200, drain ? "drained" : "is being restored in steps");
+        reply(200, drain ? "left" : "is taken back in steps");
     });
 }
 
