--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -92,14 +92,13 @@
     page.counter("brookrelay_lists_total", "Endpoint updates applied.", lists_);
     page.counter("brookrelay_list_bytes_total", "Bytes of the endpoint updates applied.", list_bytes_);
     page.begin("brookrelay_list_seconds_total", "counter",
-               "Time from the first byte of an endpoint update until it was applied, summed.");
+               "Total time from the first byte of an endpoint update until it was applied.");
     page.sample("brookrelay_list_seconds_total", total_list_seconds_);
-    page.begin("brookrelay_list_seconds_max", "gauge",
-               "Longest time from the first byte of an endpoint update until it was applied.");
+    page.begin("brookrelay_list_seconds_max", "gauge", "Longest time to receive and apply an update.");
     page.sample("brookrelay_list_seconds_max", max_list_seconds_);
     page.counter("brookrelay_sends_total", "Attempts written.", sends_);
     page.begin("brookrelay_send_list_age_seconds_total", "counter",
-               "Time since the endpoint list was last confirmed when an attempt was written, summed.");
+               "Total time since the endpoint list was last confirmed when an attempt was written.");
     page.sample("brookrelay_send_list_age_seconds_total", total_send_list_age_);
     page.begin("brookrelay_send_list_age_seconds_max", "gauge",
                "Longest time since the endpoint list was last confirmed when an attempt was written.");
