--- a/src/gossip/fleet_quotas.h
+++ b/src/gossip/fleet_quotas.h
@@ -28,14 +28,14 @@
   public:
     // Name and quota per second of each tenant, by its number at this node.
     using Tenants = std::vector<std::pair<std::string, double>>;
-    FleetQuotas(int node, int nodes) : node_index_(node), nodes_(nodes < 1 ? 1 : nodes) {}
+    FleetQuotas(int node, int nodes) : node_index_(node), node_count_(nodes < 1 ? 1 : nodes) {}
 
     // Applies other limits, also at run time: shares are fractions of the total, so a new total counts no
     // share twice. Returns a line for each limit that is rejected because the share of a node would stay
     // below one.
     std::vector<std::string> apply_configuration(const FleetTotals& totals, const Tenants& tenants);
 
-    // `share`, or `part`, here and below: this node's fraction of the total at `now`.
+    // `share`, here and below: this node's fraction of the total at `now`.
     void on_tenant_request(double now, int tenant);
     bool admit_origin_attempt(double now, double share);
     // Whether one more attempt may go to a server in slow start, and that one goes. An attempt that waited
@@ -44,9 +44,9 @@
     bool may_start_slow_start_attempt(double now, ServerKey server, double share);
     void on_slow_start_attempt(double now, ServerKey server, double share);
     // Returns how many connections to a server may be open here; `wanted`: how many would be in use now.
-    int max_connections(double now, ServerKey server, int wanted, double part);
-    bool limits_connections() const { return wholes_.connections_per_server > 0; }
-    bool limits_slow_start() const { return wholes_.slow_start_attempts_per_second > 0; }
+    int max_connections(double now, ServerKey server, int wanted, double share);
+    bool limits_connections() const { return totals_.connections_per_server > 0; }
+    bool limits_slow_start() const { return totals_.slow_start_attempts_per_second > 0; }
 
     struct Quota {
         QuotaId id = 0;
@@ -65,7 +65,7 @@
 
   private:
     struct SlowStart {
-        TokenBucket spending;
+        TokenBucket bucket;
         double last_used = 0;
     };
     struct ConnectionDemand {  // for one server, in the current and the previous kMeasurementPeriod
@@ -82,8 +82,8 @@
     // shares are small.
     double initial_tokens(ServerKey server) const;
 
-    int node_index_, nodes_;
-    FleetTotals wholes_;
+    int node_index_, node_count_;
+    FleetTotals totals_;
     Tenants tenants_;
     TokenBucket origin_bucket_;
     std::vector<TokenBucket> tenant_buckets_;  // by tenant
--- a/src/gossip/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -16,28 +16,28 @@
 Membership::Membership(int own, int count, double heartbeats_per_second)
     : own_(own),
       suspect_after_(std::max(kMinSuspectAfter, kSuspectRounds * count / heartbeats_per_second)),
-      gone_(std::max(kMinDeadAfter, kDeadRounds * count / heartbeats_per_second)),
+      dead_after_(std::max(kMinDeadAfter, kDeadRounds * count / heartbeats_per_second)),
       members_(static_cast<std::size_t>(count)) {}
 
 Membership::HeartbeatResult Membership::on_heartbeat(double now, int node, Stamp stamp, int zone) {
-    Member& m = members_[static_cast<std::size_t>(node)];
-    HeartbeatResult h;
+    Member& member = members_[static_cast<std::size_t>(node)];
+    HeartbeatResult result;
     // A late datagram of an earlier incarnation is rejected. A node whose clock was set back also sends a
     // lower incarnation, and is accepted once its newer one counts as dead.
-    if (stamp.incarnation < m.incarnation && now - m.last_heard < gone_) return h;
-    h.accepted = true;
-    const double behind = now - stamp.sequence * kTickSeconds;
-    if (stamp.incarnation != m.incarnation || !m.heard_directly) {
-        h.new_incarnation = stamp.incarnation != m.incarnation;
-        m.incarnation = stamp.incarnation;
-        m.min_clock_offset = behind;
-        m.heard_directly = true;
+    if (stamp.incarnation < member.incarnation && now - member.last_heard < dead_after_) return result;
+    result.accepted = true;
+    const double clock_offset = now - stamp.sequence * kTickSeconds;
+    if (stamp.incarnation != member.incarnation || !member.heard_directly) {
+        result.new_incarnation = stamp.incarnation != member.incarnation;
+        member.incarnation = stamp.incarnation;
+        member.min_clock_offset = clock_offset;
+        member.heard_directly = true;
     }
-    m.min_clock_offset = std::min(m.min_clock_offset, behind);
-    h.delay = behind - m.min_clock_offset;
-    m.zone = zone;
-    m.last_heard = std::max(m.last_heard, now - h.delay);
-    return h;
+    member.min_clock_offset = std::min(member.min_clock_offset, clock_offset);
+    result.delay = clock_offset - member.min_clock_offset;
+    member.zone = zone;
+    member.last_heard = std::max(member.last_heard, now - result.delay);
+    return result;
 }
 
 void Membership::on_relayed_heartbeat(double now, const Heartbeat& heartbeat, double delay) {
@@ -51,7 +51,7 @@
 MemberState Membership::state(int node, double now) const {
     const double silent = age(node, now);
     return silent <= suspect_after_ ? MemberState::alive
-           : silent <= gone_        ? MemberState::suspect
+           : silent <= dead_after_  ? MemberState::suspect
                                     : MemberState::dead;
 }
 
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -47,14 +47,14 @@
     int count() const { return static_cast<int>(members_.size()); }
     int own() const { return own_; }
     double suspect_after() const { return suspect_after_; }
-    double dead_after() const { return gone_; }
+    double dead_after() const { return dead_after_; }
     // Returns up to `max_count` heartbeats of living nodes to relay: half of them in turn, the rest the most
     // recent.
     std::vector<Heartbeat> freshest(double now, std::size_t max_count);
 
   private:
     int own_;
-    double suspect_after_, gone_;  // s
+    double suspect_after_, dead_after_;
     std::vector<Member> members_;
     std::size_t next_in_turn_ = 0;
 };
--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -22,20 +22,20 @@
 constexpr std::size_t kOwnerCandidates = 5;
 // Owners that must agree for a verdict to count, and reporters that suffice once another owner reached the
 // verdict.
-constexpr int kAgree = 2;
-// Nodes that must report a server bad before an owner finds it bad for a zone: at least kVoicesLeast (in a
+constexpr int kMinAgreeing = 2;
+// Nodes that must report a server bad before an owner finds it bad for a zone: at least kMinReporters (in a
 // zone of few nodes all but one, but at least two), and at least kMinReporterRatio of the zone's nodes.
 // Reports from other zones count towards these, but at least kMinLocalReporters must come from the zone
 // itself.
-constexpr int kVoicesLeast = 3;
+constexpr int kMinReporters = 3;
 constexpr double kMinReporterRatio = 0.05;
 constexpr int kMinLocalReporters = 2;
 // Failed attempts, as a fraction of the attempts that an average server of the zone gets in the same time,
 // from which a suspected server is found bad at once.
-constexpr double kFailureRatio = 0.25;
+constexpr double kImmediateFailureRatio = 0.25;
 // Seconds for which a server with fewer failures is watched first: meanwhile all nodes report everything they
 // see there.
-constexpr double kWatch = 1.0;
+constexpr double kWatchDuration = 1.0;
 constexpr double kSuspicionLifetime = 3.0;    // s after the last suspicion at which a watch ends
 constexpr double kFailureSuccessRatio = 2.0;  // failures per success from which a server is suspected
 constexpr double kReportInterval = 1.0;       // s between reports or statements of one node on one server
@@ -50,11 +50,11 @@
 // Seconds between two ticks from which the process counts as paused: what it observed in between was caused
 // by the node itself.
 constexpr double kProcessPauseThreshold = 0.6;
-constexpr double kDoubt = 2.0;  // s after a pause during which the node reports nothing
-// With attempts on at least this many servers, of which more than kWayPart fail, the cause is the
+constexpr double kDoubtDuration = 2.0;  // s after a pause during which the node reports nothing
+// With attempts on at least this many servers, of which more than kSelfCheckBadRatio fail, the cause is the
 // node's own connectivity or an overload of all servers.
-constexpr std::size_t kWayLeast = 4;
-constexpr double kWayPart = 0.5;
+constexpr std::size_t kMinServersForSelfCheck = 4;
+constexpr double kSelfCheckBadRatio = 0.5;
 constexpr double kProbesPerSecond = 0.7;   // of one zone's nodes together, to a server that is found bad
 constexpr std::size_t kNewestReports = 3;  // that decide whether a server found bad is still bad
 constexpr double kMinProbeInterval = 0.5;  // s
@@ -63,7 +63,7 @@
 constexpr double kBudgetBurstSeconds = 2.0;  // s of unused byte budget that a node can accumulate
 // Fraction of gossip that goes to any node, present or not; otherwise a partition would persist after the
 // network has healed. It is larger where few nodes are known, as those would only talk to each other.
-constexpr double kStrangerPart = 0.1;
+constexpr double kAnyNodeGossipRatio = 0.1;
 constexpr std::size_t kMaxServers = 1024;  // that are tracked
 // Attempts of one node, good and bad each, that count in a zone's sum: no single node may dominate it.
 constexpr int kMaxCountedAttempts = 8;
@@ -91,7 +91,7 @@
 OutlierExchange::OutlierExchange(const GossipSettings& settings, std::uint32_t incarnation,
                                  std::uint64_t seed, double now)
     : settings_(settings),
-      start_(incarnation),
+      incarnation_(incarnation),
       started_at_(now),
       random_(static_cast<std::uint32_t>(mix(seed))),
       members_(settings.node_index, std::max(1, settings.node_count),
@@ -101,7 +101,7 @@
       zone_failover_({settings.node_index, settings.zone, settings.zone_count, settings.slow_start_duration,
                       settings.failure_domains},
                      now),
-      limits_({settings.node_index, std::max(1, settings.node_count)}, now) {}
+      quota_leases_({settings.node_index, std::max(1, settings.node_count)}, now) {}
 
 std::optional<AttemptHealth> classify_attempt(AttemptOutcome outcome, double duration,
                                               double latency_objective) {
@@ -154,7 +154,7 @@
     const bool paused = now - last_tick_ > kProcessPauseThreshold;
     if (paused) {
         local_observations_.clear();
-        doubts_until_ = now + kDoubt;
+        doubts_until_ = now + kDoubtDuration;
         zone_failover_.on_process_pause(now);
         ++counters_.process_pauses;
     }
@@ -203,7 +203,7 @@
 // If most servers that this node uses fail, either its own connectivity is at fault or all servers are
 // overloaded and none is an outlier. Also drops servers without recent attempts.
 bool OutlierExchange::most_servers_failing(double now) {
-    std::size_t touched = 0, bad = 0;
+    std::size_t attempted = 0, failing = 0;
     for (auto it = local_observations_.begin(); it != local_observations_.end();) {
         advance_buckets(it->second, now);
         const int successes = sum(it->second.good), failures = sum(it->second.bad);
@@ -211,11 +211,12 @@
             it = local_observations_.erase(it);
             continue;
         }
-        ++touched;
-        if (failures > successes) ++bad;
+        ++attempted;
+        if (failures > successes) ++failing;
         ++it;
     }
-    return touched >= kWayLeast && static_cast<double>(bad) > kWayPart * static_cast<double>(touched);
+    return attempted >= kMinServersForSelfCheck &&
+           static_cast<double>(failing) > kSelfCheckBadRatio * static_cast<double>(attempted);
 }
 
 // ---- received datagrams ---------------------------------------------------------------------------------
@@ -232,13 +233,13 @@
     if (heartbeat.new_incarnation) {
         for (auto& [server, record] : server_records_) record.reports.erase(from);
         zone_failover_.on_new_incarnation(from);
-        limits_.on_new_incarnation(from);
+        quota_leases_.on_new_incarnation(from);
         pending_grants_.erase(from);  // they were requested by its previous incarnation
     }
     // A peer knows a later incarnation of this node than this one, so the clock was set back. The incarnation
     // must exceed the known one, or the node's datagrams would be discarded.
-    if (d.receiver_incarnation > start_ && d.receiver_incarnation < UINT32_MAX - 1)
-        start_ = d.receiver_incarnation + 1;
+    if (d.receiver_incarnation > incarnation_ && d.receiver_incarnation < UINT32_MAX - 1)
+        incarnation_ = d.receiver_incarnation + 1;
     for (const Heartbeat& relayed : d.heartbeats)
         members_.on_relayed_heartbeat(now, relayed, heartbeat.delay);
     for (const Observation& observation : d.observations)
@@ -246,88 +247,94 @@
     for (const Verdict& verdict : d.verdicts)
         store_verdict(verdict, now - verdict.age - heartbeat.delay, from);
     for (const LeaseRequest& request : d.lease_requests) {
-        const LeaseGrant grant = limits_.on_request(now, from, d.stamp.sequence, request);
+        const LeaseGrant grant = quota_leases_.on_request(now, from, d.stamp.sequence, request);
         if (grant.units > 0 && pending_grants_[from].size() < kMaxLeaseEntriesPerDatagram)
             pending_grants_[from].push_back(grant);
     }
     for (const LeaseGrant& grant : d.lease_grants) {
-        if (d.receiver_incarnation == start_) limits_.on_grant(now, from, grant);
+        if (d.receiver_incarnation == incarnation_) quota_leases_.on_grant(now, from, grant);
     }
     if (settings_.zone_failover && now - last_tick_ <= kProcessPauseThreshold)
         zone_failover_.on_reports(now, from, d.stamp, d.zone_reports, heartbeat.delay);
 }
 
 void OutlierExchange::store_observation(double now, int from, const Stamp& stamp, int zone,
-                                        const Observation& sight, double delay) {
+                                        const Observation& observation, double delay) {
     if (delay > kObservationLifetime ||
-        (server_records_.size() >= kMaxServers && !server_records_.contains(sight.server)))
+        (server_records_.size() >= kMaxServers && !server_records_.contains(observation.server)))
         return;
-    PeerReport& cell = server_records_[sight.server].reports[from];
-    if (stamp <= cell.stamp) return;  // older, or the same again
-    cell = {stamp, zone, sight.successes, sight.failures, now - delay};
+    PeerReport& report = server_records_[observation.server].reports[from];
+    if (stamp <= report.stamp) return;  // older or a duplicate
+    report = {stamp, zone, observation.successes, observation.failures, now - delay};
 }
 
 // Relayed verdicts carry no proof, so a node could forge another owner's verdict. A verdict that did not come
 // from its owner is held back, neither counted nor relayed, until two nodes have stated it: a single lying
 // node cannot confirm it.
-void OutlierExchange::store_verdict(const Verdict& finding, double found_at, int from) {
-    if (finding.owner >= settings_.node_count || finding.owner == settings_.node_index)
+void OutlierExchange::store_verdict(const Verdict& verdict, double found_at, int from) {
+    if (verdict.owner >= settings_.node_count || verdict.owner == settings_.node_index)
         return;  // the node's own verdicts are authoritative here
     if (tracked_verdicts_.size() >= kMaxServers * kOwnerCandidates &&
-        !tracked_verdicts_.contains({finding.server, finding.owner}))
+        !tracked_verdicts_.contains({verdict.server, verdict.owner}))
         return;
-    TrackedVerdict& s = tracked_verdicts_[{finding.server, finding.owner}];
-    const auto same = std::find_if(s.statements.begin(), s.statements.end(), [&](const Statement& t) {
-        return t.from == from && t.stamp == finding.stamp && t.zones == finding.bad_zones;
-    });
+    TrackedVerdict& tracked = tracked_verdicts_[{verdict.server, verdict.owner}];
+    const auto same = std::find_if(tracked.statements.begin(), tracked.statements.end(),
+                                   [&](const VerdictStatement& statement) {
+                                       return statement.from == from && statement.stamp == verdict.stamp &&
+                                              statement.bad_zones == verdict.bad_zones;
+                                   });
     // The same statement by another route: the earlier time counts, because transit time can go unnoticed but
     // is never overestimated.
-    if (same != s.statements.end()) {
-        same->born = std::min(same->born, found_at);
+    if (same != tracked.statements.end()) {
+        same->found_at = std::min(same->found_at, found_at);
     } else {
-        s.statements.push_back({from, finding.stamp, finding.bad_zones, finding.reporters, found_at});
-        const auto newer = [](const Statement& x, const Statement& y) {
-            return std::tie(x.stamp, x.from, x.zones) > std::tie(y.stamp, y.from, y.zones);
+        tracked.statements.push_back({from, verdict.stamp, verdict.bad_zones, verdict.reporters, found_at});
+        const auto newer = [](const VerdictStatement& x, const VerdictStatement& y) {
+            return std::tie(x.stamp, x.from, x.bad_zones) > std::tie(y.stamp, y.from, y.bad_zones);
         };
-        std::sort(s.statements.begin(), s.statements.end(), newer);
+        std::sort(tracked.statements.begin(), tracked.statements.end(), newer);
         int from_sender = 0;
-        std::erase_if(s.statements, [&](const Statement& t) {
-            return t.from == from && ++from_sender > kMaxStatementsPerSender;
+        std::erase_if(tracked.statements, [&](const VerdictStatement& statement) {
+            return statement.from == from && ++from_sender > kMaxStatementsPerSender;
         });
-        if (s.statements.size() > kMaxStatementsPerVerdict) s.statements.resize(kMaxStatementsPerVerdict);
+        if (tracked.statements.size() > kMaxStatementsPerVerdict)
+            tracked.statements.resize(kMaxStatementsPerVerdict);
     }
-    s.verdict.server = finding.server;
-    s.verdict.owner = finding.owner;
-    update_confirmed_verdict(s);
+    tracked.verdict.server = verdict.server;
+    tracked.verdict.owner = verdict.owner;
+    update_confirmed_verdict(tracked);
 }
 
 // Picks the newest verdict that its owner stated here, or that two nodes stated or superseded without a
 // change. The result depends only on the statements held, so not on the order of their arrival.
 void OutlierExchange::update_confirmed_verdict(TrackedVerdict& tracked) {
-    const auto best = std::find_if(
-        tracked.statements.begin(), tracked.statements.end(),
-        [&tracked](const Statement& t) {  // newest first
-            return t.from == tracked.verdict.owner ||
-                   std::any_of(
-                       tracked.statements.begin(), tracked.statements.end(), [&t](const Statement& other) {
-                           return other.from != t.from && other.zones == t.zones && other.stamp >= t.stamp;
-                       });
-        });
+    const auto best =
+        std::find_if(tracked.statements.begin(), tracked.statements.end(),
+                     [&tracked](const VerdictStatement& statement) {  // newest first
+                         return statement.from == tracked.verdict.owner ||
+                                std::any_of(tracked.statements.begin(), tracked.statements.end(),
+                                            [&statement](const VerdictStatement& other) {
+                                                return other.from != statement.from &&
+                                                       other.bad_zones == statement.bad_zones &&
+                                                       other.stamp >= statement.stamp;
+                                            });
+                     });
     if (best == tracked.statements.end() || (tracked.is_confirmed && best->stamp < tracked.verdict.stamp))
         return;
-    double born = best->born;
-    for (const Statement& t : tracked.statements) {
-        if (t.stamp == best->stamp && t.zones == best->zones) born = std::min(born, t.born);
+    double found_at = best->found_at;
+    for (const VerdictStatement& statement : tracked.statements) {
+        if (statement.stamp == best->stamp && statement.bad_zones == best->bad_zones)
+            found_at = std::min(found_at, statement.found_at);
     }
     if (tracked.is_confirmed && best->stamp == tracked.verdict.stamp) {
-        tracked.found_at = std::min(tracked.found_at, born);
+        tracked.found_at = std::min(tracked.found_at, found_at);
         return;
     }
-    if (!tracked.is_confirmed || tracked.verdict.bad_zones != best->zones) tracked.times_sent = 0;
+    if (!tracked.is_confirmed || tracked.verdict.bad_zones != best->bad_zones) tracked.times_sent = 0;
     tracked.verdict.stamp = best->stamp;
-    tracked.verdict.bad_zones = best->zones;
+    tracked.verdict.bad_zones = best->bad_zones;
     tracked.verdict.reporters = best->reporters;
-    tracked.found_at = born;
+    tracked.found_at = found_at;
     tracked.is_confirmed = true;
 }
 
@@ -337,8 +344,8 @@
 // leaves moves few servers.
 std::vector<int> OutlierExchange::rank_owners(ServerKey server) const {
     std::vector<std::pair<std::uint64_t, int>> ranked;
-    ranked.reserve(there_.size());
-    for (const int n : there_)
+    ranked.reserve(present_nodes_.size());
+    for (const int n : present_nodes_)
         ranked.emplace_back(mix(std::uint64_t{server} << 20 ^ static_cast<std::uint64_t>(n)), n);
     const std::size_t count = std::min(kOwnerCandidates, ranked.size());
     std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), ranked.end());
@@ -360,9 +367,9 @@
 
 // Runs once per tick, because the rest of the tick reads these lists many times.
 void OutlierExchange::refresh_present_nodes(double now) {
-    there_ = members_.present_nodes(now);
+    present_nodes_ = members_.present_nodes(now);
     nodes_per_zone_.fill(0);
-    for (const int n : there_) {
+    for (const int n : present_nodes_) {
         const int zone = n == settings_.node_index ? settings_.zone : members_.member(n).zone;
         if (zone >= 0) ++nodes_per_zone_[static_cast<std::size_t>(std::min(zone, kMaxZones - 1))];
     }
@@ -371,22 +378,23 @@
 int OutlierExchange::required_reporters(int zone) const {
     // Zones are known only for nodes that were heard directly; the others are assumed to be spread evenly.
     const int nodes = std::max(nodes_per_zone_[static_cast<std::size_t>(std::clamp(zone, 0, kMaxZones - 1))],
-                               static_cast<int>(there_.size()) / std::max(1, settings_.zone_count));
-    const int part = static_cast<int>(std::ceil(kMinReporterRatio * nodes));
-    return std::max(part, std::min(kVoicesLeast, std::max(2, nodes - 1)));
+                               static_cast<int>(present_nodes_.size()) / std::max(1, settings_.zone_count));
+    const int by_ratio = static_cast<int>(std::ceil(kMinReporterRatio * nodes));
+    return std::max(by_ratio, std::min(kMinReporters, std::max(2, nodes - 1)));
 }
 
 // Estimates the attempts that all nodes of a zone finish on an average server within kObservationWindow, from
 // this node's own request rate.
-double OutlierExchange::expected(double now) const {
-    const double nodes = static_cast<double>(there_.size()) / std::max(1, settings_.zone_count);
+double OutlierExchange::expected_attempts(double now) const {
+    const double nodes = static_cast<double>(present_nodes_.size()) / std::max(1, settings_.zone_count);
     return request_rate(now) * kObservationWindow * nodes / std::max(1, servers_in_own_zone_);
 }
 
 void OutlierExchange::update_all_verdicts(double now) {
     for (auto it = server_records_.begin(); it != server_records_.end();) {
-        std::erase_if(it->second.reports,
-                      [now](const auto& entry) { return now - entry.second.born > kObservationLifetime; });
+        std::erase_if(it->second.reports, [now](const auto& entry) {
+            return now - entry.second.observed_at > kObservationLifetime;
+        });
         update_verdict(now, it->first, it->second);
         const ServerRecord& record = it->second;
         const bool is_obsolete = record.reports.empty() && record.bad_zones == 0 &&
@@ -407,22 +415,22 @@
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
-void OutlierExchange::update_verdict(double now, ServerKey server, ServerRecord& kept) {
+void OutlierExchange::update_verdict(double now, ServerKey server, ServerRecord& record) {
     struct Sum {
         int reporters = 0, good = 0, bad = 0;
         std::vector<std::pair<double, bool>> newest;  // age, and whether the report is bad
     };
     std::map<int, Sum> zones;
-    for (const auto& [node, report] : kept.reports) {
+    for (const auto& [node, report] : record.reports) {
         Sum& sum = zones[report.zone];
         if (report.bad > report.good) ++sum.reporters;
         if (report.bad + report.good > 0)
-            sum.newest.emplace_back(now - report.born, report.bad > report.good);
+            sum.newest.emplace_back(now - report.observed_at, report.bad > report.good);
         sum.good += std::min(report.good, kMaxCountedAttempts);
         sum.bad += std::min(report.bad, kMaxCountedAttempts);
     }
-    std::uint32_t found = 0;
-    kept.reporters = 0;
+    std::uint32_t bad_zones = 0;
+    record.reporters = 0;
     int reporters = 0;
     for (const auto& [zone, sum] : zones) reporters += sum.reporters;
     for (auto& [zone, sum] : zones) {
@@ -434,8 +442,8 @@
         const bool is_still_bad = 2 * newest_bad > static_cast<std::ptrdiff_t>(sum.newest.size());
         // If another owner has found the server bad already, this owner still receives reports from few nodes
         // only: two are enough.
-        const bool was_bad = (kept.bad_zones & bit(zone)) != 0;
-        const bool agrees_with_owner = !was_bad && sum.reporters >= kAgree &&
+        const bool was_bad = (record.bad_zones & bit(zone)) != 0;
+        const bool agrees_with_owner = !was_bad && sum.reporters >= kMinAgreeing &&
                                        sum.bad >= kFailureSuccessRatio * sum.good &&
                                        is_found_by_other_owner(server, zone, now);
         // Nodes report successes only for watched servers, and admission limits let few attempts go to a
@@ -444,27 +452,28 @@
         // of them are in this zone.
         const bool looks_bad = sum.reporters >= kMinLocalReporters && reporters >= required_reporters(zone) &&
                                sum.bad >= kFailureSuccessRatio * sum.good;
-        if (looks_bad && now - kept.suspected_at > kSuspicionLifetime) kept.watched_since = now;
-        if (looks_bad) kept.suspected_at = now;
-        const bool is_sure = sum.bad >= kFailureRatio * expected(now) || now - kept.watched_since >= kWatch;
-        const bool is_bad = was_bad || agrees_with_owner ? is_still_bad : looks_bad && is_sure;
+        if (looks_bad && now - record.suspected_at > kSuspicionLifetime) record.watched_since = now;
+        if (looks_bad) record.suspected_at = now;
+        const bool is_certain = sum.bad >= kImmediateFailureRatio * expected_attempts(now) ||
+                                now - record.watched_since >= kWatchDuration;
+        const bool is_bad = was_bad || agrees_with_owner ? is_still_bad : looks_bad && is_certain;
         if (!is_bad) continue;
-        found |= bit(zone);
-        kept.reporters += sum.reporters;
+        bad_zones |= bit(zone);
+        record.reporters += sum.reporters;
     }
-    const bool changed = found != kept.bad_zones;
-    if (changed && found == 0) kept.recovered_at = now;
-    kept.bad_zones = found;
+    const bool changed = bad_zones != record.bad_zones;
+    if (changed && bad_zones == 0) record.recovered_at = now;
+    record.bad_zones = bad_zones;
     const bool must_state =
-        found != 0 ||
-        now - std::max(kept.recovered_at, kept.suspected_at + kSuspicionLifetime - kVerdictLifetime) <=
+        bad_zones != 0 ||
+        now - std::max(record.recovered_at, record.suspected_at + kSuspicionLifetime - kVerdictLifetime) <=
             kVerdictLifetime;
-    if (!must_state || (!changed && now - kept.last_stated < kReportInterval)) return;
-    kept.last_stated = now;
+    if (!must_state || (!changed && now - record.last_stated < kReportInterval)) return;
+    record.last_stated = now;
     TrackedVerdict& tracked = tracked_verdicts_[{server, settings_.node_index}];
     if (changed || tracked.verdict.stamp.sequence == 0) tracked.times_sent = 0;
     const auto ticks = static_cast<std::uint32_t>((now - started_at_) / kTickSeconds) + 1;
-    tracked.verdict = {server, settings_.node_index, {start_, ticks}, found, kept.reporters, 0};
+    tracked.verdict = {server, settings_.node_index, {incarnation_, ticks}, bad_zones, record.reporters, 0};
     tracked.found_at = now;
     tracked.is_confirmed = true;
 }
@@ -484,12 +493,12 @@
             continue;
         ++((it->second.verdict.bad_zones & bit(settings_.zone)) != 0 ? bad : healthy);
     }
-    return bad >= kAgree && bad > healthy;
+    return bad >= kMinAgreeing && bad > healthy;
 }
 
 std::vector<OutlierExchange::ServerVerdict> OutlierExchange::verdicts(double now) {
     std::vector<ServerVerdict> all;
-    const double nodes = static_cast<double>(there_.size()) / std::max(1, settings_.zone_count);
+    const double nodes = static_cast<double>(present_nodes_.size()) / std::max(1, settings_.zone_count);
     ServerKey last = 0;
     bool first = true;
     for (const auto& [key, tracked] : tracked_verdicts_) {
@@ -542,7 +551,7 @@
     if (now - started_at_ >
         // The sequence numbers would wrap around, so a new incarnation begins.
         kMaxIncarnationSeconds) {
-        ++start_;
+        ++incarnation_;
         started_at_ = now;
         last_sequence_ = 0;
     }
@@ -558,8 +567,9 @@
         // For zone reports and quota messages, which are sent only in unusual conditions.
         std::min(extra_budget_ + added, max_budget);
     for (auto& [key, tracked] : tracked_verdicts_) {
-        std::erase_if(tracked.statements,
-                      [now](const Statement& statement) { return now - statement.born > kVerdictLifetime; });
+        std::erase_if(tracked.statements, [now](const VerdictStatement& statement) {
+            return now - statement.found_at > kVerdictLifetime;
+        });
         if (now - tracked.found_at > kVerdictLifetime) tracked.is_confirmed = false;
     }
     std::erase_if(tracked_verdicts_, [](const auto& entry) {
@@ -587,11 +597,11 @@
         d.lease_grants = std::move(grants);
         send(to, std::move(d), extra_budget_, out);
     }
-    std::vector<int> others = there_;
+    std::vector<int> others = present_nodes_;
     std::erase(others, settings_.node_index);
     std::map<int, std::vector<LeaseRequest>> requests;
     std::set<int> renewed_with;
-    for (const QuotaLeases::OutgoingRequest& outgoing : limits_.tick(now, others, draw())) {
+    for (const QuotaLeases::OutgoingRequest& outgoing : quota_leases_.tick(now, others, random_fraction())) {
         if (requests[outgoing.to].size() < kMaxLeaseEntriesPerDatagram)
             requests[outgoing.to].push_back(outgoing.request);
         if (outgoing.is_renewal) renewed_with.insert(outgoing.to);
@@ -606,7 +616,8 @@
         d.lease_requests = requests[to];
         const std::uint32_t sequence = d.stamp.sequence;
         if (!send(to, std::move(d), extra_budget_, out)) continue;
-        for (const LeaseRequest& request : requests[to]) limits_.on_request_sent(to, request, sequence, now);
+        for (const LeaseRequest& request : requests[to])
+            quota_leases_.on_request_sent(to, request, sequence, now);
     }
 }
 
@@ -614,10 +625,10 @@
 // random, replies to nodes that reported otherwise, and unchanged ones periodically.
 void OutlierExchange::send_zone_reports(double now, double wall, std::vector<Outgoing>& out) {
     voters_.clear();
-    for (const int n : there_) {
+    for (const int n : present_nodes_) {
         if (n == settings_.node_index || members_.member(n).zone == settings_.zone) voters_.push_back(n);
     }
-    if (voters_.size() < kMinZoneVoters) voters_ = there_;
+    if (voters_.size() < kMinZoneVoters) voters_ = present_nodes_;
     const std::vector<ZoneFailover::Change> changed = zone_failover_.tick(
         now, voters_, static_cast<std::int64_t>(wall / ZoneFailover::probe_turn_length()));
     pending_zone_changes_.insert(pending_zone_changes_.end(), changed.begin(), changed.end());
@@ -634,7 +645,8 @@
               : zone_failover_.urgent_reports() > 0                    ? kUrgentZoneReportsPerTick
                                                                        : 1);
          ++n) {
-        const auto index = static_cast<std::size_t>(draw() * static_cast<double>(voters_.size() - 1));
+        const auto index =
+            static_cast<std::size_t>(random_fraction() * static_cast<double>(voters_.size() - 1));
         if (!send_to(voters_[index] == settings_.node_index ? voters_.back() : voters_[index])) return;
         last_zone_report_ = now;
         zone_failover_.on_report_sent();
@@ -653,7 +665,7 @@
     d.node = settings_.node_index;
     last_sequence_ =
         std::max(last_sequence_ + 1, static_cast<std::uint32_t>((now - started_at_) / kTickSeconds) + 1);
-    d.stamp = {start_, last_sequence_};
+    d.stamp = {incarnation_, last_sequence_};
     d.zone = settings_.zone;
     d.receiver_incarnation = members_.member(to).incarnation;
     if (settings_.zone_failover)
@@ -728,16 +740,18 @@
                    entry.second.times_sent <
                        (entry.first.second == settings_.node_index ? kOwnSendLimit : kUrgentRelayedSendLimit);
         });
-    if (!has_urgent_verdict && now - last_gossip_ < kGossipInterval * (0.75 + 0.5 * draw())) return;
-    std::vector<int> others = there_;
+    if (!has_urgent_verdict && now - last_gossip_ < kGossipInterval * (0.75 + 0.5 * random_fraction()))
+        return;
+    std::vector<int> others = present_nodes_;
     std::erase(others, settings_.node_index);
     int to = -1;
-    const bool young = now - started_at_ < members_.dead_after();  // few nodes are known yet
-    if (young || draw() < std::max(kStrangerPart, 1.0 / static_cast<double>(there_.size()))) {
-        const int random_node = static_cast<int>(draw() * (settings_.node_count - 1));
+    const bool has_just_started = now - started_at_ < members_.dead_after();  // few nodes are known yet
+    if (has_just_started ||
+        random_fraction() < std::max(kAnyNodeGossipRatio, 1.0 / static_cast<double>(present_nodes_.size()))) {
+        const int random_node = static_cast<int>(random_fraction() * (settings_.node_count - 1));
         to = random_node >= settings_.node_index ? random_node + 1 : random_node;
     } else {
-        to = others[static_cast<std::size_t>(draw() * static_cast<double>(others.size()))];
+        to = others[static_cast<std::size_t>(random_fraction() * static_cast<double>(others.size()))];
     }
     Datagram d = make_datagram(to, now);
     d.heartbeats = members_.freshest(now, kMaxHeartbeatsPerDatagram);
@@ -783,12 +797,12 @@
     for (int n = 0; n < members_.count(); ++n) {
         s.members.emplace_back(n, n == settings_.node_index ? MemberState::alive : members_.state(n, now));
         s.ages.push_back(n == settings_.node_index ? 0 : members_.age(n, now));
-        s.incarnations.push_back(n == settings_.node_index ? start_ : members_.member(n).incarnation);
+        s.incarnations.push_back(n == settings_.node_index ? incarnation_ : members_.member(n).incarnation);
     }
     for (const auto& [server, record] : server_records_) {
         s.observations_held += record.reports.size();
         for (const auto& [node, report] : record.reports)
-            s.oldest_observation = std::max(s.oldest_observation, now - report.born);
+            s.oldest_observation = std::max(s.oldest_observation, now - report.observed_at);
     }
     for (const auto& [key, tracked] : tracked_verdicts_) {
         if (!tracked.is_confirmed) continue;
--- a/src/gossip/outlier_exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -129,15 +129,17 @@
     };
     // All corroborated verdicts, and once each verdict that no longer is.
     std::vector<ServerVerdict> verdicts(double now);
-    void set_quota_demand(double now, QuotaId quota, double units) { limits_.set_demand(now, quota, units); }
-    void reset_quota_leases(double now) { limits_.reset(now); }
-    std::uint32_t quota_share(QuotaId quota, double now) const { return limits_.share(quota, now); }
-    QuotaLeases::View quota_view(QuotaId quota, double now) const { return limits_.view(quota, now); }
+    void set_quota_demand(double now, QuotaId quota, double units) {
+        quota_leases_.set_demand(now, quota, units);
+    }
+    void reset_quota_leases(double now) { quota_leases_.reset(now); }
+    std::uint32_t quota_share(QuotaId quota, double now) const { return quota_leases_.share(quota, now); }
+    QuotaLeases::View quota_view(QuotaId quota, double now) const { return quota_leases_.view(quota, now); }
     // Returns the changes since the last call.
     std::vector<ZoneFailover::Change> zone_orders() { return std::exchange(pending_zone_changes_, {}); }
     std::vector<ZoneFailover::View> zone_views(double now) const;
     GossipState state(double now) const;
-    std::uint32_t incarnation() const { return start_; }
+    std::uint32_t incarnation() const { return incarnation_; }
     std::uint64_t process_pauses() const { return counters_.process_pauses; }
 
   private:
@@ -155,7 +157,7 @@
         Stamp stamp;
         int zone = 0;
         int good = 0, bad = 0;
-        double born = 0;  // when it was observed
+        double observed_at = 0;
     };
     // All reports on one server that this node collects as an owner, and its verdict from them.
     struct ServerRecord {
@@ -167,12 +169,12 @@
         double suspected_at = -1e9, watched_since = -1e9;
     };
     // A verdict as one node sent it to this one.
-    struct Statement {
+    struct VerdictStatement {
         int from = 0;
         Stamp stamp;
-        std::uint32_t zones = 0;  // those whose nodes find the server bad
+        std::uint32_t bad_zones = 0;
         int reporters = 0;
-        double born = 0;  // when the owner reached it
+        double found_at = 0;
     };
     // One owner's verdict on one server, and the statements it was derived from.
     struct TrackedVerdict {
@@ -181,8 +183,8 @@
         // Set if the owner itself, or two other nodes, stated the verdict here; until then it neither counts
         // nor is relayed.
         bool is_confirmed = false;
-        std::vector<Statement> statements;  // newest first
-        int times_sent = 0;                 // by this node since the verdict last changed
+        std::vector<VerdictStatement> statements;  // newest first
+        int times_sent = 0;                        // by this node since the verdict last changed
     };
     // A verdict that is corroborated at this node.
     struct ActiveVerdict {
@@ -194,16 +196,16 @@
     void advance_buckets(LocalObservations& observations, double now) const;
     static int sum(const std::array<int, LocalObservations::kBuckets>& buckets);
     bool most_servers_failing(double now);
-    void store_observation(double now, int from, const Stamp& stamp, int zone, const Observation& sight,
+    void store_observation(double now, int from, const Stamp& stamp, int zone, const Observation& observation,
                            double delay);
-    void store_verdict(const Verdict& finding, double found_at, int from);
+    void store_verdict(const Verdict& verdict, double found_at, int from);
     static void update_confirmed_verdict(TrackedVerdict& tracked);
     void update_all_verdicts(double now);
-    void update_verdict(double now, ServerKey server, ServerRecord& kept);
+    void update_verdict(double now, ServerKey server, ServerRecord& record);
     bool is_found_by_other_owner(ServerKey server, int zone, double now) const;
     void refresh_present_nodes(double now);
     int required_reporters(int zone) const;
-    double expected(double now) const;
+    double expected_attempts(double now) const;
     std::vector<int> rank_owners(ServerKey server) const;
     const std::vector<int>& cached_owners(ServerKey server, double now);
     bool is_corroborated(ServerKey server, double now);
@@ -215,15 +217,15 @@
     bool send(int to, Datagram&& datagram, double& budget, std::vector<Outgoing>& out);
     double byte_rate_limit(double now) const;
     double request_rate(double now) const;
-    double draw() { return static_cast<double>(random_()) / 16777216.0; }
+    double random_fraction() { return static_cast<double>(random_()) / 16777216.0; }
 
     GossipSettings settings_;
-    std::uint32_t start_;
+    std::uint32_t incarnation_;
     double started_at_;
     std::uint32_t last_sequence_ = 0;
     std::ranlux24_base random_;
     Membership members_;
-    std::vector<int> there_;  // as of the last tick; includes this node
+    std::vector<int> present_nodes_;  // as of the last tick; includes this node
     std::array<int, kMaxZones> nodes_per_zone_{};
     std::map<ServerKey, LocalObservations> local_observations_;
     std::map<ServerKey, ServerRecord> server_records_;
@@ -234,7 +236,7 @@
     double last_tick_ = 0, doubts_until_ = -1e9, last_gossip_ = -1e9, budgets_filled_at_ = 0;
     double report_budget_ = 0, gossip_budget_ = 0, extra_budget_ = 0, last_zone_report_ = -1e9;
     ZoneFailover zone_failover_;
-    QuotaLeases limits_;
+    QuotaLeases quota_leases_;
     std::map<int, std::vector<LeaseGrant>> pending_grants_;  // by receiver
     std::vector<int> voters_;  // nodes whose zone reports count here, as of the last tick
     std::vector<ZoneFailover::Change> pending_zone_changes_;
--- a/src/gossip/quota_leases.cpp
+++ b/src/gossip/quota_leases.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The lender keeps a lease this many times as long as the borrower: clock rates may differ by as much.
-constexpr double kClocksApart = 1.02;
+constexpr double kLenderTimeFactor = 1.02;
 // A node never lends 1/kReservedDivisor of its own units, so that it has some to use after a restart.
 constexpr std::uint32_t kReservedDivisor = 16;
 constexpr double kHeadroom = 1.25;                // multiple of its demand that a node keeps or requests
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxNewLendersPerTick = 4;  // nodes that are asked for more than they lend, per quota
 // Seconds until a node is asked for more again: it may have nothing to spare.
 constexpr double kNewRequestBackoff = 0.5;
-constexpr double kAskAgain = 1.25;       // s before expiry at which the lender is asked for a renewal
+constexpr double kRenewBefore = 1.25;    // s before expiry at which the lender is asked for a renewal
 constexpr double kDemandLifetime = 2.0;  // s for which a demand counts that is not set again
 constexpr std::size_t kMaxPendingRequests = 256;
 constexpr double kBurstSeconds = 0.25;  // s of its rate that a token bucket accumulates
@@ -44,15 +44,15 @@
 
 // The capacity bounds what a node has accumulated after a pause: its share in the meantime may be another
 // node's by now.
-bool TokenBucket::has_token(double now, double a_second) {
-    const double most = std::max(1.0, a_second * kBurstSeconds);
-    if (filled_ > 0) tokens_ = std::min(tokens_ + std::max(now - filled_, 0.0) * a_second, most);
-    filled_ = now;
+bool TokenBucket::has_token(double now, double rate) {
+    const double capacity = std::max(1.0, rate * kBurstSeconds);
+    if (filled_at_ > 0) tokens_ = std::min(tokens_ + std::max(now - filled_at_, 0.0) * rate, capacity);
+    filled_at_ = now;
     return tokens_ >= 1;
 }
 
-bool TokenBucket::take(double now, double a_second) {
-    if (!has_token(now, a_second)) return false;
+bool TokenBucket::take(double now, double rate) {
+    if (!has_token(now, rate)) return false;
     spend();
     return true;
 }
@@ -65,24 +65,24 @@
 QuotaLeases::QuotaLeases(Settings settings, double now)
     : settings_(settings),
       own_units_(kTotalUnits / static_cast<std::uint32_t>(std::max(1, settings.node_count))),
-      most_lent_(max_lent(settings.node_count)),
-      began_(now) {}
+      max_lent_units_(max_lent(settings.node_count)),
+      started_at_(now) {}
 
 const QuotaLeases::QuotaState& QuotaLeases::find(QuotaId quota) const {
     static const QuotaState none;
-    const auto known = limits_.find(quota);
-    return known == limits_.end() ? none : known->second;
+    const auto known = quotas_.find(quota);
+    return known == quotas_.end() ? none : known->second;
 }
 
 std::uint32_t QuotaLeases::max_active(const Leases& leases, double now) {
-    std::uint32_t most = 0;
-    for (const Lease& l : leases) {
-        if (now < l.expires_at) most = std::max(most, l.crumbs);
+    std::uint32_t max_units = 0;
+    for (const Lease& lease : leases) {
+        if (now < lease.expires_at) max_units = std::max(max_units, lease.units);
     }
-    return most;
+    return max_units;
 }
 
-double QuotaLeases::longest(const Leases& leases) {
+double QuotaLeases::latest_expiry(const Leases& leases) {
     double expires_at = -1e9;
     for (const Lease& lease : leases) expires_at = std::max(expires_at, lease.expires_at);
     return expires_at;
@@ -96,8 +96,9 @@
 
 std::uint32_t QuotaLeases::own_share(const QuotaState& state, double now) const {
     // What an earlier process of this node lent may still be in use.
-    const std::uint32_t earlier = now - began_ < kLeaseDuration * kClocksApart ? most_lent_ : 0;
-    return own_units_ - std::min(own_units_, std::max(sum_active(state.lent, now), earlier));
+    const std::uint32_t lent_earlier =
+        now - started_at_ < kLeaseDuration * kLenderTimeFactor ? max_lent_units_ : 0;
+    return own_units_ - std::min(own_units_, std::max(sum_active(state.lent, now), lent_earlier));
 }
 
 std::uint32_t QuotaLeases::share(QuotaId quota, double now) const {
@@ -105,7 +106,7 @@
 }
 
 void QuotaLeases::set_demand(double now, QuotaId quota, double units) {
-    QuotaState& state = limits_[quota];
+    QuotaState& state = quotas_[quota];
     state.demand = std::clamp(units, 0.0, double{kTotalUnits});
     state.demand_set_at = now;
 }
@@ -116,26 +117,26 @@
     std::vector<OutgoingRequest> requests;
     if (now - last_tick_ < kRequestInterval) return requests;
     last_tick_ = now;
-    std::erase_if(pending_, [now](const Pending& pending) { return now - pending.sent > kLeaseDuration; });
-    for (auto& [quota, o] : limits_) {
-        for (auto* leases : {&o.lent, &o.borrowed}) {
-            for (auto& [node, with] : *leases)
-                std::erase_if(with, [now](const Lease& lease) { return now >= lease.expires_at; });
+    std::erase_if(pending_, [now](const Pending& pending) { return now - pending.sent_at > kLeaseDuration; });
+    for (auto& [quota, state] : quotas_) {
+        for (auto* leases : {&state.lent, &state.borrowed}) {
+            for (auto& [node, node_leases] : *leases)
+                std::erase_if(node_leases, [now](const Lease& lease) { return now >= lease.expires_at; });
             std::erase_if(*leases, [](const auto& entry) { return entry.second.empty(); });
         }
-        if (now - o.demand_set_at > kDemandLifetime) o.demand = 0;
-        const double wanted = o.demand * kHeadroom - own_share(o, now);
+        if (now - state.demand_set_at > kDemandLifetime) state.demand = 0;
+        const double wanted = state.demand * kHeadroom - own_share(state, now);
         if (wanted < kMinRequestRatio * own_units_) continue;
         // Current lenders are asked in time for a renewal of what is still needed. What is then missing is
         // requested from randomly chosen nodes, lenders among them: their last grant may not have been all
         // that they can spare.
         double missing = wanted;
         std::set<int> asked_nodes;
-        for (const auto& [node, with] : o.borrowed) {
-            const double keep = std::min(missing, static_cast<double>(max_active(with, now)));
-            missing -= keep;
-            if (longest(with) - now >= kAskAgain || keep < 1) continue;
-            requests.push_back({node, {quota, static_cast<std::uint32_t>(keep)}, true});
+        for (const auto& [node, node_leases] : state.borrowed) {
+            const double renewed_units = std::min(missing, static_cast<double>(max_active(node_leases, now)));
+            missing -= renewed_units;
+            if (latest_expiry(node_leases) - now >= kRenewBefore || renewed_units < 1) continue;
+            requests.push_back({node, {quota, static_cast<std::uint32_t>(renewed_units)}, true});
             asked_nodes.insert(node);
         }
         if (missing < kMinRequestRatio * own_units_) continue;
@@ -144,13 +145,13 @@
         for (std::size_t n = 0; n < others.size() && new_lenders < kMaxNewLendersPerTick && missing >= 1;
              ++n) {
             const int other = others[(first + n) % others.size()];
-            const auto lends = o.borrowed.find(other);
-            const std::uint32_t held = lends == o.borrowed.end() ? 0 : max_active(lends->second, now);
-            if (held >= most_lent_ || !asked_nodes.insert(other).second) continue;
-            double& last_asked = o.last_new_request.try_emplace(other, -1e9).first->second;
+            const auto lender = state.borrowed.find(other);
+            const std::uint32_t held = lender == state.borrowed.end() ? 0 : max_active(lender->second, now);
+            if (held >= max_lent_units_ || !asked_nodes.insert(other).second) continue;
+            double& last_asked = state.last_new_request.try_emplace(other, -1e9).first->second;
             if (now - last_asked < kNewRequestBackoff) continue;
             last_asked = now;
-            const std::uint32_t units = std::min(held + static_cast<std::uint32_t>(missing), most_lent_);
+            const std::uint32_t units = std::min(held + static_cast<std::uint32_t>(missing), max_lent_units_);
             requests.push_back({other, {quota, units}, false});
             missing -= units - held;
             ++new_lenders;
@@ -168,34 +169,36 @@
 // of the request at the borrower.
 LeaseGrant QuotaLeases::on_request(double now, int from, std::uint32_t sequence,
                                    const LeaseRequest& request) {
-    LeaseGrant g{request.quota, 0, sequence};
-    const auto known = limits_.find(request.quota);
-    if (known == limits_.end()) return g;
-    QuotaState& o = known->second;
-    const std::uint32_t held = o.lent.contains(from) ? max_active(o.lent[from], now) : 0;
+    LeaseGrant grant{request.quota, 0, sequence};
+    const auto known = quotas_.find(request.quota);
+    if (known == quotas_.end()) return grant;
+    QuotaState& state = known->second;
+    const std::uint32_t held = state.lent.contains(from) ? max_active(state.lent[from], now) : 0;
     const std::uint32_t lent =
-        std::max(sum_active(o.lent, now), now - began_ < kLeaseDuration * kClocksApart ? most_lent_ : 0);
-    const double demand = now - o.demand_set_at > kDemandLifetime ? 0 : o.demand * kHeadroom;
-    const double free = std::min(static_cast<double>(most_lent_) - lent, own_units_ - lent - demand);
+        std::max(sum_active(state.lent, now),
+                 now - started_at_ < kLeaseDuration * kLenderTimeFactor ? max_lent_units_ : 0);
+    const double demand = now - state.demand_set_at > kDemandLifetime ? 0 : state.demand * kHeadroom;
+    const double free = std::min(static_cast<double>(max_lent_units_) - lent, own_units_ - lent - demand);
     // If this node's own demand has grown, granted units stay lent until they expire, but are not renewed in
     // full.
     const double max_units = free >= 0 ? held + free : std::max(0.0, held + free);
-    g.units = static_cast<std::uint32_t>(std::min<double>(request.units, max_units));
-    if (g.units > 0) o.lent[from].push_back({g.units, now + kLeaseDuration * kClocksApart});
-    return g;
+    grant.units = static_cast<std::uint32_t>(std::min<double>(request.units, max_units));
+    if (grant.units > 0) state.lent[from].push_back({grant.units, now + kLeaseDuration * kLenderTimeFactor});
+    return grant;
 }
 
 void QuotaLeases::on_grant(double now, int from, const LeaseGrant& grant) {
-    const auto asked = std::find_if(pending_.begin(), pending_.end(), [&](const Pending& p) {
-        return p.to == from && p.sequence == grant.request_sequence && p.quota == grant.quota;
+    const auto match = std::find_if(pending_.begin(), pending_.end(), [&](const Pending& pending) {
+        return pending.to == from && pending.sequence == grant.request_sequence &&
+               pending.quota == grant.quota;
     });
-    if (asked == pending_.end()) return;  // never asked, already answered, or too old
-    const Pending p = *asked;
-    pending_.erase(asked);
+    if (match == pending_.end()) return;  // never requested, already answered, or too old
+    const Pending pending = *match;
+    pending_.erase(match);
     // Never more than was requested or than one node may lend, even if the peer claims so.
-    const std::uint32_t units = std::min({grant.units, p.crumbs, most_lent_});
-    const double until = p.sent + kLeaseDuration;
-    if (units > 0 && now < until) limits_[p.quota].borrowed[from].push_back({units, until});
+    const std::uint32_t units = std::min({grant.units, pending.units, max_lent_units_});
+    const double expires_at = pending.sent_at + kLeaseDuration;
+    if (units > 0 && now < expires_at) quotas_[pending.quota].borrowed[from].push_back({units, expires_at});
 }
 
 void QuotaLeases::on_new_incarnation(int node) {
--- a/src/gossip/quota_leases.h
+++ b/src/gossip/quota_leases.h
@@ -26,19 +26,19 @@
   public:
     explicit TokenBucket(double tokens = 1) : tokens_(tokens) {}
     void on_demand(double now);  // counts a request, whether it is admitted or not
-    // Refills at `a_second` tokens per second and returns whether a token is available. The capacity is a
-    // quarter of a second's refill, but at least one token.
-    bool has_token(double now, double a_second);
+    // Refills at `rate` tokens per second and returns whether a token is available. The capacity is a quarter
+    // of a second's refill, but at least one token.
+    bool has_token(double now, double rate);
     void spend() { tokens_ -= 1; }
-    bool take(double now, double a_second);  // spends a token if one is available
-    double demand(double now) const;         // requests per second, over the last 2 s
+    bool take(double now, double rate);  // spends a token if one is available
+    double demand(double now) const;     // requests per second, over the last 2 s
 
   private:
     static constexpr std::int64_t kBuckets = 8;
     static constexpr double kBucketSeconds = 0.25;
     std::array<int, kBuckets> demand_buckets_{};
     std::int64_t newest_bucket_ = 0;
-    double tokens_, filled_ = -1e9;
+    double tokens_, filled_at_ = -1e9;
 };
 
 class QuotaLeases {
@@ -74,7 +74,7 @@
     void on_grant(double now, int from, const LeaseGrant& grant);
     void on_new_incarnation(int node);  // pending requests to its earlier process are void
     // As at a start: another process of this node may still use or have lent this node's units.
-    void reset(double now) { began_ = now; }
+    void reset(double now) { started_at_ = now; }
 
     std::uint32_t share(QuotaId quota, double now) const;  // units usable now
     View view(QuotaId quota, double now) const;
@@ -82,7 +82,7 @@
 
   private:
     struct Lease {
-        std::uint32_t crumbs = 0;  // units
+        std::uint32_t units = 0;
         double expires_at = 0;
     };
     using Leases = std::vector<Lease>;  // with one node: the largest unexpired one counts, never their sum
@@ -98,22 +98,22 @@
         int to = 0;
         std::uint32_t sequence = 0;
         QuotaId quota = 0;
-        std::uint32_t crumbs = 0;  // units
-        double sent = 0;
+        std::uint32_t units = 0;
+        double sent_at = 0;
     };
 
     static std::uint32_t max_active(const Leases& leases, double now);
-    static double longest(const Leases& leases);
+    static double latest_expiry(const Leases& leases);
     static std::uint32_t sum_active(const std::map<int, Leases>& leases, double now);
     std::uint32_t own_share(const QuotaState& state, double now) const;  // own units less those that are lent
     const QuotaState& find(QuotaId quota) const;
 
     Settings settings_;
-    std::uint32_t own_units_, most_lent_;
-    double began_;
+    std::uint32_t own_units_, max_lent_units_;
+    double started_at_;
     double last_tick_ = -1e9;
-    // All quotas that were ever set here, since units of any may still be lent.
-    std::map<QuotaId, QuotaState> limits_;
+    std::map<QuotaId, QuotaState>
+        quotas_;  // all that were ever set here, since units of any may still be lent
     std::vector<Pending> pending_;
 };
 
--- a/src/gossip/zone_failover.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kReportLifetime = 3.0;  // s for which a peer's report counts
-constexpr double kAnswerFresh = 1.0;     // s after an answer in which this node does not drain the zone
+constexpr double kAnswerLifetime = 1.0;  // s after an answer in which this node does not drain the zone
 // Seconds for which an answer counts in a drained zone, where probes are seconds apart and few servers may
 // answer.
 constexpr double kProbeAnswerLifetime = 6.0;
@@ -37,9 +37,9 @@
 // Voters needed if another zone of the failure domain is drained already.
 constexpr int kFailureDomainQuorum = 2;
 // Unreachable reports must exceed this multiple of those with an answer.
-constexpr int kAgainst = 3;
+constexpr int kUnreachableMajority = 3;
 constexpr int kMinAnsweredProbers = 2;  // nodes whose probes must be answered for a restore to begin
-constexpr int kTryers = 2;              // nodes of a zone that probe a drained one at a time
+constexpr int kProbersPerZone = 2;      // nodes of a zone that probe a drained one at a time
 constexpr double kProbeInterval = 1.0;  // s between the probes of one of them
 // Seconds after which other nodes probe, so that a dead prober costs one turn.
 constexpr double kProbeTurnSeconds = 2.0;
@@ -47,8 +47,8 @@
 constexpr double kMinStepDuration = 0.5;  // s of a step of a restore
 // Seconds; servers of a zone drained for less have kept their contents, so its steps take half as long.
 constexpr double kShortDrain = 3.0;
-// Seconds of answered probes before a restore after relapses, times 2 for each of them.
-constexpr double kFallPause = 0.5;
+constexpr double kRelapsePause =
+    0.5;  // s of answered probes before a restore after relapses, times 2 for each of them
 constexpr int kMaxRelapses = 4;          // that count for the pause
 constexpr int kMaxSlowdownRelapses = 2;  // that double the duration of a step
 constexpr double kRelapseMemory = 30.0;  // s of full use after which relapses are forgotten
@@ -59,7 +59,7 @@
 constexpr int kMinStrainedAttempts = 4;  // attempts within a second that are needed to tell
 // More than one strained report in this many holds the restore, or takes it back a step.
 constexpr int kStrainedReportersDivisor = 3;
-constexpr double kYoung = 5.0;           // s after a start in which a node adopts the step of its peers
+constexpr double kStartupPeriod = 5.0;   // s after a start in which a node adopts the step of its peers
 constexpr int kMinStartupReports = 2;    // reports that suffice for it; it errs on the side of caution
 constexpr int kProbeAnswerReports = 48;  // urgent datagrams after an answered probe
 constexpr int kChangeReports = 16;       // urgent datagrams after any other change
@@ -76,10 +76,10 @@
 
 ZoneFailover::ZoneFailover(Settings settings, double now)
     : settings_(std::move(settings)),
-      pairs_(static_cast<std::size_t>(std::clamp(settings_.zone_count, 1, kMaxZones))),
-      began_(now),
+      records_(static_cast<std::size_t>(std::clamp(settings_.zone_count, 1, kMaxZones))),
+      started_at_(now),
       urgent_reports_(kChangeReports) {
-    for (ZoneRecord& record : pairs_) record.since = now;
+    for (ZoneRecord& record : records_) record.step_since = now;
 }
 
 // ---- local observations --------------------------------------------------------------------------------
@@ -107,7 +107,7 @@
 }
 
 void ZoneFailover::on_attempt_finished(double now, int zone, ServerKey server, ZoneAttempt outcome) {
-    if (zone < 0 || zone >= static_cast<int>(pairs_.size())) return;
+    if (zone < 0 || zone >= static_cast<int>(records_.size())) return;
     ZoneRecord& record = record_of(zone);
     advance_buckets(record, now);
     ++record.outcomes[static_cast<std::size_t>(record.newest_bucket) % record.outcomes.size()]
@@ -117,7 +117,7 @@
         record.baseline_silent =
             record.baseline_silent * decay + std::min(record.silent_run, kMaxRunInBaseline);
         record.baseline_answers = record.baseline_answers * decay + 1;
-        record.answered = now;
+        record.last_answer = now;
         record.silent_count = record.silent_run = 0;
         return;
     }
@@ -133,8 +133,8 @@
 // If every zone with recent attempts is silent, this node's own connectivity is at fault.
 bool ZoneFailover::is_every_zone_silent(double now) const {
     int asked = 0, silent = 0;
-    for (const ZoneRecord& record : pairs_) {
-        if (now - std::max(record.answered, record.last_silence) > kSilenceLifetime) continue;
+    for (const ZoneRecord& record : records_) {
+        if (now - std::max(record.last_answer, record.last_silence) > kSilenceLifetime) continue;
         ++asked;
         if (record.silent_count > 0) ++silent;
     }
@@ -143,10 +143,10 @@
 
 bool ZoneFailover::is_strained_relative_to_others(int zone, double now) const {
     double attempts_here = 0, bad_here = 0, attempts_elsewhere = 0, bad_elsewhere = 0;
-    for (std::size_t z = 0; z < pairs_.size(); ++z) {
-        const int bad = count_outcomes(pairs_[z], ZoneAttempt::strained, now) +
-                        count_outcomes(pairs_[z], ZoneAttempt::silent, now);
-        const int attempts = bad + count_outcomes(pairs_[z], ZoneAttempt::healthy, now);
+    for (std::size_t z = 0; z < records_.size(); ++z) {
+        const int bad = count_outcomes(records_[z], ZoneAttempt::strained, now) +
+                        count_outcomes(records_[z], ZoneAttempt::silent, now);
+        const int attempts = bad + count_outcomes(records_[z], ZoneAttempt::healthy, now);
         (static_cast<int>(z) == zone ? attempts_here : attempts_elsewhere) += attempts;
         (static_cast<int>(z) == zone ? bad_here : bad_elsewhere) += bad;
     }
@@ -155,22 +155,25 @@
            bad_here / attempts_here >= kStrainedMultiple * bad_elsewhere / attempts_elsewhere;
 }
 
-ZoneObservation ZoneFailover::sight(int zone, double now) const {
-    const ZoneRecord& p = record_of(zone);
+ZoneObservation ZoneFailover::observe(int zone, double now) const {
+    const ZoneRecord& record = record_of(zone);
     // If few of a zone's servers answer, probes of the drained zone seldom meet one, so any answer takes
     // precedence.
-    if (p.step == kStepDrained && p.answered > p.since && now - p.answered <= kProbeAnswerLifetime)
+    if (record.step == kStepDrained && record.last_answer > record.step_since &&
+        now - record.last_answer <= kProbeAnswerLifetime)
         return ZoneObservation::reachable;
     const double silent_probability =
-        (p.baseline_silent + 0.25) / (p.baseline_silent + p.baseline_answers + 1);
+        (record.baseline_silent + 0.25) / (record.baseline_silent + record.baseline_answers + 1);
     // The silence must last longer where a zone gets less traffic. If a few servers there still answer, some
     // voters had an answer just now and object.
-    const double quiet = p.step == kStepDrained ? 0 : std::min(kMinSilence / weight_of(p.step), kMaxSilence);
-    const bool run = p.silent_count >= kMinSilentServers &&
-                     std::pow(silent_probability, p.silent_run) < kSilenceProbability;
-    if (run && now - p.answered > quiet && now - p.last_silence <= kSilenceLifetime)
+    const double min_silence =
+        record.step == kStepDrained ? 0 : std::min(kMinSilence / weight_of(record.step), kMaxSilence);
+    const bool is_silent_run = record.silent_count >= kMinSilentServers &&
+                               std::pow(silent_probability, record.silent_run) < kSilenceProbability;
+    if (is_silent_run && now - record.last_answer > min_silence &&
+        now - record.last_silence <= kSilenceLifetime)
         return is_every_zone_silent(now) ? ZoneObservation::nothing : ZoneObservation::unreachable;
-    if (now - p.answered > kAnswerFresh) return ZoneObservation::nothing;
+    if (now - record.last_answer > kAnswerLifetime) return ZoneObservation::nothing;
     return is_strained_relative_to_others(zone, now) ? ZoneObservation::strained : ZoneObservation::reachable;
 }
 
@@ -178,33 +181,35 @@
 
 // Counts only what a node reports itself, never what others relay: a lying node has one vote, its own.
 void ZoneFailover::on_reports(double now, int from, const Stamp& stamp,
-                              const std::vector<ZoneReport>& reports, double late) {
-    if (late > kReportLifetime) return;
-    std::vector<bool> is_reported(pairs_.size());
+                              const std::vector<ZoneReport>& reports, double delay) {
+    if (delay > kReportLifetime) return;
+    std::vector<bool> is_reported(records_.size());
     bool differs = false;
-    for (const ZoneReport& v : reports) {
-        if (v.zone < 0 || v.zone >= static_cast<int>(pairs_.size())) continue;
-        is_reported[static_cast<std::size_t>(v.zone)] = true;
-        ZoneRecord& record = record_of(v.zone);
-        PeerReport& cell = record.reports[from];
-        if (stamp <= cell.stamp) continue;
-        cell = {stamp, v.observation, v.step, v.relapses, now - late};
-        const bool has_doubt = v.observation == ZoneObservation::unreachable || v.step < kStepHealthy;
+    for (const ZoneReport& report : reports) {
+        if (report.zone < 0 || report.zone >= static_cast<int>(records_.size())) continue;
+        is_reported[static_cast<std::size_t>(report.zone)] = true;
+        ZoneRecord& record = record_of(report.zone);
+        PeerReport& stored = record.reports[from];
+        if (stamp <= stored.stamp) continue;
+        stored = {stamp, report.observation, report.step, report.relapses, now - delay};
+        const bool has_doubt =
+            report.observation == ZoneObservation::unreachable || report.step < kStepHealthy;
         if (has_doubt) record.last_doubt = now;
         // A node with a different observation or step must say so, or the doubting node would only hear
         // others that doubt.
-        const ZoneObservation own = sight(v.zone, now);
-        differs = differs || (has_doubt && (record.step != v.step || own == ZoneObservation::reachable ||
+        const ZoneObservation own = observe(report.zone, now);
+        differs = differs || (has_doubt && (record.step != report.step || own == ZoneObservation::reachable ||
                                             own == ZoneObservation::strained));
     }
     // A zone that the sender no longer reports is healthy there.
-    for (std::size_t z = 0; z < pairs_.size(); ++z) {
-        const auto stored = pairs_[z].reports.find(from);
+    for (std::size_t z = 0; z < records_.size(); ++z) {
+        const auto stored = records_[z].reports.find(from);
         // A node that has just started or resumed uses a zone in full while its peers restore it in steps; it
         // gets a reply.
-        differs = differs || (!is_reported[z] && pairs_[z].step < kStepHealthy && !pairs_[z].hand);
-        if (is_reported[z] || stored == pairs_[z].reports.end() || stamp <= stored->second.stamp) continue;
-        stored->second = {stamp, ZoneObservation::nothing, kStepHealthy, 0, now - late};
+        differs =
+            differs || (!is_reported[z] && records_[z].step < kStepHealthy && !records_[z].set_by_operator);
+        if (is_reported[z] || stored == records_[z].reports.end() || stamp <= stored->second.stamp) continue;
+        stored->second = {stamp, ZoneObservation::nothing, kStepHealthy, 0, now - delay};
     }
     if (!differs || std::count(pending_replies_.begin(), pending_replies_.end(), from) > 0) return;
     const auto [reply, is_first] = last_reply_.try_emplace(from, -1e9);
@@ -216,38 +221,38 @@
 std::vector<int> ZoneFailover::replies_due() { return std::exchange(pending_replies_, {}); }
 
 void ZoneFailover::on_new_incarnation(int node) {
-    for (ZoneRecord& record : pairs_) record.reports.erase(node);
+    for (ZoneRecord& record : records_) record.reports.erase(node);
 }
 
 // After a pause the peers' reports are outdated, and this node's own observations may be caused by the pause;
 // it starts over as after a restart. A drained zone stays drained, which is the more cautious choice.
 void ZoneFailover::on_process_pause(double now) {
-    for (ZoneRecord& record : pairs_) {
+    for (ZoneRecord& record : records_) {
         record.reports.clear();
-        record.answered = record.last_silence = -1e9;
+        record.last_answer = record.last_silence = -1e9;
         record.silent_count = record.silent_run = 0;
         record.outcomes = {};
         record.answers_since = -1e9;
     }
-    began_ = now;
+    started_at_ = now;
     urgent_reports_ = kChangeReports;
 }
 
 ZoneFailover::Tally ZoneFailover::tally(int zone, double now, const std::vector<int>& voters) const {
     const ZoneRecord& record = record_of(zone);
     Tally result;
-    const auto count = [&](ZoneObservation said, int step, double observed_at) {
+    const auto count = [&](ZoneObservation reported, int step, double observed_at) {
         // An answer from before this node drained the zone says nothing of its present state.
-        const bool before = record.step == kStepDrained && said != ZoneObservation::unreachable &&
-                            observed_at <= record.since + kAnswerFresh;
-        const ZoneObservation sight = before ? ZoneObservation::nothing : said;
-        result.lost += sight == ZoneObservation::unreachable;
-        result.answers += sight == ZoneObservation::reachable;
-        result.strained += sight == ZoneObservation::strained;
-        result.at_least += step >= record.step;
+        const bool is_outdated = record.step == kStepDrained && reported != ZoneObservation::unreachable &&
+                                 observed_at <= record.step_since + kAnswerLifetime;
+        const ZoneObservation observation = is_outdated ? ZoneObservation::nothing : reported;
+        result.unreachable += observation == ZoneObservation::unreachable;
+        result.reachable += observation == ZoneObservation::reachable;
+        result.strained += observation == ZoneObservation::strained;
+        result.at_or_above += step >= record.step;
         result.above += step > record.step;
         result.below_healthy += step < kStepHealthy;
-        result.restored += step > kStepDrained && sight == ZoneObservation::reachable;
+        result.restored += step > kStepDrained && observation == ZoneObservation::reachable;
         result.steps.push_back(step);
     };
     for (const int voter : voters) {
@@ -255,116 +260,123 @@
         if (voter == settings_.node_index || report == record.reports.end() ||
             now - report->second.observed_at > kReportLifetime)
             continue;
-        ++result.heard;
+        ++result.reporters;
         count(report->second.observation, report->second.step, report->second.observed_at);
         result.relapses.push_back(report->second.relapses);
     }
     std::sort(result.steps.begin(), result.steps.end());
     std::sort(result.relapses.begin(), result.relapses.end());
-    const ZoneObservation own = sight(zone, now);
-    result.lost += own == ZoneObservation::unreachable;
-    result.answers += own == ZoneObservation::reachable;
+    const ZoneObservation own = observe(zone, now);
+    result.unreachable += own == ZoneObservation::unreachable;
+    result.reachable += own == ZoneObservation::reachable;
     result.strained += own == ZoneObservation::strained;
     return result;
 }
 
 // ---- state transitions ---------------------------------------------------------------------------------
 
-int ZoneFailover::needed(int zone, std::size_t voters, double now) const {
+int ZoneFailover::quorum(int zone, std::size_t voters, double now) const {
     const ZoneRecord& record = record_of(zone);
     const int max_quorum = static_cast<int>(voters);
-    const bool is_blind = now - std::max(record.last_silence, record.answered) > kSilenceLifetime;
+    const bool is_blind = now - std::max(record.last_silence, record.last_answer) > kSilenceLifetime;
     const double ratio = is_blind ? kBlindQuorumRatio : kQuorumRatio;
     const int required = std::max(kMinQuorum, static_cast<int>(std::floor(ratio * max_quorum)) + 1);
-    for (std::size_t z = 0; z < pairs_.size() && z < settings_.failure_domains.size(); ++z) {
-        const bool same =
+    for (std::size_t z = 0; z < records_.size() && z < settings_.failure_domains.size(); ++z) {
+        const bool is_same_domain =
             static_cast<int>(z) != zone &&
             settings_.failure_domains[z] == settings_.failure_domains[static_cast<std::size_t>(zone)];
-        if (same && pairs_[z].step == kStepDrained) return std::min(kFailureDomainQuorum, max_quorum);
+        if (is_same_domain && records_[z].step == kStepDrained)
+            return std::min(kFailureDomainQuorum, max_quorum);
     }
     return std::min(required, max_quorum);
 }
 
-bool ZoneFailover::should_drain(int zone, const Tally& t, std::size_t voters, double now) const {
-    const ZoneRecord& p = record_of(zone);
-    if (now - p.answered <= kAnswerFresh && sight(zone, now) != ZoneObservation::unreachable) return false;
-    return t.lost >= needed(zone, voters, now) && t.lost > kAgainst * (t.answers + t.strained);
+bool ZoneFailover::should_drain(int zone, const Tally& votes, std::size_t voters, double now) const {
+    const ZoneRecord& record = record_of(zone);
+    if (now - record.last_answer <= kAnswerLifetime && observe(zone, now) != ZoneObservation::unreachable)
+        return false;
+    return votes.unreachable >= quorum(zone, voters, now) &&
+           votes.unreachable > kUnreachableMajority * (votes.reachable + votes.strained);
 }
 
-bool ZoneFailover::should_restore(ZoneRecord& p, const Tally& votes, std::size_t voters, double now) const {
-    if (votes.answers == 0 || votes.lost > votes.answers)
-        p.answers_since = -1e9;
-    else if (p.answers_since < 0)
-        p.answers_since = now;
+bool ZoneFailover::should_restore(ZoneRecord& record, const Tally& votes, std::size_t voters,
+                                  double now) const {
+    if (votes.reachable == 0 || votes.unreachable > votes.reachable)
+        record.answers_since = -1e9;
+    else if (record.answers_since < 0)
+        record.answers_since = now;
     const int required = std::min(kMinAnsweredProbers, static_cast<int>(voters));
-    const double pause = p.falls == 0 ? 0 : kFallPause * std::exp2(p.falls);
-    return votes.answers >= required && votes.lost < votes.answers && now - p.answers_since >= pause;
+    const double pause = record.relapses == 0 ? 0 : kRelapsePause * std::exp2(record.relapses);
+    return votes.reachable >= required && votes.unreachable < votes.reachable &&
+           now - record.answers_since >= pause;
 }
 
 double ZoneFailover::step_duration(const ZoneRecord& record) const {
     const double duration =
         std::max(kMinStepDuration, settings_.slow_start_duration / (kStepHealthy + kMaxRelapses - 1));
-    return (record.since - record.drained_at < kShortDrain ? duration / 2 : duration) *
-           std::exp2(std::min(record.falls, kMaxSlowdownRelapses));
+    return (record.step_since - record.drained_at < kShortDrain ? duration / 2 : duration) *
+           std::exp2(std::min(record.relapses, kMaxSlowdownRelapses));
 }
 
 // No node goes ahead of its peers, so that the whole fleet shares a step; the one with the lowest step may
 // always advance.
-bool ZoneFailover::may_advance(int zone, const Tally& t, double now) const {
-    const ZoneRecord& p = record_of(zone);
-    const ZoneObservation own = sight(zone, now);
+bool ZoneFailover::may_advance(int zone, const Tally& votes, double now) const {
+    const ZoneRecord& record = record_of(zone);
+    const ZoneObservation own = observe(zone, now);
     if (own == ZoneObservation::unreachable || own == ZoneObservation::strained) return false;
-    if (kStrainedReportersDivisor * t.strained > t.heard + 1) return false;
+    if (kStrainedReportersDivisor * votes.strained > votes.reporters + 1) return false;
     // A node without reports advances at half the pace. A node that most peers are ahead of follows them,
     // regardless of the relapses it remembers.
-    const bool is_behind = t.heard > 0 && 2 * t.above > t.heard;
-    const double wait = is_behind ? kMinStepDuration / 2 : step_duration(p) * (t.heard == 0 ? 2 : 1);
-    return now - p.since >= wait && 2 * t.at_least >= t.heard;
+    const bool is_behind = votes.reporters > 0 && 2 * votes.above > votes.reporters;
+    const double wait =
+        is_behind ? kMinStepDuration / 2 : step_duration(record) * (votes.reporters == 0 ? 2 : 1);
+    return now - record.step_since >= wait && 2 * votes.at_or_above >= votes.reporters;
 }
 
-void ZoneFailover::enter(int zone, int step, double now) {
+void ZoneFailover::enter_step(int zone, int step, double now) {
     ZoneRecord& record = record_of(zone);
     // A drain or step back during a restore, or a drain soon after the zone was restored.
     const bool is_relapse =
         record.step < kStepHealthy ||
-        (step == kStepDrained && record.drained_at > began_ && now - record.since < kRelapseMemory);
-    if (step < record.step && is_relapse) record.falls = std::min(record.falls + 1, kMaxRelapses);
+        (step == kStepDrained && record.drained_at > started_at_ && now - record.step_since < kRelapseMemory);
+    if (step < record.step && is_relapse) record.relapses = std::min(record.relapses + 1, kMaxRelapses);
     if (step == kStepDrained) record.drained_at = now;
     record.step = step;
-    record.since = now;
+    record.step_since = now;
     record.answers_since = -1e9;
     urgent_reports_ = kChangeReports;
 }
 
 void ZoneFailover::update_step(int zone, const std::vector<int>& voters, double now) {
-    ZoneRecord& p = record_of(zone);
-    if (p.hand || pairs_.size() < 2) return;  // a single zone has no alternative
-    if (voters.size() < 2) {                  // who hears nobody uses the zone in full, as a single node does
-        if (p.step != kStepHealthy) enter(zone, kStepHealthy, now);
+    ZoneRecord& record = record_of(zone);
+    if (record.set_by_operator || records_.size() < 2) return;  // a single zone has no alternative
+    if (voters.size() < 2) {  // without peers there is no failover, so use the zone in full
+        if (record.step != kStepHealthy) enter_step(zone, kStepHealthy, now);
         return;
     }
     const Tally votes = tally(zone, now, voters);
     // Adopts the relapses that at least two peers remember: otherwise nodes that were absent during a relapse
     // would lead the others into the next one.
-    if (p.step != kStepHealthy && votes.relapses.size() >= 2)
-        p.falls = std::max(p.falls, std::min(votes.relapses[votes.relapses.size() - 2], kMaxRelapses));
-    if (p.step != kStepDrained && should_drain(zone, votes, voters.size(), now))
-        return enter(zone, kStepDrained, now);
-    if (p.step == kStepHealthy) {
-        if (now - p.since > kRelapseMemory) p.falls = 0;
-        if (now - began_ <= kYoung && votes.below_healthy >= kMinStartupReports &&
-            2 * votes.below_healthy > votes.heard)
-            enter(zone, votes.steps[votes.steps.size() / 2], now);
-    } else if (p.step == kStepDrained) {
+    if (record.step != kStepHealthy && votes.relapses.size() >= 2)
+        record.relapses =
+            std::max(record.relapses, std::min(votes.relapses[votes.relapses.size() - 2], kMaxRelapses));
+    if (record.step != kStepDrained && should_drain(zone, votes, voters.size(), now))
+        return enter_step(zone, kStepDrained, now);
+    if (record.step == kStepHealthy) {
+        if (now - record.step_since > kRelapseMemory) record.relapses = 0;
+        if (now - started_at_ <= kStartupPeriod && votes.below_healthy >= kMinStartupReports &&
+            2 * votes.below_healthy > votes.reporters)
+            enter_step(zone, votes.steps[votes.steps.size() / 2], now);
+    } else if (record.step == kStepDrained) {
         // Restore if enough probes are answered, or if enough peers have begun to restore and get answers.
-        if (should_restore(p, votes, voters.size(), now) ||
+        if (should_restore(record, votes, voters.size(), now) ||
             votes.restored >= std::min(kMinQuorum, static_cast<int>(voters.size()) - 1))
-            enter(zone, kStepDrained + 1, now);
-    } else if (votes.strained + votes.lost >= 2 &&
-               kStrainedReportersDivisor * (votes.strained + votes.lost) > votes.heard + 1) {
-        enter(zone, p.step - 1, now);
+            enter_step(zone, kStepDrained + 1, now);
+    } else if (votes.strained + votes.unreachable >= 2 &&
+               kStrainedReportersDivisor * (votes.strained + votes.unreachable) > votes.reporters + 1) {
+        enter_step(zone, record.step - 1, now);
     } else if (may_advance(zone, votes, now)) {
-        enter(zone, p.step + 1, now);
+        enter_step(zone, record.step + 1, now);
     }
 }
 
@@ -374,30 +386,31 @@
                    static_cast<std::uint64_t>(node));
     };
     const std::uint64_t own = rank(settings_.node_index);
-    return std::count_if(voters.begin(), voters.end(), [&](int n) { return rank(n) < own; }) < kTryers;
+    return std::count_if(voters.begin(), voters.end(), [&](int n) { return rank(n) < own; }) <
+           kProbersPerZone;
 }
 
 std::vector<ZoneFailover::Change> ZoneFailover::tick(double now, const std::vector<int>& voters,
                                                      std::int64_t turn) {
     std::vector<Change> changed;
-    for (int z = 0; z < static_cast<int>(pairs_.size()); ++z) {
+    for (int z = 0; z < static_cast<int>(records_.size()); ++z) {
         ZoneRecord& record = record_of(z);
         std::erase_if(record.reports,
                       [now](const auto& entry) { return now - entry.second.observed_at > kReportLifetime; });
         update_step(z, voters, now);
-        const bool is_unreachable = sight(z, now) == ZoneObservation::unreachable;
+        const bool is_unreachable = observe(z, now) == ZoneObservation::unreachable;
         if (is_unreachable && !record.was_unreachable) urgent_reports_ = kChangeReports;
         record.was_unreachable = is_unreachable;
         // All voters wait for an answered probe and hear of it from this node only, so it is sent to many.
-        const bool is_answered = record.step == kStepDrained && sight(z, now) == ZoneObservation::reachable;
+        const bool is_answered = record.step == kStepDrained && observe(z, now) == ZoneObservation::reachable;
         if (is_answered && !record.was_answered)
             urgent_reports_ = std::min(kProbeAnswerReports, 3 * static_cast<int>(voters.size()));
         record.was_answered = is_answered;
         const bool is_drained = record.step == kStepDrained;
         const Change change{z, weight_of(record.step),
-                            !is_drained                                  ? 0
-                            : !record.hand && is_prober(z, voters, turn) ? kProbeInterval
-                                                                         : kNoProbeInterval};
+                            !is_drained                                             ? 0
+                            : !record.set_by_operator && is_prober(z, voters, turn) ? kProbeInterval
+                                                                                    : kNoProbeInterval};
         if (change.weight == record.last_change.weight &&
             change.probe_interval == record.last_change.probe_interval)
             continue;
@@ -409,21 +422,22 @@
 
 // A zone released by an operator is restored through the same steps as any other.
 void ZoneFailover::set_admin_state(double now, int zone, bool drain) {
-    if (zone < 0 || zone >= static_cast<int>(pairs_.size()) || record_of(zone).hand == drain) return;
-    enter(zone, drain ? kStepDrained : kStepDrained + 1, now);
-    record_of(zone).hand = drain;
+    if (zone < 0 || zone >= static_cast<int>(records_.size()) || record_of(zone).set_by_operator == drain)
+        return;
+    enter_step(zone, drain ? kStepDrained : kStepDrained + 1, now);
+    record_of(zone).set_by_operator = drain;
 }
 
 std::vector<ZoneReport> ZoneFailover::reports(double now) const {
     std::vector<ZoneReport> result;
-    for (int z = 0; z < static_cast<int>(pairs_.size()); ++z) {
-        const ZoneRecord& p = record_of(z);
+    for (int z = 0; z < static_cast<int>(records_.size()); ++z) {
+        const ZoneRecord& record = record_of(z);
         // An operator's decision at this node says nothing about the zone.
-        const int step = p.hand ? kStepHealthy : p.step;
-        const ZoneObservation observation = sight(z, now);
-        const bool is_doubted = now - p.last_doubt <= kDoubtLifetime;
+        const int step = record.set_by_operator ? kStepHealthy : record.step;
+        const ZoneObservation observation = observe(z, now);
+        const bool is_doubted = now - record.last_doubt <= kDoubtLifetime;
         if (observation == ZoneObservation::unreachable || step < kStepHealthy || is_doubted)
-            result.push_back({z, observation, step, p.falls});
+            result.push_back({z, observation, step, record.relapses});
     }
     return result;
 }
@@ -432,22 +446,22 @@
     const ZoneRecord& record = record_of(zone);
     const Tally votes = tally(zone, now, voters);
     View v;
-    v.set_by_operator = record.hand;
+    v.set_by_operator = record.set_by_operator;
     v.weight = weight_of(record.step);
-    v.since = now - record.since;
-    v.unreachable = votes.lost, v.reachable = votes.answers, v.strained = votes.strained,
-    v.reporters = votes.heard;
-    v.quorum = needed(zone, voters.size(), now);
-    v.relapses = record.falls;
-    if (sight(zone, now) == ZoneObservation::unreachable)
+    v.since = now - record.step_since;
+    v.unreachable = votes.unreachable, v.reachable = votes.reachable, v.strained = votes.strained,
+    v.reporters = votes.reporters;
+    v.quorum = quorum(zone, voters.size(), now);
+    v.relapses = record.relapses;
+    if (observe(zone, now) == ZoneObservation::unreachable)
         v.unreachable_reporters.push_back(settings_.node_index);
     for (const auto& [node, report] : record.reports) {
         if (report.observation == ZoneObservation::unreachable && now - report.observed_at <= kReportLifetime)
             v.unreachable_reporters.push_back(node);
     }
-    v.state = record.step == kStepDrained  ? (votes.answers > 0 ? ZoneState::probing : ZoneState::drained)
+    v.state = record.step == kStepDrained  ? (votes.reachable > 0 ? ZoneState::probing : ZoneState::drained)
               : record.step < kStepHealthy ? ZoneState::recovering
-              : votes.lost > 0             ? ZoneState::suspect
+              : votes.unreachable > 0      ? ZoneState::suspect
                                            : ZoneState::healthy;
     return v;
 }
--- a/src/gossip/zone_failover.h
+++ b/src/gossip/zone_failover.h
@@ -78,8 +78,8 @@
     };
     // One zone as seen from this node's zone.
     struct ZoneRecord {
-        double answered = -1e9, last_silence = -1e9;  // time of the last attempt with and without an answer
-        std::array<ServerKey, 2> silent_servers{};    // the first ones since the last answer
+        double last_answer = -1e9, last_silence = -1e9;  // when an attempt there last ended so
+        std::array<ServerKey, 2> silent_servers{};       // the first ones since the last answer
         // Number of entries in silent_servers, and of consecutive attempts without an answer.
         int silent_count = 0, silent_run = 0;
         // Attempts without and with an answer before the current run, decaying over about the last twenty.
@@ -89,43 +89,43 @@
         std::int64_t newest_bucket = 0;
         std::map<int, PeerReport> reports;  // by node
         int step = kStepHealthy;
-        double since = 0;  // when the step was entered
+        double step_since = 0;
         double drained_at = -1e9;
         double answers_since = -1e9;  // start of the period in which probes are answered; -1e9: none
-        int falls = 0;                // recent drains and steps back during a restore
-        bool hand = false;            // an operator drained the zone at this node
-        double last_doubt = -1e9;     // when a peer last reported the zone as not healthy
+        int relapses = 0;             // recent drains and steps back during a restore
+        bool set_by_operator = false;
+        double last_doubt = -1e9;  // when a peer last reported the zone as not healthy
         Change last_change;
     };
     // Counts of the voters' current reports, this node's observation included where it has one.
     struct Tally {
-        int lost = 0, answers = 0, strained = 0, heard = 0, at_least = 0, above = 0, below_healthy = 0,
-            restored = 0;
+        int unreachable = 0, reachable = 0, strained = 0, reporters = 0, at_or_above = 0, above = 0,
+            below_healthy = 0, restored = 0;
         std::vector<int> steps, relapses;
     };
 
-    ZoneRecord& record_of(int zone) { return pairs_[static_cast<std::size_t>(zone)]; }
-    const ZoneRecord& record_of(int zone) const { return pairs_[static_cast<std::size_t>(zone)]; }
+    ZoneRecord& record_of(int zone) { return records_[static_cast<std::size_t>(zone)]; }
+    const ZoneRecord& record_of(int zone) const { return records_[static_cast<std::size_t>(zone)]; }
     static void advance_buckets(ZoneRecord& record, double now);
     static int count_outcomes(const ZoneRecord& record, ZoneAttempt outcome, double now);
     bool is_every_zone_silent(double now) const;
     bool is_strained_relative_to_others(int zone, double now) const;
-    ZoneObservation sight(int zone, double now) const;
+    ZoneObservation observe(int zone, double now) const;
     Tally tally(int zone, double now, const std::vector<int>& voters) const;
-    int needed(int zone, std::size_t voters, double now) const;
-    bool should_drain(int zone, const Tally& t, std::size_t voters, double now) const;
-    bool should_restore(ZoneRecord& p, const Tally& t, std::size_t voters, double now) const;
-    bool may_advance(int zone, const Tally& t, double now) const;
+    int quorum(int zone, std::size_t voters, double now) const;
+    bool should_drain(int zone, const Tally& votes, std::size_t voters, double now) const;
+    bool should_restore(ZoneRecord& record, const Tally& votes, std::size_t voters, double now) const;
+    bool may_advance(int zone, const Tally& votes, double now) const;
     double step_duration(const ZoneRecord& record) const;
-    void enter(int zone, int step, double now);
+    void enter_step(int zone, int step, double now);
     void update_step(int zone, const std::vector<int>& voters, double now);
     bool is_prober(int zone, const std::vector<int>& voters, std::int64_t turn) const;
 
     Settings settings_;
-    std::vector<ZoneRecord> pairs_;
+    std::vector<ZoneRecord> records_;
     std::map<int, double> last_reply_;
     std::vector<int> pending_replies_;
-    double began_;
+    double started_at_;
     int urgent_reports_ = 0;
 };
 
