--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -99,7 +99,7 @@
     return text + std::to_string(state.observations_held);
 }
 
-TEST(Merge, AnyOrderLossMadeGoodAndDoublingGiveOneResult) {
+TEST(Merge, AnyOrderAndDuplicationGiveOneResult) {
     std::mt19937_64 rng(7);
     for (int round = 0; round < 3000; ++round) {
         // Messages of five nodes about three servers; one node sends in two incarnations.
@@ -174,7 +174,7 @@
     }
 };
 
-TEST(Merge, AnOlderWordNeverWins) {
+TEST(Merge, AnOlderReportNeverReplacesANewerOne) {
     VerdictOwner owner;
     for (int n = 1; n <= 3; ++n) owner.report(n, {10, 300}, 5, 0);
     for (int n = 1; n <= 3; ++n) owner.report(n, {10, 200}, 0, 5);  // delayed
@@ -183,7 +183,7 @@
     EXPECT_EQ(owner.bad_zones(), 1U);
 }
 
-TEST(Merge, WordsSaidAgainAreNotSummed) {
+TEST(Merge, RepeatedReportsAreNotSummed) {
     VerdictOwner owner;
     for (int n = 1; n <= 3; ++n) owner.report(n, {10, 300}, 0, 1);
     for (int n = 1; n <= 3; ++n) owner.report(n, {10, 300}, 0, 1);
@@ -193,7 +193,7 @@
     EXPECT_EQ(owner.bad_zones(), 0U);
 }
 
-TEST(Merge, TwoVoicesOfFourNodesAreNotEnoughHoweverLoud) {
+TEST(Merge, TwoReportersOfFourNodesAreTooFewHoweverManyFailures) {
     VerdictOwner owner;
     owner.report(3, {10, 200}, 1, 0);  // present, and without failures
     for (int n = 1; n <= 2; ++n) owner.report(n, {10, 300}, 0, 100);
@@ -202,7 +202,7 @@
     EXPECT_EQ(owner.bad_zones(), 1U);
 }
 
-TEST(Merge, WordsOfADeadLifeAreVoid) {
+TEST(Merge, ReportsOfAnEarlierIncarnationAreDropped) {
     VerdictOwner owner;
     for (int n = 1; n <= 3; ++n) owner.report(n, {10, 300}, 0, 5);
     Datagram heartbeat;  // of a new incarnation without observations
@@ -215,7 +215,7 @@
     EXPECT_EQ(owner.bad_zones(), 0U);
 }
 
-TEST(Merge, AStartedNodeWhoseClockWasSetBackIsHeardAgain) {
+TEST(Merge, ARestartedNodeWhoseClockWasSetBackIsAcceptedAgain) {
     Simulation w(4, 1, 3);
     w.run(3);
     // The restarted node's incarnation is lower than its earlier one.
@@ -228,7 +228,7 @@
     EXPECT_EQ(back.incarnation(), 1001U);
 }
 
-TEST(Merge, AgesAddUpAndANodeThatStoodStillTakesNoOldNewsForNew) {
+TEST(Merge, AgesAddUpAndAResumedNodeTreatsNoOldReportAsNew) {
     OutlierExchange exchange({0, 3, 0, 1, 1024, 0, 0.004}, 10, 1, 100);
     Datagram d;
     d.node = 1;
@@ -283,7 +283,7 @@
     }
 }
 
-TEST(Fleet, FindsABadCacheThatGatesLetLittleTo) {
+TEST(Fleet, FindsABadServerThatGetsFewAttempts) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Simulation w(40, 1, seed);
         w.run(4);
@@ -305,7 +305,7 @@
     EXPECT_EQ(verdict_count, 0);
 }
 
-TEST(Fleet, ACacheBadForOneZoneOnlyIsLeftByThatZoneAlone) {
+TEST(Fleet, AServerBadForOneZoneIsEjectedByThatZoneOnly) {
     Simulation w(24, 3, 5);
     w.run(4);
     w.fate = [](int node, ServerKey s) { return s != kBadServer || node % 3 != 1; };
@@ -330,7 +330,7 @@
 
 // If most servers that a node uses fail, the cause is its own connectivity or a general overload: it reports
 // none.
-TEST(Fleet, ANodeWhoseOwnWayIsBadSaysNothing) {
+TEST(Fleet, ANodeWithBadConnectivityReportsNothing) {
     for (const int bad : {1, 3, 4, 6}) {
         OutlierExchange exchange({0, 4, 0, 1, 1024, 0, 0.004}, 10, 1, 100);
         for (int n = 1; n <= 3; ++n) {
@@ -352,7 +352,7 @@
     }
 }
 
-TEST(Fleet, ALyingKeeperAloneIsNotBelieved) {
+TEST(Fleet, AFalseVerdictOfASingleOwnerIsNotConfirmed) {
     Simulation w(12, 1, 8);
     w.run(4);
     for (int i = 0; i < 40; ++i) {
@@ -371,7 +371,7 @@
 
 // A node forges verdicts of all other owners with newer stamps than theirs: first that servers are bad, then
 // that none is bad while one is.
-TEST(Fleet, ANodeThatMakesUpOthersFindingsMovesNobody) {
+TEST(Fleet, ForgedVerdictsOfOtherOwnersChangeNoVerdict) {
     for (const bool has_bad_server : {false, true}) {
         Simulation w(12, 1, 8);
         w.run(4);
@@ -408,7 +408,7 @@
 
 // After a simultaneous start, or after a partition, no node stays in a clique of those that it heard from
 // first.
-TEST(Fleet, AllKnowAllSoonAfterTheyStartTogetherAndAfterACut) {
+TEST(Fleet, MembershipConvergesAfterASimultaneousStartAndAPartition) {
     struct Row {
         int nodes;
         double loss, most;  // most: s in nine of ten runs
@@ -493,7 +493,7 @@
     EXPECT_EQ(w.node(19).state(w.now()).incarnations[3], 1001U);
 }
 
-TEST(Fleet, AFrozenNodeActsOnNothingOldWhenItWakes) {
+TEST(Fleet, AResumedNodeActsOnNoOutdatedVerdict) {
     Simulation w(12, 1, 2);
     w.run(4);
     w.fate = only_bad_server_fails;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -69,7 +69,7 @@
     EXPECT_EQ(t.lender.share(0, t.now), LeasePair::kBase);
 }
 
-TEST(Limits, DoubledLateUnaskedAndOverlargeGrantsAddNothing) {
+TEST(Limits, DuplicateLateUnrequestedAndExcessiveGrantsAddNothing) {
     LeasePair t;
     const auto [sequence, request] = t.ask();
     const LeaseGrant grant = t.lender.on_request(t.now, 1, sequence, request);
@@ -119,7 +119,7 @@
 // ---- enforcement of a share ----------------------------------------------------------------------------
 
 // All nodes have even shares and try to send to one server in slow start at every step.
-TEST(Budgets, AColdServerGetsWhatAllTogetherMayFromItsFirstSecondOn) {
+TEST(FleetQuotas, AServerInSlowStartGetsTheFleetTotalFromTheFirstSecond) {
     struct Row {
         int nodes;
         double cold;
@@ -150,7 +150,7 @@
     }
 }
 
-TEST(Budgets, WhoGoesToAColdServerWithoutAskingIsMadeUpFor) {
+TEST(FleetQuotas, SlowStartAttemptsWithoutATokenAreChargedLater) {
     FleetQuotas quotas(0, 1);
     quotas.apply_configuration({false, 0, 4, 0}, {});
     (void)quotas.may_start_slow_start_attempt(100, 7, 1);
@@ -162,7 +162,7 @@
         << "another server has its own bucket, with its own initial tokens";
 }
 
-TEST(Budgets, ConnectionsOfAllNodesNeverComeToMoreThanTheWhole) {
+TEST(FleetQuotas, ConnectionsOfAllNodesStayWithinTheTotal) {
     for (const int total : {12, 13, 40, 400}) {
         std::vector<double> shares(12, 1.0 / 12);
         shares[0] += 8 * shares[1] * 15 / 16;  // eight nodes lend all that they may
@@ -183,7 +183,7 @@
     }
 }
 
-TEST(Budgets, ATotalBelowTheNumberOfNodesIsRejectedWithAMessage) {
+TEST(FleetQuotas, ATotalBelowTheNumberOfNodesIsRejectedWithAMessage) {
     FleetQuotas quotas(0, 12);
     EXPECT_EQ(quotas.apply_configuration({false, 11, 0, 0}, {}).size(), 1U);
     EXPECT_EQ(quotas.apply_configuration({true, 11, 3, 11}, {{"acme", 5}, {"bolt", 0}}).size(), 2U);
@@ -196,7 +196,7 @@
 
 // A reload that numbers tenants differently changes no share: quotas are identified by name. A quota that a
 // node does not know is not lent; what was lent of a quota before it was removed stays lent.
-TEST(Budgets, QuotasAreIdentifiedByNameNotNumber) {
+TEST(FleetQuotas, QuotasAreIdentifiedByNameNotNumber) {
     FleetQuotas before(0, 2), after(1, 2);
     before.apply_configuration({true, 0, 0, 0}, {{"acme", 5}, {"bolt", 9}});
     after.apply_configuration({true, 0, 0, 0}, {{"bolt", 9}, {"acme", 5}});
@@ -207,7 +207,7 @@
         << "an unknown quota";
 }
 
-TEST(Spending, SavesUpAQuarterOfASecondsAtTheMostHoweverLongItStood) {
+TEST(TokenBucket, SavesAtMostAQuarterSecondOfTokensHoweverLongItWasIdle) {
     for (const double rate : {0.5, 40.0}) {
         TokenBucket s;
         (void)s.take(100, rate);
@@ -219,7 +219,7 @@
 
 // ---- model checking -------------------------------------------------------------------------------------
 
-TEST(LimitsExplorer, InNoOrderOfFaultsIsMoreThanTheWholeInForceNorAPartLostForGood) {
+TEST(LimitsExplorer, EveryOrderOfFaultsKeepsToTheTotalAndLosesNoUnits) {
     const int depth = static_cast<int>(env_or("LIMITS_DEPTH", 5));
     const model::Explored e = model::explore(SmallFleet(), depth);
     std::printf(
@@ -232,7 +232,7 @@
 
 // ---- fleets ---------------------------------------------------------------------------------------------
 
-TEST(LimitsFleet, FollowsADemandThatMovesAndNeverPassesTheWhole) {
+TEST(LimitsFleet, FollowsAMovingDemandWithinTheTotal) {
     struct Case {
         const char* name;
         int nodes;
@@ -333,7 +333,7 @@
 
 // Sequence numbers start again in each incarnation: a grant to an earlier one must not match a request of
 // this one.
-TEST(LimitsFleet, AGrantThatAnEarlierLifeAskedForIsNone) {
+TEST(LimitsFleet, AGrantToAnEarlierIncarnationIsIgnored) {
     GossipSettings t;
     t.node_count = 2;
     OutlierExchange e(t, 20, 1, 100);
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -42,7 +42,7 @@
     double most() const { return *std::max_element(all.begin(), all.end()); }
 };
 
-TEST(ZoneFleet, LeavesALostZoneAndTakesItBackWithinItsBounds) {
+TEST(ZoneFleet, DrainsALostZoneAndRestoresItWithinTheBounds) {
     struct Case {
         const char* name;
         int nodes;
@@ -93,7 +93,7 @@
     }
 }
 
-TEST(ZoneFleet, AZoneWhereSomethingAnswersIsNotLeft) {
+TEST(ZoneFleet, AZoneWhereSomeServersAnswerIsNotDrained) {
     // By chance, the first attempts of some nodes may all go to silent servers: these may drain the zone, but
     // not for long.
     for (const int up : {1, 2, 3}) {
@@ -149,7 +149,7 @@
     EXPECT_TRUE(w.all(0, is_in_full_use, 2));
 }
 
-TEST(ZoneFleet, OneThatComesAndGoesIsFollowedAtAGrowingDistance) {
+TEST(ZoneFleet, AFlappingZoneIsRestoredAfterGrowingPauses) {
     std::array<double, 6> forwards{};
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Simulation w(12, 3, seed);
@@ -169,7 +169,7 @@
     EXPECT_LE((forwards[3] + forwards[4] + forwards[5]) / 3, 12);
 }
 
-TEST(ZoneFleet, StartedOrWokenInTheMiddleOfARampANodeTakesTheOthersStep) {
+TEST(ZoneFleet, ANodeStartedOrResumedDuringARestoreAdoptsThePeersStep) {
     for (const bool frozen : {false, true}) {
         Simulation w(24, 3, 8);
         if (frozen) w.frozen = {1, 4};
@@ -189,7 +189,7 @@
     }
 }
 
-TEST(ZoneFleet, WhoHearsNobodyDoesWhatANodeDoesAlone) {
+TEST(ZoneFleet, ANodeWithoutPeersUsesAllZonesInFull) {
     Simulation w(12, 3, 9);
     w.answers = [](int, int zone, int) { return zone != 1; };
     w.run(4);
@@ -233,7 +233,7 @@
     }
 };
 
-TEST(Zones, AreLeftByEnoughWordsAndNeverAgainstAnOwnAnswer) {
+TEST(Zones, AreDrainedByAQuorumButNotAgainstTheNodesOwnAnswer) {
     struct Case {
         const char* name;
         int own_silent, own_answers, unreachable, reachable;
@@ -256,7 +256,7 @@
     }
 }
 
-TEST(Zones, WordsOfBeforeItWasLeftDoNotTakeItBack) {
+TEST(Zones, ReportsFromBeforeTheDrainDoNotRestore) {
     SingleNode a;
     for (int n = 5; n < 20; ++n) a.voters.push_back(n);
     for (int n = 1; n <= 4; ++n) a.report(n, ZoneObservation::reachable);  // replies to an earlier doubt
@@ -274,7 +274,7 @@
     EXPECT_GT(a.weight, 0) << "two probes were answered since the drain";
 }
 
-TEST(Zones, OfARegionOfWhichOneIsLeftTwoWordsAreEnough) {
+TEST(Zones, TwoReportsSufficeInAFailureDomainWithADrainedZone) {
     for (const bool region : {false, true}) {
         ZoneFailover failover({0, 0, 3, 8, region ? std::vector<int>{7, 8, 8} : std::vector<int>{7, 8, 9}},
                               100);
@@ -295,7 +295,7 @@
     }
 }
 
-TEST(Zones, OldDoubledAndLateWordsDoNotCount) {
+TEST(Zones, OldDuplicateAndLateReportsDoNotCount) {
     SingleNode a;
     a.fail_attempts(2);
     for (int i = 0; i < 3; ++i) a.report(1, ZoneObservation::unreachable);
@@ -312,7 +312,7 @@
     EXPECT_EQ(a.weight, 1) << "an older report arrived later";
 }
 
-TEST(Zones, ByHandAreLeftAndTakenBackThroughTheSameSteps) {
+TEST(Zones, AnOperatorsDrainAndRestoreUseTheSameSteps) {
     SingleNode a;
     a.failover.set_admin_state(a.now, 1, true);
     a.tick();
@@ -331,7 +331,7 @@
     EXPECT_EQ(weights, (std::vector<double>{0.0625, 0.125, 0.25, 0.5, 1}));
 }
 
-TEST(Zones, NoneGoesOnBeforeTheOthers) {
+TEST(Zones, ARestoreStaysWithinOneStepOfThePeers) {
     SingleNode a;
     a.failover.set_admin_state(a.now, 1, true);
     a.tick();
@@ -349,7 +349,7 @@
     EXPECT_GE(a.weight, 0.25);
 }
 
-TEST(Zones, HoldTheRampWhileStrainedAndGoBackAStepWhenManyAre) {
+TEST(Zones, ARestoreHoldsWhileStrainedAndStepsBackWhenManyPeersAre) {
     SingleNode a;
     a.failover.set_admin_state(a.now, 1, true);
     a.tick();
@@ -371,7 +371,7 @@
     EXPECT_LT(a.weight, reached);
 }
 
-TEST(Zones, WhereNothingAnswersAnywhereTheOwnWayIsAtFault) {
+TEST(Zones, NoZoneIsReportedWhenAllZonesAreSilent) {
     SingleNode a;
     a.fail_attempts(3);
     for (int i = 0; i < 3; ++i)
