--- a/tests/planted_soak.sh
+++ b/tests/planted_soak.sh
@@ -29,13 +29,13 @@
 'a request that waits for the origin is answered in time~balancer/balancer.cpp~host_.set_timer(std::max(request.useful_until - now - 2 * deployment_.tick_interval, 0.0),~host_.set_timer(std::max(request.useful_until - now + 1.0, 0.0),~proxy/node.cpp~timers_.schedule(active.deadline + config_.deployment.response_grace, [this, request] {~timers_.schedule(active.deadline + 1.0, [this, request] {'
 'a shutdown answers the requests that it has accepted~proxy/graceful_shutdown.cpp~if (clients_are_gone && !has_open_requests) return Step::finish;~if (now >= closes_at_ || (clients_are_gone && !has_open_requests)) return Step::finish;'
 'settings and names of a reload take effect together~proxy/node.cpp~    handle_events();
-    carry_out_all_actions();
+    run_all_actions();
     std::vector<ServerTable::Placement> placements;~    std::vector<ServerTable::Placement> placements;'
 'a node that starts waits for its agent~proxy/node.cpp~monotonic_now() + (has_agent ? kFirstListTimeout : 0)~monotonic_now()'
-'an endpoint list applies from the next send on~proxy/node.cpp~event_queue_.emplace_back([this, record = std::move(list)](double now) {
-                  apply_endpoint_update(now, record.is_full ? UpdateKind::full : UpdateKind::delta, record);
-              });~timers_.schedule(monotonic_now() + 0.4, [this, record = std::move(list)] { event_queue_.emplace_back([this, record](double now) {
-                  apply_endpoint_update(now, record.is_full ? UpdateKind::full : UpdateKind::delta, record);
+'an endpoint list applies from the next send on~proxy/node.cpp~event_queue_.emplace_back([this, update = std::move(update)](double now) {
+                  apply_endpoint_update(now, update.is_full ? UpdateKind::full : UpdateKind::delta, update);
+              });~timers_.schedule(monotonic_now() + 0.4, [this, update = std::move(update)] { event_queue_.emplace_back([this, update](double now) {
+                  apply_endpoint_update(now, update.is_full ? UpdateKind::full : UpdateKind::delta, update);
               }); });'
 )
 
