--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -64,7 +64,7 @@
             caller.timeout = {};
             if (caller.responded) return close(id, caller);
             caller.request_read = true;
-            respond(id, 408, "timeout: the request is incomplete");
+            respond(id, 408, "no whole call in time");
         });
         caller.connection = std::make_unique<TcpConnection>(
             std::move(socket), kMaxRequestSize, budget_,
@@ -97,7 +97,7 @@
     caller.request_read = true;
     connection.consume(connection.input().size());
     if (request.valid) return on_request_(id, request);
-    respond(id, 400, "malformed HTTP/1.1 request");
+    respond(id, 400, "no call of HTTP/1.1");
 }
 
 void AdminServer::respond(std::uint64_t id, int status, std::string_view text) {
--- a/src/proxy/admin_api.cpp
+++ b/src/proxy/admin_api.cpp
@@ -21,9 +21,9 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 constexpr int kMethodNotAllowed = 405;
-constexpr AdminError kNoSuchPath{kNotFound, "unknown path"};
-constexpr AdminError kNeedsPost{kMethodNotAllowed, "this path requires the method POST"};
-constexpr AdminError kNeedsGet{kMethodNotAllowed, "this path requires the method GET"};
+constexpr AdminError kNoSuchPath{kNotFound, "no such path"};
+constexpr AdminError kNeedsPost{kMethodNotAllowed, "the method here is POST"};
+constexpr AdminError kNeedsGet{kMethodNotAllowed, "the method here is GET"};
 
 // Decodes percent-encoding. Returns nothing if the text is malformed or encodes one of `illegal_characters`
 // (null: every character is allowed).
@@ -63,13 +63,13 @@
 AdminAction parse_admin_request(const HttpRequest& request) {
     const std::string_view target(request.target);
     if (is_state_change(target, kServersPrefix)) {
-        const auto parsed = parse_state_change(request, kServersPrefix, "/", "the server name is malformed");
+        const auto parsed = parse_state_change(request, kServersPrefix, "/", "no id");
         if (const auto* error = std::get_if<AdminError>(&parsed)) return *error;
         const auto& change = std::get<StateChange>(parsed);
         return ServerStateChange{change.name, change.drain};
     }
     if (is_state_change(target, kZonesPrefix)) {
-        const auto parsed = parse_state_change(request, kZonesPrefix, nullptr, "the zone name is malformed");
+        const auto parsed = parse_state_change(request, kZonesPrefix, nullptr, "no name");
         if (const auto* error = std::get_if<AdminError>(&parsed)) return *error;
         const auto& change = std::get<StateChange>(parsed);
         return ZoneStateChange{change.name, change.drain};
--- a/src/proxy/metrics.cpp
+++ b/src/proxy/metrics.cpp
@@ -61,49 +61,48 @@
 std::string Metrics::page(const Gauges& gauges, const ClientConnections& clients,
                           const ViolationCounter& violations, const IterationMonitor& iterations) const {
     PageWriter page;
-    page.counter("brookrelay_requests_total", "Requests accepted.", requests_);
-    page.begin("brookrelay_request_ends_total", "counter", "Requests ended, by result.");
+    page.counter("brookrelay_requests_total", "Requests taken up.", requests_);
+    page.begin("brookrelay_request_ends_total", "counter", "Requests ended, by how.");
     for (std::size_t i = 0; i < request_ends_.size(); ++i)
         page.sample("brookrelay_request_ends_total", "end", kRequestEndNames[i], request_ends_[i]);
     page.begin("brookrelay_attempts_total", "counter", "Attempts ended, by outcome.");
     for (std::size_t i = 0; i < attempt_ends_.size(); ++i)
         page.sample("brookrelay_attempts_total", "outcome", kOutcomeNames[i], attempt_ends_[i]);
     page.begin("brookrelay_attempts_refused_total", "counter",
-               "Attempts not sent, by the send guard's reason.");
+               "Attempts that were not sent, by the guard's reason.");
     for (std::size_t i = 1; i < refusals_.size(); ++i)
         page.sample("brookrelay_attempts_refused_total", "reason", name_of(static_cast<SendRefusal>(i)),
                     refusals_[i]);
     page.begin("brookrelay_client_connections_closed_total", "counter",
-               "Client connections closed, by reason.");
+               "Connections of clients closed, by reason.");
     for (std::size_t i = 0; i < static_cast<std::size_t>(CloseReason::count); ++i)
         page.sample("brookrelay_client_connections_closed_total", "reason",
                     name_of(static_cast<CloseReason>(i)), clients.closed_count(static_cast<CloseReason>(i)));
     page.begin("brookrelay_violations_total", "counter",
-               "Violations of its own rules detected by this process, by kind.");
+               "Rules that this process saw itself break, by kind.");
     for (std::size_t i = 0; i < static_cast<std::size_t>(Violation::count); ++i)
         page.sample("brookrelay_violations_total", "kind", name_of(static_cast<Violation>(i)),
                     violations.count(static_cast<Violation>(i)));
-    page.counter("brookrelay_clock_steps_total", "Steps of the wall clock that were detected.", clock_steps_);
-    page.counter("brookrelay_pauses_total", "Pauses of the process (stopped or swapped out).", pauses_);
-    page.counter("brookrelay_reloads_taken_total", "Configuration reloads applied.", reloads_taken_);
-    page.counter("brookrelay_reloads_refused_total", "Configuration reloads rejected.", reloads_refused_);
+    page.counter("brookrelay_clock_steps_total", "Steps of the wall clock that were noticed.", clock_steps_);
+    page.counter("brookrelay_pauses_total", "Times that the process was held up.", pauses_);
+    page.counter("brookrelay_reloads_taken_total", "Configurations taken over.", reloads_taken_);
+    page.counter("brookrelay_reloads_refused_total", "Configurations refused.", reloads_refused_);
     page.counter("brookrelay_deferrals_total",
-                 "Iterations that deferred actions to the next one, to poll the sockets first.", deferrals_);
-    page.counter("brookrelay_lists_total", "Endpoint updates applied.", lists_);
-    page.counter("brookrelay_list_bytes_total", "Bytes of the endpoint updates applied.", list_bytes_);
+                 "Iterations that left actions to the next one, to look at the sockets first.", deferrals_);
+    page.counter("brookrelay_lists_total", "Endpoint updates that were applied.", lists_);
+    page.counter("brookrelay_list_bytes_total", "Their bytes.", list_bytes_);
     page.begin("brookrelay_list_seconds_total", "counter",
-               "Total time from the first byte of an endpoint update until it was applied.");
+               "From an update's first byte until it was applied.");
     page.sample("brookrelay_list_seconds_total", total_list_seconds_);
-    page.begin("brookrelay_list_seconds_max", "gauge", "Longest time to receive and apply an update.");
+    page.begin("brookrelay_list_seconds_max", "gauge", "The longest of these.");
     page.sample("brookrelay_list_seconds_max", max_list_seconds_);
     page.counter("brookrelay_sends_total", "Attempts written.", sends_);
     page.begin("brookrelay_send_list_age_seconds_total", "counter",
-               "Total time since the endpoint list was last confirmed when an attempt was written.");
+               "Since the endpoints were last confirmed, when an attempt was written.");
     page.sample("brookrelay_send_list_age_seconds_total", total_send_list_age_);
-    page.begin("brookrelay_send_list_age_seconds_max", "gauge",
-               "Longest time since the endpoint list was last confirmed when an attempt was written.");
+    page.begin("brookrelay_send_list_age_seconds_max", "gauge", "The longest of these.");
     page.sample("brookrelay_send_list_age_seconds_max", max_send_list_age_);
-    page.begin("brookrelay_iteration_seconds", "histogram", "Event-loop iterations, by duration.");
+    page.begin("brookrelay_iteration_seconds", "histogram", "Iterations of the event loop, by their length.");
     std::uint64_t cumulative_count = 0;
     for (std::size_t i = 0; i < iterations.histogram().size(); ++i) {
         cumulative_count += iterations.histogram()[i];
@@ -115,7 +114,7 @@
     page.sample("brookrelay_iteration_seconds_sum", iterations.total_seconds());
     page.sample("brookrelay_iteration_seconds_count", static_cast<double>(cumulative_count));
     for (const auto& [name, value] : gauges) {
-        page.begin(name, "gauge", "Current value.");
+        page.begin(name, "gauge", "Present value.");
         page.sample(name, value);
     }
     return page.take();
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -61,8 +61,7 @@
 // Distinguishes zones from server names in the administrative state.
 constexpr const char* kZoneKeyPrefix = "\x01zone:";
 
-constexpr const char* kGossipDisabled =
-    "gossip between nodes is disabled on this node: see [fleet] in the operators' file";
+constexpr const char* kGossipDisabled = "this node does not talk with others: [fleet] in the operators' file";
 constexpr const char* kFailedReply = "SERVER_ERROR failed\r\n";
 
 // Whether the outcome proves that the server did not execute the attempt.
@@ -834,9 +833,9 @@
     if (std::holds_alternative<TraceQuery>(action))
         return admin_server_.respond(caller, 200, trace_.text(monotonic_now()));
     if (accepts_clients_) return admin_server_.respond(caller, 200, "ready");
-    admin_server_.respond(caller, 503,
-                          shutdown_.has_begun() ? "shutting down, accepts no new clients"
-                                                : "starting, waits for an endpoint list");
+    admin_server_.respond(
+        caller, 503,
+        shutdown_.has_begun() ? "ends, and takes no new clients" : "starts, and waits for its endpoint list");
 }
 
 std::string Node::metrics_page() const {
@@ -859,12 +858,12 @@
         };
         const int server = servers_.find(name);
         if (server == ServerTable::kUnknown && !admin_state_.was_ever_listed(name))
-            return reply(404, "this cache server was never on the endpoint list");
+            return reply(404, "no such cache server was ever listed");
         // Without the origin, no write and no miss can be served, and no other server can replace it.
         if (server != ServerTable::kUnknown && servers_.is_origin(servers_.at(server)))
-            return reply(409, "the origin cannot be drained");
+            return reply(409, "the origin cannot be taken out");
         if (!(drain ? admin_state_.drain(name) : admin_state_.restore(name, wall_clock_.read().wall_now())))
-            return reply(503, "the state could not be written to disk, nothing has changed");
+            return reply(503, "could not be written down, nothing has changed");
         apply_admin_state(now, {name});
         reply(200, drain ? "out" : "may serve");
     });
@@ -879,13 +878,12 @@
         };
         const std::string key = kZoneKeyPrefix + name;
         if (gossip_ == nullptr) return reply(404, kGossipDisabled);
-        if (index_of(config_.names.zones, name) < 0)
-            return reply(404, "the node's configuration does not name this zone");
+        if (index_of(config_.names.zones, name) < 0) return reply(404, "no such zone");
         const std::string refusal = gossip_->why_zones_unavailable();
         if (!refusal.empty()) return reply(409, refusal);
-        if (drain && config_.names.zones.size() < 2) return reply(409, "the only zone cannot be drained");
+        if (drain && config_.names.zones.size() < 2) return reply(409, "the only zone cannot be left");
         if (!(drain ? admin_state_.drain(key) : admin_state_.restore(key, wall_clock_.read().wall_now())))
-            return reply(503, "the state could not be written to disk, nothing has changed");
+            return reply(503, "could not be written down, nothing has changed");
         apply_admin_state(now, {key});
         reply(200, drain ? "left" : "is taken back in steps");
     });
