--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -147,15 +147,15 @@
 }
 
 void ClientConnections::read_commands(std::uint64_t id, Client& client) {
-    client.held_back = HoldReason::none;
-    while (!client.reading_stopped) {
+    client.pause_reason = PauseReason::none;
+    while (!client.is_reading_stopped) {
         if (client.connection->input().empty()) return;
-        const HoldReason reason = find_pause_reason(client);
-        if (reason != HoldReason::none) return pause_reading(id, client, reason);
+        const PauseReason reason = find_pause_reason(client);
+        if (reason != PauseReason::none) return pause_reading(id, client, reason);
         Command command;
         const std::size_t parsed_bytes = parse_command(client.connection->input(), command);
         if (parsed_bytes == 0) {
-            if (!reserve_long_value(client)) client.held_back = HoldReason::value_memory_limit;
+            if (!reserve_long_value(client)) client.pause_reason = PauseReason::value_memory_limit;
             return;
         }
         handle_command(id, client, std::move(command), consume(client, parsed_bytes));
@@ -208,35 +208,36 @@
            kPipelinedCommandsFraction * static_cast<double>(connection_limit_);
 }
 
-ClientConnections::HoldReason ClientConnections::find_pause_reason(const Client& client) const {
+ClientConnections::PauseReason ClientConnections::find_pause_reason(const Client& client) const {
     // Commands are not read from a client that does not read its responses.
-    if (client.connection->unwritten_bytes() > 0) return HoldReason::unread_responses;
-    if (client.pending.size() >= kMaxPipelinedCommands) return HoldReason::client_command_limit;
+    if (client.connection->unwritten_bytes() > 0) return PauseReason::unread_responses;
+    if (client.pending.size() >= kMaxPipelinedCommands) return PauseReason::client_command_limit;
     // A streamed response that breaks off closes the connection, and commands read after it would be lost.
     const bool has_stream = std::any_of(client.pending.begin(), client.pending.end(),
                                         [](const PendingResponse& response) { return response.stream != 0; });
-    if (has_stream) return HoldReason::client_command_limit;
-    return !client.pending.empty() && is_total_command_limit_reached() ? HoldReason::total_command_limit
-                                                                       : HoldReason::none;
+    if (has_stream) return PauseReason::client_command_limit;
+    return !client.pending.empty() && is_total_command_limit_reached() ? PauseReason::total_command_limit
+                                                                       : PauseReason::none;
 }
 
 // Marks the client as paused only if its next command is complete or only waits for memory. A client that has
 // stopped inside a command counts as silent even if another reason to pause applies.
-void ClientConnections::pause_reading(std::uint64_t id, Client& client, HoldReason reason) {
+void ClientConnections::pause_reading(std::uint64_t id, Client& client, PauseReason reason) {
     const std::string_view input = client.connection->input();
     Command command;
     const bool is_command_available =
         (client.reserved_bytes == 0 && streamed_write_length(input) > 0) || parse_command(input, command) > 0;
     if (!is_command_available) return;
-    client.held_back = reason;
-    if (reason != HoldReason::total_command_limit) return;
-    if (std::find(held_back_.begin(), held_back_.end(), id) == held_back_.end()) held_back_.push_back(id);
+    client.pause_reason = reason;
+    if (reason != PauseReason::total_command_limit) return;
+    if (std::find(paused_clients_.begin(), paused_clients_.end(), id) == paused_clients_.end())
+        paused_clients_.push_back(id);
 }
 
 // Called wherever commands are answered. Reading starts new requests, so it is deferred to the next iteration
 // of the main loop.
 void ClientConnections::schedule_resume() {
-    if (held_back_.empty() || resume_timer_.second != 0) return;
+    if (paused_clients_.empty() || resume_timer_.second != 0) return;
     resume_timer_ = timers_.schedule(monotonic_now(), [this] {
         resume_timer_ = {};
         resume_paused_clients();
@@ -244,13 +245,13 @@
 }
 
 void ClientConnections::resume_paused_clients() {
-    for (std::size_t left = held_back_.size(); left > 0 && !is_total_command_limit_reached(); --left) {
-        const std::uint64_t id = held_back_.front();
-        held_back_.pop_front();
+    for (std::size_t left = paused_clients_.size(); left > 0 && !is_total_command_limit_reached(); --left) {
+        const std::uint64_t id = paused_clients_.front();
+        paused_clients_.pop_front();
         const auto entry = clients_.find(id);
         if (entry == clients_.end() || entry->second.connection->is_closed()) continue;
         Client& client = entry->second;
-        if (client.held_back != HoldReason::total_command_limit) continue;  // reading has already resumed
+        if (client.pause_reason != PauseReason::total_command_limit) continue;  // reading has already resumed
         client.last_used = client.last_received = monotonic_now();
         read_commands(id, client);
         close_if_done(id, client);
@@ -295,7 +296,7 @@
 void ClientConnections::check_clients() {
     const double now = monotonic_now();
     for (auto& [id, client] : clients_) {
-        if (!client.connection->is_closed() && client.held_back == HoldReason::value_memory_limit) {
+        if (!client.connection->is_closed() && client.pause_reason == PauseReason::value_memory_limit) {
             client.last_used = client.last_received = now;
             read_commands(id, client);
         }
@@ -311,8 +312,8 @@
     if (open_count_ <= max_idle) return;  // avoids the loop below, which makes a system call for each client
     std::vector<std::pair<double, std::uint64_t>> idle;
     for (const auto& [id, client] : clients_) {
-        const bool is_answered =
-            client.first_command > 0 && client.connection->unwritten_bytes() == 0 && !client.reading_stopped;
+        const bool is_answered = client.first_command > 0 && client.connection->unwritten_bytes() == 0 &&
+                                 !client.is_reading_stopped;
         if (is_answered && is_between_commands(client)) idle.emplace_back(client.last_used, id);
     }
     std::sort(idle.begin(), idle.end());
@@ -326,7 +327,7 @@
         client.unread_since = now;
     }
     // A client is not silent while this node has paused reading its input or has not yet received it.
-    const bool is_read = !client.reading_stopped && client.held_back == HoldReason::none &&
+    const bool is_read = !client.is_reading_stopped && client.pause_reason == PauseReason::none &&
                          !client.connection->has_unreceived_input();
     const bool is_stalled_in_command = is_read && !client.connection->input().empty() &&
                                        now - client.last_received >= kSilenceTimeoutSeconds;
@@ -449,7 +450,7 @@
     budget_.used -= response.text.size();
     std::string text = has_buffered_body ? std::move(response.text) : std::string();
     response.text.clear();
-    if (!complete && response.started) {
+    if (!complete && response.is_partly_written) {
         log_.line(Topic::client, "value_broken_off",
                   "client connection closed: the rest of a partly sent value is not available");
         // Earlier responses are still sent. The client detects the truncated value by the early end of the
@@ -481,7 +482,7 @@
         }
         if (!client.pending.front().is_ready) {  // streamed response, whose chunks follow
             response_text.clear();
-            client.pending.front().started = true;
+            client.pending.front().is_partly_written = true;
             break;
         }
         reserved_bytes_ -= client.pending.front().reserved_bytes;
@@ -499,12 +500,12 @@
 
 void ClientConnections::close_if_done(std::uint64_t id, Client& client) {
     const bool is_done =
-        client.reading_stopped ? client.pending.empty() : is_shutting_down_ && is_between_commands(client);
+        client.is_reading_stopped ? client.pending.empty() : is_shutting_down_ && is_between_commands(client);
     if (!is_done || client.is_closing) return;
     const bool is_idle =
         client.connection->unwritten_bytes() == 0 && monotonic_now() - client.last_used >= kMinIdleSeconds;
-    const CloseReason reason = client.reading_stopped ? client.close_reason : CloseReason::shutdown;
-    if (close_idle_at_once_ && !client.reading_stopped && is_idle) return close(id, client, reason);
+    const CloseReason reason = client.is_reading_stopped ? client.close_reason : CloseReason::shutdown;
+    if (close_idle_at_once_ && !client.is_reading_stopped && is_idle) return close(id, client, reason);
     close_gracefully(id, client, reason);
 }
 
@@ -513,7 +514,7 @@
 }
 
 void ClientConnections::stop_reading(Client& client, CloseReason reason) {
-    client.reading_stopped = true;
+    client.is_reading_stopped = true;
     client.close_reason = reason;
 }
 
@@ -582,7 +583,7 @@
     abandon_pending(id, client);
 }
 
-bool ClientConnections::has_closed(const RequestHandle& handle) {
+bool ClientConnections::close_if_client_closed(const RequestHandle& handle) {
     const auto entry = clients_.find(handle.connection);
     if (entry == clients_.end() || entry->second.connection->is_closed()) return true;
     if (!entry->second.connection->peer_has_closed()) return false;
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -97,7 +97,7 @@
     void begin_shutdown(bool at_once);
     /// Returns whether the client has closed its connection, even if unread input precedes the close. If so,
     /// closes the connection on this side.
-    bool has_closed(const RequestHandle& handle);
+    bool close_if_client_closed(const RequestHandle& handle);
     bool empty() const { return open_count_ == 0; }
     /// Returns how many connections were closed for `reason`.
     std::uint64_t closed_count(CloseReason reason) const {
@@ -116,14 +116,14 @@
         bool is_ready = false;  // `text` is complete, or holds the end of a streamed response
         int request = kNoRequest;
         std::string text;
-        std::uint64_t stream = 0;  // id of the streamed response, or 0
-        bool started = false;      // a part of the streamed response is written
+        std::uint64_t stream = 0;        // id of the streamed response, or 0
+        bool is_partly_written = false;  // a part of the streamed response is written
         bool is_buffered = false;  // the streamed response is buffered in `text` until it may be written
         double write_from = 0;     // of a buffered response, see StreamTerms
         std::size_t reserved_bytes = 0;  // bytes reserved for the command's value
     };
     /// Why reading is paused although the input may hold a complete command, and what resumes it.
-    enum class HoldReason {
+    enum class PauseReason {
         none,
         unread_responses,      // the client has unread responses; resumed by Event::drained
         client_command_limit,  // the client's pipeline is full or has a stream; resumed by a response
@@ -139,17 +139,17 @@
         double last_received = 0;               // when bytes were last received or reading last resumed
         std::size_t unread_response_bytes = 0;  // unwritten response bytes at the last check_timeouts()
         double unread_since = 0;                // when check_timeouts() last saw that number change
-        bool reading_stopped = false;           // further input is discarded
+        bool is_reading_stopped = false;        // further input is discarded
         bool is_closing = false;                // all commands are answered and the write side is shut down
-        CloseReason close_reason = CloseReason::count;  // set once `is_closing` or `reading_stopped` is
+        CloseReason close_reason = CloseReason::count;  // set once `is_closing` or `is_reading_stopped` is
         TimerQueue::Handle linger_timer;
         std::size_t reserved_bytes = 0;  // bytes reserved for the long value being received
-        HoldReason held_back = HoldReason::none;
+        PauseReason pause_reason = PauseReason::none;
     };
 
-    HoldReason find_pause_reason(const Client& client) const;
+    PauseReason find_pause_reason(const Client& client) const;
     bool is_total_command_limit_reached() const;
-    void pause_reading(std::uint64_t id, Client& client, HoldReason reason);
+    void pause_reading(std::uint64_t id, Client& client, PauseReason reason);
     void schedule_resume();
     void resume_paused_clients();
     static bool is_between_commands(const Client& client);
@@ -201,7 +201,7 @@
     std::size_t open_count_ = 0;
     std::size_t unanswered_commands_ = 0;  // commands whose response is not completely written
     // Connections paused for total_command_limit, the longest waiting first.
-    std::deque<std::uint64_t> held_back_;
+    std::deque<std::uint64_t> paused_clients_;
     TimerQueue::Handle resume_timer_;
     std::uint64_t last_id_ = 0;
     double last_command_at_ = 0;
--- a/src/io/poll_clock.h
+++ b/src/io/poll_clock.h
@@ -16,9 +16,9 @@
     PollClock& operator=(const PollClock&) = delete;
 
     /// Returns when the sockets were last polled, or when this object was created if they never were.
-    double last() const { return last_; }
+    double last_poll() const { return last_poll_; }
     /// Returns when the poll before the last one was: a signal that is being handled now arrived after it.
-    double previous() const { return previous_; }
+    double previous_poll() const { return previous_poll_; }
 
   private:
     // Above all other sources, because GLib does not check sources of a lower priority than a ready one.
@@ -29,19 +29,21 @@
     };
     static gboolean check(GSource* source) {
         PollClock& clock = *reinterpret_cast<Source*>(source)->clock;
-        clock.previous_ = clock.last_;
-        clock.last_ = monotonic_now();
+        clock.previous_poll_ = clock.last_poll_;
+        clock.last_poll_ = monotonic_now();
         return FALSE;
     }
 
-    double last_;
-    double previous_;
+    double last_poll_;
+    double previous_poll_;
     GSourceFuncs functions_{nullptr, check, nullptr, nullptr, nullptr, nullptr};
     GSourceRef source_;
 };
 
 inline PollClock::PollClock()
-    : last_(monotonic_now()), previous_(last_), source_(g_source_new(&functions_, sizeof(Source))) {
+    : last_poll_(monotonic_now()),
+      previous_poll_(last_poll_),
+      source_(g_source_new(&functions_, sizeof(Source))) {
     reinterpret_cast<Source*>(source_.get())->clock = this;
     g_source_set_priority(source_.get(), kPriority);
     g_source_attach(source_.get(), nullptr);
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -278,7 +278,7 @@
     for (const Event& event : events) event(now);
 }
 
-bool Node::is_poll_stale() const { return monotonic_now() - poll_clock_.last() > kMaxPollAge; }
+bool Node::is_poll_stale() const { return monotonic_now() - poll_clock_.last_poll() > kMaxPollAge; }
 
 // The guard before each send knows only what has been read from the sockets. If this iteration has taken
 // long, the remaining actions are deferred to the next one, which begins at once and first handles what has
@@ -541,7 +541,7 @@
     for (const int server : changed) {
         entries.push_back(servers_.endpoint(server));
         servers_.update_removal_time(server, now);
-        if (!servers_.accepts_attempts(server)) pool_.close_unstarted(server);
+        if (!servers_.accepts_attempts(server)) pool_.stop_sending_to(server);
     }
     if (!entries.empty() || update.is_full) {
         log_.line(Topic::discovery, "list",
@@ -658,7 +658,7 @@
     const ActiveRequest& active = requests_.at(request);
     SendFacts facts;
     facts.answered = active.answered;
-    facts.client_closed = clients_.has_closed(active.client);
+    facts.client_closed = clients_.close_if_client_closed(active.client);
     facts.server_ready = servers_.accepts_attempts(server);
     facts.now = monotonic_now();
     facts.deadline = active.deadline;
@@ -789,7 +789,7 @@
     requests_.close(request);
     timers_.cancel(active.expiry_timer);
     finished_requests_.push_back(request);
-    if (active.in_flight > 0) action_queue_.emplace_back([this, request] { cancel_half_sent(request); });
+    if (active.in_flight > 0) action_queue_.emplace_back([this, request] { cancel_partially_sent(request); });
     metrics_.on_request_end(end);
     trace(TraceEvent::ended, request, RequestTrace::kNoAttempt, ServerTable::kUnknown, name_of(end));
     const bool is_served = end == RequestEnd::served || end == RequestEnd::streamed;
@@ -808,10 +808,11 @@
 }
 
 // The request has been answered or its client is gone, so attempts that have not begun to run must not begin.
-void Node::cancel_half_sent(int request) {
+void Node::cancel_partially_sent(int request) {
     const int attempts = requests_.at(request).attempts;
     const bool may_cancel = config_.deployment.may_cancel;
-    for (int attempt = 0; attempt < attempts; ++attempt) pool_.cancel_half_sent(request, attempt, may_cancel);
+    for (int attempt = 0; attempt < attempts; ++attempt)
+        pool_.cancel_partially_sent(request, attempt, may_cancel);
 }
 
 // ---- the admin interface -----------------------------------------------------------------------------
@@ -904,7 +905,7 @@
             Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
             name + (s.admin_state.drained ? " is drained by an operator" : " is restored by an operator"));
         entries.push_back(servers_.endpoint(server));
-        if (!servers_.accepts_attempts(server)) pool_.close_unstarted(server);
+        if (!servers_.accepts_attempts(server)) pool_.stop_sending_to(server);
     }
     if (!entries.empty()) balancer_->on_endpoints(now, UpdateKind::delta, entries);
 }
@@ -974,7 +975,7 @@
               has_shared_listener_ ? "told to end: the other processes on the listener accept new clients"
                                    : "told to end: serves until the front proxy has stopped sending");
     // The signal may have arrived at any time since the previous poll.
-    shutdown_.begin(poll_clock_.previous(), longest_client_timeout(), has_shared_listener_);
+    shutdown_.begin(poll_clock_.previous_poll(), longest_client_timeout(), has_shared_listener_);
     accepts_clients_ = false;
     if (has_shared_listener_) {
         clients_.stop_accepting();
--- a/src/proxy/node.h
+++ b/src/proxy/node.h
@@ -113,7 +113,7 @@
     void send_attempt(int request, int attempt, int server, double limit);
     void send_on_connection(int request, int attempt, int server);
     void on_attempt_write(int request, int attempt, int server, double time_left);
-    void cancel_half_sent(int request);
+    void cancel_partially_sent(int request);
     void respond(int request, std::string text);
     void finish(int request, RequestEnd end);
     void trace(TraceEvent event, int request, int attempt, int server, std::string_view detail);
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -133,15 +133,15 @@
     connection.is_written = false;
     connection.request = request;
     connection.attempt = attempt;
-    connection.sent_at = monotonic_now();
+    connection.started_at = monotonic_now();
     in_flight_.emplace(attempt_key(request, attempt), &connection);
-    connection.deadline = connection.sent_at + timeout;
+    connection.deadline = connection.started_at + timeout;
     connection.attempt_timer = timers_.schedule(connection.deadline, [this, &connection] {
         connection.attempt_timer = {};
         fail_connection(connection, AttemptOutcome::timed_out);
     });
     if (send_timeout > 0) {
-        connection.send_timer = timers_.schedule(connection.sent_at + send_timeout, [this, &connection] {
+        connection.send_timer = timers_.schedule(connection.started_at + send_timeout, [this, &connection] {
             connection.send_timer = {};
             if (!is_fully_sent(connection) || connection.socket->has_unacknowledged_output())
                 fail_connection(connection, AttemptOutcome::timed_out);
@@ -153,7 +153,7 @@
     const double reusable_at = server_at(connection.server).is_origin && connection.last_used > 0
                                    ? connection.last_used + kHttpReuseDelaySeconds
                                    : 0;
-    if (reusable_at <= connection.sent_at) return true;
+    if (reusable_at <= connection.started_at) return true;
     connection.idle_timer = timers_.schedule(reusable_at, [this, &connection] {
         connection.idle_timer = {};
         on_ready(connection);
@@ -189,7 +189,7 @@
                              attempt,
                              server_id,
                              AttemptOutcome::refused,
-                             now - connection.sent_at,
+                             now - connection.started_at,
                              {},
                              0,
                              0,
@@ -306,7 +306,7 @@
 
 // A server starts to execute a request when its last byte arrives. A request that is fully written but not
 // acknowledged may still be in transit.
-void UpstreamPool::cancel_half_sent(int request, int attempt, bool may_cancel) {
+void UpstreamPool::cancel_partially_sent(int request, int attempt, bool may_cancel) {
     const auto entry = in_flight_.find(attempt_key(request, attempt));
     if (entry == in_flight_.end()) return;
     Connection& connection = *entry->second;
@@ -412,7 +412,7 @@
                   connection.attempt,
                   connection.server,
                   AttemptOutcome::succeeded,
-                  connection.last_used - connection.sent_at,
+                  connection.last_used - connection.started_at,
                   {},
                   connection.stream,
                   connection.remaining.length,
@@ -554,7 +554,7 @@
 }
 
 // Called when a server starts draining. Attempts that are not sent by then must no longer be sent to it.
-void UpstreamPool::close_unstarted(int server_id) {
+void UpstreamPool::stop_sending_to(int server_id) {
     close_idle(server_id);
     if (server_at(server_id).open_connections == 0) return;
     searched_connections_ += connections_.size();
@@ -577,7 +577,7 @@
     timers_.cancel(connection.send_timer);
     timers_.cancel(connection.idle_timer);
     in_flight_.erase(attempt_key(connection.request, connection.attempt));
-    const double latency = monotonic_now() - connection.sent_at;
+    const double latency = monotonic_now() - connection.started_at;
     const char* failure = outcome == AttemptOutcome::refused     ? "refused"
                           : outcome == AttemptOutcome::reset     ? "reset"
                           : outcome == AttemptOutcome::timed_out ? "timed out"
--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -100,7 +100,7 @@
     /// Cancels an attempt whose request is only partly written, so that it cannot execute later. A request
     /// that is fully written but not acknowledged may be executing: it is cancelled only if `may_cancel`.
     /// Does nothing to other attempts.
-    void cancel_half_sent(int request, int attempt, bool may_cancel);
+    void cancel_partially_sent(int request, int attempt, bool may_cancel);
     /// Continues a stream whose sink had no capacity.
     void resume(std::uint64_t stream);
     /// Closes the connection of a stream whose remaining body is not needed. BodySink::end is not called.
@@ -108,7 +108,7 @@
     /// Closes the idle connections to the server.
     void close_idle(int server_id);
     /// Closes the server's idle connections and refuses its attempts that are not yet sent.
-    void close_unstarted(int server_id);
+    void stop_sending_to(int server_id);
     int open_count() const { return static_cast<int>(open_count_); }
     /// Returns the total number of connections visited by linear searches since the start.
     std::uint64_t searched_connections() const { return searched_connections_; }
@@ -128,7 +128,7 @@
         int attempt = 0;
         std::string request_id;
         bool is_written = false;  // the request is written, at least to the output buffer of `socket`
-        double sent_at = 0;       // when the attempt was started
+        double started_at = 0;    // when the attempt was started
         double deadline = 0;      // of the attempt
         double last_used = 0;     // when it last became idle or received a part of a stream; 0: never
         TimerQueue::Handle attempt_timer;
