--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -24,7 +24,7 @@
     // With one command each, these clients exceed the limit on pipelined commands for 64 descriptors.
     constexpr int kOtherClients = 9;
     constexpr int kPipelined = 6;
-    Around options;
+    NodeOptions options;
     options.descriptors = 64;
     Fleet fleet(1, options);
     std::atomic<bool> answer_others{false}, answer_first{false};
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -61,20 +61,20 @@
     return "brookrelay_node_" + std::to_string(getpid()) + "_" + std::to_string(++count);
 }
 
-// Options of the fleet around the node.
-struct Around {
+// Options of the node and of the fleet around it.
+struct NodeOptions {
     int descriptors = 256;
     int connect_timeout_ms = 250;
     ScriptedPeer::Script watch = silent;
-    bool aside = true;  // false: cache servers fetch by themselves, and no origin is listed
+    bool cache_aside = true;  // false: cache servers fetch by themselves, and no origin is listed
     int memory_mb = 192;
-    bool managed = false;    // has a management address
-    bool inherited = false;  // accepts on a listening socket of the test
-    std::string tmp = {};    // TMPDIR of the daemon; empty: that of the test
+    bool has_management = false;     // has a management address
+    bool inherits_listener = false;  // accepts on a listening socket of the test
+    std::string tmp = {};            // TMPDIR of the daemon; empty: that of the test
     bool may_cancel = true;
     // Idempotency of the write operation, as the rest of its JSON entry.
-    const char* put = R"("deduplicated","group":"all","key_ttl_us":3000000)";
-    bool asked = false;  // endpoint lists are polled, not pushed
+    const char* write_idempotency = R"("deduplicated","group":"all","key_ttl_us":3000000)";
+    bool polls_endpoints = false;  // endpoint lists are polled, not pushed
     int drain_grace_ms = 0;
     std::vector<std::string> environment = {};  // NAME=VALUE, added to the daemon's environment
 };
@@ -97,44 +97,44 @@
 // One node with `count` cache servers, an origin and a discovery server.
 class Fleet {
   public:
-    explicit Fleet(std::size_t count, Around around = {}) {
+    explicit Fleet(std::size_t count, NodeOptions options = {}) {
         for (std::size_t i = 0; i < count; ++i) caches.emplace_back(false).plays(hit);
         origin.plays([](const std::string&) { return Act{http("made")}; });
-        discovery.plays(std::move(around.watch));
+        discovery.plays(std::move(options.watch));
         listener_ = bound_socket(port_);
-        if (around.inherited) {
+        if (options.inherits_listener) {
             listen(listener_, 1024);
         } else {
             close(listener_);
             listener_ = -1;
         }
-        tmpdir_ = around.tmp;
+        tmpdir_ = options.tmp;
         daemon_ = std::make_unique<DaemonProcess>(DaemonProcess::Place{
-            BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_, {}, around.environment});
-        if (around.managed) management_ = free_address();
-        std::string hosts = around.aside ? entry("origin", origin, "SERVING") : "";
+            BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_, {}, options.environment});
+        if (options.has_management) management_ = free_address();
+        std::string hosts = options.cache_aside ? entry("origin", origin, "SERVING") : "";
         for (ScriptedPeer& cache : caches)
             hosts += (hosts.empty() ? "" : ",") + entry(name(cache), cache, "SERVING");
         std::ostringstream configuration;
         configuration
             << R"({"name":"n1","listen":")" << own_loopback() << ":" << port_ << R"(","discovery":")"
             << discovery.address() << '"' << managed_at(management_) << R"(,"seed":"1f","limits":{"sockets":)"
-            << around.descriptors << R"(,"memory_mb":)" << around.memory_mb
+            << options.descriptors << R"(,"memory_mb":)" << options.memory_mb
             << R"(},"known":{"seq":7,"whole":true,"hosts":[)" << hosts
             << R"(]},"settings":{"az":0,"balancers":2,"localities":["a"],"kinds":["m","origin"],
  "discovery":")"
-            << (around.asked ? "on_request" : "pushed")
+            << (options.polls_endpoints ? "on_request" : "pushed")
             << R"(","granularity_us":5000,"guarantees":{"grace_to_answer_us":20000,"ask_every_us":4000000,"stop_sending_within_us":)"
-            << 1000 * around.drain_grace_ms << R"(},
+            << 1000 * options.drain_grace_ms << R"(},
  "permissions":{"cancel":)"
-            << (around.may_cancel ? "true" : "false") << R"(,"most_forwards":5,"connect_timeout_us":)"
-            << around.connect_timeout_ms << R"(000,"conn_idle_us":15000000},
+            << (options.may_cancel ? "true" : "false") << R"(,"most_forwards":5,"connect_timeout_us":)"
+            << options.connect_timeout_ms << R"(000,"conn_idle_us":15000000},
  "specifics":{"mode":")"
-            << (around.aside ? "aside" : "through") << R"(","origin_kind":1},"operations":[
+            << (options.cache_aside ? "aside" : "through") << R"(","origin_kind":1},"operations":[
  {"name":"read","repeat":"idempotent","client_timeout_us":2000000,"latency_objective_us":1000000,
   "tardy_billed_value":0.2},
  {"name":"put","repeat":)"
-            << around.put << R"(,"client_timeout_us":2000000}]}})";
+            << options.write_idempotency << R"(,"client_timeout_us":2000000}]}})";
         configuration_ = configuration.str();
         configure(configuration_);
         daemon_->start();
@@ -200,7 +200,7 @@
         std::ifstream file(daemon_->log_path());
         return std::string(std::istreambuf_iterator<char>(file), {}).find(text) != std::string::npos;
     }
-    int times_logged(const std::string& text) const {
+    int count_logged(const std::string& text) const {
         std::ifstream file(daemon_->log_path());
         const std::string all(std::istreambuf_iterator<char>(file), {});
         int count = 0;
@@ -233,13 +233,13 @@
 
 // A server whose next connection is not accepted until it resumes; the kernel retries the handshake within a
 // second.
-struct Late {
-    explicit Late(ScriptedPeer& at) : peer(at) {
+struct StalledServer {
+    explicit StalledServer(ScriptedPeer& at) : peer(at) {
         peer.stall();
         filler = std::make_unique<Line>(own_loopback(), peer.port);
         before = peer.connections;
     }
-    void come_up() {
+    void resume() {
         peer.resume();
         wait_for([this] { return peer.connections >= before + 2; });
     }
@@ -250,7 +250,7 @@
 
 // A discovery server that the test controls: a watch is answered with the next change, or after a short time
 // with none.
-class Told {
+class UpdateFeed {
   public:
     ScriptedPeer::Script script() {
         return [this](const std::string& request) {
@@ -272,7 +272,7 @@
     }
     // Publishes a change and waits until the node has it, which its next watch shows. A leading '!' marks a
     // full list.
-    void tell(const std::string& hosts) {
+    void publish(const std::string& hosts) {
         {
             const std::lock_guard lock(mutex_);
             changes_.push_back(hosts);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -226,7 +226,7 @@
 // The number of an evicted server is reused for another one. Results of attempts at the old server must not
 // be attributed to the new one.
 TEST(Proxy, RemovedServersAreEvicted) {
-    Told updates;
+    UpdateFeed updates;
     Fleet fleet(2, {256, 250, updates.script()});
     ScriptedPeer& old_server = fleet.caches.front();
     ScriptedPeer& new_server = fleet.caches.back();
@@ -239,12 +239,12 @@
     const auto deleted = [](const std::string& host) {
         return R"({"host":")" + host + R"(","health":"DELETED"})";
     };
-    updates.tell(deleted(Fleet::name(new_server)));
+    updates.publish(deleted(Fleet::name(new_server)));
     Line line(own_loopback(), fleet.port());
     line.send(read_of("1", "held"));
     wait_for([&] { return old_server.heard().size() == 1; });
-    updates.tell(deleted(Fleet::name(old_server)));
-    updates.tell(Fleet::entry("next", new_server, "SERVING"));
+    updates.publish(deleted(Fleet::name(old_server)));
+    updates.publish(Fleet::entry("next", new_server, "SERVING"));
     EXPECT_EQ(fleet.ask(read_of("1", "n1")), "VA 5 On1\r\n");
     EXPECT_EQ(new_server.heard().size(), 1U);
     release = true;
@@ -255,17 +255,17 @@
     EXPECT_EQ(old_server.heard().size(), 1U);
     // A new server at the address of a removed one gets its own connections.
     const int before = new_server.connections;
-    updates.tell(deleted("next") + "," + Fleet::entry("after", new_server, "SERVING"));
+    updates.publish(deleted("next") + "," + Fleet::entry("after", new_server, "SERVING"));
     EXPECT_EQ(fleet.ask(read_of("1", "a1")), "VA 5 Oa1\r\n");
     EXPECT_EQ(new_server.connections, before + 1);
     std::string last = "after";
     for (const char* name : {"g1", "g2", "g3", "g4"}) {
-        updates.tell(deleted(last) + "," + Fleet::entry(name, new_server, "SERVING"));
+        updates.publish(deleted(last) + "," + Fleet::entry(name, new_server, "SERVING"));
         last = name;
     }
-    updates.tell(deleted(last) + "," + deleted("never-known"));
+    updates.publish(deleted(last) + "," + deleted("never-known"));
     wait_for([&] {
-        updates.tell(Fleet::entry("origin", fleet.origin, "SERVING"));
+        updates.publish(Fleet::entry("origin", fleet.origin, "SERVING"));
         return fleet.logged(" 1 known");
     });
 }
@@ -374,7 +374,7 @@
         wait_for([&] { return held == before + 2; });
         fleet.configure(settings);
         fleet.signal(SIGHUP);
-        wait_for([&] { return fleet.times_logged("settings taken") == reloads; });
+        wait_for([&] { return fleet.count_logged("settings taken") == reloads; });
         if (reloads % 2 == 1) {
             EXPECT_EQ(fleet.ask("ms b 1 Obid" + std::to_string(reloads) + " Pc=bid,d=10000\r\nx\r\n"),
                       "HD Obid" + std::to_string(reloads) + " cmade\r\n");
@@ -418,7 +418,7 @@
         fleet.signal(SIGHUP);
         wait_for([&] { return fleet.logged(c.line); });
         EXPECT_EQ(fleet.ask(read_of("7f3a", "after")), "VA 5 Oafter\r\n");
-        EXPECT_EQ(fleet.times_logged("settings taken"), 0);
+        EXPECT_EQ(fleet.count_logged("settings taken"), 0);
     }
 }
 
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -9,10 +9,10 @@
 
 using namespace brookrelay::testkit;
 
-Around with_admin_address() {
-    Around around;
-    around.managed = true;
-    return around;
+NodeOptions with_admin_address() {
+    NodeOptions options;
+    options.has_management = true;
+    return options;
 }
 
 // A command that waited in the socket of a stopped process may be past its deadline when it is read: it is
@@ -60,9 +60,9 @@
 // Admin connections without a complete request do not block other callers, however many they are, also at the
 // descriptor limit.
 TEST(Operations, IncompleteAdminRequestsDoNotBlockOthers) {
-    Around around = with_admin_address();
-    around.descriptors = 64;
-    Fleet fleet(1, around);
+    NodeOptions options = with_admin_address();
+    options.descriptors = 64;
+    Fleet fleet(1, options);
     fleet.caches.front().plays(silent);
     std::list<Line> lines;
     for (int k = 0; k < 60; ++k) {
@@ -80,9 +80,9 @@
 // Two processes on one listener: the old one answers the commands that it has received, and new clients
 // connect to the new one.
 TEST(Operations, ANewProcessTakesOverFromTheOldOne) {
-    Around around = with_admin_address();
-    around.inherited = true;
-    Fleet fleet(1, around);
+    NodeOptions options = with_admin_address();
+    options.inherits_listener = true;
+    Fleet fleet(1, options);
     std::atomic<bool> release{false};
     fleet.caches.front().plays([&release](const std::string& m) {
         while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -120,9 +120,9 @@
 
 // A second process that is killed or cannot start does not affect the first one.
 TEST(Operations, ASecondProcessThatFailsLeavesTheFirstServing) {
-    Around around = with_admin_address();
-    around.inherited = true;
-    Fleet fleet(1, around);
+    NodeOptions options = with_admin_address();
+    options.inherits_listener = true;
+    Fleet fleet(1, options);
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     next.daemon->kill();
@@ -173,11 +173,11 @@
 // restore.
 TEST(Operations, ADrainedServerGetsNoAttemptsWhateverTheListSays) {
     const TemporaryFolder scratch;
-    Told updates;
-    Around around = with_admin_address();
-    around.tmp = scratch.path();
-    around.watch = updates.script();
-    Fleet fleet(2, around);
+    UpdateFeed updates;
+    NodeOptions options = with_admin_address();
+    options.tmp = scratch.path();
+    options.watch = updates.script();
+    Fleet fleet(2, options);
     ScriptedPeer& cache = fleet.caches.front();
     const std::string name = Fleet::name(cache);
     const std::string other = Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING") +
@@ -194,7 +194,7 @@
           Fleet::entry(name, cache, "SERVING"), "!" + other,
           "!" + other + "," + Fleet::entry(name, cache, "SERVING")}) {
         SCOPED_TRACE(testing::Message() << "round " << round);
-        if (!update.empty()) updates.tell(update);
+        if (!update.empty()) updates.publish(update);
         EXPECT_EQ(send_reads_and_count(fleet, cache, "b" + std::to_string(round++) + "-"), 0U);
     }
     EXPECT_EQ(call(name, "offline"), 200);
@@ -203,11 +203,11 @@
     EXPECT_GT(send_reads_and_count(fleet, cache, "c"), 0U);
     EXPECT_EQ(call(name, "online"), 200);
     wait_for([&] {
-        updates.tell("!" + other);
+        updates.publish("!" + other);
         return fleet.logged(" 2 known (whole list)");
     });
     EXPECT_EQ(call(name, "offline"), 200);  // evicted, but it was listed once
-    updates.tell(Fleet::entry(name, cache, "SERVING"));
+    updates.publish(Fleet::entry(name, cache, "SERVING"));
     EXPECT_EQ(send_reads_and_count(fleet, cache, "d"), 0U);
     struct Case {
         std::string target;
@@ -228,10 +228,10 @@
 // after the first process was killed.
 TEST(Operations, ADrainAppliesToAllProcessesOfTheNode) {
     const TemporaryFolder scratch;
-    Around around = with_admin_address();
-    around.inherited = true;
-    around.tmp = scratch.path();
-    Fleet fleet(2, around);
+    NodeOptions options = with_admin_address();
+    options.inherits_listener = true;
+    options.tmp = scratch.path();
+    Fleet fleet(2, options);
     ScriptedPeer& first = fleet.caches.front();
     ScriptedPeer& last = fleet.caches.back();
     EXPECT_EQ(Fleet::call(fleet.management(), "POST", server_call(Fleet::name(first), "offline")), 200);
@@ -255,11 +255,11 @@
 // process becomes available.
 TEST(Operations, TwoProcessesShareOneDescriptorLimit) {
     const TemporaryFolder scratch;
-    Around around = with_admin_address();
-    around.inherited = true;
-    around.tmp = scratch.path();
-    around.descriptors = 128;  // 62 for clients
-    Fleet fleet(1, around);
+    NodeOptions options = with_admin_address();
+    options.inherits_listener = true;
+    options.tmp = scratch.path();
+    options.descriptors = 128;  // 62 for clients
+    Fleet fleet(1, options);
     Process next = fleet.second();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     std::list<Line> lines;  // new connections, which are not closed in favour of others
@@ -279,11 +279,11 @@
 // serves in the meantime.
 TEST(Operations, ARejectionByDiscoveryKeepsTheVersion) {
     std::atomic<int> calls{0};
-    Around around;
-    around.watch = [&](const std::string&) {
+    NodeOptions options;
+    options.watch = [&](const std::string&) {
         return ++calls <= 3 ? Act{http("", "503 Service Unavailable")} : Act{};
     };
-    Fleet fleet(1, around);
+    Fleet fleet(1, options);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "t1")), "VA 5 Ot1\r\n");
     wait_for([&] { return fleet.discovery.heard().size() >= 4; });
     for (const std::string& asked : fleet.discovery.heard())
@@ -405,9 +405,9 @@
 
 // Values that together exceed the node's memory, with clients that read late and writers that pause.
 TEST(Operations, ManyLongValuesFitInLittleMemory) {
-    Around around = with_admin_address();
-    around.memory_mb = 48;
-    Fleet fleet(2, around);
+    NodeOptions options = with_admin_address();
+    options.memory_mb = 48;
+    Fleet fleet(2, options);
     for (ScriptedPeer& c : fleet.caches)
         c.plays([&](const std::string& m) {
             return m.find("short") == std::string::npos ? Act{long_value_header(m) + long_value() + "\r\n"}
@@ -461,10 +461,10 @@
 // The state folder is named after the node; after a reload with another name the process keeps its folder.
 TEST(Operations, AReloadWithAnotherNameKeepsTheStateFolder) {
     const TemporaryFolder scratch;
-    Around around = with_admin_address();
-    around.inherited = true;
-    around.tmp = scratch.path();
-    Fleet fleet(1, around);
+    NodeOptions options = with_admin_address();
+    options.inherits_listener = true;
+    options.tmp = scratch.path();
+    Fleet fleet(1, options);
     const auto snapshot = [&]() -> std::filesystem::path {
         for (const auto& entry : std::filesystem::recursive_directory_iterator(scratch.path())) {
             if (entry.path().filename() == "learned") return entry.path();
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -86,8 +86,8 @@
 // The head states that the write was not executed. The client must be told to retry, not that the write may
 // have been executed, although the response has no end.
 TEST(OriginWithoutLength, RejectionTakesEffectWithItsHead) {
-    Around options;
-    options.put = R"("at_most_once")";
+    NodeOptions options;
+    options.write_idempotency = R"("at_most_once")";
     Fleet fleet(1, options);
     fleet.origin.plays([](const std::string&) { return Act{"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n\r\n"}; });
     EXPECT_EQ(fleet.ask("ms k 1 Ow1 Pc=put,d=1500\r\nx\r\n"), "SERVER_ERROR busy\r\n");
@@ -139,12 +139,12 @@
 
 TEST_P(ClientDisconnectBeforeConnect, RequestIsNotSent) {
     const DisconnectCase& c = GetParam();
-    Around options;
+    NodeOptions options;
     options.connect_timeout_ms = 60000;
     options.may_cancel = c.may_cancel;
     Fleet fleet(1, options);
     ScriptedPeer& server = c.is_write ? fleet.origin : fleet.caches.front();
-    Late delayed_server(server);
+    StalledServer delayed_server(server);
     const auto command = [&c](const std::string& id) {
         return c.is_write ? "ms k 1 O" + id + " Pc=put,d=60000,k=" + id + "\r\nx\r\n"
                           : read_of("7f3a", id, 60000);
@@ -156,7 +156,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(100));  // the attempt now waits for its connection
     if (c.stops_process) fleet.signal(SIGSTOP);
     line.reset();
-    delayed_server.come_up();
+    delayed_server.resume();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     if (c.stops_process) fleet.signal(SIGCONT);
     // The connection that was established late is idle and carries the next request.
@@ -265,9 +265,9 @@
 TEST_P(ChangeAfterAnOutage, IsAppliedInTime) {
     const Outage& c = GetParam();
     ScriptedDiscovery discovery;
-    Around options;
+    NodeOptions options;
     options.watch = discovery.script();
-    options.asked = c.is_on_request;
+    options.polls_endpoints = c.is_on_request;
     Fleet fleet(2, options);
     wait_for([&] { return discovery.calls() > 0; });
     std::this_thread::sleep_for(std::chrono::milliseconds(300));  // the watch is still waiting
@@ -358,8 +358,8 @@
 // start while the origin remembers the first one. A repeat that the origin has not read completely by then
 // has not run and must be cancelled.
 TEST(Deduplication, RepeatDoesNotBeginAfterTheWindow) {
-    Around options;
-    options.put = R"("deduplicated","group":"all","key_ttl_us":1000000)";
+    NodeOptions options;
+    options.write_idempotency = R"("deduplicated","group":"all","key_ttl_us":1000000)";
     Fleet fleet(1, options);
     const std::string value(2 * 1000 * 1000, 'v');
     std::atomic<int> complete_requests{0};
@@ -426,7 +426,7 @@
 
 // The longest idle connections are closed when too many are idle, which must not lose a response either.
 TEST(Closing, OfTheLongestIdleLosesNoResponse) {
-    Around options;
+    NodeOptions options;
     options.descriptors = 64;  // allows 24 client connections, of which two may be idle
     Fleet fleet(1, options);
     SlowClient slow_client(fleet);
@@ -505,10 +505,10 @@
 // discovery once it is back, and serve operators and new clients.
 TEST(Descriptors, HeldByIdleClientsDoNotBlockDiscovery) {
     ScriptedDiscovery discovery;
-    Around options;
+    NodeOptions options;
     options.watch = discovery.script();
     options.descriptors = 64;
-    options.managed = true;
+    options.has_management = true;
     Fleet fleet(2, options);
     const rlimit limit{64, 64};
     ASSERT_EQ(prlimit(fleet.daemon().pid(), RLIMIT_NOFILE, &limit, nullptr), 0);
@@ -546,10 +546,10 @@
 // Silent clients wait in the backlog before the process starts, and discovery is down. The process must
 // become ready nevertheless.
 TEST(Start, WithABacklogOfIdleClientsAndNoDiscoveryIsReadyInTime) {
-    Around options;
+    NodeOptions options;
     options.descriptors = 256;
-    options.managed = true;
-    options.inherited = true;  // the test holds the listener, and its backlog with it
+    options.has_management = true;
+    options.inherits_listener = true;  // the test holds the listener, and its backlog with it
     Fleet fleet(1, options);
     fleet.daemon().kill();
     std::list<Line> idle;
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -30,16 +30,16 @@
 TEST(SentDeadline, ExcludesTimeSpentWaitingForAConnection) {
     constexpr double kClientTimeout = 4;
     for (const bool is_write : {false, true}) {
-        Around options;
+        NodeOptions options;
         options.connect_timeout_ms = 60000;
         Fleet fleet(1, options);
         ScriptedPeer& server = is_write ? fleet.origin : fleet.caches.front();
-        Late delayed_server(server);
+        StalledServer delayed_server(server);
         Line line(own_loopback(), fleet.port());
         const double asked_at = now_seconds();
         line.send(is_write ? "ms k 1 Ow1 Pc=put,t=acme,d=4000,k=w1\r\nx\r\n" : read_of("7f3a", "r1", 4000));
         std::this_thread::sleep_for(500 * kMillisecond);
-        delayed_server.come_up();
+        delayed_server.resume();
         wait_for([&] { return !server.heard().empty(); });
         const double left = kClientTimeout - (now_seconds() - asked_at);
         EXPECT_LE(sent_deadline(server.heard().front()), left + kDeadlineSlackSeconds);
@@ -84,7 +84,7 @@
 // A client whose connection waits in the backlog has already sent its command.
 TEST(SentDeadline, ExcludesTimeSpentInTheBacklog) {
     constexpr int kOtherClients = 24;  // all the client connections that 64 descriptors allow
-    Around options;
+    NodeOptions options;
     options.descriptors = 64;
     Fleet fleet(1, options);
     std::list<Line> others;
@@ -108,7 +108,7 @@
 
 // All network calls fail in the first 0.6 s, possibly including the creation of the listening socket.
 TEST(SystemCalls, ThatFailDuringStartDoNotPreventServing) {
-    Around options;
+    NodeOptions options;
     options.environment = {"LD_PRELOAD=" FAULT_SHIM_LIBRARY, "FAULT_SHIM_CALLS=0:0.6:1"};
     const double started_at = now_seconds();
     Fleet fleet(1, options);
