--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,7 +1,8 @@
-// Every routing decision, and every constant behind one. docs/design.md has the reasons.
+// All routing decisions and the constants that they use. docs/design.md gives the reasons.
 //
-// The ordinary path: the key's point on the own zone's ring, the owner of the next point clockwise, unless
-// that server's load passes the bound; a read that misses and every write go on to the origin.
+// A request normally goes to the owner of the next point clockwise from its key's position on the local
+// zone's ring, unless that server's load exceeds the load bound. Reads that miss and all writes go to the
+// origin.
 #include "balancer/balancer.h"
 
 #include <algorithm>
@@ -22,93 +23,190 @@
 namespace brookrelay {
 namespace {
 
-// The ring.
-constexpr double kPointsPerServer = 100;  // of a server of the reference weight; the design's figure
+// ---- the ring ---------------------------------------------------------------------------------------------
+// Number of ring points of a server whose weight equals the reference weight. The design fixes this figure.
+constexpr double kPointsPerServer = 100;
+// Lower bound of a server's number of ring points.
 constexpr double kMinPoints = 10;
+// Upper bound of a server's number of ring points.
 constexpr double kMaxPoints = 1000;
-constexpr std::uint64_t kRingSeed = 0x62726f6f6b72656cULL;  // the same at every node
-constexpr double kLoadBoundFactor = 3.0;  // the design: at least 2; less moves keys away from their copies
-constexpr int kLoadBoundFloor = 6;        // the design: at least 2; a small floor skips servers by chance
-constexpr int kMaxSkippedServers = 1;     // full or backed-off servers that a key skips before it is rejected
-constexpr int kAllOverloaded = -2;        // no server was picked, for load alone
-constexpr int kKeySampleSize = 128;       // requests counted before the older half of the counts is dropped
-constexpr int kHotKeyMinCount = 3;        // of one key among them; fewer are chance
-// Outlier ejection.
-constexpr int kEjectionFailures = 3;     // in a row; fewer would eject on chance errors
-constexpr double kSilenceTimeout = 0.3;  // s without any response, with attempts in flight, until ejection
-constexpr int kZoneFailures = 3;         // in a row in one zone that eject all of it, if
-constexpr double kZoneFalsePositiveRate = 0.01;  // chance would bring them more seldom than this
-constexpr double kProbeInterval = 0.5;           // s to the first probe; doubles up to kMaxProbeInterval
+// Seed of all ring hashes. All nodes use the same value, so that they compute the same owners.
+constexpr std::uint64_t kRingSeed = 0x62726f6f6b72656cULL;
+// A server is skipped when its attempts in flight exceed this multiple of its even share. The design requires
+// at least 2; a smaller multiple moves keys away from the servers that hold their copies.
+constexpr double kLoadBoundFactor = 3.0;
+// Attempts in flight up to which a server is never skipped for its load. The design requires at least 2; with
+// a small floor, servers are skipped by chance.
+constexpr int kLoadBoundFloor = 6;
+// Number of full or backed-off servers that a request skips before it is rejected.
+constexpr int kMaxSkippedServers = 1;
+// Result of a ring search that ended because too many servers were full or backed off.
+constexpr int kAllOverloaded = -2;
+// Number of requests that one generation of key counts holds. The older of two generations is dropped when
+// the newer one is full.
+constexpr int kKeySampleSize = 128;
+// Number of counted requests from which a key may be treated as hot. Smaller counts occur by chance.
+constexpr int kHotKeyMinCount = 3;
+
+// ---- outlier ejection -------------------------------------------------------------------------------------
+// Consecutive failures that eject a server. A smaller number would eject servers on chance errors.
+constexpr int kEjectionFailures = 3;
+// Seconds without any response, with attempts in flight, after which a server is ejected.
+constexpr double kSilenceTimeout = 0.3;
+// Minimum number of consecutive lost connections in one zone that eject the whole zone.
+constexpr int kZoneFailures = 3;
+// A zone is ejected only if the probability that chance causes its run of lost connections is at most this.
+constexpr double kZoneFalsePositiveRate = 0.01;
+// Seconds from an ejection to the first probe. Each further failure doubles the interval, up to
+// kMaxProbeInterval.
+constexpr double kProbeInterval = 0.5;
+// Upper bound of the probe interval, in seconds.
 constexpr double kMaxProbeInterval = 2.0;
-constexpr double kRestartSilence = 3.0;  // s of silence that may hide a restart; less is an overload
-// Retries.
+// Seconds of silence from which a server may have restarted unnoticed. A shorter silence indicates an
+// overload.
+constexpr double kRestartSilence = 3.0;
+
+// ---- retries ----------------------------------------------------------------------------------------------
+// Retry tokens that each request adds to the node's bucket. A retry costs one token.
 constexpr double kRetryTokensPerRequest = 0.2;
-constexpr double kMaxFleetRetryTokens = 100;  // of all nodes: enough for one short outage, not for a storm
-constexpr double kMinRetryTokens = 2;         // the maximum of one node, where there are many nodes
-constexpr double kMaxNodeRetryTokens = 20;    // and where there are few
-// Slow start.
-constexpr double kSlowStartSafety = 0.8;       // of the guaranteed capacity while warming up that is used
-constexpr double kSlowStartBudgetShare = 0.6;  // of this node's even share of rule 4's budget that is used
-constexpr double kMinSlowStartAttempts = 1;    // of all nodes in one overload window, if nothing is known
-// Polling for the endpoint list.
-constexpr double kPollSpacing = 0.12;  // s, on average, between two nodes' first polls
-constexpr double kMaxPollDelay = 4.0;  // s after a failure; a change counts as notified within 6 s
-// Concurrency limits and backoff.
-constexpr double kInitialOriginLimit = 16;    // of all nodes together: the origin is shared and slow
-constexpr double kMaxInitialOriginLimit = 4;  // of one node
-constexpr double kInitialServerLimit = 16;    // settles within seconds, as the origin's does
-constexpr double kSlowDecrease = 0.8;         // of the limit, when responses turn slow
-constexpr double kFailureDecrease = 0.5;      // of the limit, when attempts fail
+// Bucket size of all nodes together, in tokens: enough for one short outage and too few for a retry storm.
+constexpr double kMaxFleetRetryTokens = 100;
+// Lower bound of one node's bucket size, in tokens; it applies in large fleets.
+constexpr double kMinRetryTokens = 2;
+// Upper bound of one node's bucket size, in tokens; it applies in small fleets.
+constexpr double kMaxNodeRetryTokens = 20;
+
+// ---- slow start -------------------------------------------------------------------------------------------
+// Fraction of a warming server's guaranteed capacity that is used.
+constexpr double kSlowStartSafety = 0.8;
+// Fraction of this node's even share of the slow-start budget (rule 4) that is used.
+constexpr double kSlowStartBudgetShare = 0.6;
+// Attempts that all nodes together may send a server in slow start within one overload window while nothing
+// is known of its capacity.
+constexpr double kMinSlowStartAttempts = 1;
+
+// ---- polling for the endpoint list ------------------------------------------------------------------------
+// Average interval, in seconds, between the first polls of two nodes that start together.
+constexpr double kPollSpacing = 0.12;
+// Upper bound, in seconds, of the delay after a failed poll. A change counts as notified within 6 s.
+constexpr double kMaxPollDelay = 4.0;
+
+// ---- concurrency limits and backoff -----------------------------------------------------------------------
+// Initial concurrency limit of the origin for all nodes together. It is low because the origin is shared and
+// slow.
+constexpr double kInitialOriginLimit = 16;
+// Upper bound of one node's initial concurrency limit of the origin.
+constexpr double kMaxInitialOriginLimit = 4;
+// Initial concurrency limit of a cache server. Like the origin's limit, it settles within seconds.
+constexpr double kInitialServerLimit = 16;
+// Factor applied to a concurrency limit when responses become slow.
+constexpr double kSlowDecrease = 0.8;
+// Factor applied to a concurrency limit when attempts fail.
+constexpr double kFailureDecrease = 0.5;
+// Lower bound of every concurrency limit, in attempts.
 constexpr double kMinLimit = 1;
+// Upper bound of every concurrency limit, in attempts.
 constexpr double kMaxLimit = 64;
-constexpr double kMinBackoff = 0.1;  // s after a failure at the least limit; doubles
+// First backoff, in seconds, after a failure at the minimum limit. It doubles with each further backoff.
+constexpr double kMinBackoff = 0.1;
+// Upper bound of the origin's backoff, in seconds.
 constexpr double kMaxOriginBackoff = 2.0;
-constexpr double kMaxServerBackoff =
-    4.0;  // longer: with many nodes one attempt each overloads a small server
-constexpr double kOriginLatencyShare = 0.5;  // of the shortest objective that the origin may take
-// Load shedding and quotas.
-constexpr double kAdjustInterval = 0.25;     // s between two adjustments
-constexpr double kSheddingStep = 0.1;        // change of the shedding ratio at each
-constexpr double kSheddingThreshold = 0.15;  // rate of slow responses from which it rises
-constexpr double kOverloadedRate = 0.55;     // from which no server is skipped: all are full
-constexpr double kSlowResponseRatio = 0.35;  // of its objective, from which a response counts as slow
-constexpr double kQuotaBurst = 10;           // requests a tenant may save up at a node; fewer empty by chance
-constexpr int kMinSamples = 16;              // in a second that tell slowness from chance; with fewer, those
-constexpr double kLongWindow = 8.0;          // of so many seconds
-constexpr double kRateWindow = 4.0;          // s that rates and mean latencies are taken over
-constexpr double kMaxLateRate = 0.1;         // of attempts that end too late, from which reads are rejected,
-constexpr double kLateAdmissionDecrease = 0.95;  // at each adjustment
+// Upper bound of a cache server's backoff, in seconds. It is longer than the origin's because, with many
+// nodes, one attempt from each of them overloads a small server.
+constexpr double kMaxServerBackoff = 4.0;
+// Fraction of the shortest latency objective that the origin's mean latency may take.
+constexpr double kOriginLatencyShare = 0.5;
+
+// ---- load shedding and quotas -----------------------------------------------------------------------------
+// Seconds between two adjustments of the ratios and limits below.
+constexpr double kAdjustInterval = 0.25;
+// Change of the shedding ratio at each adjustment.
+constexpr double kSheddingStep = 0.1;
+// Rate of slow responses above which the shedding ratio rises.
+constexpr double kSheddingThreshold = 0.15;
+// Rate of slow responses above which all servers count as full: no full server is skipped, and no failed
+// attempt is retried at another cache server.
+constexpr double kOverloadedRate = 0.55;
+// Fraction of the latency objective above which a response counts as slow.
+constexpr double kSlowResponseRatio = 0.35;
+// Minimum bucket size of a tenant's quota at one node, in requests. A smaller bucket is emptied by chance.
+constexpr double kQuotaBurst = 10;
+// Minimum number of responses in one second from which their rate of slow ones is used; with fewer, the rate
+// over kLongWindow is used.
+constexpr int kMinSamples = 16;
+// Length, in seconds, of the window for rates of rare events.
+constexpr double kLongWindow = 8.0;
+// Length, in seconds, of the window for request rates and mean latencies.
+constexpr double kRateWindow = 4.0;
+// Rate of attempts that end after their objective above which fewer reads are admitted.
+constexpr double kMaxLateRate = 0.1;
+// Factor applied to the admission ratio at each adjustment while that rate is exceeded.
+constexpr double kLateAdmissionDecrease = 0.95;
+// Increase of the admission ratio at each adjustment while that rate is not exceeded.
 constexpr double kLateAdmissionIncrease = 0.04;
-constexpr double kIdleTimeoutGrowth = 1.03;  // of idle connections, an adjustment without refusals
-constexpr double kFastRefusalRatio = 0.8;    // of the connect timeout
-constexpr double kMinIdleTimeout = 0.05;     // s; below it a burst to one server opens a connection for each
-// Kinds of machines.
-constexpr double kKindSlowMargin = 0.05;  // more slow responses than the best kind: its share falls
+// Factor by which the idle timeout of server connections grows at each adjustment. Refusals by full
+// connection tables halve the timeout.
+constexpr double kIdleTimeoutGrowth = 1.03;
+// Fraction of the connect timeout below which a refused connection indicates a full connection table.
+constexpr double kFastRefusalRatio = 0.8;
+// Lower bound of the idle timeout, in seconds. Below it, a burst to one server opens a connection for each
+// request.
+constexpr double kMinIdleTimeout = 0.05;
+
+// ---- machine kinds ----------------------------------------------------------------------------------------
+// A kind's traffic share falls while its rate of slow responses exceeds the best kind's by more than this.
+constexpr double kKindSlowMargin = 0.05;
+// Decrease of a slower kind's traffic share at each adjustment.
 constexpr double kKindShareDecrease = 0.02;
-constexpr double kKindShareIncrease = 0.005;  // slower, as with spillover; half these steps gained less
-constexpr double kMinKindShare = 0.4;         // machines further apart than that are a fault, not a kind
-constexpr int kMaxKinds = 64;                 // further ones share the last entry
-// Load that the endpoint list reports.
-constexpr double kCrowdedLoad = 2.0;  // requests a core from which a server counts as overloaded, if it
-constexpr double kCrowdedFactor =
-    1.5;  // has also so many times its zone's mean: with all full none is spared
-constexpr double kCrowdedDecrease = 0.75;  // of its share left, each update;
-constexpr double kCrowdedIncrease = 0.1;   // back slowly once it holds under half as much
+// Increase of a kind's traffic share at each adjustment. It is smaller than the decrease, as with spillover.
+// Half of both steps gained less.
+constexpr double kKindShareIncrease = 0.005;
+// Lower bound of a kind's traffic share. A larger difference between machines is a fault, not a kind.
+constexpr double kMinKindShare = 0.4;
+// Number of machine kinds that are tracked separately. Further kinds share the last entry.
+constexpr int kMaxKinds = 64;
+
+// ---- load reported by the endpoint list -------------------------------------------------------------------
+// Requests per core above which a server counts as overloaded, if it also exceeds kCrowdedFactor.
+constexpr double kCrowdedLoad = 2.0;
+// Multiple of its zone's mean load that an overloaded server exceeds. Where all servers are full, none of
+// them loses traffic.
+constexpr double kCrowdedFactor = 1.5;
+// Factor applied to an overloaded server's traffic share at each update of the list.
+constexpr double kCrowdedDecrease = 0.75;
+// Increase of a server's traffic share at each update while its load is below half of kCrowdedLoad. It is
+// small so that load returns slowly.
+constexpr double kCrowdedIncrease = 0.1;
+// Lower bound of an overloaded server's traffic share.
 constexpr double kMinCrowdedShare = 0.05;
-constexpr double kAdmissionLoad = 5.0;      // a core, on average; from three quarters of it nothing changes
-constexpr double kAdmissionDecrease = 0.8;  // of the reads admitted, each update above that load
+// Mean requests per core above which fewer reads are admitted. More are admitted again below three quarters
+// of it; in between the admission ratio stays.
+constexpr double kAdmissionLoad = 5.0;
+// Factor applied to the admission ratio at each update above kAdmissionLoad.
+constexpr double kAdmissionDecrease = 0.8;
+// Increase of the admission ratio at each update below three quarters of kAdmissionLoad.
 constexpr double kAdmissionIncrease = 0.1;
+// Lower bound of the admission ratio.
 constexpr double kMinAdmission = 0.2;
-// Cross-zone spillover.
-constexpr double kMinSpilloverStep = 0.01;   // halved at each reversal, or late updates make it oscillate
-constexpr double kSpilloverStep = 0.06;      // a change while the list shows one side more loaded
-constexpr double kSpilloverThreshold = 0.4;  // rate of slow responses from which more keys spill over
-constexpr double kSpilloverIncrease = 0.25;  // out in seconds, and
-constexpr double kSpilloverDecrease = 0.01;  // back in half a minute, or copies would move again and again
 
-// How many attempts one server may have in flight. Its capacity is not known: the limit grows by one a round
-// while responses are fast, falls at failures, and at the least limit failures bring a backoff, because what
-// timed out or was rejected still costs the server work, and only a backoff lets that drain.
+// ---- cross-zone spillover ---------------------------------------------------------------------------------
+// Lower bound of the spillover step. The step is halved whenever the load imbalance reverses, because late
+// updates of the list would otherwise make the spillover ratio oscillate.
+constexpr double kMinSpilloverStep = 0.01;
+// Initial change of the spillover ratio at each adjustment while the list shows one side as more loaded.
+constexpr double kSpilloverStep = 0.06;
+// Rate of slow responses above which the spillover ratio rises.
+constexpr double kSpilloverThreshold = 0.4;
+// Increase of the spillover ratio at each adjustment: keys spill over within seconds.
+constexpr double kSpilloverIncrease = 0.25;
+// Decrease of the spillover ratio at each adjustment: keys return within half a minute. A faster return would
+// move copies again and again.
+constexpr double kSpilloverDecrease = 0.01;
+
+// Bounds the attempts that a server may have in flight. The server's capacity is not known, so the limit
+// grows by one per round of fast responses and falls on failures. At the minimum limit a failure starts a
+// backoff: attempts that timed out or were rejected still cost the server work, and only a backoff lets that
+// work drain.
 struct ConcurrencyLimiter {
     double limit = 1;
     double backoff = kMinBackoff;
@@ -120,7 +218,8 @@
         backoff = kMinBackoff;
         if (in_flight + 2 >= limit) limit = std::min(limit + 1 / limit, kMaxLimit);
     }
-    // From what is in flight: a limit never reached says nothing of the server's capacity.
+    // Decreases the limit from the number in flight: a limit that was never reached does not indicate the
+    // server's capacity.
     void decrease(double to, double apart, int in_flight, double now) {
         if (now - decreased_at < apart) return;
         decreased_at = now;
@@ -134,13 +233,14 @@
     }
 };
 
-// Of one server, or of all in a zone: skipped but for a probe now and then, and reinstated by its response.
+// The ejection of one server or of a whole zone. While ejected, it receives only occasional probes; a
+// response reinstates it.
 struct OutlierEjection {
     bool ejected = false;
     double since = 0;
     double next_probe = 0;
     double probe_interval = kProbeInterval;
-    double apart = 0;  // s between this node's probes where the fleet shares them; else 0
+    double apart = 0;  // s between this node's probes under a verdict of the fleet; 0: no such verdict
 
     void eject(double spread, double now) {
         if (!ejected) {
@@ -158,23 +258,23 @@
     int zone = 0;
     int cell = 0;
     int kind = 0;
-    int ring = -1;             // the zone whose ring holds its points; -1: none
-    int points = 0;            // of them there
-    double listed_weight = 0;  // as listed last, lowered by its load where weights are load-adjusted
-    double share = 1;          // of its keys that it gets, by the load that the list reports
+    int ring = -1;             // zone whose ring holds the server's points; -1: none
+    int points = 0;            // number of the server's points on that ring
+    double listed_weight = 0;  // last listed weight; its load lowers it where weights are load-adjusted
+    double share = 1;          // fraction of its keys that it receives, based on its reported load
     bool is_origin = false;
     EndpointState state = EndpointState::removed;
-    double started_at = -1e9;  // when it last started, as listed or as guessed after a silence
-    int in_flight = 0;         // attempts of this node without an outcome
+    double started_at = -1e9;  // last start, as listed or as assumed after a long silence
+    int in_flight = 0;         // this node's attempts without an outcome
     double last_response_at = -1e9;
-    double unanswered_since = 0;  // when the first attempt since its last response was sent; 0: none
+    double unanswered_since = 0;  // time of the first attempt sent since its last response; 0: none
     int consecutive_failures = 0;
     OutlierEjection ejection;
     ConcurrencyLimiter limiter{kInitialServerLimit};
-    SlidingWindow latencies{kRateWindow};  // of its responses, s
+    SlidingWindow latencies{kRateWindow};  // response latencies, s
     SlidingWindow slow_start_attempts{kRateWindow};
-    bool may_have_connections = false;  // this node may hold connections to it
-    double last_used_at = 0;            // when an attempt of this node last finished there
+    bool may_have_connections = false;  // this node may hold connections to the server
+    double last_used_at = 0;            // time when an attempt of this node last finished there
     unsigned visit_mark = 0;
 };
 
@@ -191,13 +291,14 @@
                                            kMinLimit, kMaxInitialOriginLimit);
     }
     const BalancerWork& work() const override { return work_; }
-    // What this node learned of servers and of its traffic stays; weights and load are learned anew from the
-    // endpoint list that follows.
+    // Keeps what this node has learned about servers and its traffic. Weights and load are learned again from
+    // the endpoint list that follows.
     void on_configuration(double, const Deployment& deployment) override {
         const bool same_sizes = deployment.endpoint_weights == deployment_.endpoint_weights;
         const bool same_zones = deployment.zone_count == deployment_.zone_count;
         apply_configuration(deployment);
-        // Points stay where they are: the list that follows moves those of servers that belong elsewhere now.
+        // Points stay where they are; the endpoint list that follows moves the points of servers that changed
+        // zone.
         if (!same_zones) clear_rings();
         if (!same_sizes) {
             for (Server& server : servers_) server.share = 1;
@@ -225,7 +326,8 @@
         }
         return l;
     }
-    // Without it a started node learns by timeouts which servers are slow, and clients wait meanwhile.
+    // Without a snapshot, a newly started node learns from timeouts which servers are slow, and its clients
+    // wait meanwhile.
     void restore(double now, const WarmStartSnapshot& l) override {
         spillover_ratio_ = std::clamp(l.spillover_ratio, 0.0, 1.0);
         shedding_ratio_ = std::clamp(l.shedding_ratio, 0.0, 1.0);
@@ -241,10 +343,10 @@
             if (of.ejected) eject(server, now);
         }
     }
-    // With little traffic a node uses each server too seldom to tell that one is slow or fails: what others
-    // observed ejects it here too, unless own recent responses were fast. Covers servers lost before the list
-    // says so; harms when the reporters share a bad path, so it holds only while the verdict stands, and a
-    // fast response here ends it.
+    // Ejects a server on the fleet's verdict unless this node's own recent responses were fast. With little
+    // traffic a node uses each server too rarely to detect that it is slow or failing. The verdict covers
+    // servers that are lost before the list shows it. It does harm when the reporters share a bad path, so
+    // the ejection lasts only as long as the verdict and ends with a fast response to this node.
     void on_outlier_verdict(double now, int server_id, bool bad, double apart) override {
         Server& server = server_at(server_id);
         const bool known_well = server.consecutive_failures == 0 && server.latencies.count(now) > 0 &&
@@ -258,10 +360,11 @@
         eject(server, now);
         server.ejection.next_probe = now + apart * random_unit();
     }
-    // The nodes of this zone drain a zone together and recover it by the same share of its keys at each.
-    // While drained no single response reinstates it. Covers zones lost or cut off.
+    // Sets the share of a zone's keys that goes there. All nodes of this node's zone drain a lost or
+    // partitioned zone together and return to it with the same share of its keys. While it is drained, no
+    // single response reinstates it.
     void set_zone_weight(double now, int zone, double part, double apart) override {
-        if (zone < 0 || zone >= all_zones_ring()) return;  // from before another configuration
+        if (zone < 0 || zone >= all_zones_ring()) return;  // a zone of an earlier configuration
         Zone& z = zone_at(zone);
         for (std::size_t i = 0; part == 0 && z.part > 0 && i < servers_.size(); ++i) {
             if (servers_[i].zone == zone) cancel_stalled_attempts(static_cast<int>(i), now, 0);
@@ -304,14 +407,14 @@
             kind != UpdateKind::cached_on_disk)
             apply_reported_load();
         if (kind != UpdateKind::cached_on_disk) poll_failures_ = 0;
-        // A cached list may be outdated, so the first poll comes early; spread at random, since nodes that
-        // start together would be rejected together.
+        // A cached list may be outdated, so the first poll is early. Its delay is random because the polls of
+        // nodes that start together would otherwise be rejected together.
         else if (deployment_.polls_endpoints)
             host_.set_timer(poll_spread() * random_unit(), TimerToken{TimerToken::Kind::poll}.encode());
     }
     void on_poll_failed(double) override {
-        // Exponential backoff with jitter: all nodes lose the list at once, and its service has a fixed
-        // capacity.
+        // Exponential backoff with jitter, because all nodes lose the list at the same time and the discovery
+        // service has a fixed capacity.
         const double most = std::min({std::max(0.2, poll_spread()) * std::pow(2.0, poll_failures_),
                                       deployment_.poll_interval / 2 + 0.2, kMaxPollDelay});
         poll_failures_ = std::min(poll_failures_ + 1, 10);
@@ -403,16 +506,16 @@
     struct MachineKind {
         SlidingWindow slow_responses{kLongWindow};
         double share = 1;
-        double size = 0;  // the largest weight that the list gave one of it; 0: none
+        double size = 0;  // largest weight listed for a server of this kind; 0: none listed
     };
     struct Zone {
         SlidingWindow lost{kLongWindow};  // 1: an attempt lost its connection; 0: it had a response
-        int run = 0;                      // attempts that lost theirs, since the last response
-        double keep = 0;                  // the idle timeout as that began
-        double part = 1;                  // of its keys that go there, by the fleet's decision; 0: drained
+        int run = 0;                      // lost connections since the last response
+        double keep = 0;                  // idle timeout when the current run of losses began, s
+        double part = 1;                  // share of its keys sent there, set by the fleet; 0: drained
         OutlierEjection ejection;
     };
-    // Sums over the servers that are not in slow start, by zone and, last, of all.
+    // Sums over the servers that are not in slow start: one entry per zone and a last one for all zones.
     struct WarmResponses {
         bool is_current = false;
         double at = 0;
@@ -420,12 +523,12 @@
     };
     struct TenantQuota {
         double quota = 0;
-        double part = 0;  // of it that the fleet leaves to this node
+        double part = 0;  // share of the quota that the fleet leaves to this node
         double tokens = 0;
         double filled = 0;
         SlidingWindow arrivals{kRateWindow};
     };
-    // Indices come from outside as int; a container's is unsigned.
+    // Converts indices, which the host passes as int, to the unsigned index type of containers.
     template <typename Items>
     static auto& item(Items& items, int index) {
         return items[static_cast<std::size_t>(index)];
@@ -462,8 +565,9 @@
     double random_unit() { return static_cast<double>(random_()) / 16777216.0; }
 
     // ---- the ring -------------------------------------------------------------------------------------
-    // Weights have no unit, and load may lower what is listed, so a kind's weight is the largest seen of it
-    // and the reference, set by the first list, a power of two: nodes with lists of other ages agree on them.
+    // Weights have no unit, and load may lower a listed weight, so the weight of a kind is the largest one
+    // listed for it. The reference weight is set by the first list and is a power of two, so that nodes with
+    // lists of different ages agree on it.
     double compute_reference_weight() const {
         double sum = 0, caches = 0;
         for (const Server& server : servers_) {
@@ -479,7 +583,8 @@
         return static_cast<int>(
             std::clamp(kPointsPerServer * size / reference_weight_, kMinPoints, kMaxPoints));
     }
-    // One ring for each zone; the last, that of all zones, has no points of its own (RingWalk).
+    // Creates an empty ring for each zone. The last entry stands for all zones and holds no points of its
+    // own: RingWalk merges the zones' rings.
     void clear_rings() {
         rings_.assign(zones_.size(), {});
         ring_servers_.assign(zones_.size(), 0);
@@ -489,16 +594,16 @@
             server.points = 0;
         }
     }
-    // What the endpoint list says of one server; the rings follow in update_rings().
+    // Applies one entry of the endpoint list to the server table. update_rings() applies it to the rings.
     void take_over(const Endpoint& e) {
         if (e.server >= static_cast<int>(servers_.size()))
             servers_.resize(static_cast<std::size_t>(e.server) + 1);
         Server& server = server_at(e.server);
         const double start = e.started_at > 0 ? e.started_at : -1e9;
         const std::uint64_t hash = hash_text(e.name, kRingSeed);
-        if (server.hash != hash) take_off_ring(e.server);  // its points are found by the hash
+        if (server.hash != hash) take_off_ring(e.server);  // the old hash locates its points
         if (start > server.started_at + 0.001 || server.hash != hash) {
-            // Restarted, or another server under this id: nothing known of the old one holds.
+            // The server restarted, or its id now names another server: what was learned no longer applies.
             Server fresh;
             fresh.in_flight = server.in_flight;
             fresh.ring = server.ring;
@@ -540,8 +645,8 @@
         count_in_flight(server, -server.in_flight);
         server.ring = -1;
     }
-    // Puts the servers on the rings where they belong. Only the points of those that came, went or changed
-    // size are touched: requests wait meanwhile.
+    // Moves the points of servers to the rings of their zones. Only servers that joined, left or changed
+    // weight are touched, because requests wait during the update.
     void update_rings(const std::vector<int>& changed) {
         std::vector<HashRing::Points> added(rings_.size() - 1);
         bool origin_changed = false;
@@ -561,7 +666,7 @@
             ++ring_servers_.back();
             count_in_flight(server, server.in_flight);
         };
-        // A weight never seen changes the points of all servers of its kind.
+        // A new largest weight changes the number of points of all servers of its kind.
         if (std::exchange(sizes_changed_, false)) {
             work_.servers += servers_.size();
             for (std::size_t i = 0; i < servers_.size(); ++i) place(static_cast<int>(i));
@@ -587,7 +692,7 @@
         ring_in_flight_[static_cast<std::size_t>(server.ring)] += by;
         ring_in_flight_.back() += by;
     }
-    // Points of one position stand in the order of their servers' hashes.
+    // Orders points by position, and points at the same position by the hashes of their servers.
     struct PointOrder {
         const std::vector<Server>& servers;
         bool operator()(const RingPoint& a, const RingPoint& b) const {
@@ -598,7 +703,8 @@
     };
     static std::uint32_t ring_position(std::uint64_t x) { return static_cast<std::uint32_t>(mix(x) >> 32); }
     std::uint64_t hash_of(int server_id) const { return server_at(server_id).hash; }
-    // First eligible one clockwise, or -1. NOLINTNEXTLINE(readability-function-cognitive-complexity): ROADMAP
+    // Returns the first eligible server clockwise from the key's position, -1 if there is none, or
+    // kAllOverloaded. NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     int pick_on_ring(const PendingRequest& request, int zone, double now, bool last_resort) {
         const bool all_zones = zone == all_zones_ring();
         const HashRing* const first = all_zones ? rings_.data() : &rings_[static_cast<std::size_t>(zone)];
@@ -627,7 +733,8 @@
             const double part = last_resort ? 1 : zone_at(server.zone).part;
             if (part > 0 && part < 1 && unit_interval(mix(request.info.key * 7 ^ kRingSeed)) >= part)
                 continue;
-            // What an overloaded server declines would be more than its even share for a cold one next to it.
+            // Keys that an overloaded server declines would exceed the even share of a cold server next to
+            // it.
             if (declined && slow_start_ratio(server, now) < 1) continue;
             if (!admits_while_cold(server, request, zone, now) || !host_.admit_slow_start(candidate))
                 continue;
@@ -638,7 +745,8 @@
             OutlierEjection* ejection = active_ejection(server, now);
             if (!last_resort && ejection != nullptr && !take_probe(*ejection, request, now)) continue;
             if (!server.limiter.has_capacity(server.in_flight, now)) {
-                // Further round, a server lacks the key: the attempt would miss and evict what it holds.
+                // Servers further along the ring do not hold the key: the attempt would miss and evict
+                // entries that they do hold.
                 if (++full > (slow_response_rate_ > kOverloadedRate ? 0 : kMaxSkippedServers))
                     return passed >= 0 ? passed : kAllOverloaded;
                 continue;
@@ -653,7 +761,8 @@
         }
         return passed;
     }
-    // Exception: a key hotter than a server's even share has several points, one drawn for each request.
+    // Exception: a key that receives more requests than a server's even share has several positions on the
+    // ring, and each request draws one of them.
     std::uint64_t hot_key_replica(const PendingRequest& request, int members) {
         if (request.key_count < kHotKeyMinCount) return 0;
         const int parts =
@@ -661,12 +770,13 @@
         return parts > 1 ? random_() % static_cast<unsigned>(parts) : 0;
     }
     int all_zones_ring() const { return static_cast<int>(rings_.size()) - 1; }
-    // Exception: while the own zone or the origin is overloaded, a share of keys uses the ring of all zones.
+    // Exception: while the local zone or the origin is overloaded, a share of the keys uses the ring of all
+    // zones.
     bool spills_over(const PendingRequest& request) const {
         return unit_interval(mix(request.info.key ^ 0x5a5a)) < spillover_ratio_;
     }
-    // Own zone first. Exception: when each server there is ejected, full, cold or tried, the next zone's
-    // ring.
+    // Picks a server on the local zone's ring. Exception: if every server there is ejected, full, cold or
+    // already tried, the next zone's ring is used.
     int pick_server(const PendingRequest& request, double now) {
         const int zones = all_zones_ring();
         for (bool last_resort : {false, true}) {
@@ -686,7 +796,7 @@
                            [server_id](const Attempt& attempt) { return attempt.server == server_id; });
     }
 
-    // ---- rule 2: may there be another attempt, may the request be rejected ------------------------------
+    // ---- rule 2: whether another attempt is allowed, and whether the request may be rejected -------------
     bool may_attempt(const PendingRequest& request, int server_id, double now) const {
         const Operation& op = operation(request);
         const Server& to = server_at(server_id);
@@ -702,7 +812,8 @@
             if (op.deduplication_scope == DeduplicationScope::cell &&
                 (from.cell != to.cell || from.zone != to.zone))
                 return false;
-            // The margin: a retry counts from when it arrives, after a connect and a tick.
+            // The server checks the window when the retry arrives, which may be a connect timeout and a tick
+            // later.
             if (now + deployment_.connect_timeout + deployment_.tick_interval >=
                 attempt.sent_at + op.deduplication_window)
                 return false;
@@ -727,11 +838,13 @@
                (deployment_.cold_capacity_ratio +
                 (1 - deployment_.cold_capacity_ratio) * age / deployment_.slow_start_duration);
     }
-    // The same keys at every node, more of them as it warms up, within this node's share of rule 4's budget.
+    // Admits a share of the keys that grows as the server warms up and is the same at every node, within this
+    // node's share of the slow-start budget (rule 4).
     bool admits_while_cold(Server& server, const PendingRequest& request, int zone, double now) {
         double warm = slow_start_ratio(server, now);
         if (warm >= 1) return true;
-        // In a zone with few servers left, the first that come back cold would get all of its traffic.
+        // In a zone with few servers left, the first ones to return cold would otherwise receive all of its
+        // traffic.
         const int zones = zone == all_zones_ring() ? 1 : all_zones_ring();
         warm *=
             std::min(1.0, 1.0 * zones * ring_servers_[static_cast<std::size_t>(zone)] / ring_servers_.back());
@@ -740,11 +853,13 @@
     }
     bool has_slow_start_budget(Server& server, double warm, double now) {
         if (warm >= 1) return true;
-        // What warm servers answer, not what they are sent: an overloaded fleet rejects most of that.
+        // Capacity is estimated from the responses of warm servers and not from the attempts sent to them: an
+        // overloaded fleet rejects most attempts.
         const double part =
             deployment_.overload_multiple * warm * server.points * responses_per_warm_point(server.zone, now);
-        // With many nodes each share is under one attempt, and one each would be too many: its fraction is
-        // drawn for each overload window and node, so that the expected sum is the shares'.
+        // With many nodes each share is below one attempt, and one attempt per node would be too many. Each
+        // node therefore rounds its share up or down at random for each overload window, so that the expected
+        // sum equals the sum of the shares.
         const std::uint64_t own = mix(node_seed_ ^ server.hash);
         const double span = std::max(deployment_.overload_window, 0.1);
         const auto window = static_cast<std::uint64_t>(now / span + unit_interval(own));
@@ -752,8 +867,9 @@
         const double most = std::max({kSlowStartBudgetShare * part, std::min(part, 1.0), least});
         return server.slow_start_attempts.count(now) < std::floor(most + unit_interval(mix(own + window)));
     }
-    // Responses to this node in one overload window per point of a warm server of the zone, or of all if it
-    // has none: this node's part of a server's capacity. Servers without a recent response count too.
+    // Estimates this node's part of a server's capacity: the responses that this node receives in one
+    // overload window per ring point of the zone's warm servers, or of all warm servers if the zone has none.
+    // Servers without a recent response count too.
     double responses_per_warm_point(int zone, double now) {
         if (!warm_responses_.is_current || warm_responses_.at != now) count_warm_responses(now);
         const double in_zone = item(warm_responses_.points, zone);
@@ -762,7 +878,8 @@
         const double points = in_zone > 0 ? in_zone : warm_responses_.points.back();
         return points == 0 ? 0 : deployment_.overload_window * answers / points / kRateWindow;
     }
-    // A request that passes many cold servers asks for the same sums at each, so they are kept for its time.
+    // Computes the sums over warm servers. They are kept while `now` stays the same, because a request that
+    // passes many cold servers needs them at each.
     void count_warm_responses(double now) {
         work_.servers += servers_.size();
         warm_responses_.is_current = true;
@@ -779,10 +896,10 @@
             warm_responses_.points.back() += server.points;
         }
     }
-    // Exception: machines of a slower kind get a smaller share of their keys, the same ones at every node
-    // with that share: speeds are not reported, and listed weights may mislead. A hot key goes by chance,
-    // since it alone may be more than a server carries; so do all where servers are too many for counts to
-    // tell hot keys.
+    // Exception: machines of a slower kind receive a smaller share of their keys, because speeds are not
+    // reported and listed weights may mislead. Nodes with the same share choose the same keys. Requests for a
+    // hot key are chosen at random, since it alone may exceed a server's capacity; where there are too many
+    // servers for key counts to detect hot keys, all requests are.
     bool within_traffic_share(const Server& server, const PendingRequest& request) {
         if (server.share < 1 && random_unit() >= server.share) return false;
         const double share = kind_at(server.kind).share;
@@ -794,7 +911,8 @@
     double reported_load(const Server& server) const {
         return server.listed_weight > 0 ? kind_at(server.kind).size / server.listed_weight - 1 : 0;
     }
-    // Load-adjusted weights tell all nodes alike, if late, what one node sees too little of to know.
+    // Adjusts traffic shares, admission and spillover to the load in load-adjusted weights. These reach all
+    // nodes alike, although late, and show what a single node has too little traffic to observe.
     void apply_reported_load() {
         std::vector<double> sums(rings_.size()), sizes(rings_.size());
         for (const Server& server : servers_) {
@@ -858,11 +976,11 @@
             cancel_stalled_attempts(static_cast<int>(&server - servers_.data()), now);
         server.ejection.eject(random_unit(), now);
     }
-    // A zone that is lost or cut off shows at a node with little traffic by one lost connection at each of
-    // many servers, and none is ejected by itself. So they are taken together: as many in a row without a
-    // response as chance would seldom bring at the rate that the best zone loses; where connection tables are
-    // full that rate is high and so is the number. When one zone alone has full tables it is left for one
-    // probe interval.
+    // Detects a lost or partitioned zone. A node with little traffic then loses one connection at each of
+    // many servers, and no server is ejected by itself. The zone is ejected after as many consecutive losses
+    // as chance rarely causes at the loss rate of the best zone. Where connection tables are full, that rate
+    // is high and so is the required number. A zone that alone has full tables is ejected for one probe
+    // interval.
     void record_zone_outcome(const Server& server, const Attempt& attempt, Outcome outcome, double now) {
         Zone& z = zone_at(server.zone);
         if (outcome == Outcome::refused || outcome == Outcome::reset) {
@@ -875,28 +993,31 @@
             const bool chance = z.run < kZoneFailures || std::pow(least, z.run) > kZoneFalsePositiveRate;
             if (all_zones_ring() < 2 || (z.ejection.ejected ? attempt.sent_at < z.ejection.since : chance))
                 return;
-            if (!z.ejection.ejected) idle_timeout_ = std::max(idle_timeout_, z.keep);  // tables were not full
+            if (!z.ejection.ejected)
+                idle_timeout_ = std::max(idle_timeout_, z.keep);  // its tables were not full
             z.ejection.eject(random_unit(), now);
         } else if (outcome != Outcome::timed_out && outcome != Outcome::cancelled &&
                    outcome != Outcome::not_sent) {
             z.lost.add(now, 0);
             z.run = 0;
-            z.ejection.ejected = z.ejection.apart > 0;  // drained by the fleet, recovered by it
+            z.ejection.ejected = z.ejection.apart > 0;  // only the fleet ends a drain of its own
         }
     }
-    // Exception: a refusal from a lost zone is no sign of load.
+    // Exception: a refused or reset connection in an ejected zone does not indicate load.
     bool is_lost_with_zone(const Server& server, Outcome outcome) const {
         return (outcome == Outcome::refused || outcome == Outcome::reset) && !server.is_origin &&
                zone_at(server.zone).ejection.ejected;
     }
-    // Silent for long, it may have restarted: cold until the list says otherwise.
+    // Ends an ejection. A server that was silent for long may have restarted and counts as cold unless the
+    // list says otherwise.
     void reinstate(Server& server, double now) {
         warm_responses_.is_current = false;
         if (now - server.ejection.since > kRestartSilence)
             server.started_at = std::max(server.started_at, now);
         server.ejection.ejected = false;
     }
-    // A request at a silent server would wait out its timeout there; cancelled, it is retried elsewhere.
+    // Cancels attempts at a silent server, so that their requests are retried elsewhere and do not wait for
+    // the timeout.
     void cancel_stalled_attempts(int server_id, double now, double out_for = kSilenceTimeout) {
         if (!deployment_.may_cancel) return;
         for (PendingRequest& request : requests_) {
@@ -907,14 +1028,16 @@
             host_.cancel_attempt(request.info.id, static_cast<int>(request.attempts.size()) - 1);
         }
     }
-    // An ejected server gets one request now and then, only one that may be retried.
+    // Returns whether the request is sent as a probe of an ejected server. Only first attempts of idempotent
+    // requests are, once per probe interval.
     bool take_probe(OutlierEjection& d, const PendingRequest& request, double now) {
         const bool may_repeat = operation(request).idempotency == Idempotency::idempotent;
         if (now < d.next_probe || !may_repeat || !request.attempts.empty()) return false;
         d.next_probe = now + (d.apart > 0 ? d.apart : d.probe_interval);
         return true;
     }
-    // Exception: lost with its connection alone, while others get fast responses: no sign of load or health.
+    // Exception: one attempt that is lost with its connection while others receive fast responses does not
+    // indicate load or failure.
     bool is_isolated_loss(Server& server, Outcome outcome, double now) {
         if (outcome != Outcome::timed_out && outcome != Outcome::reset) return false;
         return now - server.last_response_at < kSilenceTimeout &&
@@ -944,7 +1067,8 @@
                 server.latencies.add(now, latency);
                 if (server.is_origin) return;
                 if (latency > kSlowResponseRatio * op.latency_objective) {
-                    // With many nodes, one attempt from each may be too much: back off as long as it took.
+                    // With many nodes, one attempt from each may be too much, so the node backs off for as
+                    // long as the response took.
                     decrease_limit(server, kSlowDecrease, latency, latency, now);
                 } else {
                     server.limiter.increase(server.in_flight);
@@ -954,7 +1078,7 @@
                     reinstate(server, now);
                     server.latencies.clear();
                 }
-                server.ejection.since = now;  // whatever it is, it was not silent until now
+                server.ejection.since = now;  // silence is counted from its last response
                 break;
             case Outcome::busy:
                 server.consecutive_failures = 0;
@@ -967,7 +1091,8 @@
             case Outcome::timed_out:
             case Outcome::refused:
             case Outcome::reset:
-                // A silent machine takes all of the connect timeout; a full connection table refuses at once.
+                // A connection to a silent machine fails after the whole connect timeout; a full connection
+                // table refuses at once.
                 if (!with_zone && outcome == Outcome::refused &&
                     latency < kFastRefusalRatio * deployment_.connect_timeout)
                     idle_timeout_ = std::max(idle_timeout_ / 2, kMinIdleTimeout);
@@ -1009,11 +1134,13 @@
         }
         start_attempt(request, server_id, request.useful_until - now, now);
     }
-    // After a failed attempt: another if rule 2, the time left and the retry budget allow it; but under
-    // overload none to a further server, since all are full and each try costs a handshake; and none to the
-    // origin after the node itself declined to send, at its share of the fleet's limit.
+    // Retries after a failed attempt if rule 2, the remaining time and the retry budget allow it. Under
+    // overload no other cache server is tried, since all are full and each try costs a handshake. The origin
+    // is not tried again after this node itself declined to send because its share of the fleet's limit is
+    // used up.
     void retry(PendingRequest& request, double now, const Server& from, Outcome outcome) {
-        // What a lost zone refused cost nobody work, so it needs no token while another zone is healthy.
+        // An attempt refused in an ejected zone caused no work, so its retry needs no token while another
+        // zone is healthy.
         const auto stands = [](const Zone& z) { return !z.ejection.ejected; };
         const bool free = outcome == Outcome::refused && is_lost_with_zone(from, outcome) &&
                           std::any_of(zones_.begin(), zones_.end() - 1, stands);
@@ -1026,7 +1153,7 @@
         }
         reject_or_fail(request);
     }
-    // The final answer of a request that is given up, at once: rejected where rule 2 allows it, else failed.
+    // Gives up a request with an immediate final answer: rejected if rule 2 allows it, failed otherwise.
     void reject_or_fail(PendingRequest& request) {
         request.open = false;
         stop_waiting(request);
@@ -1039,7 +1166,8 @@
         }
         cancel_other_attempts(request);
     }
-    // Work for nobody is cancelled, except a fetch: its answer still fills the cache for those who wait.
+    // Cancels attempts whose responses are no longer needed, except fetches from the origin: their responses
+    // still fill the cache for the requests that wait.
     void cancel_other_attempts(PendingRequest& request) {
         if (!deployment_.may_cancel || request.streaming) return;
         for (std::size_t i = 0; i < request.attempts.size(); ++i) {
@@ -1057,7 +1185,8 @@
             return;
         }
         if (!request.info.is_write && request.info.has_key) {
-            // One fetch a key: an invalidated or new popular key would otherwise cost a fetch per request.
+            // Only one fetch per key is in flight: a popular key that is new or invalidated would otherwise
+            // cost one fetch per request.
             const auto fetch = fetch_waiters_.find(request.info.key);
             if (fetch != fetch_waiters_.end()) {
                 fetch->second.push_back(request.info.id);
@@ -1074,7 +1203,8 @@
             reject_or_fail(request);
         }
     }
-    // How long a new request would wait and be fetched for: one that cannot make it is rejected at once.
+    // Estimates how long a new request would take to wait for and fetch from the origin. A request that
+    // cannot finish in time is rejected at once.
     double expected_origin_wait(double now) const {
         const double latency = std::max(origin_latency_, 0.01);
         const double turns = static_cast<double>(origin_queue_.size() + 1) / origin_limiter_.limit + 1;
@@ -1086,7 +1216,7 @@
             fetch_waiters_[request.info.key];
             request.leads_fetch = true;
         }
-        // Past its use to this client, the answer still fills the cache.
+        // A response that is too late to be of use to this client still fills the cache.
         start_attempt(request, at, request.deadline - now, now);
     }
     void wait_for(PendingRequest& request, WaitReason how, double now) {
@@ -1122,7 +1252,7 @@
                 may_attempt(w, request.missed_at, now) &&
                 has_slow_start_budget(missed, slow_start_ratio(missed, now), now)) {
                 start_attempt(w, request.missed_at, w.useful_until - now,
-                              now);  // the value is stored there now
+                              now);  // that server now holds the value
             } else {
                 route_to_origin(w, now);
             }
@@ -1137,7 +1267,7 @@
     }
     void drain_origin_queue(double now) {
         while (origin_limiter_.has_capacity(origin_in_flight_, now) && !origin_queue_.empty()) {
-            // The most valuable first, then the one with the least time left.
+            // The request with the highest value goes first; among equals, the one with the least time left.
             const auto next =
                 std::min_element(origin_queue_.begin(), origin_queue_.end(), [this, now](int a, int b) {
                     const PendingRequest& x = request_at(a);
@@ -1172,8 +1302,8 @@
     }
 
     // ---- quotas, shedding and spillover --------------------------------------------------------------
-    // Quotas hold for all nodes together, so each is scaled by this node's share of the traffic, estimated
-    // from the median tenant, which is seldom over its quota.
+    // Quotas apply to all nodes together, so each is scaled by this node's share of the traffic. The share is
+    // estimated from the median tenant, which is rarely over its quota.
     bool is_over_quota(const PendingRequest& request, double now) {
         const int tenant = request.info.tenant;
         if (tenant < 0 || tenant >= static_cast<int>(tenants_.size()) || tenants_.size() < 2) return false;
@@ -1201,8 +1331,8 @@
                                                  : admission_ratio_ + kLateAdmissionIncrease,
                                           kMinAdmission, 1.0);
         }
-        // One second of a node with little traffic is chance, and shedding by chance spares the largest
-        // tenants.
+        // With little traffic, the rate over one second depends on chance, and shedding by chance spares the
+        // largest tenants.
         const double steady =
             recent_outcomes_.count(now) < kMinSamples ? longer_outcomes_.mean(now) : slow_response_rate_;
         const bool tight = slow_response_rate_ > kSpilloverThreshold || !origin_queue_.empty();
@@ -1221,7 +1351,8 @@
         if (!parts.empty())
             node_traffic_share_ = std::clamp(parts[parts.size() / 2], node_traffic_share_, 1.0);
     }
-    // Idle connections are kept up to their own timeout; after refusals for less, since they fill the tables.
+    // Closes connections that are idle for longer than the configured timeout, or for less after refusals,
+    // since idle connections fill the servers' connection tables.
     void expire_idle_connections(double now) {
         const double most =
             deployment_.connection_idle_timeout > 0 ? deployment_.connection_idle_timeout : 1e9;
@@ -1237,14 +1368,14 @@
     std::shared_ptr<const Deployment> shared_deployment_;
     Host& host_;
     std::ranlux24_base random_;
-    std::uint64_t node_seed_;  // for draws that differ from other nodes'
+    std::uint64_t node_seed_;  // seeds random choices that have to differ between nodes
     std::vector<Server> servers_;
     BalancerWork work_;
     WarmResponses warm_responses_;
-    bool sizes_changed_ = false;  // of a machine kind, or the reference: the points of all servers may change
+    bool sizes_changed_ = false;  // a kind's weight or the reference changed: any server's points may change
     std::vector<HashRing> rings_;
-    std::vector<int> ring_servers_, ring_in_flight_;  // servers on each ring, and attempts in flight there
-    double reference_weight_ = 0;                     // by the first list that gave weights; 0: none does
+    std::vector<int> ring_servers_, ring_in_flight_;  // per ring: servers and attempts in flight
+    double reference_weight_ = 0;  // set by the first list with weights; 0: no list had any
     int origin_server_ = -1;
     std::vector<PendingRequest> requests_;
     std::vector<MachineKind> kinds_;
@@ -1253,24 +1384,24 @@
     KeyCounter key_counter_{kKeySampleSize};
     SlidingWindow recent_outcomes_{1.0};
     SlidingWindow longer_outcomes_{kLongWindow};
-    SlidingWindow late_outcomes_{1.0};  // timed out or past the objective
+    SlidingWindow late_outcomes_{1.0};  // 1: timed out or finished after the objective; 0: in time
     unsigned update_generation_ = 0;
     unsigned walk_mark_ = 1U << 31;
     int poll_failures_ = 0;
     double max_retry_tokens_ = 0;
     double retry_tokens_ = 0;
-    double slow_response_rate_ = 0;  // part of the last second's endings at caches, as of the last look
+    double slow_response_rate_ = 0;  // at cache servers in the last second, as of the last adjustment
     double shedding_ratio_ = 0;
     double spillover_ratio_ = 0;
-    double admission_ratio_ = 1;  // part of the reads let in, by the load that the list tells
+    double admission_ratio_ = 1;  // share of reads admitted, by reported load or by the rate of late attempts
     double spillover_step_ = kSpilloverStep;
-    int last_imbalance_ = 0;  // which way last
-    int load_imbalance_ = 0;  // 1: by the list, the own zone is more crowded than the rest; -1: less
+    int last_imbalance_ = 0;  // the last load_imbalance_ that was not 0
+    int load_imbalance_ = 0;  // 1: the list shows more load in the local zone than elsewhere; -1: less
     double adjusted_at_ = 0;
-    double idle_timeout_ = 1e9;  // s that an idle connection is kept
+    double idle_timeout_ = 1e9;  // s until an idle connection is closed
     double node_traffic_share_ = 1;
-    std::map<std::uint64_t, std::vector<int>> fetch_waiters_;  // key: who waits for its fetch
-    std::vector<int> origin_queue_;                            // who waits for a place at the origin
+    std::map<std::uint64_t, std::vector<int>> fetch_waiters_;  // requests that wait for the fetch, by key
+    std::vector<int> origin_queue_;                            // requests that wait for the origin's limit
     ConcurrencyLimiter origin_limiter_;
     double origin_latency_ = 0;
     double origin_latency_target_ = 1;
