--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -115,7 +115,7 @@
 // nodes, one attempt from each of them overloads a small server.
 constexpr double kMaxServerBackoff = 4.0;
 // Fraction of the shortest latency objective that the origin's mean latency may take.
-constexpr double kOriginLatencyShare = 0.5;
+constexpr double kOriginLatencyRatio = 0.5;
 
 // ---- load shedding and quotas -----------------------------------------------------------------------------
 // Seconds between two adjustments of the ratios and limits below.
@@ -126,7 +126,7 @@
 constexpr double kSheddingThreshold = 0.15;
 // Rate of slow responses above which all servers count as full: no full server is skipped, and no failed
 // attempt is retried at another cache server.
-constexpr double kOverloadedRate = 0.55;
+constexpr double kOverloadSlowRate = 0.55;
 // Fraction of the latency objective above which a response counts as slow.
 constexpr double kSlowResponseRatio = 0.35;
 // Minimum bucket size of a tenant's quota at one node, in requests. A smaller bucket is emptied by chance.
@@ -167,24 +167,24 @@
 constexpr int kMaxKinds = 64;
 
 // ---- load reported by the endpoint list -------------------------------------------------------------------
-// Requests per core above which a server counts as overloaded, if it also exceeds kCrowdedFactor.
-constexpr double kCrowdedLoad = 2.0;
+// Requests per core above which a server counts as overloaded, if it also exceeds kOverloadToZoneMeanRatio.
+constexpr double kOverloadLoadPerCore = 2.0;
 // Multiple of its zone's mean load that an overloaded server exceeds. Where all servers are full, none of
 // them loses traffic.
-constexpr double kCrowdedFactor = 1.5;
+constexpr double kOverloadToZoneMeanRatio = 1.5;
 // Factor applied to an overloaded server's traffic share at each update of the list.
-constexpr double kCrowdedDecrease = 0.75;
-// Increase of a server's traffic share at each update while its load is below half of kCrowdedLoad. It is
-// small so that load returns slowly.
-constexpr double kCrowdedIncrease = 0.1;
+constexpr double kOverloadShareDecrease = 0.75;
+// Increase of a server's traffic share at each update while its load is below half of kOverloadLoadPerCore.
+// It is small so that load returns slowly.
+constexpr double kOverloadShareIncrease = 0.1;
 // Lower bound of an overloaded server's traffic share.
-constexpr double kMinCrowdedShare = 0.05;
+constexpr double kMinOverloadShare = 0.05;
 // Mean requests per core above which fewer reads are admitted. More are admitted again below three quarters
 // of it; in between the admission ratio stays.
-constexpr double kAdmissionLoad = 5.0;
-// Factor applied to the admission ratio at each update above kAdmissionLoad.
+constexpr double kAdmissionLoadPerCore = 5.0;
+// Factor applied to the admission ratio at each update above kAdmissionLoadPerCore.
 constexpr double kAdmissionDecrease = 0.8;
-// Increase of the admission ratio at each update below three quarters of kAdmissionLoad.
+// Increase of the admission ratio at each update below three quarters of kAdmissionLoadPerCore.
 constexpr double kAdmissionIncrease = 0.1;
 // Lower bound of the admission ratio.
 constexpr double kMinAdmission = 0.2;
@@ -220,15 +220,15 @@
     }
     // Decreases the limit from the number in flight: a limit that was never reached does not indicate the
     // server's capacity.
-    void decrease(double to, double apart, int in_flight, double now) {
-        if (now - decreased_at < apart) return;
+    void decrease(double factor, double min_interval, int in_flight, double now) {
+        if (now - decreased_at < min_interval) return;
         decreased_at = now;
-        limit = std::max(kMinLimit, std::min(limit, 2.0 * in_flight + 2) * to);
+        limit = std::max(kMinLimit, std::min(limit, 2.0 * in_flight + 2) * factor);
     }
-    bool back_off(double spread, double most, double now) {
+    bool back_off(double jitter, double max_backoff, double now) {
         if (now < backoff_until) return false;
-        backoff_until = now + backoff * (0.75 + 0.5 * spread);
-        backoff = std::min(2 * backoff, most);
+        backoff_until = now + backoff * (0.75 + 0.5 * jitter);
+        backoff = std::min(2 * backoff, max_backoff);
         return true;
     }
 };
@@ -237,18 +237,20 @@
 // response reinstates it.
 struct OutlierEjection {
     bool ejected = false;
-    double since = 0;
+    double silent_since = 0;
     double next_probe = 0;
     double probe_interval = kProbeInterval;
-    double apart = 0;  // s between this node's probes under a verdict of the fleet; 0: no such verdict
+    // Seconds between this node's probes under a verdict of the fleet; 0: no such verdict.
+    double fleet_probe_interval = 0;
 
-    void eject(double spread, double now) {
+    void eject(double jitter, double now) {
         if (!ejected) {
             probe_interval = kProbeInterval;
-            since = now;
+            silent_since = now;
         }
         ejected = true;
-        next_probe = now + (apart > 0 ? apart : probe_interval) * (0.75 + 0.5 * spread);
+        next_probe =
+            now + (fleet_probe_interval > 0 ? fleet_probe_interval : probe_interval) * (0.75 + 0.5 * jitter);
         probe_interval = std::min(2 * probe_interval, kMaxProbeInterval);
     }
 };
@@ -261,7 +263,7 @@
     int ring = -1;             // zone whose ring holds the server's points; -1: none
     int points = 0;            // number of the server's points on that ring
     double listed_weight = 0;  // last listed weight; its load lowers it where weights are load-adjusted
-    double share = 1;          // fraction of its keys that it receives, based on its reported load
+    double traffic_share = 1;  // fraction of its keys that it receives, based on its reported load
     bool is_origin = false;
     EndpointState state = EndpointState::removed;
     double started_at = -1e9;  // last start, as listed or as assumed after a long silence
@@ -275,7 +277,7 @@
     SlidingWindow slow_start_attempts{kRateWindow};
     bool may_have_connections = false;  // this node may hold connections to the server
     double last_used_at = 0;            // time when an attempt of this node last finished there
-    unsigned visit_mark = 0;
+    unsigned visit_generation = 0;
 };
 
 using Outcome = AttemptOutcome;
@@ -294,90 +296,92 @@
     // Keeps what this node has learned about servers and its traffic. Weights and load are learned again from
     // the endpoint list that follows.
     void on_configuration(double, const Deployment& deployment) override {
-        const bool same_sizes = deployment.endpoint_weights == deployment_.endpoint_weights;
-        const bool same_zones = deployment.zone_count == deployment_.zone_count;
+        const bool is_same_weight_mode = deployment.endpoint_weights == deployment_.endpoint_weights;
+        const bool is_same_zone_count = deployment.zone_count == deployment_.zone_count;
         apply_configuration(deployment);
         // Points stay where they are; the endpoint list that follows moves the points of servers that changed
         // zone.
-        if (!same_zones) clear_rings();
-        if (!same_sizes) {
-            for (Server& server : servers_) server.share = 1;
+        if (!is_same_zone_count) clear_rings();
+        if (!is_same_weight_mode) {
+            for (Server& server : servers_) server.traffic_share = 1;
         }
-        if (same_sizes) return;
-        for (MachineKind& k : kinds_) k.size = 0;
+        if (is_same_weight_mode) return;
+        for (MachineKind& kind : kinds_) kind.max_weight = 0;
         reference_weight_ = 0;
         admission_ratio_ = 1;
         load_imbalance_ = last_imbalance_ = 0;
         spillover_step_ = kSpilloverStep;
     }
     WarmStartSnapshot snapshot(double now) const override {
-        WarmStartSnapshot l;
-        l.spillover_ratio = spillover_ratio_;
-        l.shedding_ratio = shedding_ratio_;
-        l.admission_ratio = admission_ratio_;
-        l.origin_concurrency_limit = origin_limiter_.limit;
-        l.origin_latency = origin_latency_;
-        for (const MachineKind& k : kinds_) l.kind_traffic_shares.push_back(k.share);
+        WarmStartSnapshot result;
+        result.spillover_ratio = spillover_ratio_;
+        result.shedding_ratio = shedding_ratio_;
+        result.admission_ratio = admission_ratio_;
+        result.origin_concurrency_limit = origin_limiter_.limit;
+        result.origin_latency = origin_latency_;
+        for (const MachineKind& kind : kinds_) result.kind_traffic_shares.push_back(kind.traffic_share);
         for (std::size_t i = 0; i < servers_.size(); ++i) {
             const Server& server = servers_[i];
             if (server.state != EndpointState::ready || server.is_origin) continue;
-            l.servers.push_back({static_cast<int>(i), server.limiter.limit,
-                                 server.limiter.backoff_until - now, server.ejection.ejected});
+            result.servers.push_back({static_cast<int>(i), server.limiter.limit,
+                                      server.limiter.backoff_until - now, server.ejection.ejected});
         }
-        return l;
+        return result;
     }
     // Without a snapshot, a newly started node learns from timeouts which servers are slow, and its clients
     // wait meanwhile.
-    void restore(double now, const WarmStartSnapshot& l) override {
-        spillover_ratio_ = std::clamp(l.spillover_ratio, 0.0, 1.0);
-        shedding_ratio_ = std::clamp(l.shedding_ratio, 0.0, 1.0);
-        admission_ratio_ = std::clamp(l.admission_ratio, kMinAdmission, 1.0);
-        origin_limiter_.limit = std::clamp(l.origin_concurrency_limit, kMinLimit, kMaxLimit);
-        origin_latency_ = std::max(l.origin_latency, 0.0);
-        for (std::size_t k = 0; k < std::min(kinds_.size(), l.kind_traffic_shares.size()); ++k)
-            kinds_[k].share = std::clamp(l.kind_traffic_shares[k], kMinKindShare, 1.0);
-        for (const WarmStartSnapshot::ServerSnapshot& of : l.servers) {
-            Server& server = server_at(of.server);
-            server.limiter.limit = std::clamp(of.concurrency_limit, kMinLimit, kMaxLimit);
-            server.limiter.backoff_until = now + std::min(of.backoff_remaining, kMaxServerBackoff);
-            if (of.ejected) eject(server, now);
+    void restore(double now, const WarmStartSnapshot& snapshot) override {
+        spillover_ratio_ = std::clamp(snapshot.spillover_ratio, 0.0, 1.0);
+        shedding_ratio_ = std::clamp(snapshot.shedding_ratio, 0.0, 1.0);
+        admission_ratio_ = std::clamp(snapshot.admission_ratio, kMinAdmission, 1.0);
+        origin_limiter_.limit = std::clamp(snapshot.origin_concurrency_limit, kMinLimit, kMaxLimit);
+        origin_latency_ = std::max(snapshot.origin_latency, 0.0);
+        for (std::size_t kind = 0; kind < std::min(kinds_.size(), snapshot.kind_traffic_shares.size());
+             ++kind)
+            kinds_[kind].traffic_share = std::clamp(snapshot.kind_traffic_shares[kind], kMinKindShare, 1.0);
+        for (const WarmStartSnapshot::ServerSnapshot& entry : snapshot.servers) {
+            Server& server = server_at(entry.server);
+            server.limiter.limit = std::clamp(entry.concurrency_limit, kMinLimit, kMaxLimit);
+            server.limiter.backoff_until = now + std::min(entry.backoff_remaining, kMaxServerBackoff);
+            if (entry.ejected) eject(server, now);
         }
     }
     // Ejects a server on the fleet's verdict unless this node's own recent responses were fast. With little
     // traffic a node uses each server too rarely to detect that it is slow or failing. The verdict covers
     // servers that are lost before the list shows it. It does harm when the reporters share a bad path, so
     // the ejection lasts only as long as the verdict and ends with a fast response to this node.
-    void on_outlier_verdict(double now, int server_id, bool bad, double apart) override {
+    void on_outlier_verdict(double now, int server_id, bool bad, double probe_interval) override {
         Server& server = server_at(server_id);
-        const bool known_well = server.consecutive_failures == 0 && server.latencies.count(now) > 0 &&
-                                server.latencies.mean(now) < kSilenceTimeout;
-        const bool anew = bad && !known_well && server.ejection.apart == 0;
-        if (!bad && server.ejection.ejected && server.ejection.apart > 0 &&
+        const bool is_known_healthy = server.consecutive_failures == 0 && server.latencies.count(now) > 0 &&
+                                      server.latencies.mean(now) < kSilenceTimeout;
+        const bool is_new_verdict = bad && !is_known_healthy && server.ejection.fleet_probe_interval == 0;
+        if (!bad && server.ejection.ejected && server.ejection.fleet_probe_interval > 0 &&
             server.consecutive_failures < kEjectionFailures)
             reinstate(server, now);
-        server.ejection.apart = bad && !known_well ? apart : 0;
-        if (!anew) return;
+        server.ejection.fleet_probe_interval = bad && !is_known_healthy ? probe_interval : 0;
+        if (!is_new_verdict) return;
         eject(server, now);
-        server.ejection.next_probe = now + apart * random_unit();
+        server.ejection.next_probe = now + probe_interval * random_unit();
     }
     // Sets the share of a zone's keys that goes there. All nodes of this node's zone drain a lost or
     // partitioned zone together and return to it with the same share of its keys. While it is drained, no
     // single response reinstates it.
-    void set_zone_weight(double now, int zone, double part, double apart) override {
-        if (zone < 0 || zone >= all_zones_ring()) return;  // a zone of an earlier configuration
-        Zone& z = zone_at(zone);
-        for (std::size_t i = 0; part == 0 && z.part > 0 && i < servers_.size(); ++i) {
-            if (servers_[i].zone == zone) cancel_stalled_attempts(static_cast<int>(i), now, 0);
+    void set_zone_weight(double now, int zone_id, double weight, double probe_interval) override {
+        if (zone_id < 0 || zone_id >= all_zones_ring()) return;  // a zone of an earlier configuration
+        Zone& zone = zone_at(zone_id);
+        for (std::size_t i = 0; weight == 0 && zone.weight > 0 && i < servers_.size(); ++i) {
+            if (servers_[i].zone == zone_id) cancel_stalled_attempts(static_cast<int>(i), now, 0);
         }
-        if (part > 0 && part < 1) z.run = 0;
-        z.ejection.ejected = part == 0 || (part == 1 && z.ejection.ejected);
-        z.ejection.next_probe = now + std::max(apart, kProbeInterval) * (0.75 + 0.5 * random_unit());
-        z.ejection.apart = apart;
-        z.part = part;
-    }
-    void set_tenant_quota_share(double, int tenant, double part) override {
+        if (weight > 0 && weight < 1) zone.consecutive_losses = 0;
+        zone.ejection.ejected = weight == 0 || (weight == 1 && zone.ejection.ejected);
+        zone.ejection.next_probe =
+            now + std::max(probe_interval, kProbeInterval) * (0.75 + 0.5 * random_unit());
+        zone.ejection.fleet_probe_interval = probe_interval;
+        zone.weight = weight;
+    }
+    void set_tenant_quota_share(double, int tenant, double share) override {
         if (tenant >= 0 && tenant < static_cast<int>(tenants_.size()))
-            tenants_[static_cast<std::size_t>(tenant)].part = part;
+            tenants_[static_cast<std::size_t>(tenant)].fleet_share = share;
     }
     void on_endpoints(double, UpdateKind kind, const std::vector<Endpoint>& entries) override {
         ++update_generation_;
@@ -386,20 +390,20 @@
         std::vector<int> changed;
         changed.reserve(entries.size());
         for (const Endpoint& endpoint : entries) {
-            take_over(endpoint);
+            update_server(endpoint);
             changed.push_back(endpoint.server);
         }
         if (kind != UpdateKind::delta) {
             work_.servers += servers_.size();
             for (std::size_t i = 0; i < servers_.size(); ++i) {
                 Server& server = servers_[i];
-                if (server.visit_mark == update_generation_ || server.state == EndpointState::removed)
+                if (server.visit_generation == update_generation_ || server.state == EndpointState::removed)
                     continue;
                 server.state = EndpointState::removed;
                 changed.push_back(static_cast<int>(i));
             }
         }
-        if (reference_weight_ == 0 && sizes_changed_) {
+        if (reference_weight_ == 0 && kind_weights_changed_) {
             reference_weight_ = compute_reference_weight();
         }
         update_rings(changed);
@@ -415,20 +419,21 @@
     void on_poll_failed(double) override {
         // Exponential backoff with jitter, because all nodes lose the list at the same time and the discovery
         // service has a fixed capacity.
-        const double most = std::min({std::max(0.2, poll_spread()) * std::pow(2.0, poll_failures_),
-                                      deployment_.poll_interval / 2 + 0.2, kMaxPollDelay});
+        const double max_delay = std::min({std::max(0.2, poll_spread()) * std::pow(2.0, poll_failures_),
+                                           deployment_.poll_interval / 2 + 0.2, kMaxPollDelay});
         poll_failures_ = std::min(poll_failures_ + 1, 10);
-        host_.set_timer(most * (0.3 + 0.7 * random_unit()), TimerToken{TimerToken::Kind::poll}.encode());
+        host_.set_timer(max_delay * (0.3 + 0.7 * random_unit()), TimerToken{TimerToken::Kind::poll}.encode());
     }
-    void on_request(double now, const Request& a) override {
-        if (a.id >= static_cast<int>(requests_.size())) requests_.resize(static_cast<std::size_t>(a.id) + 1);
-        PendingRequest& request = request_at(a.id);
+    void on_request(double now, const Request& arrival) override {
+        if (arrival.id >= static_cast<int>(requests_.size()))
+            requests_.resize(static_cast<std::size_t>(arrival.id) + 1);
+        PendingRequest& request = request_at(arrival.id);
         request.open = true;
-        request.info = a;
+        request.info = arrival;
         request.deployment = shared_deployment_;
-        if (!a.has_key) request.info.key = (static_cast<std::uint64_t>(random_()) << 24) ^ random_();
+        if (!arrival.has_key) request.info.key = (static_cast<std::uint64_t>(random_()) << 24) ^ random_();
         const Operation& op = operation(request);
-        request.deadline = now + a.time_remaining;
+        request.deadline = now + arrival.time_remaining;
         request.objective_deadline = now + op.latency_objective;
         request.useful_until = op.late_value_ratio > 0
                                    ? request.deadline
@@ -442,16 +447,16 @@
         retry_tokens_ = std::min(retry_tokens_ + kRetryTokensPerRequest, max_retry_tokens_);
         adjust_limits(now);
         request.over_quota = is_over_quota(request, now);
-        request.key_count = a.has_key && !a.is_write ? key_counter_.add(a.key) : 0;
+        request.key_count = arrival.has_key && !arrival.is_write ? key_counter_.add(arrival.key) : 0;
         const bool shed = (request.over_quota && random_unit() < shedding_ratio_) ||
-                          (!a.is_write && random_unit() >= admission_ratio_);
+                          (!arrival.is_write && random_unit() >= admission_ratio_);
         const bool too_late = request.useful_until - now <= 2 * deployment_.tick_interval;
         if (shed || too_late) return reject_or_fail(request);
-        if (a.is_write && origin_server_ >= 0) return route_to_origin(request, now);
+        if (arrival.is_write && origin_server_ >= 0) return route_to_origin(request, now);
         route_to_cache(request, now);
     }
     void on_attempt_finished(double now, int request_id, int attempt_number, Outcome outcome, double latency,
-                             bool over) override {
+                             bool answered) override {
         PendingRequest& request = request_at(request_id);
         if (attempt_number < 0 || attempt_number >= static_cast<int>(request.attempts.size())) return;
         Attempt& attempt = request.attempts[static_cast<std::size_t>(attempt_number)];
@@ -460,22 +465,22 @@
                                outcome == Outcome::not_sent || outcome == Outcome::miss;
         attempt.state = never_ran ? AttemptState::never_ran : AttemptState::may_have_run;
         --request.in_flight;
-        const int at = attempt.server;
-        Server& server = server_at(at);
+        const int server_id = attempt.server;
+        Server& server = server_at(server_id);
         --server.in_flight;
-        count_in_flight(server, -1);
+        add_ring_in_flight(server, -1);
         server.last_used_at = now;
         warm_responses_.is_current = false;
-        const Outcome told = is_isolated_loss(server, outcome, now) ? Outcome::failed : outcome;
-        record_outcome(server, request, attempt, told, latency, now);
-        if (over) {
+        const Outcome recorded_outcome = is_isolated_loss(server, outcome, now) ? Outcome::failed : outcome;
+        record_outcome(server, request, attempt, recorded_outcome, latency, now);
+        if (answered) {
             request.open = false;
             stop_waiting(request);
         }
-        if (server.is_origin) on_origin_finished(request, told, latency, now);
+        if (server.is_origin) on_origin_finished(request, recorded_outcome, latency, now);
         if (!request.open || request.streaming) return;
         if (outcome == Outcome::miss && !server.is_origin) {
-            if (request.missed_at < 0) request.missed_at = at;
+            if (request.missed_at < 0) request.missed_at = server_id;
             route_to_origin(request, now);
         } else if (request.in_flight == 0 && request.waiting_for == WaitReason::none) {
             retry(request, now, server, outcome);
@@ -505,27 +510,28 @@
   private:
     struct MachineKind {
         SlidingWindow slow_responses{kLongWindow};
-        double share = 1;
-        double size = 0;  // largest weight listed for a server of this kind; 0: none listed
+        double traffic_share = 1;
+        double max_weight = 0;  // largest weight listed for a server of this kind; 0: none listed
     };
     struct Zone {
-        SlidingWindow lost{kLongWindow};  // 1: an attempt lost its connection; 0: it had a response
-        int run = 0;                      // lost connections since the last response
-        double keep = 0;                  // idle timeout when the current run of losses began, s
-        double part = 1;                  // share of its keys sent there, set by the fleet; 0: drained
+        // 1 for an attempt that lost its connection, 0 for one with a response.
+        SlidingWindow lost_connections{kLongWindow};
+        int consecutive_losses = 0;             // lost connections since the last response
+        double idle_timeout_before_losses = 0;  // idle timeout when the current run of losses began, s
+        double weight = 1;                      // share of its keys sent there, set by the fleet; 0: drained
         OutlierEjection ejection;
     };
     // Sums over the servers that are not in slow start: one entry per zone and a last one for all zones.
     struct WarmResponses {
         bool is_current = false;
-        double at = 0;
-        std::vector<double> answers, points;
+        double computed_at = 0;
+        std::vector<double> responses, points;
     };
     struct TenantQuota {
         double quota = 0;
-        double part = 0;  // share of the quota that the fleet leaves to this node
+        double fleet_share = 0;  // share of the quota that the fleet leaves to this node
         double tokens = 0;
-        double filled = 0;
+        double refilled_at = 0;
         SlidingWindow arrivals{kRateWindow};
     };
     // Converts indices, which the host passes as int, to the unsigned index type of containers.
@@ -554,7 +560,7 @@
         origin_latency_target_ = 1;
         for (const Operation& op : deployment.operations)
             origin_latency_target_ =
-                std::min(origin_latency_target_, kOriginLatencyShare * op.latency_objective);
+                std::min(origin_latency_target_, kOriginLatencyRatio * op.latency_objective);
     }
     double poll_spread() const {
         return std::min(kPollSpacing * deployment_.node_count, deployment_.poll_interval / 2);
@@ -569,19 +575,19 @@
     // listed for it. The reference weight is set by the first list and is a power of two, so that nodes with
     // lists of different ages agree on it.
     double compute_reference_weight() const {
-        double sum = 0, caches = 0;
+        double weight_sum = 0, server_count = 0;
         for (const Server& server : servers_) {
             if (server.is_origin || server.state == EndpointState::removed) continue;
-            sum += kind_at(server.kind).size;
-            ++caches;
+            weight_sum += kind_at(server.kind).max_weight;
+            ++server_count;
         }
-        return sum > 0 ? std::exp2(std::floor(std::log2(sum / caches))) : 0;
+        return weight_sum > 0 ? std::exp2(std::floor(std::log2(weight_sum / server_count))) : 0;
     }
     int point_count(const Server& server) const {
-        const double size = kind_at(server.kind).size;
-        if (reference_weight_ == 0 || size == 0) return static_cast<int>(kPointsPerServer);
+        const double weight = kind_at(server.kind).max_weight;
+        if (reference_weight_ == 0 || weight == 0) return static_cast<int>(kPointsPerServer);
         return static_cast<int>(
-            std::clamp(kPointsPerServer * size / reference_weight_, kMinPoints, kMaxPoints));
+            std::clamp(kPointsPerServer * weight / reference_weight_, kMinPoints, kMaxPoints));
     }
     // Creates an empty ring for each zone. The last entry stands for all zones and holds no points of its
     // own: RingWalk merges the zones' rings.
@@ -595,46 +601,46 @@
         }
     }
     // Applies one entry of the endpoint list to the server table. update_rings() applies it to the rings.
-    void take_over(const Endpoint& e) {
-        if (e.server >= static_cast<int>(servers_.size()))
-            servers_.resize(static_cast<std::size_t>(e.server) + 1);
-        Server& server = server_at(e.server);
-        const double start = e.started_at > 0 ? e.started_at : -1e9;
-        const std::uint64_t hash = hash_text(e.name, kRingSeed);
-        if (server.hash != hash) take_off_ring(e.server);  // the old hash locates its points
-        if (start > server.started_at + 0.001 || server.hash != hash) {
+    void update_server(const Endpoint& endpoint) {
+        if (endpoint.server >= static_cast<int>(servers_.size()))
+            servers_.resize(static_cast<std::size_t>(endpoint.server) + 1);
+        Server& server = server_at(endpoint.server);
+        const double started_at = endpoint.started_at > 0 ? endpoint.started_at : -1e9;
+        const std::uint64_t hash = hash_text(endpoint.name, kRingSeed);
+        if (server.hash != hash) remove_from_ring(endpoint.server);  // the old hash locates its points
+        if (started_at > server.started_at + 0.001 || server.hash != hash) {
             // The server restarted, or its id now names another server: what was learned no longer applies.
-            Server fresh;
-            fresh.in_flight = server.in_flight;
-            fresh.ring = server.ring;
-            fresh.points = server.points;
-            fresh.started_at = start;
-            server = fresh;
+            Server replacement;
+            replacement.in_flight = server.in_flight;
+            replacement.ring = server.ring;
+            replacement.points = server.points;
+            replacement.started_at = started_at;
+            server = replacement;
         }
         server.slow_start_attempts.set_length(deployment_.overload_window);
         server.hash = hash;
-        server.zone = std::clamp(e.zone, 0, all_zones_ring() - 1);
-        server.cell = e.cell;
-        server.kind = std::clamp(e.kind, 0, kMaxKinds - 1);
+        server.zone = std::clamp(endpoint.zone, 0, all_zones_ring() - 1);
+        server.cell = endpoint.cell;
+        server.kind = std::clamp(endpoint.kind, 0, kMaxKinds - 1);
         if (server.kind >= static_cast<int>(kinds_.size()))
             kinds_.resize(static_cast<std::size_t>(server.kind) + 1);
-        server.is_origin = deployment_.origin_kind >= 0 && e.kind == deployment_.origin_kind;
-        server.state = e.state;
-        MachineKind& k = kind_at(server.kind);
-        if (deployment_.endpoint_weights != EndpointWeights::absent && e.weight > k.size) {
-            k.size = e.weight;
-            sizes_changed_ = true;
+        server.is_origin = deployment_.origin_kind >= 0 && endpoint.kind == deployment_.origin_kind;
+        server.state = endpoint.state;
+        MachineKind& kind = kind_at(server.kind);
+        if (deployment_.endpoint_weights != EndpointWeights::absent && endpoint.weight > kind.max_weight) {
+            kind.max_weight = endpoint.weight;
+            kind_weights_changed_ = true;
         }
-        server.listed_weight = e.weight;
-        server.visit_mark = update_generation_;
+        server.listed_weight = endpoint.weight;
+        server.visit_generation = update_generation_;
     }
-    static int wanted_ring(const Server& server) {
+    static int target_ring(const Server& server) {
         return server.state == EndpointState::ready && !server.is_origin ? server.zone : -1;
     }
-    static RingPoint ring_point(const Server& server, int server_id, int number) {
-        return {ring_position(server.hash + static_cast<std::uint64_t>(number)), server_id};
+    static RingPoint ring_point(const Server& server, int server_id, int point_number) {
+        return {ring_position(server.hash + static_cast<std::uint64_t>(point_number)), server_id};
     }
-    void take_off_ring(int server_id) {
+    void remove_from_ring(int server_id) {
         Server& server = server_at(server_id);
         if (server.ring < 0) return;
         HashRing& ring = rings_[static_cast<std::size_t>(server.ring)];
@@ -642,7 +648,7 @@
             work_.ring_points += ring.erase(ring_point(server, server_id, p));
         --ring_servers_[static_cast<std::size_t>(server.ring)];
         --ring_servers_.back();
-        count_in_flight(server, -server.in_flight);
+        add_ring_in_flight(server, -server.in_flight);
         server.ring = -1;
     }
     // Moves the points of servers to the rings of their zones. Only servers that joined, left or changed
@@ -650,34 +656,34 @@
     void update_rings(const std::vector<int>& changed) {
         std::vector<HashRing::Points> added(rings_.size() - 1);
         bool origin_changed = false;
-        const auto place = [&](int server_id) {
+        const auto place_on_ring = [&](int server_id) {
             Server& server = server_at(server_id);
             const int points = point_count(server);
-            const int wanted = wanted_ring(server);
+            const int target = target_ring(server);
             origin_changed = origin_changed || server.is_origin || server_id == origin_server_;
-            if (wanted == server.ring && points == server.points) return;
-            take_off_ring(server_id);
-            server.ring = wanted;
+            if (target == server.ring && points == server.points) return;
+            remove_from_ring(server_id);
+            server.ring = target;
             server.points = points;
-            if (wanted < 0) return;
-            HashRing::Points& of_ring = added[static_cast<std::size_t>(wanted)];
-            for (int p = 0; p < points; ++p) of_ring.push_back(ring_point(server, server_id, p));
-            ++ring_servers_[static_cast<std::size_t>(wanted)];
+            if (target < 0) return;
+            HashRing::Points& added_points = added[static_cast<std::size_t>(target)];
+            for (int p = 0; p < points; ++p) added_points.push_back(ring_point(server, server_id, p));
+            ++ring_servers_[static_cast<std::size_t>(target)];
             ++ring_servers_.back();
-            count_in_flight(server, server.in_flight);
+            add_ring_in_flight(server, server.in_flight);
         };
         // A new largest weight changes the number of points of all servers of its kind.
-        if (std::exchange(sizes_changed_, false)) {
+        if (std::exchange(kind_weights_changed_, false)) {
             work_.servers += servers_.size();
-            for (std::size_t i = 0; i < servers_.size(); ++i) place(static_cast<int>(i));
+            for (std::size_t i = 0; i < servers_.size(); ++i) place_on_ring(static_cast<int>(i));
         } else {
-            for (const int server_id : changed) place(server_id);
+            for (const int server_id : changed) place_on_ring(server_id);
         }
-        for (std::size_t z = 0; z < added.size(); ++z)
-            work_.ring_points += rings_[z].insert(added[z], PointOrder{servers_});
-        if (origin_changed) find_origin();
+        for (std::size_t zone = 0; zone < added.size(); ++zone)
+            work_.ring_points += rings_[zone].insert(added[zone], PointOrder{servers_});
+        if (origin_changed) select_origin();
     }
-    void find_origin() {
+    void select_origin() {
         origin_server_ = -1;
         work_.servers += servers_.size();
         for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -687,10 +693,10 @@
                 origin_server_ = static_cast<int>(i);
         }
     }
-    void count_in_flight(const Server& server, int by) {
+    void add_ring_in_flight(const Server& server, int change) {
         if (server.ring < 0) return;
-        ring_in_flight_[static_cast<std::size_t>(server.ring)] += by;
-        ring_in_flight_.back() += by;
+        ring_in_flight_[static_cast<std::size_t>(server.ring)] += change;
+        ring_in_flight_.back() += change;
     }
     // Orders points by position, and points at the same position by the hashes of their servers.
     struct PointOrder {
@@ -707,39 +713,43 @@
     // kAllOverloaded. NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     int pick_on_ring(const PendingRequest& request, int zone, double now, bool last_resort) {
         const bool all_zones = zone == all_zones_ring();
-        const HashRing* const first = all_zones ? rings_.data() : &rings_[static_cast<std::size_t>(zone)];
-        const std::size_t count = all_zones ? rings_.size() - 1 : 1;
+        const HashRing* const first_ring =
+            all_zones ? rings_.data() : &rings_[static_cast<std::size_t>(zone)];
+        const std::size_t ring_count = all_zones ? rings_.size() - 1 : 1;
         const std::size_t points =
-            std::accumulate(first, first + count, std::size_t{0},
+            std::accumulate(first_ring, first_ring + ring_count, std::size_t{0},
                             [](std::size_t sum, const HashRing& ring) { return sum + ring.size(); });
         if (points == 0) return -1;
-        const int members = ring_servers_[static_cast<std::size_t>(zone)];
-        const double a_point = ring_in_flight_[static_cast<std::size_t>(zone)] / static_cast<double>(points);
-        RingWalk walk(first, count,
-                      ring_position((request.info.key ^ kRingSeed) + hot_key_replica(request, members)));
-        ++walk_mark_;
-        int passed = -1, full = 0, seen = 0;
-        bool declined = false;
-        while (seen < members) {
+        const int ring_server_count = ring_servers_[static_cast<std::size_t>(zone)];
+        const double in_flight_per_point =
+            ring_in_flight_[static_cast<std::size_t>(zone)] / static_cast<double>(points);
+        RingWalk walk(
+            first_ring, ring_count,
+            ring_position((request.info.key ^ kRingSeed) + hot_key_replica(request, ring_server_count)));
+        ++walk_generation_;
+        int first_over_bound = -1, full_servers = 0, visited = 0;
+        bool is_share_declined = false;
+        while (visited < ring_server_count) {
             const int candidate = walk.next(PointOrder{servers_});
             if (candidate < 0) break;
             ++work_.ring_points;
             Server& server = server_at(candidate);
-            if (server.visit_mark == walk_mark_) continue;
-            server.visit_mark = walk_mark_;
-            ++seen;
+            if (server.visit_generation == walk_generation_) continue;
+            server.visit_generation = walk_generation_;
+            ++visited;
             if (!may_attempt(request, candidate, now) || (!last_resort && was_tried(request, candidate)))
                 continue;
-            const double part = last_resort ? 1 : zone_at(server.zone).part;
-            if (part > 0 && part < 1 && unit_interval(mix(request.info.key * 7 ^ kRingSeed)) >= part)
+            const double zone_weight = last_resort ? 1 : zone_at(server.zone).weight;
+            if (zone_weight > 0 && zone_weight < 1 &&
+                unit_interval(mix(request.info.key * 7 ^ kRingSeed)) >= zone_weight)
                 continue;
             // Keys that an overloaded server declines would exceed the even share of a cold server next to
             // it.
-            if (declined && slow_start_ratio(server, now) < 1) continue;
-            if (!admits_while_cold(server, request, zone, now) || !host_.admit_slow_start(candidate))
+            if (is_share_declined && slow_start_ratio(server, now) < 1) continue;
+            if (!admits_in_slow_start(server, request, zone, now) || !host_.admit_slow_start(candidate))
                 continue;
             if (!last_resort && !within_traffic_share(server, request)) {
-                declined = true;
+                is_share_declined = true;
                 continue;
             }
             OutlierEjection* ejection = active_ejection(server, now);
@@ -747,27 +757,28 @@
             if (!server.limiter.has_capacity(server.in_flight, now)) {
                 // Servers further along the ring do not hold the key: the attempt would miss and evict
                 // entries that they do hold.
-                if (++full > (slow_response_rate_ > kOverloadedRate ? 0 : kMaxSkippedServers))
-                    return passed >= 0 ? passed : kAllOverloaded;
+                if (++full_servers > (slow_response_rate_ > kOverloadSlowRate ? 0 : kMaxSkippedServers))
+                    return first_over_bound >= 0 ? first_over_bound : kAllOverloaded;
                 continue;
             }
             if (last_resort) return candidate;
             if (server.in_flight > kLoadBoundFloor &&
-                server.in_flight > kLoadBoundFactor * a_point * server.points) {
-                if (passed < 0) passed = candidate;
+                server.in_flight > kLoadBoundFactor * in_flight_per_point * server.points) {
+                if (first_over_bound < 0) first_over_bound = candidate;
                 continue;
             }
             return candidate;
         }
-        return passed;
+        return first_over_bound;
     }
     // Exception: a key that receives more requests than a server's even share has several positions on the
     // ring, and each request draws one of them.
-    std::uint64_t hot_key_replica(const PendingRequest& request, int members) {
+    std::uint64_t hot_key_replica(const PendingRequest& request, int ring_server_count) {
         if (request.key_count < kHotKeyMinCount) return 0;
-        const int parts =
-            std::min(request.key_count * members / std::max(key_counter_.total(), kKeySampleSize), members);
-        return parts > 1 ? random_() % static_cast<unsigned>(parts) : 0;
+        const int replicas =
+            std::min(request.key_count * ring_server_count / std::max(key_counter_.total(), kKeySampleSize),
+                     ring_server_count);
+        return replicas > 1 ? random_() % static_cast<unsigned>(replicas) : 0;
     }
     int all_zones_ring() const { return static_cast<int>(rings_.size()) - 1; }
     // Exception: while the local zone or the origin is overloaded, a share of the keys uses the ring of all
@@ -784,8 +795,9 @@
                 const int server = pick_on_ring(request, all_zones_ring(), now, last_resort);
                 if (server != -1) return server;
             }
-            for (int z = 0; z < zones; ++z) {
-                const int server = pick_on_ring(request, (deployment_.zone + z) % zones, now, last_resort);
+            for (int offset = 0; offset < zones; ++offset) {
+                const int server =
+                    pick_on_ring(request, (deployment_.zone + offset) % zones, now, last_resort);
                 if (server != -1) return server;
             }
         }
@@ -799,18 +811,19 @@
     // ---- rule 2: whether another attempt is allowed, and whether the request may be rejected -------------
     bool may_attempt(const PendingRequest& request, int server_id, double now) const {
         const Operation& op = operation(request);
-        const Server& to = server_at(server_id);
-        if (to.state != EndpointState::ready) return false;
+        const Server& target = server_at(server_id);
+        if (target.state != EndpointState::ready) return false;
         if (static_cast<int>(request.attempts.size()) >= request.deployment->max_attempts) return false;
         if (request.in_flight > 0 && !deployment_.may_hedge) return false;
         if (op.idempotency == Idempotency::idempotent) return true;
         for (const Attempt& attempt : request.attempts) {
             if (attempt.state == AttemptState::never_ran) continue;
             if (op.idempotency == Idempotency::none) return false;
-            const Server& from = server_at(attempt.server);
-            if (op.deduplication_scope == DeduplicationScope::zone && from.zone != to.zone) return false;
+            const Server& previous = server_at(attempt.server);
+            if (op.deduplication_scope == DeduplicationScope::zone && previous.zone != target.zone)
+                return false;
             if (op.deduplication_scope == DeduplicationScope::cell &&
-                (from.cell != to.cell || from.zone != to.zone))
+                (previous.cell != target.cell || previous.zone != target.zone))
                 return false;
             // The server checks the window when the retry arrives, which may be a connect timeout and a tick
             // later.
@@ -840,59 +853,62 @@
     }
     // Admits a share of the keys that grows as the server warms up and is the same at every node, within this
     // node's share of the slow-start budget (rule 4).
-    bool admits_while_cold(Server& server, const PendingRequest& request, int zone, double now) {
-        double warm = slow_start_ratio(server, now);
-        if (warm >= 1) return true;
+    bool admits_in_slow_start(Server& server, const PendingRequest& request, int zone, double now) {
+        double warm_ratio = slow_start_ratio(server, now);
+        if (warm_ratio >= 1) return true;
         // In a zone with few servers left, the first ones to return cold would otherwise receive all of its
         // traffic.
         const int zones = zone == all_zones_ring() ? 1 : all_zones_ring();
-        warm *=
+        warm_ratio *=
             std::min(1.0, 1.0 * zones * ring_servers_[static_cast<std::size_t>(zone)] / ring_servers_.back());
-        return unit_interval(mix(request.info.key * 3 ^ server.hash)) < warm &&
-               has_slow_start_budget(server, warm, now);
+        return unit_interval(mix(request.info.key * 3 ^ server.hash)) < warm_ratio &&
+               has_slow_start_budget(server, warm_ratio, now);
     }
-    bool has_slow_start_budget(Server& server, double warm, double now) {
-        if (warm >= 1) return true;
+    bool has_slow_start_budget(Server& server, double warm_ratio, double now) {
+        if (warm_ratio >= 1) return true;
         // Capacity is estimated from the responses of warm servers and not from the attempts sent to them: an
         // overloaded fleet rejects most attempts.
-        const double part =
-            deployment_.overload_multiple * warm * server.points * responses_per_warm_point(server.zone, now);
+        const double even_share = deployment_.overload_multiple * warm_ratio * server.points *
+                                  responses_per_warm_point(server.zone, now);
         // With many nodes each share is below one attempt, and one attempt per node would be too many. Each
         // node therefore rounds its share up or down at random for each overload window, so that the expected
         // sum equals the sum of the shares.
-        const std::uint64_t own = mix(node_seed_ ^ server.hash);
-        const double span = std::max(deployment_.overload_window, 0.1);
-        const auto window = static_cast<std::uint64_t>(now / span + unit_interval(own));
-        const double least = kMinSlowStartAttempts / std::max(1, deployment_.node_count);
-        const double most = std::max({kSlowStartBudgetShare * part, std::min(part, 1.0), least});
-        return server.slow_start_attempts.count(now) < std::floor(most + unit_interval(mix(own + window)));
+        const std::uint64_t server_seed = mix(node_seed_ ^ server.hash);
+        const double window_length = std::max(deployment_.overload_window, 0.1);
+        const auto window_number =
+            static_cast<std::uint64_t>(now / window_length + unit_interval(server_seed));
+        const double min_attempts = kMinSlowStartAttempts / std::max(1, deployment_.node_count);
+        const double attempt_budget =
+            std::max({kSlowStartBudgetShare * even_share, std::min(even_share, 1.0), min_attempts});
+        return server.slow_start_attempts.count(now) <
+               std::floor(attempt_budget + unit_interval(mix(server_seed + window_number)));
     }
     // Estimates this node's part of a server's capacity: the responses that this node receives in one
     // overload window per ring point of the zone's warm servers, or of all warm servers if the zone has none.
     // Servers without a recent response count too.
     double responses_per_warm_point(int zone, double now) {
-        if (!warm_responses_.is_current || warm_responses_.at != now) count_warm_responses(now);
-        const double in_zone = item(warm_responses_.points, zone);
-        const double answers =
-            in_zone > 0 ? item(warm_responses_.answers, zone) : warm_responses_.answers.back();
-        const double points = in_zone > 0 ? in_zone : warm_responses_.points.back();
-        return points == 0 ? 0 : deployment_.overload_window * answers / points / kRateWindow;
+        if (!warm_responses_.is_current || warm_responses_.computed_at != now) update_warm_responses(now);
+        const double zone_points = item(warm_responses_.points, zone);
+        const double responses =
+            zone_points > 0 ? item(warm_responses_.responses, zone) : warm_responses_.responses.back();
+        const double points = zone_points > 0 ? zone_points : warm_responses_.points.back();
+        return points == 0 ? 0 : deployment_.overload_window * responses / points / kRateWindow;
     }
     // Computes the sums over warm servers. They are kept while `now` stays the same, because a request that
     // passes many cold servers needs them at each.
-    void count_warm_responses(double now) {
+    void update_warm_responses(double now) {
         work_.servers += servers_.size();
         warm_responses_.is_current = true;
-        warm_responses_.at = now;
-        warm_responses_.answers.assign(rings_.size(), 0);
+        warm_responses_.computed_at = now;
+        warm_responses_.responses.assign(rings_.size(), 0);
         warm_responses_.points.assign(rings_.size(), 0);
         for (Server& server : servers_) {
             if (server.is_origin || server.state != EndpointState::ready || slow_start_ratio(server, now) < 1)
                 continue;
-            const int answers = server.latencies.count(now);
-            item(warm_responses_.answers, server.zone) += answers;
+            const int responses = server.latencies.count(now);
+            item(warm_responses_.responses, server.zone) += responses;
             item(warm_responses_.points, server.zone) += server.points;
-            warm_responses_.answers.back() += answers;
+            warm_responses_.responses.back() += responses;
             warm_responses_.points.back() += server.points;
         }
     }
@@ -901,75 +917,83 @@
     // hot key are chosen at random, since it alone may exceed a server's capacity; where there are too many
     // servers for key counts to detect hot keys, all requests are.
     bool within_traffic_share(const Server& server, const PendingRequest& request) {
-        if (server.share < 1 && random_unit() >= server.share) return false;
-        const double share = kind_at(server.kind).share;
-        const bool seen = kHotKeyMinCount * ring_servers_.back() <= kKeySampleSize * all_zones_ring();
-        return share >= 1 || (request.key_count > 1 || !seen
-                                  ? random_unit()
-                                  : unit_interval(mix(request.info.key * 5 ^ server.hash))) < share;
+        if (server.traffic_share < 1 && random_unit() >= server.traffic_share) return false;
+        const double kind_share = kind_at(server.kind).traffic_share;
+        const bool can_detect_hot_keys =
+            kHotKeyMinCount * ring_servers_.back() <= kKeySampleSize * all_zones_ring();
+        return kind_share >= 1 || (request.key_count > 1 || !can_detect_hot_keys
+                                       ? random_unit()
+                                       : unit_interval(mix(request.info.key * 5 ^ server.hash))) < kind_share;
     }
     double reported_load(const Server& server) const {
-        return server.listed_weight > 0 ? kind_at(server.kind).size / server.listed_weight - 1 : 0;
+        return server.listed_weight > 0 ? kind_at(server.kind).max_weight / server.listed_weight - 1 : 0;
     }
     // Adjusts traffic shares, admission and spillover to the load in load-adjusted weights. These reach all
     // nodes alike, although late, and show what a single node has too little traffic to observe.
     void apply_reported_load() {
-        std::vector<double> sums(rings_.size()), sizes(rings_.size());
+        std::vector<double> load_sums(rings_.size()), point_sums(rings_.size());
         for (const Server& server : servers_) {
             if (server.ring < 0) continue;
-            for (std::size_t z : {static_cast<std::size_t>(server.ring), rings_.size() - 1}) {
-                sums[z] += reported_load(server) * server.points;
-                sizes[z] += server.points;
+            for (std::size_t zone : {static_cast<std::size_t>(server.ring), rings_.size() - 1}) {
+                load_sums[zone] += reported_load(server) * server.points;
+                point_sums[zone] += server.points;
             }
         }
         for (Server& server : servers_) {
             if (server.ring < 0) continue;
-            const auto z = static_cast<std::size_t>(server.ring);
-            const double h = reported_load(server);
-            if (h > kCrowdedLoad && h > kCrowdedFactor * sums[z] / sizes[z])
-                server.share = std::max(kMinCrowdedShare, server.share * kCrowdedDecrease);
-            else if (h < kCrowdedLoad / 2)
-                server.share = std::min(1.0, server.share + kCrowdedIncrease);
+            const auto zone = static_cast<std::size_t>(server.ring);
+            const double load = reported_load(server);
+            if (load > kOverloadLoadPerCore &&
+                load > kOverloadToZoneMeanRatio * load_sums[zone] / point_sums[zone])
+                server.traffic_share =
+                    std::max(kMinOverloadShare, server.traffic_share * kOverloadShareDecrease);
+            else if (load < kOverloadLoadPerCore / 2)
+                server.traffic_share = std::min(1.0, server.traffic_share + kOverloadShareIncrease);
         }
-        const auto own = static_cast<std::size_t>(deployment_.zone);
-        if (sizes[own] <= 0) return;
-        const double mean = sums[own] / sizes[own];
-        const bool alone = sizes.back() <= sizes[own];
-        const double rest = alone ? mean : (sums.back() - sums[own]) / (sizes.back() - sizes[own]);
-        const double reached = mean * (1 - spillover_ratio_) + sums.back() / sizes.back() * spillover_ratio_;
-        if (reached > kAdmissionLoad)
+        const auto local_zone = static_cast<std::size_t>(deployment_.zone);
+        if (point_sums[local_zone] <= 0) return;
+        const double local_mean = load_sums[local_zone] / point_sums[local_zone];
+        const bool is_only_zone = point_sums.back() <= point_sums[local_zone];
+        const double other_zones_mean = is_only_zone ? local_mean
+                                                     : (load_sums.back() - load_sums[local_zone]) /
+                                                           (point_sums.back() - point_sums[local_zone]);
+        const double reached_load =
+            local_mean * (1 - spillover_ratio_) + load_sums.back() / point_sums.back() * spillover_ratio_;
+        if (reached_load > kAdmissionLoadPerCore)
             admission_ratio_ = std::max(admission_ratio_ * kAdmissionDecrease, kMinAdmission);
-        else if (reached < 0.75 * kAdmissionLoad)
+        else if (reached_load < 0.75 * kAdmissionLoadPerCore)
             admission_ratio_ = std::min(admission_ratio_ + kAdmissionIncrease, 1.0);
-        const double least = kCrowdedLoad / 2;
+        const double min_imbalanced_load = kOverloadLoadPerCore / 2;
         load_imbalance_ =
-            (mean > std::max(least, kCrowdedFactor * rest)) - (rest > std::max(least, kCrowdedFactor * mean));
+            (local_mean > std::max(min_imbalanced_load, kOverloadToZoneMeanRatio * other_zones_mean)) -
+            (other_zones_mean > std::max(min_imbalanced_load, kOverloadToZoneMeanRatio * local_mean));
         if (load_imbalance_ * last_imbalance_ < 0)
             spillover_step_ = std::max(spillover_step_ / 2, kMinSpilloverStep);
         if (load_imbalance_ != 0) last_imbalance_ = load_imbalance_;
     }
     void adjust_kind_shares(double now) {
-        double least = 1;
-        for (MachineKind& k : kinds_) {
-            if (k.slow_responses.count(now) >= kMinSamples / 2)
-                least = std::min(least, k.slow_responses.mean(now));
+        double lowest_slow_rate = 1;
+        for (MachineKind& kind : kinds_) {
+            if (kind.slow_responses.count(now) >= kMinSamples / 2)
+                lowest_slow_rate = std::min(lowest_slow_rate, kind.slow_responses.mean(now));
         }
-        for (MachineKind& k : kinds_) {
-            const bool over = k.slow_responses.count(now) >= kMinSamples / 2 &&
-                              k.slow_responses.mean(now) > least + kKindSlowMargin;
-            k.share =
-                std::clamp(k.share + (over ? -kKindShareDecrease : kKindShareIncrease), kMinKindShare, 1.0);
+        for (MachineKind& kind : kinds_) {
+            const bool is_slower = kind.slow_responses.count(now) >= kMinSamples / 2 &&
+                                   kind.slow_responses.mean(now) > lowest_slow_rate + kKindSlowMargin;
+            kind.traffic_share =
+                std::clamp(kind.traffic_share + (is_slower ? -kKindShareDecrease : kKindShareIncrease),
+                           kMinKindShare, 1.0);
         }
     }
 
     // ---- health --------------------------------------------------------------------------------------
     OutlierEjection* active_ejection(Server& server, double now) {
-        const double silent =
+        const double silence =
             server.in_flight >= 2 && server.unanswered_since > 0 ? now - server.unanswered_since : 0;
-        if (!server.ejection.ejected && silent > std::max(kSilenceTimeout, 3 * server.latencies.mean(now)))
+        if (!server.ejection.ejected && silence > std::max(kSilenceTimeout, 3 * server.latencies.mean(now)))
             eject(server, now);
-        OutlierEjection& of_zone = zone_at(server.zone).ejection;
-        return of_zone.ejected ? &of_zone : server.ejection.ejected ? &server.ejection : nullptr;
+        OutlierEjection& zone_ejection = zone_at(server.zone).ejection;
+        return zone_ejection.ejected ? &zone_ejection : server.ejection.ejected ? &server.ejection : nullptr;
     }
     void eject(Server& server, double now) {
         if (!server.ejection.ejected)
@@ -982,29 +1006,35 @@
     // is high and so is the required number. A zone that alone has full tables is ejected for one probe
     // interval.
     void record_zone_outcome(const Server& server, const Attempt& attempt, Outcome outcome, double now) {
-        Zone& z = zone_at(server.zone);
+        Zone& zone = zone_at(server.zone);
         if (outcome == Outcome::refused || outcome == Outcome::reset) {
-            z.lost.add(now, 1);
-            if (++z.run == 1) z.keep = idle_timeout_;
-            double least = 1;
+            zone.lost_connections.add(now, 1);
+            if (++zone.consecutive_losses == 1) zone.idle_timeout_before_losses = idle_timeout_;
+            double lowest_loss_rate = 1;
             for (Zone& other : zones_) {
-                if (other.lost.count(now) >= kZoneFailures) least = std::min(least, other.lost.mean(now));
+                if (other.lost_connections.count(now) >= kZoneFailures)
+                    lowest_loss_rate = std::min(lowest_loss_rate, other.lost_connections.mean(now));
             }
-            const bool chance = z.run < kZoneFailures || std::pow(least, z.run) > kZoneFalsePositiveRate;
-            if (all_zones_ring() < 2 || (z.ejection.ejected ? attempt.sent_at < z.ejection.since : chance))
+            const bool may_be_chance =
+                zone.consecutive_losses < kZoneFailures ||
+                std::pow(lowest_loss_rate, zone.consecutive_losses) > kZoneFalsePositiveRate;
+            if (all_zones_ring() < 2 ||
+                (zone.ejection.ejected ? attempt.sent_at < zone.ejection.silent_since : may_be_chance))
                 return;
-            if (!z.ejection.ejected)
-                idle_timeout_ = std::max(idle_timeout_, z.keep);  // its tables were not full
-            z.ejection.eject(random_unit(), now);
+            // The refusals came from a lost zone and not from full connection tables.
+            if (!zone.ejection.ejected)
+                idle_timeout_ = std::max(idle_timeout_, zone.idle_timeout_before_losses);
+            zone.ejection.eject(random_unit(), now);
         } else if (outcome != Outcome::timed_out && outcome != Outcome::cancelled &&
                    outcome != Outcome::not_sent) {
-            z.lost.add(now, 0);
-            z.run = 0;
-            z.ejection.ejected = z.ejection.apart > 0;  // only the fleet ends a drain of its own
+            zone.lost_connections.add(now, 0);
+            zone.consecutive_losses = 0;
+            // Only the fleet ends a drain that it decided.
+            zone.ejection.ejected = zone.ejection.fleet_probe_interval > 0;
         }
     }
     // Exception: a refused or reset connection in an ejected zone does not indicate load.
-    bool is_lost_with_zone(const Server& server, Outcome outcome) const {
+    bool is_zone_loss(const Server& server, Outcome outcome) const {
         return (outcome == Outcome::refused || outcome == Outcome::reset) && !server.is_origin &&
                zone_at(server.zone).ejection.ejected;
     }
@@ -1012,28 +1042,29 @@
     // list says otherwise.
     void reinstate(Server& server, double now) {
         warm_responses_.is_current = false;
-        if (now - server.ejection.since > kRestartSilence)
+        if (now - server.ejection.silent_since > kRestartSilence)
             server.started_at = std::max(server.started_at, now);
         server.ejection.ejected = false;
     }
     // Cancels attempts at a silent server, so that their requests are retried elsewhere and do not wait for
     // the timeout.
-    void cancel_stalled_attempts(int server_id, double now, double out_for = kSilenceTimeout) {
+    void cancel_stalled_attempts(int server_id, double now, double min_age = kSilenceTimeout) {
         if (!deployment_.may_cancel) return;
         for (PendingRequest& request : requests_) {
             if (!request.open || request.streaming || request.in_flight != 1) continue;
-            const Attempt& last = request.attempts.back();
-            if (last.server != server_id || now - last.sent_at < out_for) continue;
+            const Attempt& attempt = request.attempts.back();
+            if (attempt.server != server_id || now - attempt.sent_at < min_age) continue;
             if (operation(request).idempotency != Idempotency::idempotent) continue;
             host_.cancel_attempt(request.info.id, static_cast<int>(request.attempts.size()) - 1);
         }
     }
     // Returns whether the request is sent as a probe of an ejected server. Only first attempts of idempotent
     // requests are, once per probe interval.
-    bool take_probe(OutlierEjection& d, const PendingRequest& request, double now) {
-        const bool may_repeat = operation(request).idempotency == Idempotency::idempotent;
-        if (now < d.next_probe || !may_repeat || !request.attempts.empty()) return false;
-        d.next_probe = now + (d.apart > 0 ? d.apart : d.probe_interval);
+    bool take_probe(OutlierEjection& ejection, const PendingRequest& request, double now) {
+        const bool is_idempotent = operation(request).idempotency == Idempotency::idempotent;
+        if (now < ejection.next_probe || !is_idempotent || !request.attempts.empty()) return false;
+        ejection.next_probe = now + (ejection.fleet_probe_interval > 0 ? ejection.fleet_probe_interval
+                                                                       : ejection.probe_interval);
         return true;
     }
     // Exception: one attempt that is lost with its connection while others receive fast responses does not
@@ -1048,15 +1079,15 @@
                         Outcome outcome, double latency, double now) {
         const Operation& op = operation(request);
         if (!server.is_origin) record_zone_outcome(server, attempt, outcome, now);
-        const bool with_zone = is_lost_with_zone(server, outcome);
-        if (!server.is_origin && !with_zone) {
-            const bool slow = outcome == Outcome::busy || outcome == Outcome::timed_out ||
-                              outcome == Outcome::refused ||
-                              latency > kSlowResponseRatio * op.latency_objective;
-            recent_outcomes_.add(now, slow);
-            longer_outcomes_.add(now, slow);
+        const bool is_lost_with_zone = is_zone_loss(server, outcome);
+        if (!server.is_origin && !is_lost_with_zone) {
+            const bool is_slow = outcome == Outcome::busy || outcome == Outcome::timed_out ||
+                                 outcome == Outcome::refused ||
+                                 latency > kSlowResponseRatio * op.latency_objective;
+            recent_outcomes_.add(now, is_slow);
+            long_window_outcomes_.add(now, is_slow);
             late_outcomes_.add(now, outcome == Outcome::timed_out || latency > op.latency_objective);
-            kind_at(server.kind).slow_responses.add(now, slow);
+            kind_at(server.kind).slow_responses.add(now, is_slow);
         }
         switch (outcome) {
             case Outcome::succeeded:
@@ -1073,12 +1104,12 @@
                 } else {
                     server.limiter.increase(server.in_flight);
                 }
-                if (server.ejection.ejected &&
-                    (server.ejection.apart == 0 || latency <= kSlowResponseRatio * op.latency_objective)) {
+                if (server.ejection.ejected && (server.ejection.fleet_probe_interval == 0 ||
+                                                latency <= kSlowResponseRatio * op.latency_objective)) {
                     reinstate(server, now);
                     server.latencies.clear();
                 }
-                server.ejection.since = now;  // silence is counted from its last response
+                server.ejection.silent_since = now;  // silence is counted from its last response
                 break;
             case Outcome::busy:
                 server.consecutive_failures = 0;
@@ -1093,7 +1124,7 @@
             case Outcome::reset:
                 // A connection to a silent machine fails after the whole connect timeout; a full connection
                 // table refuses at once.
-                if (!with_zone && outcome == Outcome::refused &&
+                if (!is_lost_with_zone && outcome == Outcome::refused &&
                     latency < kFastRefusalRatio * deployment_.connect_timeout)
                     idle_timeout_ = std::max(idle_timeout_ / 2, kMinIdleTimeout);
                 if (attempt.sent_at < server.unanswered_since) server.unanswered_since = attempt.sent_at;
@@ -1106,31 +1137,32 @@
         }
         if (server.in_flight == 0) server.unanswered_since = 0;
     }
-    void decrease_limit(Server& server, double to, double apart, double backoff, double now) {
+    void decrease_limit(Server& server, double factor, double min_interval, double min_backoff, double now) {
         if (server.limiter.limit <= kMinLimit) {
-            server.limiter.backoff = std::max(server.limiter.backoff, backoff);
+            server.limiter.backoff = std::max(server.limiter.backoff, min_backoff);
             server.limiter.back_off(random_unit(), kMaxServerBackoff, now);
         }
-        server.limiter.decrease(to, apart, server.in_flight, now);
+        server.limiter.decrease(factor, min_interval, server.in_flight, now);
     }
 
     // ---- attempts --------------------------------------------------------------------------------------
-    void start_attempt(PendingRequest& request, int server_id, double limit, double now) {
+    void start_attempt(PendingRequest& request, int server_id, double timeout, double now) {
         Server& server = server_at(server_id);
         request.attempts.push_back({server_id, now, AttemptState::in_flight});
         ++request.in_flight;
         ++server.in_flight;
-        count_in_flight(server, 1);
+        add_ring_in_flight(server, 1);
         server.may_have_connections = true;
         if (server.unanswered_since == 0) server.unanswered_since = now;
         if (!server.is_origin) server.slow_start_attempts.add(now, 1);
-        host_.start_attempt(request.info.id, server_id, limit);
+        host_.start_attempt(request.info.id, server_id, timeout);
     }
     void route_to_cache(PendingRequest& request, double now) {
         const int server_id = pick_server(request, now);
         if (server_id < 0) {
-            const bool straight = !request.info.is_write && origin_server_ >= 0 && ring_servers_.back() == 0;
-            return straight ? route_to_origin(request, now) : reject_or_fail(request);
+            const bool goes_to_origin =
+                !request.info.is_write && origin_server_ >= 0 && ring_servers_.back() == 0;
+            return goes_to_origin ? route_to_origin(request, now) : reject_or_fail(request);
         }
         start_attempt(request, server_id, request.useful_until - now, now);
     }
@@ -1138,18 +1170,18 @@
     // overload no other cache server is tried, since all are full and each try costs a handshake. The origin
     // is not tried again after this node itself declined to send because its share of the fleet's limit is
     // used up.
-    void retry(PendingRequest& request, double now, const Server& from, Outcome outcome) {
+    void retry(PendingRequest& request, double now, const Server& failed_server, Outcome outcome) {
         // An attempt refused in an ejected zone caused no work, so its retry needs no token while another
         // zone is healthy.
-        const auto stands = [](const Zone& z) { return !z.ejection.ejected; };
-        const bool free = outcome == Outcome::refused && is_lost_with_zone(from, outcome) &&
-                          std::any_of(zones_.begin(), zones_.end() - 1, stands);
-        const bool may =
-            from.is_origin ? outcome != Outcome::not_sent : slow_response_rate_ <= kOverloadedRate;
-        const bool in_time = request.useful_until - now > 2 * deployment_.tick_interval;
-        if (in_time && (free || (retry_tokens_ >= 1 && may))) {
-            if (!free) retry_tokens_ -= 1;
-            return from.is_origin ? route_to_origin(request, now) : route_to_cache(request, now);
+        const auto is_healthy = [](const Zone& zone) { return !zone.ejection.ejected; };
+        const bool is_free = outcome == Outcome::refused && is_zone_loss(failed_server, outcome) &&
+                             std::any_of(zones_.begin(), zones_.end() - 1, is_healthy);
+        const bool may_retry =
+            failed_server.is_origin ? outcome != Outcome::not_sent : slow_response_rate_ <= kOverloadSlowRate;
+        const bool has_time = request.useful_until - now > 2 * deployment_.tick_interval;
+        if (has_time && (is_free || (retry_tokens_ >= 1 && may_retry))) {
+            if (!is_free) retry_tokens_ -= 1;
+            return failed_server.is_origin ? route_to_origin(request, now) : route_to_cache(request, now);
         }
         reject_or_fail(request);
     }
@@ -1158,9 +1190,10 @@
         request.open = false;
         stop_waiting(request);
         if (may_reject(request)) {
-            const double wait = 0.2 + std::max(shedding_ratio_, 1 - admission_ratio_) * (0.5 + random_unit());
-            const double advice = std::min(deployment_.max_retry_after, wait);
-            host_.reject(request.info.id, deployment_.max_retry_after > 0 ? advice : 0);
+            const double retry_after =
+                0.2 + std::max(shedding_ratio_, 1 - admission_ratio_) * (0.5 + random_unit());
+            const double capped_retry_after = std::min(deployment_.max_retry_after, retry_after);
+            host_.reject(request.info.id, deployment_.max_retry_after > 0 ? capped_retry_after : 0);
         } else {
             host_.fail(request.info.id);
         }
@@ -1179,8 +1212,8 @@
 
     // ---- the origin ------------------------------------------------------------------------------------
     void route_to_origin(PendingRequest& request, double now) {
-        const int at = origin_server_;
-        if (at < 0 || !may_attempt(request, at, now)) {
+        const int server_id = origin_server_;
+        if (server_id < 0 || !may_attempt(request, server_id, now)) {
             if (request.in_flight == 0) reject_or_fail(request);
             return;
         }
@@ -1195,7 +1228,7 @@
             }
         }
         if (origin_limiter_.has_capacity(origin_in_flight_, now)) {
-            start_fetch(request, at, now);
+            start_fetch(request, server_id, now);
         } else if (expected_origin_wait(now) < request.useful_until - now) {
             origin_queue_.push_back(request.info.id);
             wait_for(request, WaitReason::queue, now);
@@ -1207,20 +1240,20 @@
     // cannot finish in time is rejected at once.
     double expected_origin_wait(double now) const {
         const double latency = std::max(origin_latency_, 0.01);
-        const double turns = static_cast<double>(origin_queue_.size() + 1) / origin_limiter_.limit + 1;
-        return std::max(0.0, origin_limiter_.backoff_until - now) + turns * latency;
+        const double rounds = static_cast<double>(origin_queue_.size() + 1) / origin_limiter_.limit + 1;
+        return std::max(0.0, origin_limiter_.backoff_until - now) + rounds * latency;
     }
-    void start_fetch(PendingRequest& request, int at, double now) {
+    void start_fetch(PendingRequest& request, int server_id, double now) {
         ++origin_in_flight_;
         if (!request.info.is_write && request.info.has_key) {
             fetch_waiters_[request.info.key];
             request.leads_fetch = true;
         }
         // A response that is too late to be of use to this client still fills the cache.
-        start_attempt(request, at, request.deadline - now, now);
+        start_attempt(request, server_id, request.deadline - now, now);
     }
-    void wait_for(PendingRequest& request, WaitReason how, double now) {
-        request.waiting_for = how;
+    void wait_for(PendingRequest& request, WaitReason reason, double now) {
+        request.waiting_for = reason;
         const TimerToken expiry{TimerToken::Kind::request_expiry, request.generation,
                                 static_cast<std::uint32_t>(request.info.id)};
         host_.set_timer(std::max(request.useful_until - now - 2 * deployment_.tick_interval, 0.0),
@@ -1245,24 +1278,24 @@
             fetch_waiters_.erase(fetch);
         }
         for (int request_id : waiting) {
-            PendingRequest& w = request_at(request_id);
-            w.waiting_for = WaitReason::none;
-            Server& missed = server_at(std::max(request.missed_at, 0));
+            PendingRequest& waiter = request_at(request_id);
+            waiter.waiting_for = WaitReason::none;
+            Server& missed_server = server_at(std::max(request.missed_at, 0));
             if (outcome == Outcome::succeeded && request.missed_at >= 0 &&
-                may_attempt(w, request.missed_at, now) &&
-                has_slow_start_budget(missed, slow_start_ratio(missed, now), now)) {
-                start_attempt(w, request.missed_at, w.useful_until - now,
+                may_attempt(waiter, request.missed_at, now) &&
+                has_slow_start_budget(missed_server, slow_start_ratio(missed_server, now), now)) {
+                start_attempt(waiter, request.missed_at, waiter.useful_until - now,
                               now);  // that server now holds the value
             } else {
-                route_to_origin(w, now);
+                route_to_origin(waiter, now);
             }
         }
         drain_origin_queue(now);
     }
     double remaining_value(const PendingRequest& request, double now) const {
         const Operation& op = operation(request);
-        const bool late = now + origin_latency_ > request.objective_deadline;
-        return op.priority_weight * (late ? op.late_value_ratio : 1) *
+        const bool is_late = now + origin_latency_ > request.objective_deadline;
+        return op.priority_weight * (is_late ? op.late_value_ratio : 1) *
                (request.over_quota ? deployment_.over_quota_value_ratio : 1);
     }
     void drain_origin_queue(double now) {
@@ -1276,10 +1309,10 @@
                     const double vy = remaining_value(y, now);
                     return vx != vy ? vx > vy : x.useful_until < y.useful_until;
                 });
-            PendingRequest& w = request_at(*next);
+            PendingRequest& request = request_at(*next);
             origin_queue_.erase(next);
-            w.waiting_for = WaitReason::none;
-            route_to_origin(w, now);
+            request.waiting_for = WaitReason::none;
+            route_to_origin(request, now);
         }
     }
     void adjust_origin_limit(Outcome outcome, double latency, double now) {
@@ -1305,58 +1338,63 @@
     // Quotas apply to all nodes together, so each is scaled by this node's share of the traffic. The share is
     // estimated from the median tenant, which is rarely over its quota.
     bool is_over_quota(const PendingRequest& request, double now) {
-        const int tenant = request.info.tenant;
-        if (tenant < 0 || tenant >= static_cast<int>(tenants_.size()) || tenants_.size() < 2) return false;
-        TenantQuota& s = item(tenants_, tenant);
-        s.arrivals.add(now, 1);
-        if (s.quota <= 0) return false;
-        const double rate = s.quota * std::max(node_traffic_share_, s.part);
-        s.tokens = std::min(s.tokens + (now - s.filled) * rate, std::max(rate, kQuotaBurst));
-        s.filled = now;
-        if (s.tokens < 1) return true;
-        s.tokens -= 1;
+        const int tenant_id = request.info.tenant;
+        if (tenant_id < 0 || tenant_id >= static_cast<int>(tenants_.size()) || tenants_.size() < 2)
+            return false;
+        TenantQuota& tenant = item(tenants_, tenant_id);
+        tenant.arrivals.add(now, 1);
+        if (tenant.quota <= 0) return false;
+        const double rate = tenant.quota * std::max(node_traffic_share_, tenant.fleet_share);
+        tenant.tokens =
+            std::min(tenant.tokens + (now - tenant.refilled_at) * rate, std::max(rate, kQuotaBurst));
+        tenant.refilled_at = now;
+        if (tenant.tokens < 1) return true;
+        tenant.tokens -= 1;
         return false;
     }
     void adjust_limits(double now) {
         if (now - adjusted_at_ < kAdjustInterval) return;
         adjusted_at_ = now;
         expire_idle_connections(now);
-        const bool live = deployment_.endpoint_weights == EndpointWeights::load_adjusted;
-        if (!live) adjust_kind_shares(now);
+        const bool is_load_adjusted = deployment_.endpoint_weights == EndpointWeights::load_adjusted;
+        if (!is_load_adjusted) adjust_kind_shares(now);
         slow_response_rate_ = recent_outcomes_.mean(now);
-        if (!live) {
-            const bool wasted =
+        if (!is_load_adjusted) {
+            const bool is_late_rate_high =
                 late_outcomes_.count(now) >= kMinSamples && late_outcomes_.mean(now) > kMaxLateRate;
-            admission_ratio_ = std::clamp(wasted ? admission_ratio_ * kLateAdmissionDecrease
-                                                 : admission_ratio_ + kLateAdmissionIncrease,
+            admission_ratio_ = std::clamp(is_late_rate_high ? admission_ratio_ * kLateAdmissionDecrease
+                                                            : admission_ratio_ + kLateAdmissionIncrease,
                                           kMinAdmission, 1.0);
         }
         // With little traffic, the rate over one second depends on chance, and shedding by chance spares the
         // largest tenants.
-        const double steady =
-            recent_outcomes_.count(now) < kMinSamples ? longer_outcomes_.mean(now) : slow_response_rate_;
-        const bool tight = slow_response_rate_ > kSpilloverThreshold || !origin_queue_.empty();
-        const double step = live    ? load_imbalance_ * spillover_step_
-                            : tight ? kSpilloverIncrease
-                                    : -kSpilloverDecrease;
+        const double steady_slow_rate =
+            recent_outcomes_.count(now) < kMinSamples ? long_window_outcomes_.mean(now) : slow_response_rate_;
+        const bool is_overloaded = slow_response_rate_ > kSpilloverThreshold || !origin_queue_.empty();
+        const double step = is_load_adjusted ? load_imbalance_ * spillover_step_
+                            : is_overloaded  ? kSpilloverIncrease
+                                             : -kSpilloverDecrease;
         spillover_ratio_ = std::clamp(spillover_ratio_ + step, 0.0, 1.0);
         shedding_ratio_ = std::clamp(
-            shedding_ratio_ + (steady > kSheddingThreshold ? kSheddingStep : -kSheddingStep), 0.0, 1.0);
-        std::vector<double> parts;
-        for (TenantQuota& s : tenants_) {
-            if (s.quota > 0) parts.push_back(s.arrivals.sum(now) / kRateWindow / s.quota);
+            shedding_ratio_ + (steady_slow_rate > kSheddingThreshold ? kSheddingStep : -kSheddingStep), 0.0,
+            1.0);
+        std::vector<double> traffic_shares;
+        for (TenantQuota& tenant : tenants_) {
+            if (tenant.quota > 0)
+                traffic_shares.push_back(tenant.arrivals.sum(now) / kRateWindow / tenant.quota);
         }
         node_traffic_share_ = 1.0 / std::max(1, deployment_.node_count);
-        std::sort(parts.begin(), parts.end());
-        if (!parts.empty())
-            node_traffic_share_ = std::clamp(parts[parts.size() / 2], node_traffic_share_, 1.0);
+        std::sort(traffic_shares.begin(), traffic_shares.end());
+        if (!traffic_shares.empty())
+            node_traffic_share_ =
+                std::clamp(traffic_shares[traffic_shares.size() / 2], node_traffic_share_, 1.0);
     }
     // Closes connections that are idle for longer than the configured timeout, or for less after refusals,
     // since idle connections fill the servers' connection tables.
     void expire_idle_connections(double now) {
-        const double most =
+        const double max_idle_timeout =
             deployment_.connection_idle_timeout > 0 ? deployment_.connection_idle_timeout : 1e9;
-        idle_timeout_ = std::min(idle_timeout_ * kIdleTimeoutGrowth, most);
+        idle_timeout_ = std::min(idle_timeout_ * kIdleTimeoutGrowth, max_idle_timeout);
         for (Server& server : servers_) {
             if (!server.may_have_connections || server.in_flight > 0) continue;
             if (now - server.last_used_at < idle_timeout_) continue;
@@ -1372,7 +1410,8 @@
     std::vector<Server> servers_;
     BalancerWork work_;
     WarmResponses warm_responses_;
-    bool sizes_changed_ = false;  // a kind's weight or the reference changed: any server's points may change
+    // A kind's weight or the reference weight changed: the points of any server may change.
+    bool kind_weights_changed_ = false;
     std::vector<HashRing> rings_;
     std::vector<int> ring_servers_, ring_in_flight_;  // per ring: servers and attempts in flight
     double reference_weight_ = 0;  // set by the first list with weights; 0: no list had any
@@ -1383,10 +1422,10 @@
     std::vector<TenantQuota> tenants_;
     KeyCounter key_counter_{kKeySampleSize};
     SlidingWindow recent_outcomes_{1.0};
-    SlidingWindow longer_outcomes_{kLongWindow};
+    SlidingWindow long_window_outcomes_{kLongWindow};
     SlidingWindow late_outcomes_{1.0};  // 1: timed out or finished after the objective; 0: in time
     unsigned update_generation_ = 0;
-    unsigned walk_mark_ = 1U << 31;
+    unsigned walk_generation_ = 1U << 31;
     int poll_failures_ = 0;
     double max_retry_tokens_ = 0;
     double retry_tokens_ = 0;
