--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -237,7 +237,7 @@
 // response reinstates it.
 struct OutlierEjection {
     bool ejected = false;
-    double silent_since = 0;
+    double silent_since = 0;  // time of the ejection or of the last response, whichever is later
     double next_probe = 0;
     double probe_interval = kProbeInterval;
     // Seconds between this node's probes under a verdict of the fleet; 0: no such verdict.
@@ -277,7 +277,7 @@
     SlidingWindow slow_start_attempts{kRateWindow};
     bool may_have_connections = false;  // this node may hold connections to the server
     double last_used_at = 0;            // time when an attempt of this node last finished there
-    unsigned visit_generation = 0;
+    unsigned visit_generation = 0;      // generation of the last update or ring search that saw it
 };
 
 using Outcome = AttemptOutcome;
@@ -562,6 +562,7 @@
             origin_latency_target_ =
                 std::min(origin_latency_target_, kOriginLatencyRatio * op.latency_objective);
     }
+    // Seconds over which the first polls of all nodes are spread.
     double poll_spread() const {
         return std::min(kPollSpacing * deployment_.node_count, deployment_.poll_interval / 2);
     }
@@ -683,6 +684,7 @@
             work_.ring_points += rings_[zone].insert(added[zone], PointOrder{servers_});
         if (origin_changed) select_origin();
     }
+    // Selects the ready origin server with the lowest hash, so that all nodes use the same one.
     void select_origin() {
         origin_server_ = -1;
         work_.servers += servers_.size();
@@ -843,6 +845,7 @@
     }
 
     // ---- slow start --------------------------------------------------------------------------------------
+    // Fraction of its capacity that a server may be used for: 1 unless it is in slow start.
     double slow_start_ratio(const Server& server, double now) const {
         if (deployment_.slow_start_duration <= 0) return 1;
         const double age = std::max(0.0, now - server.started_at);
@@ -925,6 +928,7 @@
                                        ? random_unit()
                                        : unit_interval(mix(request.info.key * 5 ^ server.hash))) < kind_share;
     }
+    // Requests per core that the listed weight of a server implies: load lowers a load-adjusted weight.
     double reported_load(const Server& server) const {
         return server.listed_weight > 0 ? kind_at(server.kind).max_weight / server.listed_weight - 1 : 0;
     }
@@ -971,6 +975,8 @@
             spillover_step_ = std::max(spillover_step_ / 2, kMinSpilloverStep);
         if (load_imbalance_ != 0) last_imbalance_ = load_imbalance_;
     }
+    // Lowers the traffic share of kinds whose rate of slow responses exceeds the best kind's, and raises the
+    // others'.
     void adjust_kind_shares(double now) {
         double lowest_slow_rate = 1;
         for (MachineKind& kind : kinds_) {
@@ -987,6 +993,8 @@
     }
 
     // ---- health --------------------------------------------------------------------------------------
+    // Returns the ejection that applies to a server, its zone's first, or nullptr. Ejects a server that is
+    // silent.
     OutlierEjection* active_ejection(Server& server, double now) {
         const double silence =
             server.in_flight >= 2 && server.unanswered_since > 0 ? now - server.unanswered_since : 0;
@@ -1292,6 +1300,7 @@
         }
         drain_origin_queue(now);
     }
+    // Value of a response to the request that arrives after the origin's mean latency.
     double remaining_value(const PendingRequest& request, double now) const {
         const Operation& op = operation(request);
         const bool is_late = now + origin_latency_ > request.objective_deadline;
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -1,9 +1,10 @@
-// The interface between the routing decisions and whoever hosts them: settings, events and actions.
+// The interface between the routing decisions and their host: settings, events and actions.
 //
-// A host creates one Balancer for each node and calls one of its methods for each event; the balancer acts by
+// A host creates one Balancer per node and calls one of its methods for each event. The balancer acts by
 // calling Host from inside that method. Nothing here does I/O, reads a clock or blocks, and everything runs
-// on the host's one thread. Times are seconds of the host's monotonic clock, durations are seconds. Servers,
-// operations, tenants and requests are small indices that the host hands out and may reuse.
+// on the host's single thread. Times are in seconds of the host's monotonic clock, and durations are in
+// seconds. Servers, operations, tenants and requests are identified by small indices that the host assigns
+// and may reuse.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +14,38 @@
 
 namespace brookrelay {
 
-/// Whether an operation may run more than once: always, within its deduplication window, or never.
+/// Whether an operation may be repeated: always, only with its idempotency key within the deduplication
+/// window, or never.
 enum class Idempotency { idempotent, idempotency_key, none };
-/// Which servers recognise a repeated idempotency key: all, or those of the first attempt's zone or cell.
+/// Which servers recognize a repeated idempotency key: all servers, or those in the first attempt's zone or
+/// cell.
 enum class DeduplicationScope { all, zone, cell };
-/// What the endpoint list says of servers' sizes. `load_adjusted`: lowered by present load, and late.
+/// Which weights the endpoint list gives. `load_adjusted` weights are lowered by the current load and arrive
+/// late.
 enum class EndpointWeights { absent, fixed, load_adjusted };
+/// Whether an endpoint takes new requests (`ready`), takes no new ones (`draining`), or is no longer listed.
 enum class EndpointState { ready, draining, removed };
-/// `delta` names what changed, `full` names all there are; `cached_on_disk` is a full list of unknown age.
+/// `delta` lists the changed endpoints and `full` lists all of them; `cached_on_disk` is a full list of
+/// unknown age.
 enum class UpdateKind { delta, full, cached_on_disk };
-/// How an attempt ended. `busy`, `refused`, `not_sent` and `miss` prove that it did not run.
+/// How an attempt ended. `busy`, `refused`, `not_sent` and `miss` prove that the operation did not run.
 enum class AttemptOutcome { succeeded, failed, busy, timed_out, refused, reset, cancelled, not_sent, miss };
 
-/// What the settings promise of one operation.
+/// The guarantees and objectives that the settings give for one operation.
 struct Operation {
     Idempotency idempotency = Idempotency::idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::all;
     double deduplication_window = 0;  // s after the first attempt
     double latency_objective = 0;     // s
     double client_timeout = 0;        // s
-    double priority_weight = 1;       // what an answer within the objective is worth
-    double late_value_ratio = 0;      // of that, what a later answer is worth
+    double priority_weight = 1;       // value of a response within the objective
+    double late_value_ratio = 0;      // fraction of that value that a later response has
     bool streamed = false;
 };
 
+/// The settings of one tenant.
 struct Tenant {
-    double quota = 0;  // requests a second over all nodes; 0: no quota is known
+    double quota = 0;  // requests per second over all nodes; 0: no known quota
 };
 
 /// The settings of one node's deployment.
@@ -48,26 +55,28 @@
     int node_index = 0;
     int node_count = 1;
     double tick_interval = 0;      // s between two event-loop iterations of a simulated node
-    bool polls_endpoints = false;  // the list comes only when asked for
+    bool polls_endpoints = false;  // the endpoint list is sent only on request
     double poll_interval = 0;      // s
-    int origin_kind = -1;          // the kind of server that is the origin; -1: servers fetch for themselves
+    int origin_kind = -1;          // server kind of the origin; -1: cache servers fetch by themselves
     double origin_overload_multiple = 0;
     bool may_hedge = true;
     bool may_cancel = false;
     bool may_health_check = false;
     bool may_gossip = false;
     int max_attempts = 1;
-    double max_retry_after = 0;          // s that a rejection may advise; 0: clients take no advice
+    double max_retry_after = 0;          // s, upper bound of retry_after in a rejection; 0: clients ignore it
     double connect_timeout = 0;          // s
-    double connection_idle_timeout = 0;  // s until an unused connection closes by itself; 0: never
-    double response_grace = 0;           // s after a client's timeout in which an answer is still in time
-    double drain_grace = 0;              // s after a notification in which new work may still go there
-    double cold_capacity_ratio = 1;      // of its capacity, what a just started server has at least
-    double slow_start_duration = 0;      // s until it has all of it
-    double overload_multiple = 0;        // a cold server fails when sent more than this multiple of its
-    double overload_window = 0;          // present capacity for so many seconds
+    double connection_idle_timeout = 0;  // s until an unused server connection closes by itself; 0: never
+    double response_grace = 0;       // s after a client's timeout in which a response still counts as in time
+    double drain_grace = 0;          // s after a drain notification in which new requests may still be sent
+    double cold_capacity_ratio = 1;  // fraction of its capacity that a newly started server has at least
+    double slow_start_duration = 0;  // s until a started server has its full capacity
+    // A cold server fails when it receives more than this multiple of its current capacity over one
+    // overload window.
+    double overload_multiple = 0;
+    double overload_window = 0;  // s
     EndpointWeights endpoint_weights = EndpointWeights::absent;
-    double over_quota_value_ratio = 1;  // of its worth, what a request beyond its tenant's quota keeps
+    double over_quota_value_ratio = 1;  // fraction of its value that an over-quota request keeps
     std::vector<Operation> operations;
     std::vector<Tenant> tenants;
 };
@@ -79,24 +88,26 @@
     int zone = 0;
     int kind = 0;
     int cell = 0;
-    double weight = 0;  // relative to other servers', without a unit; 0: not given
+    double weight = 0;  // relative to other servers, without a unit; 0: not given
     EndpointState state = EndpointState::ready;
-    double started_at = 0;  // 0: long ago
+    double started_at = 0;  // time of its last start; 0: long ago
 };
 
+/// One client request.
 struct Request {
     int id = 0;
     int operation = 0;
     int tenant = -1;
     bool is_write = false;
-    bool is_client_retry = false;  // as the client says; not every client does
+    bool is_client_retry = false;  // set by the client; not every client does so
     bool has_key = false;
     std::uint64_t key = 0;
     double time_remaining = 0;  // s until its client stops waiting
 };
 
-/// What a balancer has learned, for another one in its place.
+/// What a balancer has learned, for a balancer that replaces it.
 struct WarmStartSnapshot {
+    /// What a balancer has learned about one server.
     struct ServerSnapshot {
         int server = 0;
         double concurrency_limit = 0;  // attempts in flight
@@ -112,72 +123,87 @@
     std::vector<ServerSnapshot> servers;
 };
 
-/// What the balancer may do. The host carries calls out in their order, after the event; outcomes come back
-/// as events.
+/// The actions of a balancer. The host executes the calls in order after the event that caused them, and
+/// reports their outcomes as events.
 class Host {
   public:
     virtual ~Host() = default;
-    /// Sends the request to a server, to be given up after `timeout` seconds. Attempts are numbered from 0.
+    /// Sends the request to a server and abandons the attempt after `timeout` seconds. A request's attempts
+    /// are numbered from 0.
     virtual void start_attempt(int request, int server, double timeout) = 0;
+    /// Cancels an attempt in flight. Its outcome follows as an event.
     virtual void cancel_attempt(int request, int attempt) = 0;
-    /// The final answer "come again", after `retry_after` seconds if that is over 0.
+    /// Gives the final answer that the client may retry, after `retry_after` seconds if that is over 0.
     virtual void reject(int request, double retry_after) = 0;
-    /// The final answer "failed": the request may have run.
+    /// Gives the final answer that the request failed and may have run.
     virtual void fail(int request) = 0;
+    /// Sends a health check to a server. Its outcome follows as an event.
     virtual void check_health(int server) = 0;
     /// Closes this node's idle connections to the server.
     virtual void close_idle_connections(int server) = 0;
-    /// Asks for the endpoint list, or opens the watch anew.
+    /// Requests the endpoint list or reopens the watch on it.
     virtual void poll_endpoints() = 0;
-    /// on_timer() is called with `token` after so many seconds. There is no way to cancel it.
-    virtual void set_timer(double after, std::uint64_t token) = 0;
+    /// Calls on_timer() with `token` after `delay` seconds. A timer cannot be cancelled.
+    virtual void set_timer(double delay, std::uint64_t token) = 0;
+    /// Writes a line to the log.
     virtual void log(std::string_view text) = 0;
-    /// Whether the fleet's budget leaves this node one more attempt at a server in slow start.
+    /// Returns whether the fleet's budget allows this node one more attempt at a server in slow start.
     virtual bool admit_slow_start(int /*server*/) { return true; }
 };
 
-/// How much the balancer has looked at since it was made. Both counts only grow; what an event added to them
-/// is its cost, whatever the machine and its load.
+/// Counts of the data that the balancer has accessed since its creation. Both counts only grow. The increase
+/// during an event is its cost, which does not depend on the machine and its load.
 struct BalancerWork {
     std::uint64_t servers = 0;      ///< entries of the server table
-    std::uint64_t ring_points = 0;  ///< points of hash rings that were compared, moved or passed in a search
+    std::uint64_t ring_points = 0;  ///< ring points that were compared, moved or visited in a search
 };
 
-/// The events of one node. `now` never goes back.
+/// The routing decisions of one node, as handlers of its events. `now` never decreases.
 class Balancer {
   public:
     virtual ~Balancer() = default;
+    /// Returns the counts of data accessed so far.
     virtual const BalancerWork& work() const = 0;
+    /// Applies an update of the endpoint list.
     virtual void on_endpoints(double now, UpdateKind kind, const std::vector<Endpoint>& entries) = 0;
+    /// Schedules another poll after one that failed.
     virtual void on_poll_failed(double now) = 0;
+    /// Handles a new request.
     virtual void on_request(double now, const Request& request) = 0;
-    /// `answered`: the request has had its final answer, by this outcome or before it.
+    /// Handles the outcome of an attempt. `answered`: the request has its final answer, by this outcome or
+    /// earlier.
     virtual void on_attempt_finished(double now, int request, int attempt, AttemptOutcome outcome,
                                      double latency, bool answered) = 0;
-    /// The client has the first bytes of a streamed answer, so that no other attempt may answer it any more.
+    /// The client has received the first bytes of a streamed response, so no other attempt may answer the
+    /// request.
     virtual void on_stream_started(double now, int request, int attempt) = 0;
+    /// Ends a request whose client closed its connection.
     virtual void on_client_closed(double now, int request) = 0;
+    /// Handles the outcome of a health check.
     virtual void on_health_check(double now, int server, AttemptOutcome outcome, double latency) = 0;
+    /// Handles the expiry of a timer that was set with `token`.
     virtual void on_timer(double now, std::uint64_t token) = 0;
-    /// Other settings from now on, apart from the node's own zone and index and the kind of the origin. Open
-    /// requests end by the settings they came with. A full endpoint update has to follow at once, since zones
-    /// and kinds may be numbered anew.
+    /// Replaces the settings, except the node's own zone and index and the origin's kind, which stay the
+    /// same. Open requests finish under the settings in force when they arrived. A full endpoint update must
+    /// follow at once, since zones and kinds may be renumbered.
     virtual void on_configuration(double now, const Deployment& deployment) = 0;
+    /// Returns what this balancer has learned.
     virtual WarmStartSnapshot snapshot(double now) const = 0;
-    /// Takes over what another balancer learned, of servers that have been listed here by now.
+    /// Adopts what another balancer learned. Every server in the snapshot must have been listed here before.
     virtual void restore(double now, const WarmStartSnapshot& snapshot) = 0;
-    /// The fleet's verdict on a server: bad, to be probed by this node every `probe_interval` seconds, or no
-    /// longer.
+    /// Applies the fleet's verdict on a server: `bad`, in which case this node probes it every
+    /// `probe_interval` seconds, or no longer bad.
     virtual void on_outlier_verdict(double now, int server, bool bad, double probe_interval) = 0;
-    /// The share of a tenant's quota that the fleet leaves to this node; its own estimate counts where that
-    /// is more.
+    /// Sets the share of a tenant's quota that the fleet leaves to this node. The node's own estimate applies
+    /// if it is larger.
     virtual void set_tenant_quota_share(double now, int tenant, double share) = 0;
-    /// The share of a zone's keys that goes there; 0: drained, and probed by this node every `probe_interval`
-    /// seconds.
+    /// Sets the share of a zone's keys that is sent there. 0: the zone is drained, and this node probes it
+    /// every `probe_interval` seconds.
     virtual void set_zone_weight(double now, int zone, double weight, double probe_interval) = 0;
 };
 
-/// `seed` is this node's alone: it draws jitter and load shedding. `host` must outlive the balancer.
+/// Creates the balancer of one node. `seed` must differ between nodes: it drives jitter and load shedding.
+/// `host` must outlive the balancer.
 std::unique_ptr<Balancer> make_balancer(const Deployment& deployment, std::uint64_t seed, Host& host);
 
 }  // namespace brookrelay
--- a/src/balancer/hash_ring.h
+++ b/src/balancer/hash_ring.h
@@ -1,8 +1,7 @@
-// The points of consistent-hashing rings. A container: which points belong on a ring is the balancer's
-// choice.
+// Containers for the points of consistent-hashing rings. The balancer decides which points belong on a ring.
 //
-// A ring is cut into equal arcs, each with its points in order, so that a change costs what lies beside the
-// points that change and not the whole ring.
+// A ring is divided into equal arcs whose points are sorted, so that the cost of a change depends on the
+// points in the affected arcs and not on the size of the ring.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +11,13 @@
 
 namespace brookrelay {
 
-// One of a server's points, by its position on the ring.
+// One point of a server on a ring.
 struct RingPoint {
     std::uint32_t position;
     int server;
 };
 
+// A ring of points, sorted clockwise by position.
 class HashRing {
   public:
     using Points = std::vector<RingPoint>;
@@ -26,8 +26,8 @@
     bool empty() const { return size_ == 0; }
     std::size_t size() const { return size_; }
 
-    // Adds points. `before` orders them, also those of one position, alike at every node. Returns how many
-    // points were moved or compared.
+    // Adds points. `before` is a strict order of points that is the same at every node, also for points at
+    // the same position. Returns the number of points that were moved or compared.
     template <typename Before>
     std::size_t insert(const Points& added, const Before& before) {
         std::vector<bool> is_disordered(kArcs);
@@ -46,7 +46,8 @@
         }
         return touched;
     }
-    // Removes one point of the server at this position. Returns how many points were moved or compared.
+    // Removes the point of the given server and position, if present. Returns the number of points that were
+    // moved or compared.
     std::size_t erase(const RingPoint& removed) {
         Points& arc = arcs_[arc_of(removed.position)];
         const auto found = std::find_if(arc.begin(), arc.end(), [&removed](const RingPoint& point) {
@@ -59,7 +60,7 @@
         return touched;
     }
 
-    // Visits the points once round, clockwise from a position.
+    // Visits every point once, clockwise from a position.
     class Cursor {
       public:
         Cursor(const HashRing& ring, std::uint32_t from)
@@ -91,11 +92,12 @@
         const HashRing* ring_;
         std::size_t arc_;
         std::size_t index_ = 0;
-        std::size_t left_;  // points not visited yet
+        std::size_t left_;  // points that are not visited yet
     };
 
   private:
-    static constexpr std::size_t kArcBits = 10;  // about a hundred points an arc with a thousand servers
+    // Base-2 logarithm of the number of arcs. With a thousand servers an arc holds about a hundred points.
+    static constexpr std::size_t kArcBits = 10;
     static constexpr std::size_t kArcs = std::size_t{1} << kArcBits;
     static std::size_t arc_of(std::uint32_t position) { return position >> (32U - kArcBits); }
 
@@ -103,14 +105,15 @@
     std::size_t size_ = 0;
 };
 
-// A walk over the points of several rings as if they were one, clockwise from a position.
+// Walks over the points of several rings as if they were one ring, clockwise from a position.
 class RingWalk {
   public:
     RingWalk(const HashRing* first, std::size_t rings, std::uint32_t from) : from_(from) {
         cursors_.reserve(rings);
         for (std::size_t i = 0; i < rings; ++i) cursors_.emplace_back(first[i], from);
     }
-    // The server of the next point, or -1 after the last. `before` is that of the rings.
+    // Returns the server of the next point, or -1 after the last one. `before` must be the order of the
+    // rings' points.
     template <typename Before>
     int next(const Before& before) {
         HashRing::Cursor* nearest = nullptr;
--- a/src/guard/close_guard.h
+++ b/src/guard/close_guard.h
@@ -1,7 +1,7 @@
-// Whether the connection of a client may be closed now, and why it is. The one place that decides it, asked
-// immediately before the descriptor is closed or its write side is shut down.
+// Decides whether a client connection may be closed. All closes are checked here, immediately before the
+// descriptor is closed or its write side is shut down.
 //
-// No I/O and no state.
+// Does no I/O and holds no state.
 #pragma once
 
 #include <cstddef>
@@ -9,35 +9,35 @@
 
 namespace brookrelay {
 
-/// Why this node closes the connection of a client. The set is closed: each close names one of them.
+/// Why this node closes a client connection. Every close has one of these reasons.
 enum class CloseReason {
-    peer_closed,         ///< the client closed or reset it
-    idle,                ///< no command for the idle timeout
-    first_command_late,  ///< no command at all
-    too_many_idle,       ///< idle for longest, while idle connections take too large a share
-    evicted,             ///< idle for longest, and another client needs the descriptor
-    shutdown,            ///< this process ends
-    rejected,            ///< its input is malformed, incomplete, or more than memory holds; it has its error
-    unread_responses,    ///< it does not read its responses
-    broken_value,        ///< the rest of a value that was begun is not to be had
-    count                ///< the number of reasons
+    peer_closed,         ///< the client closed or reset the connection
+    idle,                ///< no command arrived within the idle timeout
+    first_command_late,  ///< no first command arrived in time
+    too_many_idle,       ///< the longest idle one, while idle connections take too large a share
+    evicted,             ///< the longest idle one, while another client needs its descriptor
+    shutdown,            ///< this process is shutting down
+    rejected,  ///< its input is malformed, incomplete or too large for memory; the client has its error
+    unread_responses,  ///< the client does not read its responses
+    broken_value,      ///< the rest of a value that is partly sent is not available
+    count              ///< the number of reasons
 };
 
-/// What is known of a connection at the moment in which it would be closed.
+/// State of a client connection immediately before it would be closed.
 struct CloseFacts {
-    std::size_t unanswered_commands = 0;  ///< read, and without their response
-    bool has_unread_input = false;        ///< a command, or a part of one, that is not read
+    std::size_t unanswered_commands = 0;  ///< commands read but not yet answered
+    bool has_unread_input = false;        ///< a command, or part of one, is not read yet
 };
 
-/// Whether a connection may be closed for the reason. One that only rests must hold nothing of its client's:
-/// neither a command without its response nor input that is not read. The other reasons leave no choice.
+/// Returns whether a connection may be closed for the reason. Where the close is optional, the connection
+/// must have neither unanswered commands nor unread input. The other reasons always allow it.
 bool may_close(CloseReason reason, const CloseFacts& facts);
 
-/// Whether to close for the reason loses commands which this node has read. Only the client's own close, and
-/// its refusal to read, free the node of the answers.
+/// Returns whether a close for the reason loses commands that this node has read. Only a close by the client,
+/// or a client that does not read its responses, releases the node from answering.
 bool loses_commands(CloseReason reason, const CloseFacts& facts);
 
-/// One word for the log and for metrics.
+/// Returns the name of a reason in the log and in metrics.
 std::string_view name_of(CloseReason reason);
 
 }  // namespace brookrelay
--- a/src/guard/send_guard.h
+++ b/src/guard/send_guard.h
@@ -1,7 +1,7 @@
-// Whether an attempt may be sent now. The one place that decides it, asked at the last moment: when the
-// attempt is about to be written to its connection, and not when it was planned.
+// Decides whether an attempt may be sent. All attempts are checked here immediately before they are written
+// to their connection, and not when they are planned.
 //
-// No I/O and no state. Times are seconds on the monotonic clock.
+// Does no I/O and holds no state. Times are in seconds of the monotonic clock.
 #pragma once
 
 #include <string_view>
@@ -12,37 +12,37 @@
 
 /// Why an attempt must not be sent.
 enum class SendRefusal {
-    none,              ///< it may be sent
-    answered,          ///< its request has had its final answer
+    none,              ///< the attempt may be sent
+    answered,          ///< its request already has its final answer
     client_closed,     ///< its client has closed the connection
     deadline_passed,   ///< its client has stopped waiting
     would_repeat,      ///< an earlier attempt may have run, and the operation may run only once
-    window_over,       ///< a retry that could run after its idempotency key is forgotten
-    server_not_ready,  ///< its server is draining, removed, or taken out by an operator
+    window_over,       ///< the retry could run after its idempotency key has expired
+    server_not_ready,  ///< its server is draining, removed, or drained by an operator
     over_quota         ///< this node's share of the fleet's limit on the origin is used up
 };
 
-/// What is known of an attempt at the moment in which it would be written.
+/// State of an attempt immediately before it would be written.
 struct SendFacts {
     bool answered = false;
     bool client_closed = false;
     bool server_ready = true;
     double now = 0;
-    double deadline = 0;  ///< when the client stops waiting
+    double deadline = 0;  ///< time when the client stops waiting
     Idempotency idempotency = Idempotency::idempotent;
-    double deduplication_window = 0;  ///< how long a key is remembered, from when its attempt began
-    double may_have_run_since = 0;    ///< when the first attempt that may have run was written; 0: none was
+    double deduplication_window = 0;  ///< s that servers remember a key, from the start of its attempt
+    double may_have_run_since = 0;    ///< time when the first attempt that may have run was written; 0: none
 };
 
-/// The first reason against sending, in the order of SendRefusal.
+/// Returns a reason that forbids sending the attempt, or SendRefusal::none. The caller checks for over_quota.
 SendRefusal check_send(const SendFacts& facts);
 
-/// One word for the log and for metrics.
+/// Returns the name of a reason in the log and in metrics.
 std::string_view name_of(SendRefusal refusal);
 
-/// How much longer than the client waits a server may be told to work, in seconds.
+/// Seconds by which the deadline sent to a server may exceed the time that its client waits.
 constexpr double kToldDeadlineSlack = 0.15;
-/// How long the process may be held up between this check and the write, in seconds.
+/// Seconds for which the process may be delayed between this check and the write.
 constexpr double kHoldUpAllowance = 0.15;
 
 }  // namespace brookrelay
--- a/src/guard/violations.h
+++ b/src/guard/violations.h
@@ -1,5 +1,5 @@
-// The count of rules that this process has seen itself break. Each is a fault of the program: it is logged
-// with its ids, counted by kind in every build, and shown among the metrics.
+// Counts violations of the program's own rules. Each violation is a fault of the program: it is logged with
+// the ids concerned, counted by kind in every build, and exported as a metric.
 #pragma once
 
 #include <array>
@@ -10,27 +10,27 @@
 
 namespace brookrelay {
 
-/// The rules that are checked while the program runs.
+/// Kinds of violations that are detected at run time.
 enum class Violation {
-    sent_unasked,         ///< an attempt was written although the send guard refuses it
-    deadline_too_long,    ///< a server was told more time than the client has left
-    commands_lost,        ///< commands were read and their connection closed without their responses
-    closed_while_in_use,  ///< a connection was closed as idle while it held something of its client's
-    window_passed,        ///< a retry was sent after its idempotency key may be forgotten
+    sent_unasked,         ///< an attempt was written although the send guard refused it
+    deadline_too_long,    ///< the deadline sent to a server exceeds the client's remaining time
+    commands_lost,        ///< a connection was closed without the responses to commands read from it
+    closed_while_in_use,  ///< a connection was closed as idle with unanswered commands or unread input
+    window_passed,        ///< a retry was sent after its idempotency key may have expired
     count                 ///< the number of kinds
 };
 
-/// One word for the log and for metrics.
+/// Returns the name of a kind in the log and in metrics.
 std::string_view name_of(Violation kind);
 
-/// Counts violations and passes each on to the log. Used from one thread.
+/// Counts violations and passes each of them to a callback. Not thread-safe.
 class ViolationCounter {
   public:
     using OnViolation = std::function<void(Violation kind, std::string_view details)>;
 
-    /// `on_violation` is called for each one.
+    /// Calls `on_violation` for each violation.
     explicit ViolationCounter(OnViolation on_violation);
-    /// `details` names the request, attempt, connection or server.
+    /// Counts a violation. `details` identifies the request, attempt, connection or server concerned.
     void report(Violation kind, std::string_view details);
     std::uint64_t count(Violation kind) const { return counts_[static_cast<std::size_t>(kind)]; }
     std::uint64_t total() const;
