--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,5 +1,5 @@
-// The program before endpoint lists of thousands of servers: what it may send before it has read its list,
-// and how it takes lists that are long or slow. Real connections.
+// Tests the program with endpoint lists of thousands of servers over real connections: what it may send
+// before it has read its list, and how it handles lists that are long or slow.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -22,7 +22,7 @@
     return R"({"seq":)" + std::to_string(version) + R"(,"whole":true,"hosts":[)" + hosts + "]}";
 }
 
-// Entries of servers that nobody ever sends to, since they drain: they make a list long.
+// Returns entries of draining servers, which make a list long without receiving requests.
 std::string draining_entries(int count) {
     std::string entries;
     for (int i = 0; i < count; ++i)
@@ -38,44 +38,45 @@
     }
 }
 
-// What the agent holds when a process starts counts as told to it, whatever the list in its file says.
-TEST(StartedNode, SendsNothingByTheListOfItsFileBeforeItsAgentAnswers) {
-    std::string news;
+// A list that the agent holds when a process starts counts as delivered to the process, whatever its cached
+// list says.
+TEST(StartedNode, SendsNothingByItsCachedListBeforeItsAgentAnswers) {
+    std::string update;
     std::atomic<bool> ready{false};
     const auto watch = [&](const std::string& request) {
         if (request.find("index=7&") == std::string::npos) return Act{};
         wait_for([&] { return ready.load(); });
         std::this_thread::sleep_for(std::chrono::milliseconds(60));
-        return Act{http(news)};
+        return Act{http(update)};
     };
     Fleet fleet(2, {256, 250, watch, true, 192, true, true});
     fleet.daemon().kill();
     ScriptedPeer& drained = fleet.caches.front();
-    news = delta(8, Fleet::entry(Fleet::name(drained), drained, "DRAINING"));
+    update = delta(8, Fleet::entry(Fleet::name(drained), drained, "DRAINING"));
     ready = true;
-    // The commands wait in the listener's queue before the process is there.
+    // The commands wait in the listener's queue until the new process accepts connections.
     std::list<Line> clients;
-    for (int k = 0; k < 12; ++k) {  // fewer than a cache may have in flight
+    for (int k = 0; k < 12; ++k) {  // fewer than one server's limit of attempts in flight
         clients.emplace_back(own_loopback(), fleet.port());
         clients.back().send(read_of("k" + std::to_string(k), "s" + std::to_string(k)));
     }
     const std::size_t before = drained.heard().size();
-    const Process next = fleet.second();
+    const Process new_process = fleet.second();
     for (Line& client : clients) EXPECT_TRUE(client.until("hello\r\n").ends_with("hello\r\n"));
     EXPECT_EQ(drained.heard().size(), before);
 }
 
-// Silence of the agent must not keep a started process from serving.
-TEST(StartedNode, ServesSoonWhereItsAgentIsSilent) {
-    const double from = seconds();
+// An agent that does not respond must not keep a started process from serving.
+TEST(StartedNode, ServesSoonWhileItsAgentIsSilent) {
+    const double start = seconds();
     const Fleet fleet(1);
     expect_all_served(fleet, "s", 5);
-    EXPECT_LT(seconds() - from, 2.0);
+    EXPECT_LT(seconds() - start, 2.0);
 }
 
-// Discovery has moved, and its full list comes in pieces over `transfer` seconds: it is taken, asked for
-// once.
-void expect_slow_list_is_taken(double transfer) {
+// Moves discovery to a new address whose full list arrives in pieces over `transfer_seconds` seconds, and
+// expects the list to be applied after a single request.
+void expect_slow_list_is_applied(double transfer_seconds) {
     Fleet fleet(2);
     ScriptedPeer& drained = fleet.caches.front();
     ScriptedPeer& kept = fleet.caches.back();
@@ -84,68 +85,71 @@
                          Fleet::entry(Fleet::name(drained), drained, "DRAINING") + "," +
                          Fleet::entry(Fleet::name(kept), kept, "SERVING"));
     constexpr std::size_t kPieces = 30;
-    std::atomic<int> asked{0};
-    ScriptedPeer moved(true);
-    moved.plays([&](const std::string& request) {
+    std::atomic<int> list_requests{0};
+    ScriptedPeer new_discovery(true);
+    new_discovery.plays([&](const std::string& request) {
         if (request.find("index=") != std::string::npos) return Act{};
-        ++asked;
+        ++list_requests;
         const std::string text = http(list);
         Act act;
         const std::size_t size = text.size() / kPieces + 1;
-        for (std::size_t at = 0; at < text.size(); at += size) act.pieces.push_back(text.substr(at, size));
-        act.piece_interval_ms = static_cast<int>(transfer * 1000 / kPieces);
+        for (std::size_t offset = 0; offset < text.size(); offset += size)
+            act.pieces.push_back(text.substr(offset, size));
+        act.piece_interval_ms = static_cast<int>(transfer_seconds * 1000 / kPieces);
         return act;
     });
-    fleet.configure(fleet.told_with(fleet.discovery.address(), moved.address()));
-    const double from = seconds();
+    fleet.configure(fleet.told_with(fleet.discovery.address(), new_discovery.address()));
+    const double start = seconds();
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("version 9"); });
-    std::printf("a list of %.1f s was applied after %.2f s\n", transfer, seconds() - from);
-    EXPECT_LT(seconds() - from, transfer + 1.0);
-    EXPECT_EQ(asked, 1);
+    std::printf("a list sent over %.1f s was applied after %.2f s\n", transfer_seconds, seconds() - start);
+    EXPECT_LT(seconds() - start, transfer_seconds + 1.0);
+    EXPECT_EQ(list_requests, 1);
     const std::size_t before = drained.heard().size();
     expect_all_served(fleet, "l", 20);
     EXPECT_EQ(drained.heard().size(), before);
 }
 
-TEST(SlowList, IsWaitedForWhileItFlows) {
-    for (const double transfer : {1.5, 3.0}) expect_slow_list_is_taken(transfer);
+TEST(SlowList, IsAwaitedWhileDataArrives) {
+    for (const double transfer_seconds : {1.5, 3.0}) expect_slow_list_is_applied(transfer_seconds);
 }
 
-// A list that stands still in its middle is given up and asked for anew, in time for the 6 s.
-TEST(SlowList, ThatStandsStillIsAskedForAnew) {
+// A list whose transfer stalls is abandoned and requested again early enough for a change to be applied
+// within 6 s.
+TEST(SlowList, ThatStallsIsRequestedAgain) {
     Fleet fleet(2);
     const std::string list =
         full_list(9, Fleet::entry("origin", fleet.origin, "SERVING") + "," +
                          Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING"));
-    std::atomic<int> asked{0};
-    ScriptedPeer moved(true);
-    moved.plays([&](const std::string& request) {
+    std::atomic<int> list_requests{0};
+    ScriptedPeer new_discovery(true);
+    new_discovery.plays([&](const std::string& request) {
         if (request.find("index=") != std::string::npos) return Act{};
         const std::string text = http(list);
-        return ++asked == 1 ? Act{text.substr(0, text.size() / 2)} : Act{text};
+        return ++list_requests == 1 ? Act{text.substr(0, text.size() / 2)} : Act{text};
     });
-    fleet.configure(fleet.told_with(fleet.discovery.address(), moved.address()));
-    const double from = seconds();
+    fleet.configure(fleet.told_with(fleet.discovery.address(), new_discovery.address()));
+    const double start = seconds();
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("version 9"); });
-    EXPECT_LT(seconds() - from, 3.0);
-    EXPECT_EQ(asked, 2);
+    EXPECT_LT(seconds() - start, 3.0);
+    EXPECT_EQ(list_requests, 2);
 }
 
-// A list longer than one read of the socket has come whole, and requests behind it: they are begun by it.
-TEST(LongList, IsReadWholeBeforeRequestsThatCameLater) {
-    std::string news;
-    std::atomic<bool> tell{false};
+// Guards against requests that are routed by an outdated list: a list longer than one socket read has arrived
+// completely before the requests, so it must be applied first.
+TEST(LongList, IsReadCompletelyBeforeLaterRequests) {
+    std::string update;
+    std::atomic<bool> is_update_ready{false};
     const auto watch = [&](const std::string& request) {
         if (request.find("index=7&") == std::string::npos) return Act{};
-        wait_for([&] { return tell.load(); });
-        return Act{http(news)};
+        wait_for([&] { return is_update_ready.load(); });
+        return Act{http(update)};
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
-    news = delta(8, draining_entries(600) + Fleet::entry(Fleet::name(drained), drained, "DRAINING"));
-    expect_all_served(fleet, "f", 20);  // so that an idle connection to each server is at hand
+    update = delta(8, draining_entries(600) + Fleet::entry(Fleet::name(drained), drained, "DRAINING"));
+    expect_all_served(fleet, "f", 20);  // leaves an idle connection to each server
     std::list<Line> clients;
     for (int k = 0; k < 20; ++k) clients.emplace_back(own_loopback(), fleet.port());
     for (Line& client : clients) {
@@ -154,8 +158,8 @@
     }
     fleet.signal(SIGSTOP);
     const std::size_t before = drained.heard().size();
-    tell = true;
-    std::this_thread::sleep_for(std::chrono::milliseconds(100));  // until the list lies in the sockets
+    is_update_ready = true;
+    std::this_thread::sleep_for(std::chrono::milliseconds(100));  // until the list is in the socket buffers
     int k = 0;
     for (Line& client : clients) {
         client.send(read_of("k" + std::to_string(k), "w" + std::to_string(k)));
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -1,5 +1,5 @@
-// The ordinary path: ownership, minimal remapping, zones, and the load bounds above which a cache is skipped,
-// on either side.
+// Tests the normal routing path: key ownership, minimal remapping, zones, and both sides of the load bounds
+// above which a server is skipped.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -11,24 +11,25 @@
 
 namespace {
 
-std::vector<int> owners(Fleet& fleet, int keys) {
-    std::vector<int> all;
-    for (int k = 0; k < keys; ++k) all.push_back(fleet.owner(static_cast<std::uint64_t>(k) * 7919));
-    return all;
+std::vector<int> owners(Fleet& fleet, int key_count) {
+    std::vector<int> result;
+    for (int key = 0; key < key_count; ++key)
+        result.push_back(fleet.owner(static_cast<std::uint64_t>(key) * 7919));
+    return result;
 }
 
-TEST(Ring, AKeyKeepsItsOwnerAndEveryCacheOwnsAShare) {
+TEST(Ring, AKeyKeepsItsOwnerAndEveryServerOwnsAShare) {
     Fleet fleet(6);
     fleet.start();
     const auto first = owners(fleet, 600);
     EXPECT_EQ(first, owners(fleet, 600));
-    std::map<int, int> share;
-    for (int c : first) ++share[c];
-    EXPECT_EQ(share.size(), 6U);
-    EXPECT_FALSE(share.contains(kOrigin));
-    for (const auto& [cache, n] : share) {
-        EXPECT_GT(n, 50);
-        EXPECT_LT(n, 170);
+    std::map<int, int> keys_per_server;
+    for (int server : first) ++keys_per_server[server];
+    EXPECT_EQ(keys_per_server.size(), 6U);
+    EXPECT_FALSE(keys_per_server.contains(kOrigin));
+    for (const auto& [server, keys] : keys_per_server) {
+        EXPECT_GT(keys, 50);
+        EXPECT_LT(keys, 170);
     }
 }
 
@@ -40,13 +41,13 @@
     EXPECT_EQ(owners(a, 300), owners(b, 300));
 }
 
-TEST(Ring, ALeavingCacheMovesOnlyItsOwnKeys) {
-    for (EndpointState standing : {EndpointState::draining, EndpointState::removed}) {
-        SCOPED_TRACE(standing == EndpointState::draining ? "draining" : "gone");
+TEST(Ring, ALeavingServerMovesOnlyItsOwnKeys) {
+    for (EndpointState state : {EndpointState::draining, EndpointState::removed}) {
+        SCOPED_TRACE(state == EndpointState::draining ? "draining" : "removed");
         Fleet fleet(6);
         fleet.start();
         const auto before = owners(fleet, 400);
-        fleet.list[3].state = standing;
+        fleet.list[3].state = state;
         fleet.tell(UpdateKind::delta);
         const auto after = owners(fleet, 400);
         for (std::size_t k = 0; k < before.size(); ++k) {
@@ -64,192 +65,194 @@
 TEST(Ring, RequestsStayInTheLocalZoneUntilItIsEmpty) {
     Fleet fleet(6, 2);
     fleet.start();
-    for (int c : owners(fleet, 200)) EXPECT_EQ(c % 2, 1);
+    for (int server : owners(fleet, 200)) EXPECT_EQ(server % 2, 1);
     for (Endpoint& l : fleet.list) {
         if (l.server != kOrigin && l.zone == 0) l.state = EndpointState::removed;
     }
     fleet.tell(UpdateKind::delta);
-    for (int c : owners(fleet, 200)) {
-        EXPECT_EQ(c % 2, 0);
-        EXPECT_NE(c, kOrigin);
+    for (int server : owners(fleet, 200)) {
+        EXPECT_EQ(server % 2, 0);
+        EXPECT_NE(server, kOrigin);
     }
 }
 
-TEST(Ring, ACacheIsSkippedOnlyAboveBothLoadBounds) {
-    // Attempts out at the key's owner and at each of the five others; skipped or not.
+TEST(Ring, AServerIsSkippedOnlyAboveBothLoadBounds) {
+    // Attempts in flight at the key's owner and at each of the five other servers, and whether the owner is
+    // skipped.
     struct Case {
-        int own, others;
-        bool over;
+        int owner_attempts, other_attempts;
+        bool is_skipped;
     };
-    Fleet oracle(6);
-    oracle.start();
-    const std::vector<int> owner = owners(oracle, 600);
+    Fleet idle_fleet(6);
+    idle_fleet.start();
+    const std::vector<int> owners_by_key = owners(idle_fleet, 600);
     for (const Case& c : {Case{6, 0, false}, Case{7, 0, true}, Case{10, 2, false}, Case{11, 2, true}}) {
-        SCOPED_TRACE(testing::Message()
-                     << c.own << " attempts at the owner, " << c.others << " at each other");
+        SCOPED_TRACE(testing::Message() << c.owner_attempts << " attempts at the owner, " << c.other_attempts
+                                        << " at each other");
         Fleet fleet(6);
         fleet.start();
-        const int full = owner[0];
-        std::map<int, int> out;
-        for (std::size_t k = 1; k < owner.size(); ++k) {
-            if (owner[k] == full || out[owner[k]] >= c.others) continue;
-            ++out[owner[k]];
+        const int key_owner = owners_by_key[0];
+        std::map<int, int> in_flight;
+        for (std::size_t k = 1; k < owners_by_key.size(); ++k) {
+            if (owners_by_key[k] == key_owner || in_flight[owners_by_key[k]] >= c.other_attempts) continue;
+            ++in_flight[owners_by_key[k]];
             fleet.arrive(k * 7919);
         }
-        for (int n = 0; n < c.own; ++n) fleet.arrive(0);
-        EXPECT_EQ(fleet.host.sent.back().cache, full);
+        for (int n = 0; n < c.owner_attempts; ++n) fleet.arrive(0);
+        EXPECT_EQ(fleet.host.sent.back().cache, key_owner);
         fleet.arrive(0);
-        EXPECT_EQ(fleet.host.sent.back().cache != full, c.over);
+        EXPECT_EQ(fleet.host.sent.back().cache != key_owner, c.is_skipped);
     }
 }
 
 TEST(Ring, OnlyAHotKeyIsSplitAndOnlyWhileItIsHot) {
     struct Case {
-        int of_ten;  // of ten requests, so many ask for the one key
-        std::size_t most;
+        int hot_requests_of_ten;  // number of requests for the key among ten
+        std::size_t max_servers;
     };
     for (const Case& c : {Case{1, 1}, Case{3, 2}, Case{6, 5}}) {
-        SCOPED_TRACE(testing::Message() << c.of_ten << " of ten requests");
+        SCOPED_TRACE(testing::Message() << c.hot_requests_of_ten << " of ten requests");
         Fleet fleet(8);
         fleet.start();
-        const int home = fleet.owner(77);
-        std::map<int, int> used;
+        const int owner = fleet.owner(77);
+        std::map<int, int> attempts_per_server;
         std::uint64_t key = 1000;
         for (int n = 0; n < 600; ++n) {
-            const int at = fleet.owner(n % 10 < c.of_ten ? 77 : ++key);
-            if (n % 10 < c.of_ten && n > 300) ++used[at];
+            const int server = fleet.owner(n % 10 < c.hot_requests_of_ten ? 77 : ++key);
+            if (n % 10 < c.hot_requests_of_ten && n > 300) ++attempts_per_server[server];
         }
-        EXPECT_LE(used.size(), c.most);
-        EXPECT_EQ(c.most == 1, used.size() == 1);
+        EXPECT_LE(attempts_per_server.size(), c.max_servers);
+        EXPECT_EQ(c.max_servers == 1, attempts_per_server.size() == 1);
         for (int n = 0; n < 300; ++n) fleet.owner(++key);
-        EXPECT_EQ(fleet.owner(77), home);
+        EXPECT_EQ(fleet.owner(77), owner);
     }
 }
 
-TEST(Ring, AnOverloadedServerKindTakesFewerKeysAndOnlyThen) {
+TEST(Ring, AMachineKindTakesFewerKeysOnlyWhileItIsSlow) {
     struct Case {
-        double took;
-        int least, most;  // of 400 keys that are at home on the kind
+        double latency;
+        int min_keys, max_keys;  // bounds on how many of the kind's 400 keys stay there
     };
     for (const Case& c : {Case{0.05, 400, 400}, Case{0.25, 100, 200}}) {
-        SCOPED_TRACE(testing::Message() << "took " << c.took);
+        SCOPED_TRACE(testing::Message() << "latency " << c.latency);
         Fleet fleet(6);
         for (Endpoint& l : fleet.list) l.kind = l.server == kOrigin ? 1 : l.server % 2 * 2;
         fleet.start();
-        std::vector<std::uint64_t> at_home;
-        for (std::uint64_t key = 0; at_home.size() < 400; ++key) {
-            if (fleet.owner(key) % 2 == 1) at_home.push_back(key);
+        std::vector<std::uint64_t> owned_keys;
+        for (std::uint64_t key = 0; owned_keys.size() < 400; ++key) {
+            if (fleet.owner(key) % 2 == 1) owned_keys.push_back(key);
         }
         for (int n = 0; n < 400; ++n) {
             fleet.now += 0.5;
-            const int inv = fleet.arrive(static_cast<std::uint64_t>(n));
-            const bool slow = fleet.host.sent.back().cache % 2 == 1;
-            if (fleet.finals(inv) == 0)
-                fleet.end(inv, 0, AttemptOutcome::succeeded, slow ? c.took : 0.05, true);
+            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
+            const bool is_slow_kind = fleet.host.sent.back().cache % 2 == 1;
+            if (fleet.finals(request) == 0)
+                fleet.end(request, 0, AttemptOutcome::succeeded, is_slow_kind ? c.latency : 0.05, true);
         }
-        int stay = 0;
-        for (std::uint64_t key : at_home) stay += fleet.owner(key) % 2 == 1;
-        EXPECT_GE(stay, c.least);
-        EXPECT_LE(stay, c.most);
+        int kept_keys = 0;
+        for (std::uint64_t key : owned_keys) kept_keys += fleet.owner(key) % 2 == 1;
+        EXPECT_GE(kept_keys, c.min_keys);
+        EXPECT_LE(kept_keys, c.max_keys);
     }
 }
 
-TEST(Ring, PointsFollowTheListedSizeOfTheServerKind) {
+TEST(Ring, PointsFollowTheListedWeightOfTheMachineKind) {
     struct Case {
-        EndpointWeights sizes;
-        double small, big;   // listed sizes of the odd and the even caches
-        double least, most;  // share of keys on the odd ones
+        EndpointWeights weight_mode;
+        double small_weight, big_weight;  // listed weights of the odd and the even servers
+        double min_share, max_share;      // bounds on the odd servers' share of the keys
     };
     for (const Case& c :
          {Case{EndpointWeights::absent, 0.5, 4, 0.4, 0.6}, Case{EndpointWeights::fixed, 1, 1, 0.4, 0.6},
           Case{EndpointWeights::fixed, 1, 3, 0.18, 0.33},
           Case{EndpointWeights::load_adjusted, 0.5, 4, 0.05, 0.18}}) {
-        SCOPED_TRACE(testing::Message()
-                     << "sizes " << static_cast<int>(c.sizes) << ", " << c.small << " and " << c.big);
+        SCOPED_TRACE(testing::Message() << "weights " << static_cast<int>(c.weight_mode) << ", "
+                                        << c.small_weight << " and " << c.big_weight);
         Fleet fleet(6);
-        fleet.deployment.endpoint_weights = c.sizes;
+        fleet.deployment.endpoint_weights = c.weight_mode;
         for (Endpoint& l : fleet.list) {
             if (l.server == kOrigin) continue;
             l.kind = l.server % 2 * 2;
-            l.weight = l.server % 2 == 1 ? c.small : c.big;
+            l.weight = l.server % 2 == 1 ? c.small_weight : c.big_weight;
         }
         fleet.start();
         const auto before = owners(fleet, 600);
-        double small = 0;
-        for (int at : before) small += at % 2;
-        EXPECT_GE(small / 600, c.least);
-        EXPECT_LE(small / 600, c.most);
-        // Load lowers what is listed; a point that moved with it would tear keys from their copies.
+        double keys_on_small = 0;
+        for (int server : before) keys_on_small += server % 2;
+        EXPECT_GE(keys_on_small / 600, c.min_share);
+        EXPECT_LE(keys_on_small / 600, c.max_share);
+        // Load lowers listed weights. Points must not follow it, or keys would move away from their copies.
         for (Endpoint& l : fleet.list) l.weight *= 0.7;
         fleet.tell(UpdateKind::delta);
         EXPECT_EQ(owners(fleet, 600), before);
     }
 }
 
-TEST(Ring, ACacheListedAsOverloadedGivesUpKeysUntilItRecovers) {
-    for (bool live : {true, false}) {
-        SCOPED_TRACE(live ? "live sizes" : "fixed sizes");
+TEST(Ring, AServerListedAsOverloadedLosesKeysUntilItRecovers) {
+    for (bool is_load_adjusted : {true, false}) {
+        SCOPED_TRACE(is_load_adjusted ? "load-adjusted weights" : "fixed weights");
         Fleet fleet(6);
-        fleet.deployment.endpoint_weights = live ? EndpointWeights::load_adjusted : EndpointWeights::fixed;
+        fleet.deployment.endpoint_weights =
+            is_load_adjusted ? EndpointWeights::load_adjusted : EndpointWeights::fixed;
         for (Endpoint& l : fleet.list) l.weight = 2;
         fleet.start();
-        const auto kept = [&fleet] {
+        const auto count_keys = [&fleet] {
             int n = 0;
             for (int k = 0; k < 600; ++k) n += fleet.owner(static_cast<std::uint64_t>(k) * 7919) == 1;
             return n;
         };
-        const int home = kept();
-        fleet.list[1].weight = 0.2;  // nine held a core
+        const int initial_keys = count_keys();
+        fleet.list[1].weight = 0.2;  // the listed weight implies nine requests per core
         for (int n = 0; n < 8; ++n) fleet.tell(UpdateKind::delta);
-        if (live) {
-            EXPECT_LT(kept(), home / 3);
+        if (is_load_adjusted) {
+            EXPECT_LT(count_keys(), initial_keys / 3);
         } else {
-            EXPECT_EQ(kept(), home);
+            EXPECT_EQ(count_keys(), initial_keys);
         }
         fleet.list[1].weight = 2;
         for (int n = 0; n < 12; ++n) fleet.tell(UpdateKind::delta);
-        EXPECT_EQ(kept(), home);
+        EXPECT_EQ(count_keys(), initial_keys);
     }
 }
 
-// In a fleet of thousands each change costs what it changes, counted by what is looked at: a node's sockets
-// wait meanwhile.
-constexpr int kLargeFleet = 3200;
-constexpr std::uint64_t kPointsOfAServer = 100;
+// In a fleet of thousands of servers the cost of an update must depend only on what it changes, because the
+// node's sockets wait during the update. The cost is the number of ring points and server entries accessed.
+constexpr int kLargeFleetServers = 3200;
+constexpr std::uint64_t kPointsPerServer = 100;
 
 TEST(LargeFleet, AChangeOfOneServerTouchesItsPointsAlone) {
-    Fleet fleet(kLargeFleet, 3);
+    Fleet fleet(kLargeFleetServers, 3);
     fleet.start();
     const std::uint64_t before = fleet.node->work().ring_points;
-    Endpoint one = fleet.list[7];
-    one.state = EndpointState::draining;
-    fleet.node->on_endpoints(fleet.now, UpdateKind::delta, {one});
-    // Its points, and what lies beside each of them.
-    EXPECT_LT(fleet.node->work().ring_points - before, 300 * kPointsOfAServer);
+    Endpoint changed = fleet.list[7];
+    changed.state = EndpointState::draining;
+    fleet.node->on_endpoints(fleet.now, UpdateKind::delta, {changed});
+    // The update accesses the server's own points and the points in the same arcs.
+    EXPECT_LT(fleet.node->work().ring_points - before, 300 * kPointsPerServer);
 }
 
 TEST(LargeFleet, AFullListThatChangesNothingTouchesNoPoint) {
-    Fleet fleet(kLargeFleet, 3);
+    Fleet fleet(kLargeFleetServers, 3);
     fleet.start();
     const std::uint64_t before = fleet.node->work().ring_points;
     fleet.tell(UpdateKind::full);
-    EXPECT_LT(fleet.node->work().ring_points - before, kPointsOfAServer);
+    EXPECT_LT(fleet.node->work().ring_points - before, kPointsPerServer);
 }
 
-// A configuration without a change of zones leaves the rings as they are.
+// A reload that does not change the zones leaves the rings as they are.
 TEST(LargeFleet, AReloadTouchesNoPointAndMovesNoKey) {
-    Fleet fleet(kLargeFleet, 3);
+    Fleet fleet(kLargeFleetServers, 3);
     fleet.start();
     const auto before = owners(fleet, 200);
     const std::uint64_t touched = fleet.node->work().ring_points;
     fleet.node->on_configuration(fleet.now, fleet.deployment);
     fleet.tell(UpdateKind::full);
-    EXPECT_LT(fleet.node->work().ring_points - touched, kPointsOfAServer);
+    EXPECT_LT(fleet.node->work().ring_points - touched, kPointsPerServer);
     EXPECT_EQ(owners(fleet, 200), before);
 }
 
-TEST(LargeFleet, ARequestBeforeColdServersLooksAtEachServerAFewTimesAtMost) {
-    Fleet fleet(kLargeFleet, 3);
+TEST(LargeFleet, ARequestToColdServersAccessesEachServerAFewTimesAtMost) {
+    Fleet fleet(kLargeFleetServers, 3);
     fleet.deployment.node_count = 300;
     for (Endpoint& endpoint : fleet.list) {
         if (endpoint.server != kOrigin) endpoint.started_at = fleet.now;
@@ -261,7 +264,7 @@
         fleet.now += 0.02;
         fleet.arrive(static_cast<std::uint64_t>(i) * 7919);
     }
-    EXPECT_LT(fleet.node->work().servers - before, std::uint64_t{kRequests} * 4 * kLargeFleet);
+    EXPECT_LT(fleet.node->work().servers - before, std::uint64_t{kRequests} * 4 * kLargeFleetServers);
 }
 
 }  // namespace
