--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,10 +1,10 @@
-// Golden tests: the bytes and texts that others rely on (datagrams, files, answers of both programs) stay as
-// the files in tests/golden/ have them, whatever is renamed or restructured. A failure here is a change of a
-// format.
+// Golden tests: compare the external formats (datagrams, files, output of both programs) with the files in
+// tests/golden/. They guard against format changes by renames and refactorings; a failure means that a format
+// has changed.
 //
-// With BROOKRELAY_UPDATE_GOLDEN set in the environment the files are written in place of being compared, and
-// every test that writes one fails, so that no such run passes for a check. The labels in the files are only
-// labels.
+// If BROOKRELAY_UPDATE_GOLDEN is set in the environment, the files are written and not compared, and every
+// test that writes one fails, so that such a run cannot pass as a check. The labels in the files are part of
+// no format.
 #include <fcntl.h>
 #include <glib.h>
 #include <gtest/gtest.h>
@@ -52,8 +52,8 @@
 
 }  // namespace
 
-// The program's clocks, in this binary only: ages and stamps in the operators' JSON are then the same in each
-// run.
+// Replaces GLib's clocks in this binary, so that ages and timestamps in the management JSON are the same in
+// every run.
 extern "C" gint64 g_get_monotonic_time() { return clock_us; }
 extern "C" gint64 g_get_real_time() { return 1'790'000'000'000'000 + clock_us; }
 
@@ -73,49 +73,54 @@
 }
 
 std::string golden(const std::string& name) {
-    if (!std::filesystem::exists(golden_path(name))) ADD_FAILURE() << "no golden file " << name;
+    if (!std::filesystem::exists(golden_path(name))) ADD_FAILURE() << "missing golden file " << name;
     return content(golden_path(name));
 }
 
-std::string shown(std::string_view bytes);
+std::string quote(std::string_view bytes);
 
-// Where the two begin to differ, by its line: the whole of both may be hundreds of kilobytes.
-std::string difference(const std::string& wanted, const std::string& found) {
-    std::istringstream a(wanted), b(found);
-    std::string x, y;
+// Describes the first line that differs. The texts may be hundreds of kilobytes, so they are not printed
+// whole.
+std::string difference(const std::string& expected, const std::string& actual) {
+    std::istringstream expected_lines(expected), actual_lines(actual);
+    std::string expected_line, actual_line;
     for (int line = 1;; ++line) {
-        const bool more_a = static_cast<bool>(std::getline(a, x)),
-                   more_b = static_cast<bool>(std::getline(b, y));
-        if (more_a && more_b && x == y) continue;
-        if (!more_a && !more_b) return "the same lines, but another end";
-        const std::size_t both = more_a && more_b ? std::min(x.size(), y.size()) : 0;
-        const auto at = static_cast<std::size_t>(
-            std::mismatch(x.begin(), x.begin() + static_cast<std::ptrdiff_t>(both), y.begin()).first -
-            x.begin());
-        const std::size_t from = at < 40 ? 0 : at - 40;
-        return "line " + std::to_string(line) + ", byte " + std::to_string(at) +
-               "\n  golden: " + (more_a ? shown(x.substr(from, 120)) : "(ends)") +
-               "\n  now:    " + (more_b ? shown(y.substr(from, 120)) : "(ends)");
-    }
-}
-
-void expect_golden(const std::string& name, const std::string& found) {
+        const bool has_expected = static_cast<bool>(std::getline(expected_lines, expected_line)),
+                   has_actual = static_cast<bool>(std::getline(actual_lines, actual_line));
+        if (has_expected && has_actual && expected_line == actual_line) continue;
+        if (!has_expected && !has_actual) return "the lines are equal, but only one text ends with a newline";
+        const std::size_t common_size =
+            has_expected && has_actual ? std::min(expected_line.size(), actual_line.size()) : 0;
+        const auto offset = static_cast<std::size_t>(
+            std::mismatch(expected_line.begin(),
+                          expected_line.begin() + static_cast<std::ptrdiff_t>(common_size),
+                          actual_line.begin())
+                .first -
+            expected_line.begin());
+        const std::size_t from = offset < 40 ? 0 : offset - 40;
+        return "line " + std::to_string(line) + ", byte " + std::to_string(offset) +
+               "\n  golden: " + (has_expected ? quote(expected_line.substr(from, 120)) : "(ends)") +
+               "\n  now:    " + (has_actual ? quote(actual_line.substr(from, 120)) : "(ends)");
+    }
+}
+
+void expect_golden(const std::string& name, const std::string& actual) {
     if (std::getenv("BROOKRELAY_UPDATE_GOLDEN") != nullptr) {
-        std::ofstream(golden_path(name), std::ios::binary) << found;
+        std::ofstream(golden_path(name), std::ios::binary) << actual;
         ADD_FAILURE() << "update mode: wrote " << name << " and compared nothing; run again without "
                       << "BROOKRELAY_UPDATE_GOLDEN";
         return;
     }
-    const std::string wanted = golden(name);
-    if (wanted != found) ADD_FAILURE() << name << ": " << difference(wanted, found);
+    const std::string expected = golden(name);
+    if (expected != actual) ADD_FAILURE() << name << ": " << difference(expected, actual);
 }
 
-// A folder of this test's own, gone at the end of the test.
+// A temporary folder that is removed at the end of the test.
 class Folder {
   public:
     Folder() {
         std::string name = testing::TempDir() + "golden-XXXXXX";
-        if (mkdtemp(name.data()) == nullptr) ADD_FAILURE() << "cannot make " << name;
+        if (mkdtemp(name.data()) == nullptr) ADD_FAILURE() << "cannot create the folder " << name;
         path_ = name;
     }
     ~Folder() { std::filesystem::remove_all(path_); }
@@ -149,8 +154,8 @@
     return out;
 }
 
-// Printable ASCII as it is, every other byte as \xNN.
-std::string shown(std::string_view bytes) {
+// Quotes a text. Printable ASCII characters are kept, and every other byte becomes \xNN.
+std::string quote(std::string_view bytes) {
     std::string out = "\"";
     for (const char c : bytes) {
         if (c == '"' || c == '\\') {
@@ -165,37 +170,37 @@
 }
 
 template <typename T>
-std::string said(const T& value);
+std::string to_text(const T& value);
 
-std::string said(const std::pair<double, double>& point) {
-    return "(" + said(point.first) + ", " + said(point.second) + ")";
+std::string to_text(const std::pair<double, double>& point) {
+    return "(" + to_text(point.first) + ", " + to_text(point.second) + ")";
 }
 
 template <typename T>
-std::string said(const T& value) {
+std::string to_text(const T& value) {
     if constexpr (std::is_same_v<T, bool>) {
         return value ? "true" : "false";
     } else if constexpr (std::is_enum_v<T>) {
         return std::to_string(static_cast<int>(value));
     } else if constexpr (std::is_arithmetic_v<T>) {
-        char room[64];
-        return {room,
-                std::to_chars(room, room + sizeof room, value).ptr};  // the shortest that reads back the same
+        char buffer[64];
+        // The shortest decimal form that parses to the same value.
+        return {buffer, std::to_chars(buffer, buffer + sizeof buffer, value).ptr};
     } else if constexpr (std::is_convertible_v<T, std::string_view>) {
-        return shown(value);
+        return quote(value);
     } else {  // a list
         std::string all = "[";
-        for (const auto& one : value) all += (all.size() > 1 ? ", " : "") + said(one);
+        for (const auto& one : value) all += (all.size() > 1 ? ", " : "") + to_text(one);
         return all + "]";
     }
 }
 
-// One field a line, in the order in which they are put.
+// Text with one field per line, in the order of the put() calls.
 struct Fields {
     std::string text;
     template <typename T>
     Fields& put(const char* label, const T& value) {
-        text.append(label).append(" = ").append(said(value)).append("\n");
+        text.append(label).append(" = ").append(to_text(value)).append("\n");
         return *this;
     }
     Fields& head(const std::string& title) {
@@ -206,7 +211,7 @@
 
 // ---- gossip datagrams -----------------------------------------------------------------------------------
 
-gossip::Datagram headed() {
+gossip::Datagram datagram_with_header() {
     gossip::Datagram d;
     d.node = 513;
     d.stamp = {1'790'000'123, 70'001};
@@ -216,34 +221,39 @@
 }
 
 std::vector<std::pair<std::string, gossip::Datagram>> datagrams() {
-    const gossip::ServerKey cache = gossip::server_key("10.0.0.1:9000"),
-                            other = gossip::server_key("cache-2");
-    gossip::Datagram empty = headed(), alive = headed(), sights = headed(), findings = headed(),
-                     zones = headed(), wants = headed(), grants = headed(), beyond = headed(), least;
-    alive.heartbeats = {{3, 0.375, 2}, {300, 15.875, -1}, {65'000, 1.01, 31}};
-    sights.observations = {{cache, 12, 3}, {other, 0, 127}};
-    findings.verdicts = {{cache, 5, {1'790'000'001, 255}, 0b101, 4, 0.5},
-                         {other, 260, {1'790'000'002, 65'536}, 0x80000000U, 300, 7.25}};
-    zones.zone_reports = {{1, gossip::ZoneObservation::unreachable, 0, 3},
-                          {2, gossip::ZoneObservation::reachable, 4, 0},
-                          {31, gossip::ZoneObservation::strained, 2, 15},
-                          {0, gossip::ZoneObservation::nothing, 5, 1}};
-    wants.lease_requests = {{gossip::server_key("origin"), 250'000}, {gossip::server_key("tenant first"), 1}};
-    grants.lease_grants = {{gossip::server_key("origin"), 125'000, 70'000},
-                           {gossip::server_key("cold"), 1'000'000, 3}};
-    gossip::Datagram all = alive;
-    all.observations = sights.observations;
-    all.verdicts = findings.verdicts;
-    all.zone_reports = zones.zone_reports;
-    all.lease_requests = wants.lease_requests;
-    all.lease_grants = grants.lease_grants;
-    beyond.zone = 40;  // what goes past its bound is said as the bound
-    beyond.heartbeats = {{1, 1000, 50}};
-    beyond.observations = {{cache, 1000, 128}};
-    beyond.zone_reports = {{3, gossip::ZoneObservation::unreachable, 9, 99}};
-    return {{"least", least},       {"empty", empty},         {"alive", alive}, {"sights", sights},
-            {"findings", findings}, {"zones", zones},         {"wants", wants}, {"grants", grants},
-            {"all", all},           {"beyond bounds", beyond}};
+    const gossip::ServerKey server = gossip::server_key("10.0.0.1:9000"),
+                            other_server = gossip::server_key("cache-2");
+    gossip::Datagram empty = datagram_with_header(), heartbeats = datagram_with_header(),
+                     observations = datagram_with_header(), verdicts = datagram_with_header(),
+                     zone_reports = datagram_with_header(), lease_requests = datagram_with_header(),
+                     lease_grants = datagram_with_header(), out_of_bounds = datagram_with_header(),
+                     default_datagram;
+    heartbeats.heartbeats = {{3, 0.375, 2}, {300, 15.875, -1}, {65'000, 1.01, 31}};
+    observations.observations = {{server, 12, 3}, {other_server, 0, 127}};
+    verdicts.verdicts = {{server, 5, {1'790'000'001, 255}, 0b101, 4, 0.5},
+                         {other_server, 260, {1'790'000'002, 65'536}, 0x80000000U, 300, 7.25}};
+    zone_reports.zone_reports = {{1, gossip::ZoneObservation::unreachable, 0, 3},
+                                 {2, gossip::ZoneObservation::reachable, 4, 0},
+                                 {31, gossip::ZoneObservation::strained, 2, 15},
+                                 {0, gossip::ZoneObservation::nothing, 5, 1}};
+    lease_requests.lease_requests = {{gossip::server_key("origin"), 250'000},
+                                     {gossip::server_key("tenant first"), 1}};
+    lease_grants.lease_grants = {{gossip::server_key("origin"), 125'000, 70'000},
+                                 {gossip::server_key("cold"), 1'000'000, 3}};
+    gossip::Datagram all = heartbeats;
+    all.observations = observations.observations;
+    all.verdicts = verdicts.verdicts;
+    all.zone_reports = zone_reports.zone_reports;
+    all.lease_requests = lease_requests.lease_requests;
+    all.lease_grants = lease_grants.lease_grants;
+    out_of_bounds.zone = 40;  // values beyond a field's bound are encoded as the bound
+    out_of_bounds.heartbeats = {{1, 1000, 50}};
+    out_of_bounds.observations = {{server, 1000, 128}};
+    out_of_bounds.zone_reports = {{3, gossip::ZoneObservation::unreachable, 9, 99}};
+    return {{"least", default_datagram},     {"empty", empty},         {"alive", heartbeats},
+            {"sights", observations},        {"findings", verdicts},   {"zones", zone_reports},
+            {"wants", lease_requests},       {"grants", lease_grants}, {"all", all},
+            {"beyond bounds", out_of_bounds}};
 }
 
 std::string fields_of(const gossip::Datagram& d) {
@@ -305,19 +315,20 @@
 const std::vector<std::string> kCaches{"cache-1", "10.0.0.1:9000", "odd \"name\"\\/\n\x01\xc3\xbc"};
 
 WarmStartSnapshot learned_values() {
-    WarmStartSnapshot l;
-    l.spillover_ratio = 0.1;
-    l.shedding_ratio = 1.0 / 3;
-    l.admission_ratio = 0.875;
-    l.origin_concurrency_limit = 1234.5;
-    l.origin_latency = 2e-7;
-    l.kind_traffic_shares = {0.25, 1.5, 3};
-    l.servers = {{0, 12.75, 0.0625, true}, {2, 1e21, 3, false}, {1, 0, 1e-9, true}};
-    return l;
+    WarmStartSnapshot snapshot;
+    snapshot.spillover_ratio = 0.1;
+    snapshot.shedding_ratio = 1.0 / 3;
+    snapshot.admission_ratio = 0.875;
+    snapshot.origin_concurrency_limit = 1234.5;
+    snapshot.origin_latency = 2e-7;
+    snapshot.kind_traffic_shares = {0.25, 1.5, 3};
+    snapshot.servers = {{0, 12.75, 0.0625, true}, {2, 1e21, 3, false}, {1, 0, 1e-9, true}};
+    return snapshot;
 }
 
-std::string snapshot_text(const WarmStartSnapshot& l) {
-    return format_warm_start(l, kKinds, [](int cache) { return kCaches[static_cast<std::size_t>(cache)]; });
+std::string snapshot_text(const WarmStartSnapshot& snapshot) {
+    return format_warm_start(snapshot, kKinds,
+                             [](int server) { return kCaches[static_cast<std::size_t>(server)]; });
 }
 
 TEST(Golden, WarmStartSnapshotHasTheSameBytes) {
@@ -347,20 +358,20 @@
 
 // ---- the administrative state on disk -------------------------------------------------------------------
 
-constexpr double kWall = 1'790'000'000;
+constexpr double kWallTime = 1'790'000'000;
 const std::vector<std::string> kNames{
     "cache-1", "10.0.0.1:9000", "a b/c%d", "..", "\xc3\xbc\xe2\x88\x85", "\x01zone:room-a", "line\nend"};
 
-// All files of a folder with their modes, times and bytes, by name.
+// Describes all files of a folder by name, with their modes, times and bytes.
 std::string folder_text(const std::string& path) {
     std::map<std::string, std::string> files;
     for (const auto& entry : std::filesystem::directory_iterator(path)) {
-        struct stat told {};
-        EXPECT_EQ(stat(entry.path().c_str(), &told), 0);
+        struct stat status {};
+        EXPECT_EQ(stat(entry.path().c_str(), &status), 0);
         char line[160];
         std::snprintf(line, sizeof line, " mode %o, time %lld.%09ld, bytes ",
-                      static_cast<unsigned>(told.st_mode & 0777), static_cast<long long>(told.st_mtim.tv_sec),
-                      told.st_mtim.tv_nsec);
+                      static_cast<unsigned>(status.st_mode & 0777),
+                      static_cast<long long>(status.st_mtim.tv_sec), status.st_mtim.tv_nsec);
         files[entry.path().filename()] = line + hex(content(entry.path()));
     }
     std::string all;
@@ -374,39 +385,40 @@
     EXPECT_EQ(utimensat(AT_FDCWD, path.c_str(), times, 0), 0) << path;
 }
 
-std::string state_of(const AdminState& by_hand) {
+std::string admin_state_text(const AdminState& admin_state) {
     Fields f;
     for (const std::string& name : kNames) {
-        const AdminState::ServerState s = by_hand.state_of(name);
+        const AdminState::ServerState s = admin_state.state_of(name);
         f.put("name", name)
             .put("out", s.drained)
             .put("back_at", s.restored_at)
-            .put("ever_listed", by_hand.was_ever_listed(name));
+            .put("ever_listed", admin_state.was_ever_listed(name));
     }
     return f.text;
 }
 
 TEST(Golden, AdministrativeStateIsTheSameFiles) {
     const Folder folder;
-    AdminState by_hand(folder.at("state"));
-    by_hand.record_listed({kNames[0], kNames[1]});
-    by_hand.record_listed({kNames[1], kNames[2], kNames[3], kNames[4], kNames[6]});
+    AdminState admin_state(folder.at("state"));
+    admin_state.record_listed({kNames[0], kNames[1]});
+    admin_state.record_listed({kNames[1], kNames[2], kNames[3], kNames[4], kNames[6]});
     for (const std::string& name : kNames) {
         if (name == kNames[1]) continue;
-        EXPECT_TRUE(by_hand.drain(name)) << name;
-    }
-    EXPECT_TRUE(by_hand.restore(kNames[1], kWall));  // was not out: nothing is left of it
-    EXPECT_TRUE(by_hand.restore(kNames[2], kWall));
-    EXPECT_TRUE(by_hand.restore(kNames[5], kWall));
-    EXPECT_TRUE(by_hand.restore(kNames[0], kWall));
-    EXPECT_TRUE(by_hand.drain(kNames[0]));
-    // When they were taken out or called back is the time of the file: the only thing here that is not fixed.
+        EXPECT_TRUE(admin_state.drain(name)) << name;
+    }
+    EXPECT_TRUE(admin_state.restore(kNames[1], kWallTime));  // was not drained, so it leaves no file
+    EXPECT_TRUE(admin_state.restore(kNames[2], kWallTime));
+    EXPECT_TRUE(admin_state.restore(kNames[5], kWallTime));
+    EXPECT_TRUE(admin_state.restore(kNames[0], kWallTime));
+    EXPECT_TRUE(admin_state.drain(kNames[0]));
+    // The file time records when a server was drained or restored. It is the only part that varies between
+    // runs.
     int at = 0;
     std::set<std::string> files;
     for (const auto& entry : std::filesystem::directory_iterator(folder.at("state")))
         files.insert(entry.path());
     for (const std::string& file : files)
-        set_time(file, static_cast<long long>(kWall) + 10 * ++at, 250'000'000);
+        set_time(file, static_cast<long long>(kWallTime) + 10 * ++at, 250'000'000);
     expect_golden("by-hand-folder.txt", folder_text(folder.at("state")));
 }
 
@@ -429,22 +441,22 @@
         std::filesystem::permissions(path, static_cast<std::filesystem::perms>(mode));
         set_time(path, seconds, nanoseconds);
     }
-    AdminState by_hand(folder.at("state"));
-    std::vector<std::string> changed = by_hand.reload(kWall + 100);
+    AdminState admin_state(folder.at("state"));
+    std::vector<std::string> changed = admin_state.reload(kWallTime + 100);
     std::sort(changed.begin(), changed.end());
-    const std::string early = state_of(by_hand);
-    std::vector<std::string> later =
-        by_hand.reload(kWall + 615);  // one of those called back is forgotten by then
+    const std::string early = admin_state_text(admin_state);
+    // One of the restored servers has expired by this time.
+    std::vector<std::string> later = admin_state.reload(kWallTime + 615);
     std::sort(later.begin(), later.end());
     Fields f;
     f.put("changed", changed).text += early;
-    f.put("changed later", later).text += state_of(by_hand);
+    f.put("changed later", later).text += admin_state_text(admin_state);
     expect_golden("by-hand-state.txt", f.text + folder_text(folder.at("state")));
 }
 
-// ---- files that are read --------------------------------------------------------------------------------
+// ---- configuration files --------------------------------------------------------------------------------
 
-TEST(Golden, OperatorsFileIsReadAsTheSameFields) {
+TEST(Golden, OperatorConfigIsReadAsTheSameFields) {
     const OperatorConfig o = read_operator_config(golden_path("operator.toml"));
     Fields f;
     f.put("json_log", o.json_log).put("log_lines_a_second", o.log_lines_per_second);
@@ -588,7 +600,7 @@
                   fields_of(read_scenario(golden_path("scenario.toml"), overrides)));
 }
 
-void put_list(Fields& f, const EndpointUpdate& list) {
+void put_endpoints(Fields& f, const EndpointUpdate& list) {
     f.put("version", list.version).put("whole", list.is_full).put("complaints", list.errors);
     for (const auto& s : list.servers) {
         f.head("server")
@@ -601,7 +613,7 @@
     }
 }
 
-TEST(Golden, NodesConfigurationIsReadAsTheSameFields) {
+TEST(Golden, NodeConfigIsReadAsTheSameFields) {
     const NodeConfig s = read_node_config(golden_path("station.json"));
     Fields f;
     f.put("name", s.name)
@@ -649,24 +661,24 @@
         .put("kinds", s.names.kinds)
         .put("operations", s.names.operations);
     f.put("tenants", s.names.tenants);
-    put_list(f.head("known"), s.cached_endpoints);
+    put_endpoints(f.head("known"), s.cached_endpoints);
     f.head("given");
     for (const auto& [path, keys] : s.given_keys) f.put(path.c_str(), keys);
     expect_golden("station-fields.txt", f.text);
 }
 
-TEST(Golden, ServerListIsReadAsTheSameFieldsAndComplaints) {
+TEST(Golden, ServerListIsReadAsTheSameFieldsAndErrors) {
     rapidjson::Document root;
     root.Parse(golden("server-list.json").c_str());
     ASSERT_FALSE(root.HasParseError());
     Fields f;
-    put_list(f, parse_endpoint_update(root, read_node_config(golden_path("station.json")).names));
+    put_endpoints(f, parse_endpoint_update(root, read_node_config(golden_path("station.json")).names));
     expect_golden("server-list-fields.txt", f.text);
 }
 
-// ---- the state that operators are shown -----------------------------------------------------------------
+// ---- the fleet state in the management interface --------------------------------------------------------
 
-// One socket for datagrams on a free port of the loopback.
+// A datagram socket on a free loopback port.
 class Datagrams {
   public:
     Datagrams() : socket_(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)) {
@@ -676,7 +688,7 @@
         socklen_t size = sizeof here;
         if (bind(socket_, reinterpret_cast<const sockaddr*>(&here), sizeof here) != 0 ||
             getsockname(socket_, reinterpret_cast<sockaddr*>(&here), &size) != 0)
-            ADD_FAILURE() << "no socket on the loopback";
+            ADD_FAILURE() << "cannot bind a datagram socket on 127.0.0.1";
         port_ = ntohs(here.sin_port);
     }
     ~Datagrams() { close(); }
@@ -702,66 +714,66 @@
     std::uint16_t port_ = 0;
 };
 
-// Node 2 of five in the golden configuration, with peers that the test plays; its clock moves by hand.
-struct TalkingNode {
+// Node 2 of the five in the golden configuration. The test plays its peers and advances its clock.
+struct GossipingNode {
     std::array<Datagrams, 5> peers;
-    NodeConfig station = read_node_config(golden_path("station.json"));
-    OperatorConfig operator_file = read_operator_config(golden_path("operator.toml"));
+    NodeConfig node_config = read_node_config(golden_path("station.json"));
+    OperatorConfig operator_config = read_operator_config(golden_path("operator.toml"));
     TimerQueue timers;
     Log log{"golden"};
-    std::unique_ptr<GossipAgent> talk;
+    std::unique_ptr<GossipAgent> agent;
     int sent = 0;
 
-    explicit TalkingNode(bool with_socket) {
+    explicit GossipingNode(bool with_socket) {
         clock_us = 1'000'000'000;
-        operator_file.apply_outlier_verdicts = operator_file.apply_zone_failover = true;
-        station.peers.clear();
-        for (const Datagrams& peer : peers) station.peers.push_back(peer.address());
-        station.peer_listen = with_socket ? peers[2].address() : std::string();
+        operator_config.apply_outlier_verdicts = operator_config.apply_zone_failover = true;
+        node_config.peers.clear();
+        for (const Datagrams& peer : peers) node_config.peers.push_back(peer.address());
+        node_config.peer_listen = with_socket ? peers[2].address() : std::string();
         peers[2].close();
-        EXPECT_EQ(GossipAgent::why_unavailable(station),
+        EXPECT_EQ(GossipAgent::why_unavailable(node_config),
                   with_socket ? "" : "the configuration has no peer_listen");
-        talk = std::make_unique<GossipAgent>(
-            timers, log, station, operator_file, [] {}, [](double, const std::string&, bool, double) {},
+        agent = std::make_unique<GossipAgent>(
+            timers, log, node_config, operator_config, [] {}, [](double, const std::string&, bool, double) {},
             [](double, const gossip::ZoneFailover::Change&) {}, [](double, int, double) {});
-        talk->on_endpoints({"cache-1", "cache-2", "origin"}, 2);
+        agent->on_endpoints({"cache-1", "cache-2", "origin"}, 2);
     }
     double now() const { return monotonic_now(); }
     void step() {
         clock_us += 125'000;
-        talk->tick(now());
+        agent->tick(now());
     }
-    void hear(int from, const std::string& bytes) {
+    void receive(int from, const std::string& bytes) {
         peers[static_cast<std::size_t>(from)].send(peers[2], bytes);
-        const std::string wanted = "\"received\":" + std::to_string(++sent) + ",";
-        for (int tries = 0; tries < 5000 && talk->state_json(now()).find(wanted) == std::string::npos;
+        const std::string expected = "\"received\":" + std::to_string(++sent) + ",";
+        for (int tries = 0; tries < 5000 && agent->state_json(now()).find(expected) == std::string::npos;
              ++tries) {
             if (g_main_context_iteration(nullptr, FALSE) == FALSE) usleep(1000);
         }
-        EXPECT_NE(talk->state_json(now()).find(wanted), std::string::npos)
-            << "a datagram from node " << from << " did not come";
-    }
-    // What this node itself does in one step.
-    void work(int step) {
-        talk->on_request(now());
-        for (int t = 0; t < 3; ++t) talk->on_tenant_request(now(), 0);
-        talk->admit_origin_attempt(now());
-        talk->admit_slow_start(now(), "cache-2");
-        talk->max_connections(now(), "cache-1", 30);
-        const auto forward = static_cast<std::uint64_t>(2 * step);
-        talk->on_attempt_started(now(), forward, "cache-1", 1, 0.4);
-        talk->on_attempt_started(now(), forward + 1, "cache-2", 0, 0.4);
-        talk->on_attempt_finished(now(), forward + 1, "cache-2", 0,
-                                  step % 3 == 0 ? AttemptOutcome::busy : AttemptOutcome::succeeded, 0.05,
-                                  0.4);
+        EXPECT_NE(agent->state_json(now()).find(expected), std::string::npos)
+            << "a datagram from node " << from << " was not received";
+    }
+    // Simulates the requests and attempts of this node in one step.
+    void simulate_requests(int step) {
+        agent->on_request(now());
+        for (int t = 0; t < 3; ++t) agent->on_tenant_request(now(), 0);
+        agent->admit_origin_attempt(now());
+        agent->admit_slow_start(now(), "cache-2");
+        agent->max_connections(now(), "cache-1", 30);
+        const auto attempt = static_cast<std::uint64_t>(2 * step);
+        agent->on_attempt_started(now(), attempt, "cache-1", 1, 0.4);
+        agent->on_attempt_started(now(), attempt + 1, "cache-2", 0, 0.4);
+        agent->on_attempt_finished(now(), attempt + 1, "cache-2", 0,
+                                   step % 3 == 0 ? AttemptOutcome::busy : AttemptOutcome::succeeded, 0.05,
+                                   0.4);
         if (step % 2 == 0)
-            talk->on_attempt_finished(now(), forward, "cache-1", 1, AttemptOutcome::refused, 0.05, 0.4);
+            agent->on_attempt_finished(now(), attempt, "cache-1", 1, AttemptOutcome::refused, 0.05, 0.4);
     }
 };
 
-// One line a key, so that a difference is found by its line; no text in there has commas or brackets of its
-// own.
-std::string in_lines(const std::string& json) {
+// Puts every key on a line of its own, so that a difference is reported by line. Texts in the JSON contain no
+// commas or brackets.
+std::string one_key_per_line(const std::string& json) {
     std::string out;
     for (const char c : json) {
         out += c;
@@ -771,21 +783,21 @@
 }
 
 TEST(Golden, FleetStateOfANodeAloneIsTheSameJson) {
-    TalkingNode node(false);
+    GossipingNode node(false);
     for (int s = 0; s < 40; ++s) {
-        node.work(s);
+        node.simulate_requests(s);
         node.step();
     }
-    node.talk->set_zone_admin_state(node.now(), 2, true);
+    node.agent->set_zone_admin_state(node.now(), 2, true);
     node.step();
-    expect_golden("fleet-state-alone.txt", in_lines(node.talk->state_json(node.now())));
+    expect_golden("fleet-state-alone.txt", one_key_per_line(node.agent->state_json(node.now())));
 }
 
-TEST(Golden, FleetStateOfANodeThatHearsOthersIsTheSameJson) {
-    TalkingNode node(true);
-    const gossip::ServerKey failures = gossip::server_key("cache-1");
+TEST(Golden, FleetStateOfANodeWithPeersIsTheSameJson) {
+    GossipingNode node(true);
+    const gossip::ServerKey failing_server = gossip::server_key("cache-1");
     for (int s = 0; s < 48; ++s) {
-        node.work(s);
+        node.simulate_requests(s);
         node.step();
         for (const int from : {0, 1, 3, 4}) {
             if ((s + from) % 4 != 0) continue;
@@ -795,33 +807,33 @@
                        1000U + static_cast<std::uint32_t>(s) * 32};
             d.zone = from == 0 ? 0 : 1;
             if (from != 4 || s < 16) d.heartbeats = {{1, 0.25, 1}, {3, 0.5, 1}};
-            d.observations = {{failures, 1, 9}};
-            d.verdicts = {{failures, from, d.stamp, 0b11, 3, 0.125}};
+            d.observations = {{failing_server, 1, 9}};
+            d.verdicts = {{failing_server, from, d.stamp, 0b11, 3, 0.125}};
             if (from != 0) d.zone_reports = {{2, gossip::ZoneObservation::unreachable, 5, 2}};
             d.lease_requests = {{gossip::server_key("origin"), 20'000}};
-            if (from != 4 || s < 36) node.hear(from, gossip::encode(d));
+            if (from != 4 || s < 36) node.receive(from, gossip::encode(d));
         }
     }
-    node.hear(1, "no datagram");
-    gossip::Datagram dead;
-    dead.node = 3;
-    dead.stamp = {1'789'000'000, 1};
-    node.hear(3, gossip::encode(dead));
-    const std::string text = node.talk->state_json(node.now());
+    node.receive(1, "no datagram");
+    gossip::Datagram outdated;
+    outdated.node = 3;
+    outdated.stamp = {1'789'000'000, 1};
+    node.receive(3, gossip::encode(outdated));
+    const std::string text = node.agent->state_json(node.now());
     for (const char* filled : {"\"said_by\":[{", "\"said_lost\":[1", "\"takers\":4"})
         EXPECT_NE(text.find(filled), std::string::npos) << filled;
-    expect_golden("fleet-state.txt", in_lines(text));
+    expect_golden("fleet-state.txt", one_key_per_line(text));
 }
 
 // ---- the programs ---------------------------------------------------------------------------------------
 
-struct Ran {
+struct RunResult {
     int code = -1;
     std::string out, err;
 };
 
-// In the project's root, so that the paths that a program prints are the same everywhere.
-Ran run(const std::string& command) {
+// Runs a command in the project's root, so that the paths that it prints are the same on every machine.
+RunResult run(const std::string& command) {
     const Folder folder;
     const std::string line = "cd '" + std::string(kRoot) + "' && unset GW_CONFIG && " + command + " >'" +
                              folder.at("out") + "' 2>'" + folder.at("err") + "'";
@@ -830,26 +842,26 @@
             content(folder.at("err"))};
 }
 
-TEST(Golden, AdapterGivesTheSameAnswersToABatch) {
-    const Ran r = run("'" BROOKRELAY_ADAPTER "' <tests/golden/adapter-input.jsonl");
+TEST(Golden, AdapterGivesTheSameRepliesToABatch) {
+    const RunResult r = run("'" BROOKRELAY_ADAPTER "' <tests/golden/adapter-input.jsonl");
     EXPECT_EQ(r.code, 0);
     EXPECT_EQ(r.err, "");
     expect_golden("adapter-replies.jsonl", r.out);
 }
 
-TEST(Golden, AdapterSaysTheSameOfWrongInput) {
+TEST(Golden, AdapterReportsTheSameErrorsForInvalidInput) {
     const Folder folder;
     std::istringstream lines(golden("adapter-wrong.jsonl"));
     std::string all;
     for (std::string line; std::getline(lines, line);) {
         std::ofstream(folder.at("line")) << line << "\n";
-        const Ran r = run("'" BROOKRELAY_ADAPTER "' <'" + folder.at("line") + "'");
-        all += "code " + std::to_string(r.code) + ", out " + shown(r.out) + ", err " + shown(r.err) + "\n";
+        const RunResult r = run("'" BROOKRELAY_ADAPTER "' <'" + folder.at("line") + "'");
+        all += "code " + std::to_string(r.code) + ", out " + quote(r.out) + ", err " + quote(r.err) + "\n";
     }
     expect_golden("adapter-wrong.txt", all);
 }
 
-TEST(Golden, ProgramPrintsTheSameLinesAndEndsWithTheSameCode) {
+TEST(Golden, ProgramPrintsTheSameLinesAndExitsWithTheSameCode) {
     std::string all;
     for (const char* arguments : {
              "--version",
@@ -877,7 +889,7 @@
              "fleet status --address here:1",
              "fleet zones --address 127.0.0.1:1 --leave a --take-back a",
          }) {
-        const Ran r = run("'" BROOKRELAY_PROGRAM "' " + std::string(arguments));
+        const RunResult r = run("'" BROOKRELAY_PROGRAM "' " + std::string(arguments));
         all += "$ brookrelay " + std::string(arguments) + "\n" + r.out +
                (r.err.empty() ? "" : "-- standard error\n" + r.err);
         all += "-- code " + std::to_string(r.code) + "\n";
@@ -901,7 +913,7 @@
     };
     for (const std::string& input : inputs) {
         Command c;
-        f.head(shown(input))
+        f.head(quote(input))
             .put("taken", parse_command(input, c))
             .put("kind", c.kind)
             .put("key", c.key)
@@ -942,7 +954,7 @@
                                     "MN\r\n", "SERVER_ERROR busy\r\n", "SERVER_ERROR out of memory\r\n",
                                     "VA 3 Oid\r\nabcd\r\n", "VA 3 Oid\r\nab", "what\r\n"}) {
         Reply r;
-        f.head(shown(input))
+        f.head(quote(input))
             .put("taken", parse_reply(input, r))
             .put("kind", r.kind)
             .put("id", r.id)
@@ -955,7 +967,7 @@
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
           "HTTP/1.0 200 OK\r\n\r\nabc", "no http\r\n\r\n"}) {
         AttemptResponse a;
-        f.head(shown(input))
+        f.head(quote(input))
             .put("taken", parse_origin_response(input, a))
             .put("sound", a.valid)
             .put("reusable", a.reusable);
