--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -51,9 +51,11 @@
 // ---- outlier ejection -------------------------------------------------------------------------------------
 // Consecutive failures that eject a server. A smaller number would eject servers on chance errors.
 constexpr int kEjectionFailures = 3;
-// Seconds without any response, with attempts in flight, after which a server is ejected.
+// Seconds without any response, with at least two attempts in flight, after which a server is ejected; three
+// times its mean latency if that is longer. A server whose mean latency is below it responds fast.
 constexpr double kSilenceTimeout = 0.3;
-// Minimum number of consecutive lost connections in one zone that eject the whole zone.
+// Minimum number of consecutive lost connections in one zone that eject the whole zone. A zone's loss rate is
+// used from as many outcomes.
 constexpr int kZoneFailures = 3;
 // A zone is ejected only if the probability that chance causes its run of lost connections is at most this.
 constexpr double kZoneFalsePositiveRate = 0.01;
@@ -132,7 +134,7 @@
 // Minimum bucket size of a tenant's quota at one node, in requests. A smaller bucket is emptied by chance.
 constexpr double kQuotaBurst = 10;
 // Minimum number of responses in one second from which their rate of slow ones is used; with fewer, the rate
-// over kLongWindow is used.
+// over kLongWindow is used. For a machine kind, half as many over kLongWindow are sufficient.
 constexpr int kMinSamples = 16;
 // Length, in seconds, of the window for rates of rare events.
 constexpr double kLongWindow = 8.0;
@@ -255,6 +257,7 @@
     }
 };
 
+// One entry of the server table: what the list says about a server and what this node learned about it.
 struct Server {
     std::uint64_t hash = 0;
     int zone = 0;
@@ -282,6 +285,7 @@
 
 using Outcome = AttemptOutcome;
 
+// Routes requests by consistent hashing with bounded loads, as the head of this file describes.
 class ConsistentHashBalancer final : public Balancer {
   public:
     ConsistentHashBalancer(const Deployment& deployment, std::uint64_t seed, Host& host)
@@ -508,11 +512,13 @@
     }
 
   private:
+    // What this node learned about the servers of one kind.
     struct MachineKind {
         SlidingWindow slow_responses{kLongWindow};
         double traffic_share = 1;
         double max_weight = 0;  // largest weight listed for a server of this kind; 0: none listed
     };
+    // What this node learned about one zone, and the share of its keys that the fleet sends there.
     struct Zone {
         // 1 for an attempt that lost its connection, 0 for one with a response.
         SlidingWindow lost_connections{kLongWindow};
@@ -527,6 +533,7 @@
         double computed_at = 0;
         std::vector<double> responses, points;
     };
+    // The token bucket of one tenant at this node.
     struct TenantQuota {
         double quota = 0;
         double fleet_share = 0;  // share of the quota that the fleet leaves to this node
@@ -712,7 +719,9 @@
     static std::uint32_t ring_position(std::uint64_t x) { return static_cast<std::uint32_t>(mix(x) >> 32); }
     std::uint64_t hash_of(int server_id) const { return server_at(server_id).hash; }
     // Returns the first eligible server clockwise from the key's position, -1 if there is none, or
-    // kAllOverloaded. NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
+    // kAllOverloaded.
+    //
+    // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     int pick_on_ring(const PendingRequest& request, int zone, double now, bool last_resort) {
         const bool all_zones = zone == all_zones_ring();
         const HashRing* const first_ring =
@@ -1046,8 +1055,8 @@
         return (outcome == Outcome::refused || outcome == Outcome::reset) && !server.is_origin &&
                zone_at(server.zone).ejection.ejected;
     }
-    // Ends an ejection. A server that was silent for long may have restarted and counts as cold unless the
-    // list says otherwise.
+    // Ends an ejection. A server that was silent for long may have restarted, so it counts as started now
+    // unless the list gives a later start.
     void reinstate(Server& server, double now) {
         warm_responses_.is_current = false;
         if (now - server.ejection.silent_since > kRestartSilence)
@@ -1292,8 +1301,8 @@
             if (outcome == Outcome::succeeded && request.missed_at >= 0 &&
                 may_attempt(waiter, request.missed_at, now) &&
                 has_slow_start_budget(missed_server, slow_start_ratio(missed_server, now), now)) {
-                start_attempt(waiter, request.missed_at, waiter.useful_until - now,
-                              now);  // that server now holds the value
+                // The server that missed the key holds the value now.
+                start_attempt(waiter, request.missed_at, waiter.useful_until - now, now);
             } else {
                 route_to_origin(waiter, now);
             }
