--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -66,8 +66,8 @@
     Fleet fleet(6, 2);
     fleet.start();
     for (int server : owners(fleet, 200)) EXPECT_EQ(server % 2, 1);
-    for (Endpoint& l : fleet.list) {
-        if (l.server != kOrigin && l.zone == 0) l.state = EndpointState::removed;
+    for (Endpoint& endpoint : fleet.list) {
+        if (endpoint.server != kOrigin && endpoint.zone == 0) endpoint.state = EndpointState::removed;
     }
     fleet.tell(UpdateKind::delta);
     for (int server : owners(fleet, 200)) {
@@ -136,7 +136,8 @@
     for (const Case& c : {Case{0.05, 400, 400}, Case{0.25, 100, 200}}) {
         SCOPED_TRACE(testing::Message() << "latency " << c.latency);
         Fleet fleet(6);
-        for (Endpoint& l : fleet.list) l.kind = l.server == kOrigin ? 1 : l.server % 2 * 2;
+        for (Endpoint& endpoint : fleet.list)
+            endpoint.kind = endpoint.server == kOrigin ? 1 : endpoint.server % 2 * 2;
         fleet.start();
         std::vector<std::uint64_t> owned_keys;
         for (std::uint64_t key = 0; owned_keys.size() < 400; ++key) {
@@ -170,10 +171,10 @@
                                         << c.small_weight << " and " << c.big_weight);
         Fleet fleet(6);
         fleet.deployment.endpoint_weights = c.weight_mode;
-        for (Endpoint& l : fleet.list) {
-            if (l.server == kOrigin) continue;
-            l.kind = l.server % 2 * 2;
-            l.weight = l.server % 2 == 1 ? c.small_weight : c.big_weight;
+        for (Endpoint& endpoint : fleet.list) {
+            if (endpoint.server == kOrigin) continue;
+            endpoint.kind = endpoint.server % 2 * 2;
+            endpoint.weight = endpoint.server % 2 == 1 ? c.small_weight : c.big_weight;
         }
         fleet.start();
         const auto before = owners(fleet, 600);
@@ -182,7 +183,7 @@
         EXPECT_GE(keys_on_small / 600, c.min_share);
         EXPECT_LE(keys_on_small / 600, c.max_share);
         // Load lowers listed weights. Points must not follow it, or keys would move away from their copies.
-        for (Endpoint& l : fleet.list) l.weight *= 0.7;
+        for (Endpoint& endpoint : fleet.list) endpoint.weight *= 0.7;
         fleet.tell(UpdateKind::delta);
         EXPECT_EQ(owners(fleet, 600), before);
     }
@@ -194,7 +195,7 @@
         Fleet fleet(6);
         fleet.deployment.endpoint_weights =
             is_load_adjusted ? EndpointWeights::load_adjusted : EndpointWeights::fixed;
-        for (Endpoint& l : fleet.list) l.weight = 2;
+        for (Endpoint& endpoint : fleet.list) endpoint.weight = 2;
         fleet.start();
         const auto count_keys = [&fleet] {
             int n = 0;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -176,10 +176,10 @@
             Fleet fleet(40, 2);
             fleet.deployment.node_count = 1000;
             fleet.deployment.node_index = node;
-            for (Endpoint& l : fleet.list) {
-                if (l.server == kOrigin) continue;
-                l.zone = l.server <= zone_servers ? 0 : 1;
-                if (l.zone == 0) l.started_at = 100;
+            for (Endpoint& endpoint : fleet.list) {
+                if (endpoint.server == kOrigin) continue;
+                endpoint.zone = endpoint.server <= zone_servers ? 0 : 1;
+                if (endpoint.zone == 0) endpoint.started_at = 100;
             }
             fleet.start(UpdateKind::full, static_cast<std::uint64_t>(node) + 7);
             const int server = fleet.owner(static_cast<std::uint64_t>(node));
