--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,7 +1,8 @@
-// Every routing decision, and every constant behind one. docs/design.md has the reasons.
+// All routing decisions and the constants that they use. docs/design.md gives the reasons.
 //
-// The ordinary path: the key's point on the own zone's ring, the owner of the next point clockwise, unless
-// that server's load passes the bound; a read that misses and every write go on to the origin.
+// A request normally goes to the owner of the next point clockwise from its key's position on the local
+// zone's ring, unless that server's load exceeds the load bound. Reads that miss and all writes go to the
+// origin.
 #include "balancer/balancer.h"
 
 #include <algorithm>
@@ -22,93 +23,192 @@
 namespace brookrelay {
 namespace {
 
-// The ring.
-constexpr double kPointsPerServer = 100;  // of a server of the reference weight; the design's figure
+// ---- the ring ---------------------------------------------------------------------------------------------
+// Number of ring points of a server whose weight equals the reference weight. The design fixes this figure.
+constexpr double kPointsPerServer = 100;
+// Lower bound of a server's number of ring points.
 constexpr double kMinPoints = 10;
+// Upper bound of a server's number of ring points.
 constexpr double kMaxPoints = 1000;
-constexpr std::uint64_t kRingSeed = 0x62726f6f6b72656cULL;  // the same at every node
-constexpr double kLoadBoundFactor = 3.0;  // the design: at least 2; less moves keys away from their copies
-constexpr int kLoadBoundFloor = 6;        // the design: at least 2; a small floor skips servers by chance
-constexpr int kMaxSkippedServers = 1;     // full or backed-off servers that a key skips before it is rejected
-constexpr int kAllOverloaded = -2;        // no server was picked, for load alone
-constexpr int kKeySampleSize = 128;       // requests counted before the older half of the counts is dropped
-constexpr int kHotKeyMinCount = 3;        // of one key among them; fewer are chance
-// Outlier ejection.
-constexpr int kEjectionFailures = 3;     // in a row; fewer would eject on chance errors
-constexpr double kSilenceTimeout = 0.3;  // s without any response, with attempts in flight, until ejection
-constexpr int kZoneFailures = 3;         // in a row in one zone that eject all of it, if
-constexpr double kZoneFalsePositiveRate = 0.01;  // chance would bring them more seldom than this
-constexpr double kProbeInterval = 0.5;           // s to the first probe; doubles up to kMaxProbeInterval
+// Seed of all ring hashes. All nodes use the same value, so that they compute the same owners.
+constexpr std::uint64_t kRingSeed = 0x62726f6f6b72656cULL;
+// A server is skipped when its attempts in flight exceed this multiple of its even share. The design requires
+// at least 2; a smaller multiple moves keys away from the servers that hold their copies.
+constexpr double kLoadBoundFactor = 3.0;
+// Attempts in flight up to which a server is never skipped for its load. The design requires at least 2; with
+// a small floor, servers are skipped by chance.
+constexpr int kLoadBoundFloor = 6;
+// Number of full or backed-off servers that a request skips before it is rejected.
+constexpr int kMaxSkippedServers = 1;
+// Result of a ring search that ended because too many servers were full or backed off.
+constexpr int kAllOverloaded = -2;
+// Number of requests that one generation of key counts holds. The older of two generations is dropped when
+// the newer one is full.
+constexpr int kKeySampleSize = 128;
+// Number of counted requests from which a key may be treated as hot. Smaller counts occur by chance.
+constexpr int kHotKeyMinCount = 3;
+
+// ---- outlier ejection -------------------------------------------------------------------------------------
+// Consecutive failures that eject a server. A smaller number would eject servers on chance errors.
+constexpr int kEjectionFailures = 3;
+// Seconds without any response, with at least two attempts in flight, after which a server is ejected; three
+// times its mean latency if that is longer. A server whose mean latency is below it responds fast.
+constexpr double kSilenceTimeout = 0.3;
+// Minimum number of consecutive lost connections in one zone that eject the whole zone. A zone's loss rate is
+// used from as many outcomes.
+constexpr int kZoneFailures = 3;
+// A zone is ejected only if the probability that chance causes its run of lost connections is at most this.
+constexpr double kZoneFalsePositiveRate = 0.01;
+// Seconds from an ejection to the first probe. Each further failure doubles the interval, up to
+// kMaxProbeInterval.
+constexpr double kProbeInterval = 0.5;
+// Upper bound of the probe interval, in seconds.
 constexpr double kMaxProbeInterval = 2.0;
-constexpr double kRestartSilence = 3.0;  // s of silence that may hide a restart; less is an overload
-// Retries.
+// Seconds of silence from which a server may have restarted unnoticed. A shorter silence indicates an
+// overload.
+constexpr double kRestartSilence = 3.0;
+
+// ---- retries ----------------------------------------------------------------------------------------------
+// Retry tokens that each request adds to the node's bucket. A retry costs one token.
 constexpr double kRetryTokensPerRequest = 0.2;
-constexpr double kMaxFleetRetryTokens = 100;  // of all nodes: enough for one short outage, not for a storm
-constexpr double kMinRetryTokens = 2;         // the maximum of one node, where there are many nodes
-constexpr double kMaxNodeRetryTokens = 20;    // and where there are few
-// Slow start.
-constexpr double kSlowStartSafety = 0.8;       // of the guaranteed capacity while warming up that is used
-constexpr double kSlowStartBudgetShare = 0.6;  // of this node's even share of rule 4's budget that is used
-constexpr double kMinSlowStartAttempts = 1;    // of all nodes in one overload window, if nothing is known
-// Polling for the endpoint list.
-constexpr double kPollSpacing = 0.12;  // s, on average, between two nodes' first polls
-constexpr double kMaxPollDelay = 4.0;  // s after a failure; a change counts as notified within 6 s
-// Concurrency limits and backoff.
-constexpr double kInitialOriginLimit = 16;    // of all nodes together: the origin is shared and slow
-constexpr double kMaxInitialOriginLimit = 4;  // of one node
-constexpr double kInitialServerLimit = 16;    // settles within seconds, as the origin's does
-constexpr double kSlowDecrease = 0.8;         // of the limit, when responses turn slow
-constexpr double kFailureDecrease = 0.5;      // of the limit, when attempts fail
+// Bucket size of all nodes together, in tokens: enough for one short outage and too few for a retry storm.
+constexpr double kMaxFleetRetryTokens = 100;
+// Lower bound of one node's bucket size, in tokens; it applies in large fleets.
+constexpr double kMinRetryTokens = 2;
+// Upper bound of one node's bucket size, in tokens; it applies in small fleets.
+constexpr double kMaxNodeRetryTokens = 20;
+
+// ---- slow start -------------------------------------------------------------------------------------------
+// Fraction of a warming server's guaranteed capacity that is used.
+constexpr double kSlowStartSafety = 0.8;
+// Fraction of this node's even share of the slow-start budget (rule 4) that is used.
+constexpr double kSlowStartBudgetShare = 0.6;
+// Attempts that all nodes together may send a server in slow start within one overload window while nothing
+// is known of its capacity.
+constexpr double kMinSlowStartAttempts = 1;
+
+// ---- polling for the endpoint list ------------------------------------------------------------------------
+// Average interval, in seconds, between the first polls of two nodes that start together.
+constexpr double kPollSpacing = 0.12;
+// Upper bound, in seconds, of the delay after a failed poll. A change counts as notified within 6 s.
+constexpr double kMaxPollDelay = 4.0;
+
+// ---- concurrency limits and backoff -----------------------------------------------------------------------
+// Initial concurrency limit of the origin for all nodes together. It is low because the origin is shared and
+// slow.
+constexpr double kInitialOriginLimit = 16;
+// Upper bound of one node's initial concurrency limit of the origin.
+constexpr double kMaxInitialOriginLimit = 4;
+// Initial concurrency limit of a cache server. Like the origin's limit, it settles within seconds.
+constexpr double kInitialServerLimit = 16;
+// Factor applied to a concurrency limit when responses become slow.
+constexpr double kSlowDecrease = 0.8;
+// Factor applied to a concurrency limit when attempts fail.
+constexpr double kFailureDecrease = 0.5;
+// Lower bound of every concurrency limit, in attempts.
 constexpr double kMinLimit = 1;
+// Upper bound of every concurrency limit, in attempts.
 constexpr double kMaxLimit = 64;
-constexpr double kMinBackoff = 0.1;  // s after a failure at the least limit; doubles
+// First backoff, in seconds, after a failure at the minimum limit. It doubles with each further backoff.
+constexpr double kMinBackoff = 0.1;
+// Upper bound of the origin's backoff, in seconds.
 constexpr double kMaxOriginBackoff = 2.0;
-constexpr double kMaxServerBackoff =
-    4.0;  // longer: with many nodes one attempt each overloads a small server
-constexpr double kOriginLatencyShare = 0.5;  // of the shortest objective that the origin may take
-// Load shedding and quotas.
-constexpr double kAdjustInterval = 0.25;     // s between two adjustments
-constexpr double kSheddingStep = 0.1;        // change of the shedding ratio at each
-constexpr double kSheddingThreshold = 0.15;  // rate of slow responses from which it rises
-constexpr double kOverloadedRate = 0.55;     // from which no server is skipped: all are full
-constexpr double kSlowResponseRatio = 0.35;  // of its objective, from which a response counts as slow
-constexpr double kQuotaBurst = 10;           // requests a tenant may save up at a node; fewer empty by chance
-constexpr int kMinSamples = 16;              // in a second that tell slowness from chance; with fewer, those
-constexpr double kLongWindow = 8.0;          // of so many seconds
-constexpr double kRateWindow = 4.0;          // s that rates and mean latencies are taken over
-constexpr double kMaxLateRate = 0.1;         // of attempts that end too late, from which reads are rejected,
-constexpr double kLateAdmissionDecrease = 0.95;  // at each adjustment
+// Upper bound of a cache server's backoff, in seconds. It is longer than the origin's because, with many
+// nodes, one attempt from each of them overloads a small server.
+constexpr double kMaxServerBackoff = 4.0;
+// Fraction of the shortest latency objective that the origin's mean latency may take.
+constexpr double kOriginLatencyRatio = 0.5;
+
+// ---- load shedding and quotas -----------------------------------------------------------------------------
+// Seconds between two adjustments of the ratios and limits below.
+constexpr double kAdjustInterval = 0.25;
+// Change of the shedding ratio at each adjustment.
+constexpr double kSheddingStep = 0.1;
+// Rate of slow responses above which the shedding ratio rises.
+constexpr double kSheddingThreshold = 0.15;
+// Rate of slow responses above which all servers count as full: no full server is skipped, and no failed
+// attempt is retried at another cache server.
+constexpr double kOverloadSlowRate = 0.55;
+// Fraction of the latency objective above which a response counts as slow.
+constexpr double kSlowResponseRatio = 0.35;
+// Minimum bucket size of a tenant's quota at one node, in requests. A smaller bucket is emptied by chance.
+constexpr double kQuotaBurst = 10;
+// Minimum number of responses in one second from which their rate of slow ones is used; with fewer, the rate
+// over kLongWindow is used. For a machine kind, half as many over kLongWindow are sufficient.
+constexpr int kMinSamples = 16;
+// Length, in seconds, of the window for rates of rare events.
+constexpr double kLongWindow = 8.0;
+// Length, in seconds, of the window for request rates and mean latencies.
+constexpr double kRateWindow = 4.0;
+// Rate of attempts that end after their objective above which fewer reads are admitted.
+constexpr double kMaxLateRate = 0.1;
+// Factor applied to the admission ratio at each adjustment while that rate is exceeded.
+constexpr double kLateAdmissionDecrease = 0.95;
+// Increase of the admission ratio at each adjustment while that rate is not exceeded.
 constexpr double kLateAdmissionIncrease = 0.04;
-constexpr double kIdleTimeoutGrowth = 1.03;  // of idle connections, an adjustment without refusals
-constexpr double kFastRefusalRatio = 0.8;    // of the connect timeout
-constexpr double kMinIdleTimeout = 0.05;     // s; below it a burst to one server opens a connection for each
-// Kinds of machines.
-constexpr double kKindSlowMargin = 0.05;  // more slow responses than the best kind: its share falls
+// Factor by which the idle timeout of server connections grows at each adjustment. Refusals by full
+// connection tables halve the timeout.
+constexpr double kIdleTimeoutGrowth = 1.03;
+// Fraction of the connect timeout below which a refused connection indicates a full connection table.
+constexpr double kFastRefusalRatio = 0.8;
+// Lower bound of the idle timeout, in seconds. Below it, a burst to one server opens a connection for each
+// request.
+constexpr double kMinIdleTimeout = 0.05;
+
+// ---- machine kinds ----------------------------------------------------------------------------------------
+// A kind's traffic share falls while its rate of slow responses exceeds the best kind's by more than this.
+constexpr double kKindSlowMargin = 0.05;
+// Decrease of a slower kind's traffic share at each adjustment.
 constexpr double kKindShareDecrease = 0.02;
-constexpr double kKindShareIncrease = 0.005;  // slower, as with spillover; half these steps gained less
-constexpr double kMinKindShare = 0.4;         // machines further apart than that are a fault, not a kind
-constexpr int kMaxKinds = 64;                 // further ones share the last entry
-// Load that the endpoint list reports.
-constexpr double kCrowdedLoad = 2.0;  // requests a core from which a server counts as overloaded, if it
-constexpr double kCrowdedFactor =
-    1.5;  // has also so many times its zone's mean: with all full none is spared
-constexpr double kCrowdedDecrease = 0.75;  // of its share left, each update;
-constexpr double kCrowdedIncrease = 0.1;   // back slowly once it holds under half as much
-constexpr double kMinCrowdedShare = 0.05;
-constexpr double kAdmissionLoad = 5.0;      // a core, on average; from three quarters of it nothing changes
-constexpr double kAdmissionDecrease = 0.8;  // of the reads admitted, each update above that load
+// Increase of a kind's traffic share at each adjustment. It is smaller than the decrease, as with spillover.
+// Half of both steps gained less.
+constexpr double kKindShareIncrease = 0.005;
+// Lower bound of a kind's traffic share. A larger difference between machines is a fault, not a kind.
+constexpr double kMinKindShare = 0.4;
+// Number of machine kinds that are tracked separately. Further kinds share the last entry.
+constexpr int kMaxKinds = 64;
+
+// ---- load reported by the endpoint list -------------------------------------------------------------------
+// Requests per core above which a server counts as overloaded, if it also exceeds kOverloadToZoneMeanRatio.
+constexpr double kOverloadLoadPerCore = 2.0;
+// Multiple of its zone's mean load that an overloaded server exceeds. Where all servers are full, none of
+// them loses traffic.
+constexpr double kOverloadToZoneMeanRatio = 1.5;
+// Factor applied to an overloaded server's traffic share at each update of the list.
+constexpr double kOverloadShareDecrease = 0.75;
+// Increase of a server's traffic share at each update while its load is below half of kOverloadLoadPerCore.
+// It is small so that load returns slowly.
+constexpr double kOverloadShareIncrease = 0.1;
+// Lower bound of an overloaded server's traffic share.
+constexpr double kMinOverloadShare = 0.05;
+// Mean requests per core above which fewer reads are admitted. More are admitted again below three quarters
+// of it; in between the admission ratio stays.
+constexpr double kAdmissionLoadPerCore = 5.0;
+// Factor applied to the admission ratio at each update above kAdmissionLoadPerCore.
+constexpr double kAdmissionDecrease = 0.8;
+// Increase of the admission ratio at each update below three quarters of kAdmissionLoadPerCore.
 constexpr double kAdmissionIncrease = 0.1;
+// Lower bound of the admission ratio.
 constexpr double kMinAdmission = 0.2;
-// Cross-zone spillover.
-constexpr double kMinSpilloverStep = 0.01;   // halved at each reversal, or late updates make it oscillate
-constexpr double kSpilloverStep = 0.06;      // a change while the list shows one side more loaded
-constexpr double kSpilloverThreshold = 0.4;  // rate of slow responses from which more keys spill over
-constexpr double kSpilloverIncrease = 0.25;  // out in seconds, and
-constexpr double kSpilloverDecrease = 0.01;  // back in half a minute, or copies would move again and again
 
-// How many attempts one server may have in flight. Its capacity is not known: the limit grows by one a round
-// while responses are fast, falls at failures, and at the least limit failures bring a backoff, because what
-// timed out or was rejected still costs the server work, and only a backoff lets that drain.
+// ---- cross-zone spillover ---------------------------------------------------------------------------------
+// Lower bound of the spillover step. The step is halved whenever the load imbalance reverses, because late
+// updates of the list would otherwise make the spillover ratio oscillate.
+constexpr double kMinSpilloverStep = 0.01;
+// Initial change of the spillover ratio at each adjustment while the list shows one side as more loaded.
+constexpr double kSpilloverStep = 0.06;
+// Rate of slow responses above which the spillover ratio rises.
+constexpr double kSpilloverThreshold = 0.4;
+// Increase of the spillover ratio at each adjustment: keys spill over within seconds.
+constexpr double kSpilloverIncrease = 0.25;
+// Decrease of the spillover ratio at each adjustment: keys return within half a minute. A faster return would
+// move copies again and again.
+constexpr double kSpilloverDecrease = 0.01;
+
+// Bounds the attempts that a server may have in flight. The server's capacity is not known, so the limit
+// grows by one per round of fast responses and falls on failures. At the minimum limit a failure starts a
+// backoff: attempts that timed out or were rejected still cost the server work, and only a backoff lets that
+// work drain.
 struct ConcurrencyLimiter {
     double limit = 1;
     double backoff = kMinBackoff;
@@ -120,66 +220,72 @@
         backoff = kMinBackoff;
         if (in_flight + 2 >= limit) limit = std::min(limit + 1 / limit, kMaxLimit);
     }
-    // From what is in flight: a limit never reached says nothing of the server's capacity.
-    void decrease(double to, double apart, int in_flight, double now) {
-        if (now - decreased_at < apart) return;
+    // Decreases the limit from the number in flight: a limit that was never reached does not indicate the
+    // server's capacity.
+    void decrease(double factor, double min_interval, int in_flight, double now) {
+        if (now - decreased_at < min_interval) return;
         decreased_at = now;
-        limit = std::max(kMinLimit, std::min(limit, 2.0 * in_flight + 2) * to);
+        limit = std::max(kMinLimit, std::min(limit, 2.0 * in_flight + 2) * factor);
     }
-    bool back_off(double spread, double most, double now) {
+    bool back_off(double jitter, double max_backoff, double now) {
         if (now < backoff_until) return false;
-        backoff_until = now + backoff * (0.75 + 0.5 * spread);
-        backoff = std::min(2 * backoff, most);
+        backoff_until = now + backoff * (0.75 + 0.5 * jitter);
+        backoff = std::min(2 * backoff, max_backoff);
         return true;
     }
 };
 
-// Of one server, or of all in a zone: skipped but for a probe now and then, and reinstated by its response.
+// The ejection of one server or of a whole zone. While ejected, it receives only occasional probes; a
+// response reinstates it.
 struct OutlierEjection {
     bool ejected = false;
-    double since = 0;
+    double silent_since = 0;  // time of the ejection or of the last response, whichever is later
     double next_probe = 0;
     double probe_interval = kProbeInterval;
-    double apart = 0;  // s between this node's probes where the fleet shares them; else 0
+    // Seconds between this node's probes under a verdict of the fleet; 0: no such verdict.
+    double fleet_probe_interval = 0;
 
-    void eject(double spread, double now) {
+    void eject(double jitter, double now) {
         if (!ejected) {
             probe_interval = kProbeInterval;
-            since = now;
+            silent_since = now;
         }
         ejected = true;
-        next_probe = now + (apart > 0 ? apart : probe_interval) * (0.75 + 0.5 * spread);
+        next_probe =
+            now + (fleet_probe_interval > 0 ? fleet_probe_interval : probe_interval) * (0.75 + 0.5 * jitter);
         probe_interval = std::min(2 * probe_interval, kMaxProbeInterval);
     }
 };
 
+// One entry of the server table: what the list says about a server and what this node learned about it.
 struct Server {
     std::uint64_t hash = 0;
     int zone = 0;
     int cell = 0;
     int kind = 0;
-    int ring = -1;             // the zone whose ring holds its points; -1: none
-    int points = 0;            // of them there
-    double listed_weight = 0;  // as listed last, lowered by its load where weights are load-adjusted
-    double share = 1;          // of its keys that it gets, by the load that the list reports
+    int ring = -1;             // zone whose ring holds the server's points; -1: none
+    int points = 0;            // number of the server's points on that ring
+    double listed_weight = 0;  // last listed weight; its load lowers it where weights are load-adjusted
+    double traffic_share = 1;  // fraction of its keys that it receives, based on its reported load
     bool is_origin = false;
     EndpointState state = EndpointState::removed;
-    double started_at = -1e9;  // when it last started, as listed or as guessed after a silence
-    int in_flight = 0;         // attempts of this node without an outcome
+    double started_at = -1e9;  // last start, as listed or as assumed after a long silence
+    int in_flight = 0;         // this node's attempts without an outcome
     double last_response_at = -1e9;
-    double unanswered_since = 0;  // when the first attempt since its last response was sent; 0: none
+    double unanswered_since = 0;  // time of the first attempt sent since its last response; 0: none
     int consecutive_failures = 0;
     OutlierEjection ejection;
     ConcurrencyLimiter limiter{kInitialServerLimit};
-    SlidingWindow latencies{kRateWindow};  // of its responses, s
+    SlidingWindow latencies{kRateWindow};  // response latencies, s
     SlidingWindow slow_start_attempts{kRateWindow};
-    bool may_have_connections = false;  // this node may hold connections to it
-    double last_used_at = 0;            // when an attempt of this node last finished there
-    unsigned visit_mark = 0;
+    bool may_have_connections = false;  // this node may hold connections to the server
+    double last_used_at = 0;            // time when an attempt of this node last finished there
+    unsigned visit_generation = 0;      // generation of the last update or ring search that saw it
 };
 
 using Outcome = AttemptOutcome;
 
+// Routes requests by consistent hashing with bounded loads, as the head of this file describes.
 class ConsistentHashBalancer final : public Balancer {
   public:
     ConsistentHashBalancer(const Deployment& deployment, std::uint64_t seed, Host& host)
@@ -191,90 +297,95 @@
                                            kMinLimit, kMaxInitialOriginLimit);
     }
     const BalancerWork& work() const override { return work_; }
-    // What this node learned of servers and of its traffic stays; weights and load are learned anew from the
-    // endpoint list that follows.
+    // Keeps what this node has learned about servers and its traffic. Weights and load are learned again from
+    // the endpoint list that follows.
     void on_configuration(double, const Deployment& deployment) override {
-        const bool same_sizes = deployment.endpoint_weights == deployment_.endpoint_weights;
-        const bool same_zones = deployment.zone_count == deployment_.zone_count;
+        const bool is_same_weight_mode = deployment.endpoint_weights == deployment_.endpoint_weights;
+        const bool is_same_zone_count = deployment.zone_count == deployment_.zone_count;
         apply_configuration(deployment);
-        // Points stay where they are: the list that follows moves those of servers that belong elsewhere now.
-        if (!same_zones) clear_rings();
-        if (!same_sizes) {
-            for (Server& server : servers_) server.share = 1;
+        // Points stay where they are; the endpoint list that follows moves the points of servers that changed
+        // zone.
+        if (!is_same_zone_count) clear_rings();
+        if (!is_same_weight_mode) {
+            for (Server& server : servers_) server.traffic_share = 1;
         }
-        if (same_sizes) return;
-        for (MachineKind& k : kinds_) k.size = 0;
+        if (is_same_weight_mode) return;
+        for (MachineKind& kind : kinds_) kind.max_weight = 0;
         reference_weight_ = 0;
         admission_ratio_ = 1;
         load_imbalance_ = last_imbalance_ = 0;
         spillover_step_ = kSpilloverStep;
     }
     WarmStartSnapshot snapshot(double now) const override {
-        WarmStartSnapshot l;
-        l.spillover_ratio = spillover_ratio_;
-        l.shedding_ratio = shedding_ratio_;
-        l.admission_ratio = admission_ratio_;
-        l.origin_concurrency_limit = origin_limiter_.limit;
-        l.origin_latency = origin_latency_;
-        for (const MachineKind& k : kinds_) l.kind_traffic_shares.push_back(k.share);
+        WarmStartSnapshot result;
+        result.spillover_ratio = spillover_ratio_;
+        result.shedding_ratio = shedding_ratio_;
+        result.admission_ratio = admission_ratio_;
+        result.origin_concurrency_limit = origin_limiter_.limit;
+        result.origin_latency = origin_latency_;
+        for (const MachineKind& kind : kinds_) result.kind_traffic_shares.push_back(kind.traffic_share);
         for (std::size_t i = 0; i < servers_.size(); ++i) {
             const Server& server = servers_[i];
             if (server.state != EndpointState::ready || server.is_origin) continue;
-            l.servers.push_back({static_cast<int>(i), server.limiter.limit,
-                                 server.limiter.backoff_until - now, server.ejection.ejected});
+            result.servers.push_back({static_cast<int>(i), server.limiter.limit,
+                                      server.limiter.backoff_until - now, server.ejection.ejected});
         }
-        return l;
-    }
-    // Without it a started node learns by timeouts which servers are slow, and clients wait meanwhile.
-    void restore(double now, const WarmStartSnapshot& l) override {
-        spillover_ratio_ = std::clamp(l.spillover_ratio, 0.0, 1.0);
-        shedding_ratio_ = std::clamp(l.shedding_ratio, 0.0, 1.0);
-        admission_ratio_ = std::clamp(l.admission_ratio, kMinAdmission, 1.0);
-        origin_limiter_.limit = std::clamp(l.origin_concurrency_limit, kMinLimit, kMaxLimit);
-        origin_latency_ = std::max(l.origin_latency, 0.0);
-        for (std::size_t k = 0; k < std::min(kinds_.size(), l.kind_traffic_shares.size()); ++k)
-            kinds_[k].share = std::clamp(l.kind_traffic_shares[k], kMinKindShare, 1.0);
-        for (const WarmStartSnapshot::ServerSnapshot& of : l.servers) {
-            Server& server = server_at(of.server);
-            server.limiter.limit = std::clamp(of.concurrency_limit, kMinLimit, kMaxLimit);
-            server.limiter.backoff_until = now + std::min(of.backoff_remaining, kMaxServerBackoff);
-            if (of.ejected) eject(server, now);
+        return result;
+    }
+    // Without a snapshot, a newly started node learns from timeouts which servers are slow, and its clients
+    // wait meanwhile.
+    void restore(double now, const WarmStartSnapshot& snapshot) override {
+        spillover_ratio_ = std::clamp(snapshot.spillover_ratio, 0.0, 1.0);
+        shedding_ratio_ = std::clamp(snapshot.shedding_ratio, 0.0, 1.0);
+        admission_ratio_ = std::clamp(snapshot.admission_ratio, kMinAdmission, 1.0);
+        origin_limiter_.limit = std::clamp(snapshot.origin_concurrency_limit, kMinLimit, kMaxLimit);
+        origin_latency_ = std::max(snapshot.origin_latency, 0.0);
+        for (std::size_t kind = 0; kind < std::min(kinds_.size(), snapshot.kind_traffic_shares.size());
+             ++kind)
+            kinds_[kind].traffic_share = std::clamp(snapshot.kind_traffic_shares[kind], kMinKindShare, 1.0);
+        for (const WarmStartSnapshot::ServerSnapshot& entry : snapshot.servers) {
+            Server& server = server_at(entry.server);
+            server.limiter.limit = std::clamp(entry.concurrency_limit, kMinLimit, kMaxLimit);
+            server.limiter.backoff_until = now + std::min(entry.backoff_remaining, kMaxServerBackoff);
+            if (entry.ejected) eject(server, now);
         }
     }
-    // With little traffic a node uses each server too seldom to tell that one is slow or fails: what others
-    // observed ejects it here too, unless own recent responses were fast. Covers servers lost before the list
-    // says so; harms when the reporters share a bad path, so it holds only while the verdict stands, and a
-    // fast response here ends it.
-    void on_outlier_verdict(double now, int server_id, bool bad, double apart) override {
+    // Ejects a server on the fleet's verdict unless this node's own recent responses were fast. With little
+    // traffic a node uses each server too rarely to detect that it is slow or failing. The verdict covers
+    // servers that are lost before the list shows it. It does harm when the reporters share a bad path, so
+    // the ejection lasts only as long as the verdict and ends with a fast response to this node.
+    void on_outlier_verdict(double now, int server_id, bool bad, double probe_interval) override {
         Server& server = server_at(server_id);
-        const bool known_well = server.consecutive_failures == 0 && server.latencies.count(now) > 0 &&
-                                server.latencies.mean(now) < kSilenceTimeout;
-        const bool anew = bad && !known_well && server.ejection.apart == 0;
-        if (!bad && server.ejection.ejected && server.ejection.apart > 0 &&
+        const bool is_known_healthy = server.consecutive_failures == 0 && server.latencies.count(now) > 0 &&
+                                      server.latencies.mean(now) < kSilenceTimeout;
+        const bool is_new_verdict = bad && !is_known_healthy && server.ejection.fleet_probe_interval == 0;
+        if (!bad && server.ejection.ejected && server.ejection.fleet_probe_interval > 0 &&
             server.consecutive_failures < kEjectionFailures)
             reinstate(server, now);
-        server.ejection.apart = bad && !known_well ? apart : 0;
-        if (!anew) return;
+        server.ejection.fleet_probe_interval = bad && !is_known_healthy ? probe_interval : 0;
+        if (!is_new_verdict) return;
         eject(server, now);
-        server.ejection.next_probe = now + apart * random_unit();
-    }
-    // The nodes of this zone drain a zone together and recover it by the same share of its keys at each.
-    // While drained no single response reinstates it. Covers zones lost or cut off.
-    void set_zone_weight(double now, int zone, double part, double apart) override {
-        if (zone < 0 || zone >= all_zones_ring()) return;  // from before another configuration
-        Zone& z = zone_at(zone);
-        for (std::size_t i = 0; part == 0 && z.part > 0 && i < servers_.size(); ++i) {
-            if (servers_[i].zone == zone) cancel_stalled_attempts(static_cast<int>(i), now, 0);
+        server.ejection.next_probe = now + probe_interval * random_unit();
+    }
+    // Sets the share of a zone's keys that goes there. All nodes of this node's zone drain a lost or
+    // partitioned zone together and return to it with the same share of its keys. While it is drained, no
+    // single response reinstates it.
+    void set_zone_weight(double now, int zone_id, double weight, double probe_interval) override {
+        if (zone_id < 0 || zone_id >= all_zones_ring()) return;  // a zone of an earlier configuration
+        Zone& zone = zone_at(zone_id);
+        for (std::size_t i = 0; weight == 0 && zone.weight > 0 && i < servers_.size(); ++i) {
+            if (servers_[i].zone == zone_id) cancel_stalled_attempts(static_cast<int>(i), now, 0);
         }
-        if (part > 0 && part < 1) z.run = 0;
-        z.ejection.ejected = part == 0 || (part == 1 && z.ejection.ejected);
-        z.ejection.next_probe = now + std::max(apart, kProbeInterval) * (0.75 + 0.5 * random_unit());
-        z.ejection.apart = apart;
-        z.part = part;
-    }
-    void set_tenant_quota_share(double, int tenant, double part) override {
+        if (weight > 0 && weight < 1) zone.consecutive_losses = 0;
+        zone.ejection.ejected = weight == 0 || (weight == 1 && zone.ejection.ejected);
+        zone.ejection.next_probe =
+            now + std::max(probe_interval, kProbeInterval) * (0.75 + 0.5 * random_unit());
+        zone.ejection.fleet_probe_interval = probe_interval;
+        zone.weight = weight;
+    }
+    void set_tenant_quota_share(double, int tenant, double share) override {
         if (tenant >= 0 && tenant < static_cast<int>(tenants_.size()))
-            tenants_[static_cast<std::size_t>(tenant)].part = part;
+            tenants_[static_cast<std::size_t>(tenant)].fleet_share = share;
     }
     void on_endpoints(double, UpdateKind kind, const std::vector<Endpoint>& entries) override {
         ++update_generation_;
@@ -283,20 +394,20 @@
         std::vector<int> changed;
         changed.reserve(entries.size());
         for (const Endpoint& endpoint : entries) {
-            take_over(endpoint);
+            update_server(endpoint);
             changed.push_back(endpoint.server);
         }
         if (kind != UpdateKind::delta) {
             work_.servers += servers_.size();
             for (std::size_t i = 0; i < servers_.size(); ++i) {
                 Server& server = servers_[i];
-                if (server.visit_mark == update_generation_ || server.state == EndpointState::removed)
+                if (server.visit_generation == update_generation_ || server.state == EndpointState::removed)
                     continue;
                 server.state = EndpointState::removed;
                 changed.push_back(static_cast<int>(i));
             }
         }
-        if (reference_weight_ == 0 && sizes_changed_) {
+        if (reference_weight_ == 0 && kind_weights_changed_) {
             reference_weight_ = compute_reference_weight();
         }
         update_rings(changed);
@@ -304,28 +415,29 @@
             kind != UpdateKind::cached_on_disk)
             apply_reported_load();
         if (kind != UpdateKind::cached_on_disk) poll_failures_ = 0;
-        // A cached list may be outdated, so the first poll comes early; spread at random, since nodes that
-        // start together would be rejected together.
+        // A cached list may be outdated, so the first poll is early. Its delay is random because the polls of
+        // nodes that start together would otherwise be rejected together.
         else if (deployment_.polls_endpoints)
             host_.set_timer(poll_spread() * random_unit(), TimerToken{TimerToken::Kind::poll}.encode());
     }
     void on_poll_failed(double) override {
-        // Exponential backoff with jitter: all nodes lose the list at once, and its service has a fixed
-        // capacity.
-        const double most = std::min({std::max(0.2, poll_spread()) * std::pow(2.0, poll_failures_),
-                                      deployment_.poll_interval / 2 + 0.2, kMaxPollDelay});
+        // Exponential backoff with jitter, because all nodes lose the list at the same time and the discovery
+        // service has a fixed capacity.
+        const double max_delay = std::min({std::max(0.2, poll_spread()) * std::pow(2.0, poll_failures_),
+                                           deployment_.poll_interval / 2 + 0.2, kMaxPollDelay});
         poll_failures_ = std::min(poll_failures_ + 1, 10);
-        host_.set_timer(most * (0.3 + 0.7 * random_unit()), TimerToken{TimerToken::Kind::poll}.encode());
+        host_.set_timer(max_delay * (0.3 + 0.7 * random_unit()), TimerToken{TimerToken::Kind::poll}.encode());
     }
-    void on_request(double now, const Request& a) override {
-        if (a.id >= static_cast<int>(requests_.size())) requests_.resize(static_cast<std::size_t>(a.id) + 1);
-        PendingRequest& request = request_at(a.id);
+    void on_request(double now, const Request& arrival) override {
+        if (arrival.id >= static_cast<int>(requests_.size()))
+            requests_.resize(static_cast<std::size_t>(arrival.id) + 1);
+        PendingRequest& request = request_at(arrival.id);
         request.open = true;
-        request.info = a;
+        request.info = arrival;
         request.deployment = shared_deployment_;
-        if (!a.has_key) request.info.key = (static_cast<std::uint64_t>(random_()) << 24) ^ random_();
+        if (!arrival.has_key) request.info.key = (static_cast<std::uint64_t>(random_()) << 24) ^ random_();
         const Operation& op = operation(request);
-        request.deadline = now + a.time_remaining;
+        request.deadline = now + arrival.time_remaining;
         request.objective_deadline = now + op.latency_objective;
         request.useful_until = op.late_value_ratio > 0
                                    ? request.deadline
@@ -339,16 +451,16 @@
         retry_tokens_ = std::min(retry_tokens_ + kRetryTokensPerRequest, max_retry_tokens_);
         adjust_limits(now);
         request.over_quota = is_over_quota(request, now);
-        request.key_count = a.has_key && !a.is_write ? key_counter_.add(a.key) : 0;
+        request.key_count = arrival.has_key && !arrival.is_write ? key_counter_.add(arrival.key) : 0;
         const bool shed = (request.over_quota && random_unit() < shedding_ratio_) ||
-                          (!a.is_write && random_unit() >= admission_ratio_);
+                          (!arrival.is_write && random_unit() >= admission_ratio_);
         const bool too_late = request.useful_until - now <= 2 * deployment_.tick_interval;
         if (shed || too_late) return reject_or_fail(request);
-        if (a.is_write && origin_server_ >= 0) return route_to_origin(request, now);
+        if (arrival.is_write && origin_server_ >= 0) return route_to_origin(request, now);
         route_to_cache(request, now);
     }
     void on_attempt_finished(double now, int request_id, int attempt_number, Outcome outcome, double latency,
-                             bool over) override {
+                             bool answered) override {
         PendingRequest& request = request_at(request_id);
         if (attempt_number < 0 || attempt_number >= static_cast<int>(request.attempts.size())) return;
         Attempt& attempt = request.attempts[static_cast<std::size_t>(attempt_number)];
@@ -357,22 +469,22 @@
                                outcome == Outcome::not_sent || outcome == Outcome::miss;
         attempt.state = never_ran ? AttemptState::never_ran : AttemptState::may_have_run;
         --request.in_flight;
-        const int at = attempt.server;
-        Server& server = server_at(at);
+        const int server_id = attempt.server;
+        Server& server = server_at(server_id);
         --server.in_flight;
-        count_in_flight(server, -1);
+        add_ring_in_flight(server, -1);
         server.last_used_at = now;
         warm_responses_.is_current = false;
-        const Outcome told = is_isolated_loss(server, outcome, now) ? Outcome::failed : outcome;
-        record_outcome(server, request, attempt, told, latency, now);
-        if (over) {
+        const Outcome recorded_outcome = is_isolated_loss(server, outcome, now) ? Outcome::failed : outcome;
+        record_outcome(server, request, attempt, recorded_outcome, latency, now);
+        if (answered) {
             request.open = false;
             stop_waiting(request);
         }
-        if (server.is_origin) on_origin_finished(request, told, latency, now);
+        if (server.is_origin) on_origin_finished(request, recorded_outcome, latency, now);
         if (!request.open || request.streaming) return;
         if (outcome == Outcome::miss && !server.is_origin) {
-            if (request.missed_at < 0) request.missed_at = at;
+            if (request.missed_at < 0) request.missed_at = server_id;
             route_to_origin(request, now);
         } else if (request.in_flight == 0 && request.waiting_for == WaitReason::none) {
             retry(request, now, server, outcome);
@@ -400,32 +512,36 @@
     }
 
   private:
+    // What this node learned about the servers of one kind.
     struct MachineKind {
         SlidingWindow slow_responses{kLongWindow};
-        double share = 1;
-        double size = 0;  // the largest weight that the list gave one of it; 0: none
+        double traffic_share = 1;
+        double max_weight = 0;  // largest weight listed for a server of this kind; 0: none listed
     };
+    // What this node learned about one zone, and the share of its keys that the fleet sends there.
     struct Zone {
-        SlidingWindow lost{kLongWindow};  // 1: an attempt lost its connection; 0: it had a response
-        int run = 0;                      // attempts that lost theirs, since the last response
-        double keep = 0;                  // the idle timeout as that began
-        double part = 1;                  // of its keys that go there, by the fleet's decision; 0: drained
+        // 1 for an attempt that lost its connection, 0 for one with a response.
+        SlidingWindow lost_connections{kLongWindow};
+        int consecutive_losses = 0;             // lost connections since the last response
+        double idle_timeout_before_losses = 0;  // idle timeout when the current run of losses began, s
+        double weight = 1;                      // share of its keys sent there, set by the fleet; 0: drained
         OutlierEjection ejection;
     };
-    // Sums over the servers that are not in slow start, by zone and, last, of all.
+    // Sums over the servers that are not in slow start: one entry per zone and a last one for all zones.
     struct WarmResponses {
         bool is_current = false;
-        double at = 0;
-        std::vector<double> answers, points;
+        double computed_at = 0;
+        std::vector<double> responses, points;
     };
+    // The token bucket of one tenant at this node.
     struct TenantQuota {
         double quota = 0;
-        double part = 0;  // of it that the fleet leaves to this node
+        double fleet_share = 0;  // share of the quota that the fleet leaves to this node
         double tokens = 0;
-        double filled = 0;
+        double refilled_at = 0;
         SlidingWindow arrivals{kRateWindow};
     };
-    // Indices come from outside as int; a container's is unsigned.
+    // Converts indices, which the host passes as int, to the unsigned index type of containers.
     template <typename Items>
     static auto& item(Items& items, int index) {
         return items[static_cast<std::size_t>(index)];
@@ -451,8 +567,9 @@
         origin_latency_target_ = 1;
         for (const Operation& op : deployment.operations)
             origin_latency_target_ =
-                std::min(origin_latency_target_, kOriginLatencyShare * op.latency_objective);
+                std::min(origin_latency_target_, kOriginLatencyRatio * op.latency_objective);
     }
+    // Seconds over which the first polls of all nodes are spread.
     double poll_spread() const {
         return std::min(kPollSpacing * deployment_.node_count, deployment_.poll_interval / 2);
     }
@@ -462,24 +579,26 @@
     double random_unit() { return static_cast<double>(random_()) / 16777216.0; }
 
     // ---- the ring -------------------------------------------------------------------------------------
-    // Weights have no unit, and load may lower what is listed, so a kind's weight is the largest seen of it
-    // and the reference, set by the first list, a power of two: nodes with lists of other ages agree on them.
+    // Weights have no unit, and load may lower a listed weight, so the weight of a kind is the largest one
+    // listed for it. The reference weight is set by the first list and is a power of two, so that nodes with
+    // lists of different ages agree on it.
     double compute_reference_weight() const {
-        double sum = 0, caches = 0;
+        double weight_sum = 0, server_count = 0;
         for (const Server& server : servers_) {
             if (server.is_origin || server.state == EndpointState::removed) continue;
-            sum += kind_at(server.kind).size;
-            ++caches;
+            weight_sum += kind_at(server.kind).max_weight;
+            ++server_count;
         }
-        return sum > 0 ? std::exp2(std::floor(std::log2(sum / caches))) : 0;
+        return weight_sum > 0 ? std::exp2(std::floor(std::log2(weight_sum / server_count))) : 0;
     }
     int point_count(const Server& server) const {
-        const double size = kind_at(server.kind).size;
-        if (reference_weight_ == 0 || size == 0) return static_cast<int>(kPointsPerServer);
+        const double weight = kind_at(server.kind).max_weight;
+        if (reference_weight_ == 0 || weight == 0) return static_cast<int>(kPointsPerServer);
         return static_cast<int>(
-            std::clamp(kPointsPerServer * size / reference_weight_, kMinPoints, kMaxPoints));
+            std::clamp(kPointsPerServer * weight / reference_weight_, kMinPoints, kMaxPoints));
     }
-    // One ring for each zone; the last, that of all zones, has no points of its own (RingWalk).
+    // Creates an empty ring for each zone. The last entry stands for all zones and holds no points of its
+    // own: RingWalk merges the zones' rings.
     void clear_rings() {
         rings_.assign(zones_.size(), {});
         ring_servers_.assign(zones_.size(), 0);
@@ -489,47 +608,47 @@
             server.points = 0;
         }
     }
-    // What the endpoint list says of one server; the rings follow in update_rings().
-    void take_over(const Endpoint& e) {
-        if (e.server >= static_cast<int>(servers_.size()))
-            servers_.resize(static_cast<std::size_t>(e.server) + 1);
-        Server& server = server_at(e.server);
-        const double start = e.started_at > 0 ? e.started_at : -1e9;
-        const std::uint64_t hash = hash_text(e.name, kRingSeed);
-        if (server.hash != hash) take_off_ring(e.server);  // its points are found by the hash
-        if (start > server.started_at + 0.001 || server.hash != hash) {
-            // Restarted, or another server under this id: nothing known of the old one holds.
-            Server fresh;
-            fresh.in_flight = server.in_flight;
-            fresh.ring = server.ring;
-            fresh.points = server.points;
-            fresh.started_at = start;
-            server = fresh;
+    // Applies one entry of the endpoint list to the server table. update_rings() applies it to the rings.
+    void update_server(const Endpoint& endpoint) {
+        if (endpoint.server >= static_cast<int>(servers_.size()))
+            servers_.resize(static_cast<std::size_t>(endpoint.server) + 1);
+        Server& server = server_at(endpoint.server);
+        const double started_at = endpoint.started_at > 0 ? endpoint.started_at : -1e9;
+        const std::uint64_t hash = hash_text(endpoint.name, kRingSeed);
+        if (server.hash != hash) remove_from_ring(endpoint.server);  // the old hash locates its points
+        if (started_at > server.started_at + 0.001 || server.hash != hash) {
+            // The server restarted, or its id now names another server: what was learned no longer applies.
+            Server replacement;
+            replacement.in_flight = server.in_flight;
+            replacement.ring = server.ring;
+            replacement.points = server.points;
+            replacement.started_at = started_at;
+            server = replacement;
         }
         server.slow_start_attempts.set_length(deployment_.overload_window);
         server.hash = hash;
-        server.zone = std::clamp(e.zone, 0, all_zones_ring() - 1);
-        server.cell = e.cell;
-        server.kind = std::clamp(e.kind, 0, kMaxKinds - 1);
+        server.zone = std::clamp(endpoint.zone, 0, all_zones_ring() - 1);
+        server.cell = endpoint.cell;
+        server.kind = std::clamp(endpoint.kind, 0, kMaxKinds - 1);
         if (server.kind >= static_cast<int>(kinds_.size()))
             kinds_.resize(static_cast<std::size_t>(server.kind) + 1);
-        server.is_origin = deployment_.origin_kind >= 0 && e.kind == deployment_.origin_kind;
-        server.state = e.state;
-        MachineKind& k = kind_at(server.kind);
-        if (deployment_.endpoint_weights != EndpointWeights::absent && e.weight > k.size) {
-            k.size = e.weight;
-            sizes_changed_ = true;
+        server.is_origin = deployment_.origin_kind >= 0 && endpoint.kind == deployment_.origin_kind;
+        server.state = endpoint.state;
+        MachineKind& kind = kind_at(server.kind);
+        if (deployment_.endpoint_weights != EndpointWeights::absent && endpoint.weight > kind.max_weight) {
+            kind.max_weight = endpoint.weight;
+            kind_weights_changed_ = true;
         }
-        server.listed_weight = e.weight;
-        server.visit_mark = update_generation_;
+        server.listed_weight = endpoint.weight;
+        server.visit_generation = update_generation_;
     }
-    static int wanted_ring(const Server& server) {
+    static int target_ring(const Server& server) {
         return server.state == EndpointState::ready && !server.is_origin ? server.zone : -1;
     }
-    static RingPoint ring_point(const Server& server, int server_id, int number) {
-        return {ring_position(server.hash + static_cast<std::uint64_t>(number)), server_id};
+    static RingPoint ring_point(const Server& server, int server_id, int point_number) {
+        return {ring_position(server.hash + static_cast<std::uint64_t>(point_number)), server_id};
     }
-    void take_off_ring(int server_id) {
+    void remove_from_ring(int server_id) {
         Server& server = server_at(server_id);
         if (server.ring < 0) return;
         HashRing& ring = rings_[static_cast<std::size_t>(server.ring)];
@@ -537,42 +656,43 @@
             work_.ring_points += ring.erase(ring_point(server, server_id, p));
         --ring_servers_[static_cast<std::size_t>(server.ring)];
         --ring_servers_.back();
-        count_in_flight(server, -server.in_flight);
+        add_ring_in_flight(server, -server.in_flight);
         server.ring = -1;
     }
-    // Puts the servers on the rings where they belong. Only the points of those that came, went or changed
-    // size are touched: requests wait meanwhile.
+    // Moves the points of servers to the rings of their zones. Only servers that joined, left or changed
+    // weight are touched, because requests wait during the update.
     void update_rings(const std::vector<int>& changed) {
         std::vector<HashRing::Points> added(rings_.size() - 1);
         bool origin_changed = false;
-        const auto place = [&](int server_id) {
+        const auto place_on_ring = [&](int server_id) {
             Server& server = server_at(server_id);
             const int points = point_count(server);
-            const int wanted = wanted_ring(server);
+            const int target = target_ring(server);
             origin_changed = origin_changed || server.is_origin || server_id == origin_server_;
-            if (wanted == server.ring && points == server.points) return;
-            take_off_ring(server_id);
-            server.ring = wanted;
+            if (target == server.ring && points == server.points) return;
+            remove_from_ring(server_id);
+            server.ring = target;
             server.points = points;
-            if (wanted < 0) return;
-            HashRing::Points& of_ring = added[static_cast<std::size_t>(wanted)];
-            for (int p = 0; p < points; ++p) of_ring.push_back(ring_point(server, server_id, p));
-            ++ring_servers_[static_cast<std::size_t>(wanted)];
+            if (target < 0) return;
+            HashRing::Points& added_points = added[static_cast<std::size_t>(target)];
+            for (int p = 0; p < points; ++p) added_points.push_back(ring_point(server, server_id, p));
+            ++ring_servers_[static_cast<std::size_t>(target)];
             ++ring_servers_.back();
-            count_in_flight(server, server.in_flight);
+            add_ring_in_flight(server, server.in_flight);
         };
-        // A weight never seen changes the points of all servers of its kind.
-        if (std::exchange(sizes_changed_, false)) {
+        // A new largest weight changes the number of points of all servers of its kind.
+        if (std::exchange(kind_weights_changed_, false)) {
             work_.servers += servers_.size();
-            for (std::size_t i = 0; i < servers_.size(); ++i) place(static_cast<int>(i));
+            for (std::size_t i = 0; i < servers_.size(); ++i) place_on_ring(static_cast<int>(i));
         } else {
-            for (const int server_id : changed) place(server_id);
+            for (const int server_id : changed) place_on_ring(server_id);
         }
-        for (std::size_t z = 0; z < added.size(); ++z)
-            work_.ring_points += rings_[z].insert(added[z], PointOrder{servers_});
-        if (origin_changed) find_origin();
+        for (std::size_t zone = 0; zone < added.size(); ++zone)
+            work_.ring_points += rings_[zone].insert(added[zone], PointOrder{servers_});
+        if (origin_changed) select_origin();
     }
-    void find_origin() {
+    // Selects the ready origin server with the lowest hash, so that all nodes use the same one.
+    void select_origin() {
         origin_server_ = -1;
         work_.servers += servers_.size();
         for (std::size_t i = 0; i < servers_.size(); ++i) {
@@ -582,12 +702,12 @@
                 origin_server_ = static_cast<int>(i);
         }
     }
-    void count_in_flight(const Server& server, int by) {
+    void add_ring_in_flight(const Server& server, int change) {
         if (server.ring < 0) return;
-        ring_in_flight_[static_cast<std::size_t>(server.ring)] += by;
-        ring_in_flight_.back() += by;
+        ring_in_flight_[static_cast<std::size_t>(server.ring)] += change;
+        ring_in_flight_.back() += change;
     }
-    // Points of one position stand in the order of their servers' hashes.
+    // Orders points by position, and points at the same position by the hashes of their servers.
     struct PointOrder {
         const std::vector<Server>& servers;
         bool operator()(const RingPoint& a, const RingPoint& b) const {
@@ -598,75 +718,87 @@
     };
     static std::uint32_t ring_position(std::uint64_t x) { return static_cast<std::uint32_t>(mix(x) >> 32); }
     std::uint64_t hash_of(int server_id) const { return server_at(server_id).hash; }
-    // First eligible one clockwise, or -1. NOLINTNEXTLINE(readability-function-cognitive-complexity): ROADMAP
+    // Returns the first eligible server clockwise from the key's position, -1 if there is none, or
+    // kAllOverloaded.
+    //
+    // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     int pick_on_ring(const PendingRequest& request, int zone, double now, bool last_resort) {
         const bool all_zones = zone == all_zones_ring();
-        const HashRing* const first = all_zones ? rings_.data() : &rings_[static_cast<std::size_t>(zone)];
-        const std::size_t count = all_zones ? rings_.size() - 1 : 1;
+        const HashRing* const first_ring =
+            all_zones ? rings_.data() : &rings_[static_cast<std::size_t>(zone)];
+        const std::size_t ring_count = all_zones ? rings_.size() - 1 : 1;
         const std::size_t points =
-            std::accumulate(first, first + count, std::size_t{0},
+            std::accumulate(first_ring, first_ring + ring_count, std::size_t{0},
                             [](std::size_t sum, const HashRing& ring) { return sum + ring.size(); });
         if (points == 0) return -1;
-        const int members = ring_servers_[static_cast<std::size_t>(zone)];
-        const double a_point = ring_in_flight_[static_cast<std::size_t>(zone)] / static_cast<double>(points);
-        RingWalk walk(first, count,
-                      ring_position((request.info.key ^ kRingSeed) + hot_key_replica(request, members)));
-        ++walk_mark_;
-        int passed = -1, full = 0, seen = 0;
-        bool declined = false;
-        while (seen < members) {
+        const int ring_server_count = ring_servers_[static_cast<std::size_t>(zone)];
+        const double in_flight_per_point =
+            ring_in_flight_[static_cast<std::size_t>(zone)] / static_cast<double>(points);
+        RingWalk walk(
+            first_ring, ring_count,
+            ring_position((request.info.key ^ kRingSeed) + hot_key_replica(request, ring_server_count)));
+        ++walk_generation_;
+        int first_over_bound = -1, full_servers = 0, visited = 0;
+        bool is_share_declined = false;
+        while (visited < ring_server_count) {
             const int candidate = walk.next(PointOrder{servers_});
             if (candidate < 0) break;
             ++work_.ring_points;
             Server& server = server_at(candidate);
-            if (server.visit_mark == walk_mark_) continue;
-            server.visit_mark = walk_mark_;
-            ++seen;
+            if (server.visit_generation == walk_generation_) continue;
+            server.visit_generation = walk_generation_;
+            ++visited;
             if (!may_attempt(request, candidate, now) || (!last_resort && was_tried(request, candidate)))
                 continue;
-            const double part = last_resort ? 1 : zone_at(server.zone).part;
-            if (part > 0 && part < 1 && unit_interval(mix(request.info.key * 7 ^ kRingSeed)) >= part)
+            const double zone_weight = last_resort ? 1 : zone_at(server.zone).weight;
+            if (zone_weight > 0 && zone_weight < 1 &&
+                unit_interval(mix(request.info.key * 7 ^ kRingSeed)) >= zone_weight)
                 continue;
-            // What an overloaded server declines would be more than its even share for a cold one next to it.
-            if (declined && slow_start_ratio(server, now) < 1) continue;
-            if (!admits_while_cold(server, request, zone, now) || !host_.admit_slow_start(candidate))
+            // Keys that an overloaded server declines would exceed the even share of a cold server next to
+            // it.
+            if (is_share_declined && slow_start_ratio(server, now) < 1) continue;
+            if (!admits_in_slow_start(server, request, zone, now) || !host_.admit_slow_start(candidate))
                 continue;
             if (!last_resort && !within_traffic_share(server, request)) {
-                declined = true;
+                is_share_declined = true;
                 continue;
             }
             OutlierEjection* ejection = active_ejection(server, now);
             if (!last_resort && ejection != nullptr && !take_probe(*ejection, request, now)) continue;
             if (!server.limiter.has_capacity(server.in_flight, now)) {
-                // Further round, a server lacks the key: the attempt would miss and evict what it holds.
-                if (++full > (slow_response_rate_ > kOverloadedRate ? 0 : kMaxSkippedServers))
-                    return passed >= 0 ? passed : kAllOverloaded;
+                // Servers further along the ring do not hold the key: the attempt would miss and evict
+                // entries that they do hold.
+                if (++full_servers > (slow_response_rate_ > kOverloadSlowRate ? 0 : kMaxSkippedServers))
+                    return first_over_bound >= 0 ? first_over_bound : kAllOverloaded;
                 continue;
             }
             if (last_resort) return candidate;
             if (server.in_flight > kLoadBoundFloor &&
-                server.in_flight > kLoadBoundFactor * a_point * server.points) {
-                if (passed < 0) passed = candidate;
+                server.in_flight > kLoadBoundFactor * in_flight_per_point * server.points) {
+                if (first_over_bound < 0) first_over_bound = candidate;
                 continue;
             }
             return candidate;
         }
-        return passed;
+        return first_over_bound;
     }
-    // Exception: a key hotter than a server's even share has several points, one drawn for each request.
-    std::uint64_t hot_key_replica(const PendingRequest& request, int members) {
+    // Exception: a key that receives more requests than a server's even share has several positions on the
+    // ring, and each request draws one of them.
+    std::uint64_t hot_key_replica(const PendingRequest& request, int ring_server_count) {
         if (request.key_count < kHotKeyMinCount) return 0;
-        const int parts =
-            std::min(request.key_count * members / std::max(key_counter_.total(), kKeySampleSize), members);
-        return parts > 1 ? random_() % static_cast<unsigned>(parts) : 0;
+        const int replicas =
+            std::min(request.key_count * ring_server_count / std::max(key_counter_.total(), kKeySampleSize),
+                     ring_server_count);
+        return replicas > 1 ? random_() % static_cast<unsigned>(replicas) : 0;
     }
     int all_zones_ring() const { return static_cast<int>(rings_.size()) - 1; }
-    // Exception: while the own zone or the origin is overloaded, a share of keys uses the ring of all zones.
+    // Exception: while the local zone or the origin is overloaded, a share of the keys uses the ring of all
+    // zones.
     bool spills_over(const PendingRequest& request) const {
         return unit_interval(mix(request.info.key ^ 0x5a5a)) < spillover_ratio_;
     }
-    // Own zone first. Exception: when each server there is ejected, full, cold or tried, the next zone's
-    // ring.
+    // Picks a server on the local zone's ring. Exception: if every server there is ejected, full, cold or
+    // already tried, the next zone's ring is used.
     int pick_server(const PendingRequest& request, double now) {
         const int zones = all_zones_ring();
         for (bool last_resort : {false, true}) {
@@ -674,8 +806,9 @@
                 const int server = pick_on_ring(request, all_zones_ring(), now, last_resort);
                 if (server != -1) return server;
             }
-            for (int z = 0; z < zones; ++z) {
-                const int server = pick_on_ring(request, (deployment_.zone + z) % zones, now, last_resort);
+            for (int offset = 0; offset < zones; ++offset) {
+                const int server =
+                    pick_on_ring(request, (deployment_.zone + offset) % zones, now, last_resort);
                 if (server != -1) return server;
             }
         }
@@ -686,23 +819,25 @@
                            [server_id](const Attempt& attempt) { return attempt.server == server_id; });
     }
 
-    // ---- rule 2: may there be another attempt, may the request be rejected ------------------------------
+    // ---- rule 2: whether another attempt is allowed, and whether the request may be rejected -------------
     bool may_attempt(const PendingRequest& request, int server_id, double now) const {
         const Operation& op = operation(request);
-        const Server& to = server_at(server_id);
-        if (to.state != EndpointState::ready) return false;
+        const Server& target = server_at(server_id);
+        if (target.state != EndpointState::ready) return false;
         if (static_cast<int>(request.attempts.size()) >= request.deployment->max_attempts) return false;
         if (request.in_flight > 0 && !deployment_.may_hedge) return false;
         if (op.idempotency == Idempotency::idempotent) return true;
         for (const Attempt& attempt : request.attempts) {
             if (attempt.state == AttemptState::never_ran) continue;
             if (op.idempotency == Idempotency::none) return false;
-            const Server& from = server_at(attempt.server);
-            if (op.deduplication_scope == DeduplicationScope::zone && from.zone != to.zone) return false;
+            const Server& previous = server_at(attempt.server);
+            if (op.deduplication_scope == DeduplicationScope::zone && previous.zone != target.zone)
+                return false;
             if (op.deduplication_scope == DeduplicationScope::cell &&
-                (from.cell != to.cell || from.zone != to.zone))
+                (previous.cell != target.cell || previous.zone != target.zone))
                 return false;
-            // The margin: a retry counts from when it arrives, after a connect and a tick.
+            // The server checks the window when the retry arrives, which may be a connect timeout and a tick
+            // later.
             if (now + deployment_.connect_timeout + deployment_.tick_interval >=
                 attempt.sent_at + op.deduplication_window)
                 return false;
@@ -719,6 +854,7 @@
     }
 
     // ---- slow start --------------------------------------------------------------------------------------
+    // Fraction of its capacity that a server may be used for: 1 unless it is in slow start.
     double slow_start_ratio(const Server& server, double now) const {
         if (deployment_.slow_start_duration <= 0) return 1;
         const double age = std::max(0.0, now - server.started_at);
@@ -727,194 +863,229 @@
                (deployment_.cold_capacity_ratio +
                 (1 - deployment_.cold_capacity_ratio) * age / deployment_.slow_start_duration);
     }
-    // The same keys at every node, more of them as it warms up, within this node's share of rule 4's budget.
-    bool admits_while_cold(Server& server, const PendingRequest& request, int zone, double now) {
-        double warm = slow_start_ratio(server, now);
-        if (warm >= 1) return true;
-        // In a zone with few servers left, the first that come back cold would get all of its traffic.
+    // Admits a share of the keys that grows as the server warms up and is the same at every node, within this
+    // node's share of the slow-start budget (rule 4).
+    bool admits_in_slow_start(Server& server, const PendingRequest& request, int zone, double now) {
+        double warm_ratio = slow_start_ratio(server, now);
+        if (warm_ratio >= 1) return true;
+        // In a zone with few servers left, the first ones to return cold would otherwise receive all of its
+        // traffic.
         const int zones = zone == all_zones_ring() ? 1 : all_zones_ring();
-        warm *=
+        warm_ratio *=
             std::min(1.0, 1.0 * zones * ring_servers_[static_cast<std::size_t>(zone)] / ring_servers_.back());
-        return unit_interval(mix(request.info.key * 3 ^ server.hash)) < warm &&
-               has_slow_start_budget(server, warm, now);
-    }
-    bool has_slow_start_budget(Server& server, double warm, double now) {
-        if (warm >= 1) return true;
-        // What warm servers answer, not what they are sent: an overloaded fleet rejects most of that.
-        const double part =
-            deployment_.overload_multiple * warm * server.points * responses_per_warm_point(server.zone, now);
-        // With many nodes each share is under one attempt, and one each would be too many: its fraction is
-        // drawn for each overload window and node, so that the expected sum is the shares'.
-        const std::uint64_t own = mix(node_seed_ ^ server.hash);
-        const double span = std::max(deployment_.overload_window, 0.1);
-        const auto window = static_cast<std::uint64_t>(now / span + unit_interval(own));
-        const double least = kMinSlowStartAttempts / std::max(1, deployment_.node_count);
-        const double most = std::max({kSlowStartBudgetShare * part, std::min(part, 1.0), least});
-        return server.slow_start_attempts.count(now) < std::floor(most + unit_interval(mix(own + window)));
-    }
-    // Responses to this node in one overload window per point of a warm server of the zone, or of all if it
-    // has none: this node's part of a server's capacity. Servers without a recent response count too.
+        return unit_interval(mix(request.info.key * 3 ^ server.hash)) < warm_ratio &&
+               has_slow_start_budget(server, warm_ratio, now);
+    }
+    bool has_slow_start_budget(Server& server, double warm_ratio, double now) {
+        if (warm_ratio >= 1) return true;
+        // Capacity is estimated from the responses of warm servers and not from the attempts sent to them: an
+        // overloaded fleet rejects most attempts.
+        const double even_share = deployment_.overload_multiple * warm_ratio * server.points *
+                                  responses_per_warm_point(server.zone, now);
+        // With many nodes each share is below one attempt, and one attempt per node would be too many. Each
+        // node therefore rounds its share up or down at random for each overload window, so that the expected
+        // sum equals the sum of the shares.
+        const std::uint64_t server_seed = mix(node_seed_ ^ server.hash);
+        const double window_length = std::max(deployment_.overload_window, 0.1);
+        const auto window_number =
+            static_cast<std::uint64_t>(now / window_length + unit_interval(server_seed));
+        const double min_attempts = kMinSlowStartAttempts / std::max(1, deployment_.node_count);
+        const double attempt_budget =
+            std::max({kSlowStartBudgetShare * even_share, std::min(even_share, 1.0), min_attempts});
+        return server.slow_start_attempts.count(now) <
+               std::floor(attempt_budget + unit_interval(mix(server_seed + window_number)));
+    }
+    // Estimates this node's part of a server's capacity: the responses that this node receives in one
+    // overload window per ring point of the zone's warm servers, or of all warm servers if the zone has none.
+    // Servers without a recent response count too.
     double responses_per_warm_point(int zone, double now) {
-        if (!warm_responses_.is_current || warm_responses_.at != now) count_warm_responses(now);
-        const double in_zone = item(warm_responses_.points, zone);
-        const double answers =
-            in_zone > 0 ? item(warm_responses_.answers, zone) : warm_responses_.answers.back();
-        const double points = in_zone > 0 ? in_zone : warm_responses_.points.back();
-        return points == 0 ? 0 : deployment_.overload_window * answers / points / kRateWindow;
-    }
-    // A request that passes many cold servers asks for the same sums at each, so they are kept for its time.
-    void count_warm_responses(double now) {
+        if (!warm_responses_.is_current || warm_responses_.computed_at != now) update_warm_responses(now);
+        const double zone_points = item(warm_responses_.points, zone);
+        const double responses =
+            zone_points > 0 ? item(warm_responses_.responses, zone) : warm_responses_.responses.back();
+        const double points = zone_points > 0 ? zone_points : warm_responses_.points.back();
+        return points == 0 ? 0 : deployment_.overload_window * responses / points / kRateWindow;
+    }
+    // Computes the sums over warm servers. They are kept while `now` stays the same, because a request that
+    // passes many cold servers needs them at each.
+    void update_warm_responses(double now) {
         work_.servers += servers_.size();
         warm_responses_.is_current = true;
-        warm_responses_.at = now;
-        warm_responses_.answers.assign(rings_.size(), 0);
+        warm_responses_.computed_at = now;
+        warm_responses_.responses.assign(rings_.size(), 0);
         warm_responses_.points.assign(rings_.size(), 0);
         for (Server& server : servers_) {
             if (server.is_origin || server.state != EndpointState::ready || slow_start_ratio(server, now) < 1)
                 continue;
-            const int answers = server.latencies.count(now);
-            item(warm_responses_.answers, server.zone) += answers;
+            const int responses = server.latencies.count(now);
+            item(warm_responses_.responses, server.zone) += responses;
             item(warm_responses_.points, server.zone) += server.points;
-            warm_responses_.answers.back() += answers;
+            warm_responses_.responses.back() += responses;
             warm_responses_.points.back() += server.points;
         }
     }
-    // Exception: machines of a slower kind get a smaller share of their keys, the same ones at every node
-    // with that share: speeds are not reported, and listed weights may mislead. A hot key goes by chance,
-    // since it alone may be more than a server carries; so do all where servers are too many for counts to
-    // tell hot keys.
+    // Exception: machines of a slower kind receive a smaller share of their keys, because speeds are not
+    // reported and listed weights may mislead. Nodes with the same share choose the same keys. Requests for a
+    // hot key are chosen at random, since it alone may exceed a server's capacity; where there are too many
+    // servers for key counts to detect hot keys, all requests are.
     bool within_traffic_share(const Server& server, const PendingRequest& request) {
-        if (server.share < 1 && random_unit() >= server.share) return false;
-        const double share = kind_at(server.kind).share;
-        const bool seen = kHotKeyMinCount * ring_servers_.back() <= kKeySampleSize * all_zones_ring();
-        return share >= 1 || (request.key_count > 1 || !seen
-                                  ? random_unit()
-                                  : unit_interval(mix(request.info.key * 5 ^ server.hash))) < share;
-    }
+        if (server.traffic_share < 1 && random_unit() >= server.traffic_share) return false;
+        const double kind_share = kind_at(server.kind).traffic_share;
+        const bool can_detect_hot_keys =
+            kHotKeyMinCount * ring_servers_.back() <= kKeySampleSize * all_zones_ring();
+        return kind_share >= 1 || (request.key_count > 1 || !can_detect_hot_keys
+                                       ? random_unit()
+                                       : unit_interval(mix(request.info.key * 5 ^ server.hash))) < kind_share;
+    }
+    // Requests per core that the listed weight of a server implies: load lowers a load-adjusted weight.
     double reported_load(const Server& server) const {
-        return server.listed_weight > 0 ? kind_at(server.kind).size / server.listed_weight - 1 : 0;
+        return server.listed_weight > 0 ? kind_at(server.kind).max_weight / server.listed_weight - 1 : 0;
     }
-    // Load-adjusted weights tell all nodes alike, if late, what one node sees too little of to know.
+    // Adjusts traffic shares, admission and spillover to the load in load-adjusted weights. These reach all
+    // nodes alike, although late, and show what a single node has too little traffic to observe.
     void apply_reported_load() {
-        std::vector<double> sums(rings_.size()), sizes(rings_.size());
+        std::vector<double> load_sums(rings_.size()), point_sums(rings_.size());
         for (const Server& server : servers_) {
             if (server.ring < 0) continue;
-            for (std::size_t z : {static_cast<std::size_t>(server.ring), rings_.size() - 1}) {
-                sums[z] += reported_load(server) * server.points;
-                sizes[z] += server.points;
+            for (std::size_t zone : {static_cast<std::size_t>(server.ring), rings_.size() - 1}) {
+                load_sums[zone] += reported_load(server) * server.points;
+                point_sums[zone] += server.points;
             }
         }
         for (Server& server : servers_) {
             if (server.ring < 0) continue;
-            const auto z = static_cast<std::size_t>(server.ring);
-            const double h = reported_load(server);
-            if (h > kCrowdedLoad && h > kCrowdedFactor * sums[z] / sizes[z])
-                server.share = std::max(kMinCrowdedShare, server.share * kCrowdedDecrease);
-            else if (h < kCrowdedLoad / 2)
-                server.share = std::min(1.0, server.share + kCrowdedIncrease);
+            const auto zone = static_cast<std::size_t>(server.ring);
+            const double load = reported_load(server);
+            if (load > kOverloadLoadPerCore &&
+                load > kOverloadToZoneMeanRatio * load_sums[zone] / point_sums[zone])
+                server.traffic_share =
+                    std::max(kMinOverloadShare, server.traffic_share * kOverloadShareDecrease);
+            else if (load < kOverloadLoadPerCore / 2)
+                server.traffic_share = std::min(1.0, server.traffic_share + kOverloadShareIncrease);
         }
-        const auto own = static_cast<std::size_t>(deployment_.zone);
-        if (sizes[own] <= 0) return;
-        const double mean = sums[own] / sizes[own];
-        const bool alone = sizes.back() <= sizes[own];
-        const double rest = alone ? mean : (sums.back() - sums[own]) / (sizes.back() - sizes[own]);
-        const double reached = mean * (1 - spillover_ratio_) + sums.back() / sizes.back() * spillover_ratio_;
-        if (reached > kAdmissionLoad)
+        const auto local_zone = static_cast<std::size_t>(deployment_.zone);
+        if (point_sums[local_zone] <= 0) return;
+        const double local_mean = load_sums[local_zone] / point_sums[local_zone];
+        const bool is_only_zone = point_sums.back() <= point_sums[local_zone];
+        const double other_zones_mean = is_only_zone ? local_mean
+                                                     : (load_sums.back() - load_sums[local_zone]) /
+                                                           (point_sums.back() - point_sums[local_zone]);
+        const double reached_load =
+            local_mean * (1 - spillover_ratio_) + load_sums.back() / point_sums.back() * spillover_ratio_;
+        if (reached_load > kAdmissionLoadPerCore)
             admission_ratio_ = std::max(admission_ratio_ * kAdmissionDecrease, kMinAdmission);
-        else if (reached < 0.75 * kAdmissionLoad)
+        else if (reached_load < 0.75 * kAdmissionLoadPerCore)
             admission_ratio_ = std::min(admission_ratio_ + kAdmissionIncrease, 1.0);
-        const double least = kCrowdedLoad / 2;
+        const double min_imbalanced_load = kOverloadLoadPerCore / 2;
         load_imbalance_ =
-            (mean > std::max(least, kCrowdedFactor * rest)) - (rest > std::max(least, kCrowdedFactor * mean));
+            (local_mean > std::max(min_imbalanced_load, kOverloadToZoneMeanRatio * other_zones_mean)) -
+            (other_zones_mean > std::max(min_imbalanced_load, kOverloadToZoneMeanRatio * local_mean));
         if (load_imbalance_ * last_imbalance_ < 0)
             spillover_step_ = std::max(spillover_step_ / 2, kMinSpilloverStep);
         if (load_imbalance_ != 0) last_imbalance_ = load_imbalance_;
     }
+    // Lowers the traffic share of kinds whose rate of slow responses exceeds the best kind's, and raises the
+    // others'.
     void adjust_kind_shares(double now) {
-        double least = 1;
-        for (MachineKind& k : kinds_) {
-            if (k.slow_responses.count(now) >= kMinSamples / 2)
-                least = std::min(least, k.slow_responses.mean(now));
+        double lowest_slow_rate = 1;
+        for (MachineKind& kind : kinds_) {
+            if (kind.slow_responses.count(now) >= kMinSamples / 2)
+                lowest_slow_rate = std::min(lowest_slow_rate, kind.slow_responses.mean(now));
         }
-        for (MachineKind& k : kinds_) {
-            const bool over = k.slow_responses.count(now) >= kMinSamples / 2 &&
-                              k.slow_responses.mean(now) > least + kKindSlowMargin;
-            k.share =
-                std::clamp(k.share + (over ? -kKindShareDecrease : kKindShareIncrease), kMinKindShare, 1.0);
+        for (MachineKind& kind : kinds_) {
+            const bool is_slower = kind.slow_responses.count(now) >= kMinSamples / 2 &&
+                                   kind.slow_responses.mean(now) > lowest_slow_rate + kKindSlowMargin;
+            kind.traffic_share =
+                std::clamp(kind.traffic_share + (is_slower ? -kKindShareDecrease : kKindShareIncrease),
+                           kMinKindShare, 1.0);
         }
     }
 
     // ---- health --------------------------------------------------------------------------------------
+    // Returns the ejection that applies to a server, its zone's first, or nullptr. Ejects a server that is
+    // silent.
     OutlierEjection* active_ejection(Server& server, double now) {
-        const double silent =
+        const double silence =
             server.in_flight >= 2 && server.unanswered_since > 0 ? now - server.unanswered_since : 0;
-        if (!server.ejection.ejected && silent > std::max(kSilenceTimeout, 3 * server.latencies.mean(now)))
+        if (!server.ejection.ejected && silence > std::max(kSilenceTimeout, 3 * server.latencies.mean(now)))
             eject(server, now);
-        OutlierEjection& of_zone = zone_at(server.zone).ejection;
-        return of_zone.ejected ? &of_zone : server.ejection.ejected ? &server.ejection : nullptr;
+        OutlierEjection& zone_ejection = zone_at(server.zone).ejection;
+        return zone_ejection.ejected ? &zone_ejection : server.ejection.ejected ? &server.ejection : nullptr;
     }
     void eject(Server& server, double now) {
         if (!server.ejection.ejected)
             cancel_stalled_attempts(static_cast<int>(&server - servers_.data()), now);
         server.ejection.eject(random_unit(), now);
     }
-    // A zone that is lost or cut off shows at a node with little traffic by one lost connection at each of
-    // many servers, and none is ejected by itself. So they are taken together: as many in a row without a
-    // response as chance would seldom bring at the rate that the best zone loses; where connection tables are
-    // full that rate is high and so is the number. When one zone alone has full tables it is left for one
-    // probe interval.
+    // Detects a lost or partitioned zone. A node with little traffic then loses one connection at each of
+    // many servers, and no server is ejected by itself. The zone is ejected after as many consecutive losses
+    // as chance rarely causes at the loss rate of the best zone. Where connection tables are full, that rate
+    // is high and so is the required number. A zone that alone has full tables is ejected for one probe
+    // interval.
     void record_zone_outcome(const Server& server, const Attempt& attempt, Outcome outcome, double now) {
-        Zone& z = zone_at(server.zone);
+        Zone& zone = zone_at(server.zone);
         if (outcome == Outcome::refused || outcome == Outcome::reset) {
-            z.lost.add(now, 1);
-            if (++z.run == 1) z.keep = idle_timeout_;
-            double least = 1;
+            zone.lost_connections.add(now, 1);
+            if (++zone.consecutive_losses == 1) zone.idle_timeout_before_losses = idle_timeout_;
+            double lowest_loss_rate = 1;
             for (Zone& other : zones_) {
-                if (other.lost.count(now) >= kZoneFailures) least = std::min(least, other.lost.mean(now));
+                if (other.lost_connections.count(now) >= kZoneFailures)
+                    lowest_loss_rate = std::min(lowest_loss_rate, other.lost_connections.mean(now));
             }
-            const bool chance = z.run < kZoneFailures || std::pow(least, z.run) > kZoneFalsePositiveRate;
-            if (all_zones_ring() < 2 || (z.ejection.ejected ? attempt.sent_at < z.ejection.since : chance))
+            const bool may_be_chance =
+                zone.consecutive_losses < kZoneFailures ||
+                std::pow(lowest_loss_rate, zone.consecutive_losses) > kZoneFalsePositiveRate;
+            if (all_zones_ring() < 2 ||
+                (zone.ejection.ejected ? attempt.sent_at < zone.ejection.silent_since : may_be_chance))
                 return;
-            if (!z.ejection.ejected) idle_timeout_ = std::max(idle_timeout_, z.keep);  // tables were not full
-            z.ejection.eject(random_unit(), now);
+            // The refusals came from a lost zone and not from full connection tables.
+            if (!zone.ejection.ejected)
+                idle_timeout_ = std::max(idle_timeout_, zone.idle_timeout_before_losses);
+            zone.ejection.eject(random_unit(), now);
         } else if (outcome != Outcome::timed_out && outcome != Outcome::cancelled &&
                    outcome != Outcome::not_sent) {
-            z.lost.add(now, 0);
-            z.run = 0;
-            z.ejection.ejected = z.ejection.apart > 0;  // drained by the fleet, recovered by it
+            zone.lost_connections.add(now, 0);
+            zone.consecutive_losses = 0;
+            // Only the fleet ends a drain that it decided.
+            zone.ejection.ejected = zone.ejection.fleet_probe_interval > 0;
         }
     }
-    // Exception: a refusal from a lost zone is no sign of load.
-    bool is_lost_with_zone(const Server& server, Outcome outcome) const {
+    // Exception: a refused or reset connection in an ejected zone does not indicate load.
+    bool is_zone_loss(const Server& server, Outcome outcome) const {
         return (outcome == Outcome::refused || outcome == Outcome::reset) && !server.is_origin &&
                zone_at(server.zone).ejection.ejected;
     }
-    // Silent for long, it may have restarted: cold until the list says otherwise.
+    // Ends an ejection. A server that was silent for long may have restarted, so it counts as started now
+    // unless the list gives a later start.
     void reinstate(Server& server, double now) {
         warm_responses_.is_current = false;
-        if (now - server.ejection.since > kRestartSilence)
+        if (now - server.ejection.silent_since > kRestartSilence)
             server.started_at = std::max(server.started_at, now);
         server.ejection.ejected = false;
     }
-    // A request at a silent server would wait out its timeout there; cancelled, it is retried elsewhere.
-    void cancel_stalled_attempts(int server_id, double now, double out_for = kSilenceTimeout) {
+    // Cancels attempts at a silent server, so that their requests are retried elsewhere and do not wait for
+    // the timeout.
+    void cancel_stalled_attempts(int server_id, double now, double min_age = kSilenceTimeout) {
         if (!deployment_.may_cancel) return;
         for (PendingRequest& request : requests_) {
             if (!request.open || request.streaming || request.in_flight != 1) continue;
-            const Attempt& last = request.attempts.back();
-            if (last.server != server_id || now - last.sent_at < out_for) continue;
+            const Attempt& attempt = request.attempts.back();
+            if (attempt.server != server_id || now - attempt.sent_at < min_age) continue;
             if (operation(request).idempotency != Idempotency::idempotent) continue;
             host_.cancel_attempt(request.info.id, static_cast<int>(request.attempts.size()) - 1);
         }
     }
-    // An ejected server gets one request now and then, only one that may be retried.
-    bool take_probe(OutlierEjection& d, const PendingRequest& request, double now) {
-        const bool may_repeat = operation(request).idempotency == Idempotency::idempotent;
-        if (now < d.next_probe || !may_repeat || !request.attempts.empty()) return false;
-        d.next_probe = now + (d.apart > 0 ? d.apart : d.probe_interval);
+    // Returns whether the request is sent as a probe of an ejected server. Only first attempts of idempotent
+    // requests are, once per probe interval.
+    bool take_probe(OutlierEjection& ejection, const PendingRequest& request, double now) {
+        const bool is_idempotent = operation(request).idempotency == Idempotency::idempotent;
+        if (now < ejection.next_probe || !is_idempotent || !request.attempts.empty()) return false;
+        ejection.next_probe = now + (ejection.fleet_probe_interval > 0 ? ejection.fleet_probe_interval
+                                                                       : ejection.probe_interval);
         return true;
     }
-    // Exception: lost with its connection alone, while others get fast responses: no sign of load or health.
+    // Exception: one attempt that is lost with its connection while others receive fast responses does not
+    // indicate load or failure.
     bool is_isolated_loss(Server& server, Outcome outcome, double now) {
         if (outcome != Outcome::timed_out && outcome != Outcome::reset) return false;
         return now - server.last_response_at < kSilenceTimeout &&
@@ -925,15 +1096,15 @@
                         Outcome outcome, double latency, double now) {
         const Operation& op = operation(request);
         if (!server.is_origin) record_zone_outcome(server, attempt, outcome, now);
-        const bool with_zone = is_lost_with_zone(server, outcome);
-        if (!server.is_origin && !with_zone) {
-            const bool slow = outcome == Outcome::busy || outcome == Outcome::timed_out ||
-                              outcome == Outcome::refused ||
-                              latency > kSlowResponseRatio * op.latency_objective;
-            recent_outcomes_.add(now, slow);
-            longer_outcomes_.add(now, slow);
+        const bool is_lost_with_zone = is_zone_loss(server, outcome);
+        if (!server.is_origin && !is_lost_with_zone) {
+            const bool is_slow = outcome == Outcome::busy || outcome == Outcome::timed_out ||
+                                 outcome == Outcome::refused ||
+                                 latency > kSlowResponseRatio * op.latency_objective;
+            recent_outcomes_.add(now, is_slow);
+            long_window_outcomes_.add(now, is_slow);
             late_outcomes_.add(now, outcome == Outcome::timed_out || latency > op.latency_objective);
-            kind_at(server.kind).slow_responses.add(now, slow);
+            kind_at(server.kind).slow_responses.add(now, is_slow);
         }
         switch (outcome) {
             case Outcome::succeeded:
@@ -944,17 +1115,18 @@
                 server.latencies.add(now, latency);
                 if (server.is_origin) return;
                 if (latency > kSlowResponseRatio * op.latency_objective) {
-                    // With many nodes, one attempt from each may be too much: back off as long as it took.
+                    // With many nodes, one attempt from each may be too much, so the node backs off for as
+                    // long as the response took.
                     decrease_limit(server, kSlowDecrease, latency, latency, now);
                 } else {
                     server.limiter.increase(server.in_flight);
                 }
-                if (server.ejection.ejected &&
-                    (server.ejection.apart == 0 || latency <= kSlowResponseRatio * op.latency_objective)) {
+                if (server.ejection.ejected && (server.ejection.fleet_probe_interval == 0 ||
+                                                latency <= kSlowResponseRatio * op.latency_objective)) {
                     reinstate(server, now);
                     server.latencies.clear();
                 }
-                server.ejection.since = now;  // whatever it is, it was not silent until now
+                server.ejection.silent_since = now;  // silence is counted from its last response
                 break;
             case Outcome::busy:
                 server.consecutive_failures = 0;
@@ -967,8 +1139,9 @@
             case Outcome::timed_out:
             case Outcome::refused:
             case Outcome::reset:
-                // A silent machine takes all of the connect timeout; a full connection table refuses at once.
-                if (!with_zone && outcome == Outcome::refused &&
+                // A connection to a silent machine fails after the whole connect timeout; a full connection
+                // table refuses at once.
+                if (!is_lost_with_zone && outcome == Outcome::refused &&
                     latency < kFastRefusalRatio * deployment_.connect_timeout)
                     idle_timeout_ = std::max(idle_timeout_ / 2, kMinIdleTimeout);
                 if (attempt.sent_at < server.unanswered_since) server.unanswered_since = attempt.sent_at;
@@ -981,65 +1154,70 @@
         }
         if (server.in_flight == 0) server.unanswered_since = 0;
     }
-    void decrease_limit(Server& server, double to, double apart, double backoff, double now) {
+    void decrease_limit(Server& server, double factor, double min_interval, double min_backoff, double now) {
         if (server.limiter.limit <= kMinLimit) {
-            server.limiter.backoff = std::max(server.limiter.backoff, backoff);
+            server.limiter.backoff = std::max(server.limiter.backoff, min_backoff);
             server.limiter.back_off(random_unit(), kMaxServerBackoff, now);
         }
-        server.limiter.decrease(to, apart, server.in_flight, now);
+        server.limiter.decrease(factor, min_interval, server.in_flight, now);
     }
 
     // ---- attempts --------------------------------------------------------------------------------------
-    void start_attempt(PendingRequest& request, int server_id, double limit, double now) {
+    void start_attempt(PendingRequest& request, int server_id, double timeout, double now) {
         Server& server = server_at(server_id);
         request.attempts.push_back({server_id, now, AttemptState::in_flight});
         ++request.in_flight;
         ++server.in_flight;
-        count_in_flight(server, 1);
+        add_ring_in_flight(server, 1);
         server.may_have_connections = true;
         if (server.unanswered_since == 0) server.unanswered_since = now;
         if (!server.is_origin) server.slow_start_attempts.add(now, 1);
-        host_.start_attempt(request.info.id, server_id, limit);
+        host_.start_attempt(request.info.id, server_id, timeout);
     }
     void route_to_cache(PendingRequest& request, double now) {
         const int server_id = pick_server(request, now);
         if (server_id < 0) {
-            const bool straight = !request.info.is_write && origin_server_ >= 0 && ring_servers_.back() == 0;
-            return straight ? route_to_origin(request, now) : reject_or_fail(request);
+            const bool goes_to_origin =
+                !request.info.is_write && origin_server_ >= 0 && ring_servers_.back() == 0;
+            return goes_to_origin ? route_to_origin(request, now) : reject_or_fail(request);
         }
         start_attempt(request, server_id, request.useful_until - now, now);
     }
-    // After a failed attempt: another if rule 2, the time left and the retry budget allow it; but under
-    // overload none to a further server, since all are full and each try costs a handshake; and none to the
-    // origin after the node itself declined to send, at its share of the fleet's limit.
-    void retry(PendingRequest& request, double now, const Server& from, Outcome outcome) {
-        // What a lost zone refused cost nobody work, so it needs no token while another zone is healthy.
-        const auto stands = [](const Zone& z) { return !z.ejection.ejected; };
-        const bool free = outcome == Outcome::refused && is_lost_with_zone(from, outcome) &&
-                          std::any_of(zones_.begin(), zones_.end() - 1, stands);
-        const bool may =
-            from.is_origin ? outcome != Outcome::not_sent : slow_response_rate_ <= kOverloadedRate;
-        const bool in_time = request.useful_until - now > 2 * deployment_.tick_interval;
-        if (in_time && (free || (retry_tokens_ >= 1 && may))) {
-            if (!free) retry_tokens_ -= 1;
-            return from.is_origin ? route_to_origin(request, now) : route_to_cache(request, now);
+    // Retries after a failed attempt if rule 2, the remaining time and the retry budget allow it. Under
+    // overload no other cache server is tried, since all are full and each try costs a handshake. The origin
+    // is not tried again after this node itself declined to send because its share of the fleet's limit is
+    // used up.
+    void retry(PendingRequest& request, double now, const Server& failed_server, Outcome outcome) {
+        // An attempt refused in an ejected zone caused no work, so its retry needs no token while another
+        // zone is healthy.
+        const auto is_healthy = [](const Zone& zone) { return !zone.ejection.ejected; };
+        const bool is_free = outcome == Outcome::refused && is_zone_loss(failed_server, outcome) &&
+                             std::any_of(zones_.begin(), zones_.end() - 1, is_healthy);
+        const bool may_retry =
+            failed_server.is_origin ? outcome != Outcome::not_sent : slow_response_rate_ <= kOverloadSlowRate;
+        const bool has_time = request.useful_until - now > 2 * deployment_.tick_interval;
+        if (has_time && (is_free || (retry_tokens_ >= 1 && may_retry))) {
+            if (!is_free) retry_tokens_ -= 1;
+            return failed_server.is_origin ? route_to_origin(request, now) : route_to_cache(request, now);
         }
         reject_or_fail(request);
     }
-    // The final answer of a request that is given up, at once: rejected where rule 2 allows it, else failed.
+    // Gives up a request with an immediate final answer: rejected if rule 2 allows it, failed otherwise.
     void reject_or_fail(PendingRequest& request) {
         request.open = false;
         stop_waiting(request);
         if (may_reject(request)) {
-            const double wait = 0.2 + std::max(shedding_ratio_, 1 - admission_ratio_) * (0.5 + random_unit());
-            const double advice = std::min(deployment_.max_retry_after, wait);
-            host_.reject(request.info.id, deployment_.max_retry_after > 0 ? advice : 0);
+            const double retry_after =
+                0.2 + std::max(shedding_ratio_, 1 - admission_ratio_) * (0.5 + random_unit());
+            const double capped_retry_after = std::min(deployment_.max_retry_after, retry_after);
+            host_.reject(request.info.id, deployment_.max_retry_after > 0 ? capped_retry_after : 0);
         } else {
             host_.fail(request.info.id);
         }
         cancel_other_attempts(request);
     }
-    // Work for nobody is cancelled, except a fetch: its answer still fills the cache for those who wait.
+    // Cancels attempts whose responses are no longer needed, except fetches from the origin: their responses
+    // still fill the cache for the requests that wait.
     void cancel_other_attempts(PendingRequest& request) {
         if (!deployment_.may_cancel || request.streaming) return;
         for (std::size_t i = 0; i < request.attempts.size(); ++i) {
@@ -1051,13 +1229,14 @@
 
     // ---- the origin ------------------------------------------------------------------------------------
     void route_to_origin(PendingRequest& request, double now) {
-        const int at = origin_server_;
-        if (at < 0 || !may_attempt(request, at, now)) {
+        const int server_id = origin_server_;
+        if (server_id < 0 || !may_attempt(request, server_id, now)) {
             if (request.in_flight == 0) reject_or_fail(request);
             return;
         }
         if (!request.info.is_write && request.info.has_key) {
-            // One fetch a key: an invalidated or new popular key would otherwise cost a fetch per request.
+            // Only one fetch per key is in flight: a popular key that is new or invalidated would otherwise
+            // cost one fetch per request.
             const auto fetch = fetch_waiters_.find(request.info.key);
             if (fetch != fetch_waiters_.end()) {
                 fetch->second.push_back(request.info.id);
@@ -1066,7 +1245,7 @@
             }
         }
         if (origin_limiter_.has_capacity(origin_in_flight_, now)) {
-            start_fetch(request, at, now);
+            start_fetch(request, server_id, now);
         } else if (expected_origin_wait(now) < request.useful_until - now) {
             origin_queue_.push_back(request.info.id);
             wait_for(request, WaitReason::queue, now);
@@ -1074,23 +1253,24 @@
             reject_or_fail(request);
         }
     }
-    // How long a new request would wait and be fetched for: one that cannot make it is rejected at once.
+    // Estimates how long a new request would take to wait for and fetch from the origin. A request that
+    // cannot finish in time is rejected at once.
     double expected_origin_wait(double now) const {
         const double latency = std::max(origin_latency_, 0.01);
-        const double turns = static_cast<double>(origin_queue_.size() + 1) / origin_limiter_.limit + 1;
-        return std::max(0.0, origin_limiter_.backoff_until - now) + turns * latency;
+        const double rounds = static_cast<double>(origin_queue_.size() + 1) / origin_limiter_.limit + 1;
+        return std::max(0.0, origin_limiter_.backoff_until - now) + rounds * latency;
     }
-    void start_fetch(PendingRequest& request, int at, double now) {
+    void start_fetch(PendingRequest& request, int server_id, double now) {
         ++origin_in_flight_;
         if (!request.info.is_write && request.info.has_key) {
             fetch_waiters_[request.info.key];
             request.leads_fetch = true;
         }
-        // Past its use to this client, the answer still fills the cache.
-        start_attempt(request, at, request.deadline - now, now);
+        // A response that is too late to be of use to this client still fills the cache.
+        start_attempt(request, server_id, request.deadline - now, now);
     }
-    void wait_for(PendingRequest& request, WaitReason how, double now) {
-        request.waiting_for = how;
+    void wait_for(PendingRequest& request, WaitReason reason, double now) {
+        request.waiting_for = reason;
         const TimerToken expiry{TimerToken::Kind::request_expiry, request.generation,
                                 static_cast<std::uint32_t>(request.info.id)};
         host_.set_timer(std::max(request.useful_until - now - 2 * deployment_.tick_interval, 0.0),
@@ -1115,29 +1295,30 @@
             fetch_waiters_.erase(fetch);
         }
         for (int request_id : waiting) {
-            PendingRequest& w = request_at(request_id);
-            w.waiting_for = WaitReason::none;
-            Server& missed = server_at(std::max(request.missed_at, 0));
+            PendingRequest& waiter = request_at(request_id);
+            waiter.waiting_for = WaitReason::none;
+            Server& missed_server = server_at(std::max(request.missed_at, 0));
             if (outcome == Outcome::succeeded && request.missed_at >= 0 &&
-                may_attempt(w, request.missed_at, now) &&
-                has_slow_start_budget(missed, slow_start_ratio(missed, now), now)) {
-                start_attempt(w, request.missed_at, w.useful_until - now,
-                              now);  // the value is stored there now
+                may_attempt(waiter, request.missed_at, now) &&
+                has_slow_start_budget(missed_server, slow_start_ratio(missed_server, now), now)) {
+                // The server that missed the key holds the value now.
+                start_attempt(waiter, request.missed_at, waiter.useful_until - now, now);
             } else {
-                route_to_origin(w, now);
+                route_to_origin(waiter, now);
             }
         }
         drain_origin_queue(now);
     }
+    // Value of a response to the request that arrives after the origin's mean latency.
     double remaining_value(const PendingRequest& request, double now) const {
         const Operation& op = operation(request);
-        const bool late = now + origin_latency_ > request.objective_deadline;
-        return op.priority_weight * (late ? op.late_value_ratio : 1) *
+        const bool is_late = now + origin_latency_ > request.objective_deadline;
+        return op.priority_weight * (is_late ? op.late_value_ratio : 1) *
                (request.over_quota ? deployment_.over_quota_value_ratio : 1);
     }
     void drain_origin_queue(double now) {
         while (origin_limiter_.has_capacity(origin_in_flight_, now) && !origin_queue_.empty()) {
-            // The most valuable first, then the one with the least time left.
+            // The request with the highest value goes first; among equals, the one with the least time left.
             const auto next =
                 std::min_element(origin_queue_.begin(), origin_queue_.end(), [this, now](int a, int b) {
                     const PendingRequest& x = request_at(a);
@@ -1146,10 +1327,10 @@
                     const double vy = remaining_value(y, now);
                     return vx != vy ? vx > vy : x.useful_until < y.useful_until;
                 });
-            PendingRequest& w = request_at(*next);
+            PendingRequest& request = request_at(*next);
             origin_queue_.erase(next);
-            w.waiting_for = WaitReason::none;
-            route_to_origin(w, now);
+            request.waiting_for = WaitReason::none;
+            route_to_origin(request, now);
         }
     }
     void adjust_origin_limit(Outcome outcome, double latency, double now) {
@@ -1172,60 +1353,66 @@
     }
 
     // ---- quotas, shedding and spillover --------------------------------------------------------------
-    // Quotas hold for all nodes together, so each is scaled by this node's share of the traffic, estimated
-    // from the median tenant, which is seldom over its quota.
+    // Quotas apply to all nodes together, so each is scaled by this node's share of the traffic. The share is
+    // estimated from the median tenant, which is rarely over its quota.
     bool is_over_quota(const PendingRequest& request, double now) {
-        const int tenant = request.info.tenant;
-        if (tenant < 0 || tenant >= static_cast<int>(tenants_.size()) || tenants_.size() < 2) return false;
-        TenantQuota& s = item(tenants_, tenant);
-        s.arrivals.add(now, 1);
-        if (s.quota <= 0) return false;
-        const double rate = s.quota * std::max(node_traffic_share_, s.part);
-        s.tokens = std::min(s.tokens + (now - s.filled) * rate, std::max(rate, kQuotaBurst));
-        s.filled = now;
-        if (s.tokens < 1) return true;
-        s.tokens -= 1;
+        const int tenant_id = request.info.tenant;
+        if (tenant_id < 0 || tenant_id >= static_cast<int>(tenants_.size()) || tenants_.size() < 2)
+            return false;
+        TenantQuota& tenant = item(tenants_, tenant_id);
+        tenant.arrivals.add(now, 1);
+        if (tenant.quota <= 0) return false;
+        const double rate = tenant.quota * std::max(node_traffic_share_, tenant.fleet_share);
+        tenant.tokens =
+            std::min(tenant.tokens + (now - tenant.refilled_at) * rate, std::max(rate, kQuotaBurst));
+        tenant.refilled_at = now;
+        if (tenant.tokens < 1) return true;
+        tenant.tokens -= 1;
         return false;
     }
     void adjust_limits(double now) {
         if (now - adjusted_at_ < kAdjustInterval) return;
         adjusted_at_ = now;
         expire_idle_connections(now);
-        const bool live = deployment_.endpoint_weights == EndpointWeights::load_adjusted;
-        if (!live) adjust_kind_shares(now);
+        const bool is_load_adjusted = deployment_.endpoint_weights == EndpointWeights::load_adjusted;
+        if (!is_load_adjusted) adjust_kind_shares(now);
         slow_response_rate_ = recent_outcomes_.mean(now);
-        if (!live) {
-            const bool wasted =
+        if (!is_load_adjusted) {
+            const bool is_late_rate_high =
                 late_outcomes_.count(now) >= kMinSamples && late_outcomes_.mean(now) > kMaxLateRate;
-            admission_ratio_ = std::clamp(wasted ? admission_ratio_ * kLateAdmissionDecrease
-                                                 : admission_ratio_ + kLateAdmissionIncrease,
+            admission_ratio_ = std::clamp(is_late_rate_high ? admission_ratio_ * kLateAdmissionDecrease
+                                                            : admission_ratio_ + kLateAdmissionIncrease,
                                           kMinAdmission, 1.0);
         }
-        // One second of a node with little traffic is chance, and shedding by chance spares the largest
-        // tenants.
-        const double steady =
-            recent_outcomes_.count(now) < kMinSamples ? longer_outcomes_.mean(now) : slow_response_rate_;
-        const bool tight = slow_response_rate_ > kSpilloverThreshold || !origin_queue_.empty();
-        const double step = live    ? load_imbalance_ * spillover_step_
-                            : tight ? kSpilloverIncrease
-                                    : -kSpilloverDecrease;
+        // With little traffic, the rate over one second depends on chance, and shedding by chance spares the
+        // largest tenants.
+        const double steady_slow_rate =
+            recent_outcomes_.count(now) < kMinSamples ? long_window_outcomes_.mean(now) : slow_response_rate_;
+        const bool is_overloaded = slow_response_rate_ > kSpilloverThreshold || !origin_queue_.empty();
+        const double step = is_load_adjusted ? load_imbalance_ * spillover_step_
+                            : is_overloaded  ? kSpilloverIncrease
+                                             : -kSpilloverDecrease;
         spillover_ratio_ = std::clamp(spillover_ratio_ + step, 0.0, 1.0);
         shedding_ratio_ = std::clamp(
-            shedding_ratio_ + (steady > kSheddingThreshold ? kSheddingStep : -kSheddingStep), 0.0, 1.0);
-        std::vector<double> parts;
-        for (TenantQuota& s : tenants_) {
-            if (s.quota > 0) parts.push_back(s.arrivals.sum(now) / kRateWindow / s.quota);
+            shedding_ratio_ + (steady_slow_rate > kSheddingThreshold ? kSheddingStep : -kSheddingStep), 0.0,
+            1.0);
+        std::vector<double> traffic_shares;
+        for (TenantQuota& tenant : tenants_) {
+            if (tenant.quota > 0)
+                traffic_shares.push_back(tenant.arrivals.sum(now) / kRateWindow / tenant.quota);
         }
         node_traffic_share_ = 1.0 / std::max(1, deployment_.node_count);
-        std::sort(parts.begin(), parts.end());
-        if (!parts.empty())
-            node_traffic_share_ = std::clamp(parts[parts.size() / 2], node_traffic_share_, 1.0);
+        std::sort(traffic_shares.begin(), traffic_shares.end());
+        if (!traffic_shares.empty())
+            node_traffic_share_ =
+                std::clamp(traffic_shares[traffic_shares.size() / 2], node_traffic_share_, 1.0);
     }
-    // Idle connections are kept up to their own timeout; after refusals for less, since they fill the tables.
+    // Closes connections that are idle for longer than the configured timeout, or for less after refusals,
+    // since idle connections fill the servers' connection tables.
     void expire_idle_connections(double now) {
-        const double most =
+        const double max_idle_timeout =
             deployment_.connection_idle_timeout > 0 ? deployment_.connection_idle_timeout : 1e9;
-        idle_timeout_ = std::min(idle_timeout_ * kIdleTimeoutGrowth, most);
+        idle_timeout_ = std::min(idle_timeout_ * kIdleTimeoutGrowth, max_idle_timeout);
         for (Server& server : servers_) {
             if (!server.may_have_connections || server.in_flight > 0) continue;
             if (now - server.last_used_at < idle_timeout_) continue;
@@ -1237,14 +1424,15 @@
     std::shared_ptr<const Deployment> shared_deployment_;
     Host& host_;
     std::ranlux24_base random_;
-    std::uint64_t node_seed_;  // for draws that differ from other nodes'
+    std::uint64_t node_seed_;  // seeds random choices that have to differ between nodes
     std::vector<Server> servers_;
     BalancerWork work_;
     WarmResponses warm_responses_;
-    bool sizes_changed_ = false;  // of a machine kind, or the reference: the points of all servers may change
+    // A kind's weight or the reference weight changed: the points of any server may change.
+    bool kind_weights_changed_ = false;
     std::vector<HashRing> rings_;
-    std::vector<int> ring_servers_, ring_in_flight_;  // servers on each ring, and attempts in flight there
-    double reference_weight_ = 0;                     // by the first list that gave weights; 0: none does
+    std::vector<int> ring_servers_, ring_in_flight_;  // per ring: servers and attempts in flight
+    double reference_weight_ = 0;  // set by the first list with weights; 0: no list had any
     int origin_server_ = -1;
     std::vector<PendingRequest> requests_;
     std::vector<MachineKind> kinds_;
@@ -1252,25 +1440,25 @@
     std::vector<TenantQuota> tenants_;
     KeyCounter key_counter_{kKeySampleSize};
     SlidingWindow recent_outcomes_{1.0};
-    SlidingWindow longer_outcomes_{kLongWindow};
-    SlidingWindow late_outcomes_{1.0};  // timed out or past the objective
+    SlidingWindow long_window_outcomes_{kLongWindow};
+    SlidingWindow late_outcomes_{1.0};  // 1: timed out or finished after the objective; 0: in time
     unsigned update_generation_ = 0;
-    unsigned walk_mark_ = 1U << 31;
+    unsigned walk_generation_ = 1U << 31;
     int poll_failures_ = 0;
     double max_retry_tokens_ = 0;
     double retry_tokens_ = 0;
-    double slow_response_rate_ = 0;  // part of the last second's endings at caches, as of the last look
+    double slow_response_rate_ = 0;  // at cache servers in the last second, as of the last adjustment
     double shedding_ratio_ = 0;
     double spillover_ratio_ = 0;
-    double admission_ratio_ = 1;  // part of the reads let in, by the load that the list tells
+    double admission_ratio_ = 1;  // share of reads admitted, by reported load or by the rate of late attempts
     double spillover_step_ = kSpilloverStep;
-    int last_imbalance_ = 0;  // which way last
-    int load_imbalance_ = 0;  // 1: by the list, the own zone is more crowded than the rest; -1: less
+    int last_imbalance_ = 0;  // the last load_imbalance_ that was not 0
+    int load_imbalance_ = 0;  // 1: the list shows more load in the local zone than elsewhere; -1: less
     double adjusted_at_ = 0;
-    double idle_timeout_ = 1e9;  // s that an idle connection is kept
+    double idle_timeout_ = 1e9;  // s until an idle connection is closed
     double node_traffic_share_ = 1;
-    std::map<std::uint64_t, std::vector<int>> fetch_waiters_;  // key: who waits for its fetch
-    std::vector<int> origin_queue_;                            // who waits for a place at the origin
+    std::map<std::uint64_t, std::vector<int>> fetch_waiters_;  // requests that wait for the fetch, by key
+    std::vector<int> origin_queue_;                            // requests that wait for the origin's limit
     ConcurrencyLimiter origin_limiter_;
     double origin_latency_ = 0;
     double origin_latency_target_ = 1;
