--- a/src/sim_adapter/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -1,5 +1,7 @@
-// Puts the decision module on the bench's wire (garnet-ffb5): one Balancer an instance. It decodes lines
-// into calls, encodes what the module does at once, and maps the wire's ids to small indices and back.
+// Connects the balancer to the simulator's protocol (garnet-ffb5), with one Balancer for each instance. Each
+// input line is a JSON batch of events, which are decoded into calls of the balancer. The balancer's actions
+// are encoded as commands in the one output line of the batch. Request ids and server names of the protocol
+// are mapped to small indices and back.
 #include <rapidjson/document.h>
 #include <rapidjson/error/en.h>
 #include <rapidjson/stringbuffer.h>
@@ -103,7 +105,7 @@
             a.key = static_cast<std::uint64_t>(whole(*key, "key"));
         }
         if (by_id_.contains(id))
-            throw ConfigurationError("field 'corr' names an invocation that has already come");
+            throw ConfigurationError("field 'corr' names a request that is already known");
         if (free_.empty()) {
             free_.push_back(static_cast<int>(slots_.size()));
             slots_.emplace_back();
@@ -153,7 +155,7 @@
             balancer_->on_health_check(now, at->second, ending, seconds(e, "delay_seen_us"));
     }
 
-    // Peers are heard where a deployment has them; nothing is decided from it.
+    // Checks the fields of a peer's message and ignores it: the balancer has no input for it.
     void peer(double, const Value& e) {
         need(e, "author");
         need(e, "content");
@@ -163,7 +165,7 @@
         const std::string token(text(need(e, "handle"), "handle"));
         std::uint64_t value = 0;
         for (char c : token) {
-            if (c < '0' || c > '9') return;  // none of ours
+            if (c < '0' || c > '9') return;  // not a handle that set_timer() sent
             value = value * 10 + static_cast<std::uint64_t>(c - '0');
         }
         balancer_->on_timer(now, value);
@@ -252,18 +254,19 @@
     }
     int invocation_index(const Value& e) const {
         const auto at = by_id_.find(whole(need(e, "corr"), "corr"));
-        return at == by_id_.end() ? -1 : at->second;  // over and done with: legal, and nothing to do
+        return at == by_id_.end() ? -1 : at->second;  // The request has ended. The protocol allows late events, and they have no effect.
     }
     void over(int inv) {
         slots_[static_cast<std::size_t>(inv)].over = true;
         to_settle_.push_back(inv);
     }
-    // The module may end any invocation in any call, not just the one that the call is about.
+    // The balancer may end any request in any call, not only the one that the event names.
     void settle_ended() {
         for (int inv : to_settle_) settle(inv);
         to_settle_.clear();
     }
-    // An invocation's place is given to another only once nothing of it can be heard any more.
+    // Frees the slot of an ended request once none of its attempts is open, so that no event can refer to a
+    // slot that another request has taken over.
     void settle(int inv) {
         const Slot& slot = slots_[static_cast<std::size_t>(inv)];
         if (!slot.over || slot.out > 0 || by_id_.erase(slot.id) == 0) return;
@@ -378,7 +381,7 @@
     {"established", &Instance::stream},
     {"status_back", &Instance::probe_back},
     {"note_from", &Instance::peer},
-    {"power_off", nullptr}};
+    {"power_off", nullptr}};  // destroys the instance's balancer
 
 }  // namespace
 
