--- a/src/sim_adapter/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -29,7 +29,7 @@
 using Document = rapidjson::GenericDocument<rapidjson::UTF8<>, Pool, Pool>;
 using rapidjson::Value;
 
-constexpr std::array<std::pair<std::string_view, AttemptOutcome>, 9> kEndings{
+constexpr std::array<std::pair<std::string_view, AttemptOutcome>, 9> kAttemptOutcomes{
     {{"done", AttemptOutcome::succeeded},
      {"enoent", AttemptOutcome::miss},
      {"err", AttemptOutcome::failed},
@@ -42,22 +42,22 @@
 
 class Instance final : public Host {
   public:
-    Instance(std::int64_t number, Writer& out) : number_(number), out_(out) {}
+    Instance(std::int64_t number, Writer& out) : instance_number_(number), out_(out) {}
 
     void start(const Deployment& deployment, std::uint64_t seed) {
         operations_ = static_cast<int>(deployment.operations.size());
         slots_.clear();
-        free_.clear();
-        by_id_.clear();
-        caches_.clear();
-        names_.clear();
+        free_slots_.clear();
+        request_by_external_id_.clear();
+        server_indices_.clear();
+        server_names_.clear();
         balancer_ = make_balancer(deployment, seed, *this);
     }
     void stop() { balancer_.reset(); }
-    bool running() const { return balancer_ != nullptr; }
+    bool is_running() const { return balancer_ != nullptr; }
 
-    void list(double now, const Value& e) {
-        const std::string_view mode = text(need(e, "mode"), "mode");
+    void update_endpoints(double now, const Value& event) {
+        const std::string_view mode = text(need(event, "mode"), "mode");
         if (mode == "error") {
             balancer_->on_poll_failed(now);
             return;
@@ -70,167 +70,167 @@
         else if (mode != "diff")
             throw ConfigurationError("field 'mode' has the unknown value '" + std::string(mode) + "'");
         std::vector<Endpoint> entries;
-        if (const Value* array = find(e, "entries")) {
+        if (const Value* array = find(event, "entries")) {
             if (!array->IsArray()) throw ConfigurationError("field 'entries' is not a list");
             for (const Value& entry : array->GetArray()) {
                 if (!entry.IsObject()) throw ConfigurationError("an entry of 'entries' is not an object");
-                Endpoint l;
-                l.name = text(need(entry, "server"), "server");
-                l.server = cache_index(l.name);
-                l.zone = small(entry, "locality", 0);
-                l.kind = small(entry, "machine", 0);
-                l.cell = small(entry, "group", 0);
-                l.weight = number(entry, "scale", 0);
-                l.state = parse_endpoint_state(need(entry, "mode"), "mode");
-                l.started_at = seconds(entry, "since_us");
-                entries.push_back(l);
+                Endpoint endpoint;
+                endpoint.name = text(need(entry, "server"), "server");
+                endpoint.server = server_index(endpoint.name);
+                endpoint.zone = small(entry, "locality", 0);
+                endpoint.kind = small(entry, "machine", 0);
+                endpoint.cell = small(entry, "group", 0);
+                endpoint.weight = number(entry, "scale", 0);
+                endpoint.state = parse_endpoint_state(need(entry, "mode"), "mode");
+                endpoint.started_at = seconds(entry, "since_us");
+                entries.push_back(endpoint);
             }
         }
         balancer_->on_endpoints(now, kind, entries);
     }
 
-    void arrive(double now, const Value& e) {
-        Request a;
-        const std::int64_t id = whole(need(e, "corr"), "corr");
-        a.operation = small(e, "cls", -1);
-        if (a.operation < 0) throw ConfigurationError("missing field 'cls'");
-        if (a.operation >= operations_) throw ConfigurationError("field 'cls' names no operation");
-        a.time_remaining = number(need(e, "remaining_us"), "remaining_us") / 1e6;
-        const int options = small(e, "options", 0);
-        a.is_write = (options & 4) != 0;
-        a.is_client_retry = (options & 2) != 0;
-        a.tenant = small(e, "org", 0);
-        if (const Value* key = find(e, "key")) {
-            a.has_key = true;
-            a.key = static_cast<std::uint64_t>(whole(*key, "key"));
+    void receive_request(double now, const Value& event) {
+        Request request;
+        const std::int64_t id = whole(need(event, "corr"), "corr");
+        request.operation = small(event, "cls", -1);
+        if (request.operation < 0) throw ConfigurationError("missing field 'cls'");
+        if (request.operation >= operations_) throw ConfigurationError("field 'cls' names no operation");
+        request.time_remaining = number(need(event, "remaining_us"), "remaining_us") / 1e6;
+        const int options = small(event, "options", 0);
+        request.is_write = (options & 4) != 0;
+        request.is_client_retry = (options & 2) != 0;
+        request.tenant = small(event, "org", 0);
+        if (const Value* key = find(event, "key")) {
+            request.has_key = true;
+            request.key = static_cast<std::uint64_t>(whole(*key, "key"));
         }
-        if (by_id_.contains(id))
+        if (request_by_external_id_.contains(id))
             throw ConfigurationError("field 'corr' names a request that is already known");
-        if (free_.empty()) {
-            free_.push_back(static_cast<int>(slots_.size()));
+        if (free_slots_.empty()) {
+            free_slots_.push_back(static_cast<int>(slots_.size()));
             slots_.emplace_back();
         }
-        a.id = free_.back();
-        free_.pop_back();
-        slots_[static_cast<std::size_t>(a.id)] = {id, 0, false};
-        by_id_.emplace(id, a.id);
-        balancer_->on_request(now, a);
-        settle_ended();
+        request.id = free_slots_.back();
+        free_slots_.pop_back();
+        slots_[static_cast<std::size_t>(request.id)] = {id, 0, false};
+        request_by_external_id_.emplace(id, request.id);
+        balancer_->on_request(now, request);
+        release_ended_slots();
     }
 
-    void end(double now, const Value& e) {
-        const int inv = invocation_index(e);
-        const int forward = small(need_with(e, "copy"), "copy", 0);
-        const AttemptOutcome ending = word(need(e, "result"), "result", kEndings);
-        const double took = number(need(e, "delay_seen_us"), "delay_seen_us") / 1e6;
-        if (inv < 0) return;
-        Slot& slot = slots_[static_cast<std::size_t>(inv)];
-        --slot.out;
-        const bool over = flag(e, "no_more") || slot.over;
-        slot.over = over;
-        balancer_->on_attempt_finished(now, inv, forward, ending, took, over);
-        settle(inv);
-        settle_ended();
+    void finish_attempt(double now, const Value& event) {
+        const int request = find_request(event);
+        const int attempt = small(require_member(event, "copy"), "copy", 0);
+        const AttemptOutcome outcome = word(need(event, "result"), "result", kAttemptOutcomes);
+        const double latency = number(need(event, "delay_seen_us"), "delay_seen_us") / 1e6;
+        if (request < 0) return;
+        Slot& slot = slots_[static_cast<std::size_t>(request)];
+        --slot.open_attempts;
+        const bool is_ended = flag(event, "no_more") || slot.is_ended;
+        slot.is_ended = is_ended;
+        balancer_->on_attempt_finished(now, request, attempt, outcome, latency, is_ended);
+        release_slot(request);
+        release_ended_slots();
     }
 
-    void leave(double now, const Value& e) {
-        const int inv = invocation_index(e);
-        if (inv < 0) return;
-        slots_[static_cast<std::size_t>(inv)].over = true;
-        balancer_->on_client_closed(now, inv);
-        settle(inv);
-        settle_ended();
+    void close_client(double now, const Value& event) {
+        const int request = find_request(event);
+        if (request < 0) return;
+        slots_[static_cast<std::size_t>(request)].is_ended = true;
+        balancer_->on_client_closed(now, request);
+        release_slot(request);
+        release_ended_slots();
     }
 
-    void stream(double now, const Value& e) {
-        const int inv = invocation_index(e);
-        const int forward = small(need_with(e, "copy"), "copy", 0);
-        if (inv >= 0) balancer_->on_stream_started(now, inv, forward);
+    void start_stream(double now, const Value& event) {
+        const int request = find_request(event);
+        const int attempt = small(require_member(event, "copy"), "copy", 0);
+        if (request >= 0) balancer_->on_stream_started(now, request, attempt);
     }
 
-    void probe_back(double now, const Value& e) {
-        const auto at = caches_.find(std::string(text(need(e, "server"), "server")));
-        const AttemptOutcome ending = word(need(e, "result"), "result", kEndings);
-        if (at != caches_.end())
-            balancer_->on_health_check(now, at->second, ending, seconds(e, "delay_seen_us"));
+    void finish_health_check(double now, const Value& event) {
+        const auto at = server_indices_.find(std::string(text(need(event, "server"), "server")));
+        const AttemptOutcome outcome = word(need(event, "result"), "result", kAttemptOutcomes);
+        if (at != server_indices_.end())
+            balancer_->on_health_check(now, at->second, outcome, seconds(event, "delay_seen_us"));
     }
 
     // Checks the fields of a peer's message and ignores it: the balancer has no input for it.
-    void peer(double, const Value& e) {
-        need(e, "author");
-        need(e, "content");
+    void check_peer_message(double, const Value& event) {
+        need(event, "author");
+        need(event, "content");
     }
 
-    void bell(double now, const Value& e) {
-        const std::string token(text(need(e, "handle"), "handle"));
+    void fire_timer(double now, const Value& event) {
+        const std::string token(text(need(event, "handle"), "handle"));
         std::uint64_t value = 0;
         for (char c : token) {
             if (c < '0' || c > '9') return;  // not a handle that set_timer() sent
             value = value * 10 + static_cast<std::uint64_t>(c - '0');
         }
         balancer_->on_timer(now, value);
-        settle_ended();
+        release_ended_slots();
     }
 
-    void start_attempt(int inv, int cache, double limit) override {
-        begin("submit_to");
-        ++slots_[static_cast<std::size_t>(inv)].out;
-        corr(inv);
+    void start_attempt(int request, int server, double timeout) override {
+        begin_command("submit_to");
+        ++slots_[static_cast<std::size_t>(request)].open_attempts;
+        write_request_id(request);
         out_.Key("limit_us");
-        out_.Int64(std::max<std::int64_t>(1, std::llround(limit * 1e6)));
-        server(cache);
+        out_.Int64(std::max<std::int64_t>(1, std::llround(timeout * 1e6)));
+        write_server(server);
         out_.EndObject();
     }
-    void cancel_attempt(int inv, int forward) override {
-        begin("retract");
-        corr(inv);
+    void cancel_attempt(int request, int attempt) override {
+        begin_command("retract");
+        write_request_id(request);
         out_.Key("copy");
-        out_.Int(forward);
+        out_.Int(attempt);
         out_.EndObject();
     }
-    void reject(int inv, double retry_after) override {
-        begin("bounce");
-        corr(inv);
+    void reject(int request, double retry_after) override {
+        begin_command("bounce");
+        write_request_id(request);
         if (retry_after > 0) {
             out_.Key("retry_in_us");
             out_.Int64(std::llround(retry_after * 1e6));
         }
         out_.EndObject();
-        over(inv);
+        mark_ended(request);
     }
-    void fail(int inv) override {
-        begin("drop_request");
-        corr(inv);
+    void fail(int request) override {
+        begin_command("drop_request");
+        write_request_id(request);
         out_.EndObject();
-        over(inv);
+        mark_ended(request);
     }
-    void check_health(int cache) override {
-        begin("check");
-        server(cache);
+    void check_health(int server) override {
+        begin_command("check");
+        write_server(server);
         out_.EndObject();
     }
-    void close_idle_connections(int cache) override {
-        begin("release");
-        server(cache);
+    void close_idle_connections(int server) override {
+        begin_command("release");
+        write_server(server);
         out_.EndObject();
     }
     void poll_endpoints() override {
-        begin("observe");
+        begin_command("observe");
         out_.Key("active");
         out_.Bool(true);
         out_.EndObject();
     }
-    void set_timer(double after, std::uint64_t token) override {
-        begin("remind");
+    void set_timer(double delay, std::uint64_t token) override {
+        begin_command("remind");
         out_.Key("after_us");
-        out_.Int64(std::max<std::int64_t>(1, std::llround(after * 1e6)));
+        out_.Int64(std::max<std::int64_t>(1, std::llround(delay * 1e6)));
         out_.Key("handle");
         const std::string handle = std::to_string(token);
         out_.String(handle.data(), static_cast<rapidjson::SizeType>(handle.size()));
         out_.EndObject();
     }
     void log(std::string_view line) override {
-        begin("emit");
+        begin_command("emit");
         out_.Key("body_text");
         out_.String(line.data(), static_cast<rapidjson::SizeType>(line.size()));
         out_.EndObject();
@@ -238,74 +238,77 @@
 
   private:
     struct Slot {
-        std::int64_t id = 0;
-        int out = 0;
-        bool over = false;
+        std::int64_t external_id = 0;
+        int open_attempts = 0;
+        bool is_ended = false;
     };
 
-    static const Value& need_with(const Value& e, const char* name) {
-        need(e, name);
-        return e;
+    static const Value& require_member(const Value& event, const char* name) {
+        need(event, name);
+        return event;
     }
-    int cache_index(std::string_view name) {
-        const auto [at, fresh] = caches_.try_emplace(std::string(name), static_cast<int>(names_.size()));
-        if (fresh) names_.emplace_back(name);
+    int server_index(std::string_view name) {
+        const auto [at, is_new] =
+            server_indices_.try_emplace(std::string(name), static_cast<int>(server_names_.size()));
+        if (is_new) server_names_.emplace_back(name);
         return at->second;
     }
-    int invocation_index(const Value& e) const {
-        const auto at = by_id_.find(whole(need(e, "corr"), "corr"));
-        return at == by_id_.end() ? -1 : at->second;  // The request has ended. The protocol allows late events, and they have no effect.
+    int find_request(const Value& event) const {
+        // The protocol allows late events for a request that has ended; they have no effect.
+        const auto at = request_by_external_id_.find(whole(need(event, "corr"), "corr"));
+        return at == request_by_external_id_.end() ? -1 : at->second;
     }
-    void over(int inv) {
-        slots_[static_cast<std::size_t>(inv)].over = true;
-        to_settle_.push_back(inv);
+    void mark_ended(int request) {
+        slots_[static_cast<std::size_t>(request)].is_ended = true;
+        ended_slots_.push_back(request);
     }
     // The balancer may end any request in any call, not only the one that the event names.
-    void settle_ended() {
-        for (int inv : to_settle_) settle(inv);
-        to_settle_.clear();
+    void release_ended_slots() {
+        for (int request : ended_slots_) release_slot(request);
+        ended_slots_.clear();
     }
     // Frees the slot of an ended request once none of its attempts is open, so that no event can refer to a
     // slot that another request has taken over.
-    void settle(int inv) {
-        const Slot& slot = slots_[static_cast<std::size_t>(inv)];
-        if (!slot.over || slot.out > 0 || by_id_.erase(slot.id) == 0) return;
-        free_.push_back(inv);
+    void release_slot(int request) {
+        const Slot& slot = slots_[static_cast<std::size_t>(request)];
+        if (!slot.is_ended || slot.open_attempts > 0 || request_by_external_id_.erase(slot.external_id) == 0)
+            return;
+        free_slots_.push_back(request);
     }
-    void begin(const char* what) {
+    void begin_command(const char* name) {
         out_.StartObject();
         out_.Key("msg");
-        out_.String(what);
+        out_.String(name);
         out_.Key("i");
-        out_.Int64(number_);
+        out_.Int64(instance_number_);
     }
-    void corr(int inv) {
+    void write_request_id(int request) {
         out_.Key("corr");
-        out_.Int64(slots_[static_cast<std::size_t>(inv)].id);
+        out_.Int64(slots_[static_cast<std::size_t>(request)].external_id);
     }
-    void server(int cache) {
-        const std::string& name = names_[static_cast<std::size_t>(cache)];
+    void write_server(int server) {
+        const std::string& name = server_names_[static_cast<std::size_t>(server)];
         out_.Key("server");
         out_.String(name.data(), static_cast<rapidjson::SizeType>(name.size()));
     }
 
-    std::int64_t number_;
+    std::int64_t instance_number_;
     Writer& out_;
     int operations_ = 0;
     std::unique_ptr<Balancer> balancer_;
     std::vector<Slot> slots_;
-    std::vector<int> free_;
-    std::vector<int> to_settle_;
-    std::unordered_map<std::int64_t, int> by_id_;
-    std::unordered_map<std::string, int> caches_;
-    std::vector<std::string> names_;
+    std::vector<int> free_slots_;
+    std::vector<int> ended_slots_;
+    std::unordered_map<std::int64_t, int> request_by_external_id_;
+    std::unordered_map<std::string, int> server_indices_;
+    std::vector<std::string> server_names_;
 };
 
 class Adapter {
   public:
-    void batch(std::string& line) {
-        pool_.Clear();
-        Document document(&pool_, 1024, &stack_);
+    void process_batch(std::string& line) {
+        value_pool_.Clear();
+        Document document(&value_pool_, 1024, &parse_stack_);
         document.ParseInsitu(line.data());
         if (document.HasParseError()) {
             throw ConfigurationError(std::string("not JSON: ") +
@@ -320,7 +323,7 @@
         writer_.StartObject();
         writer_.Key("cmds");
         writer_.StartArray();
-        for (const Value& e : input.GetArray()) event(now, e);
+        for (const Value& event : input.GetArray()) handle_event(now, event);
         writer_.EndArray();
         writer_.EndObject();
         std::cout.write(buffer_.GetString(), static_cast<std::streamsize>(buffer_.GetSize()));
@@ -328,23 +331,23 @@
     }
 
   private:
-    void event(double now, const Value& e) {
-        if (!e.IsObject()) throw ConfigurationError("an event is not an object");
-        const std::string_view what = text(need(e, "msg"), "msg");
+    void handle_event(double now, const Value& event) {
+        if (!event.IsObject()) throw ConfigurationError("an event is not an object");
+        const std::string_view event_name = text(need(event, "msg"), "msg");
         try {
-            const std::int64_t number = whole(need(e, "i"), "i");
-            if (what == "provision") {
-                const Value& seed = need(e, "rng_seed");
+            const std::int64_t number = whole(need(event, "i"), "i");
+            if (event_name == "provision") {
+                const Value& seed = need(event, "rng_seed");
                 if (!seed.IsUint64() && !seed.IsInt64())
                     throw ConfigurationError("field 'rng_seed' is not a whole number");
                 const auto value =
                     seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
-                auto& fresh = instances_[number];
-                fresh = std::make_unique<Instance>(number, writer_);
-                fresh->start(read_deployment(need(e, "boot_info")), value);
+                auto& instance = instances_[number];
+                instance = std::make_unique<Instance>(number, writer_);
+                instance->start(read_deployment(need(event, "boot_info")), value);
                 return;
             }
-            const auto handler = kHandlers.find(what);
+            const auto handler = kHandlers.find(event_name);
             if (handler == kHandlers.end()) throw ConfigurationError("unknown event");
             const auto at = instances_.find(number);
             if (at == instances_.end()) {
@@ -353,48 +356,48 @@
             Instance& instance = *at->second;
             if (handler->second == nullptr) {
                 instance.stop();
-            } else if (instance.running()) {
-                (instance.*handler->second)(now, e);
+            } else if (instance.is_running()) {
+                (instance.*handler->second)(now, event);
             }
-        } catch (const ConfigurationError& bad) {
-            throw ConfigurationError("event '" + std::string(what) + "': " + bad.what());
+        } catch (const ConfigurationError& error) {
+            throw ConfigurationError("event '" + std::string(event_name) + "': " + error.what());
         }
     }
 
     using Handler = void (Instance::*)(double, const Value&);
     static const std::unordered_map<std::string_view, Handler> kHandlers;
 
-    std::array<char, 1 << 20> room_{};
-    Pool pool_{room_.data(), room_.size()};
-    Pool stack_;
+    std::array<char, 1 << 20> value_buffer_{};
+    Pool value_pool_{value_buffer_.data(), value_buffer_.size()};
+    Pool parse_stack_;
     rapidjson::StringBuffer buffer_;
     Writer writer_{buffer_};
     std::unordered_map<std::int64_t, std::unique_ptr<Instance>> instances_;
 };
 
 const std::unordered_map<std::string_view, Adapter::Handler> Adapter::kHandlers = {
-    {"answer", &Instance::end},
-    {"incoming", &Instance::arrive},
-    {"bell", &Instance::bell},
-    {"directory_update", &Instance::list},
-    {"gone", &Instance::leave},
-    {"established", &Instance::stream},
-    {"status_back", &Instance::probe_back},
-    {"note_from", &Instance::peer},
+    {"answer", &Instance::finish_attempt},
+    {"incoming", &Instance::receive_request},
+    {"bell", &Instance::fire_timer},
+    {"directory_update", &Instance::update_endpoints},
+    {"gone", &Instance::close_client},
+    {"established", &Instance::start_stream},
+    {"status_back", &Instance::finish_health_check},
+    {"note_from", &Instance::check_peer_message},
     {"power_off", nullptr}};  // destroys the instance's balancer
 
 }  // namespace
 
-int run() {
+int run_adapter() {
     auto adapter = std::make_unique<Adapter>();
     std::string line;
-    std::int64_t lines = 0;
+    std::int64_t line_number = 0;
     while (std::getline(std::cin, line)) {
-        ++lines;
+        ++line_number;
         try {
-            adapter->batch(line);
-        } catch (const ConfigurationError& bad) {
-            std::cerr << "brookrelay_adapter: line " << lines << ": " << bad.what() << '\n';
+            adapter->process_batch(line);
+        } catch (const ConfigurationError& error) {
+            std::cerr << "brookrelay_adapter: line " << line_number << ": " << error.what() << '\n';
             return 1;
         }
     }
@@ -406,5 +409,5 @@
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    return brookrelay::run();
+    return brookrelay::run_adapter();
 }
