--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -5,7 +5,8 @@
 using rapidjson::Value;
 
 const Value* find(const Value& object, const char* name) {
-    if (!object.IsObject()) throw ConfigurationError(std::string("no object to hold '") + name + "'");
+    if (!object.IsObject())
+        throw ConfigurationError(std::string("expected an object with field '") + name + "'");
     const auto member = object.FindMember(name);
     return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
@@ -18,7 +19,7 @@
 
 const Value& need_list(const Value& object, const char* name) {
     const Value& list = need(object, name);
-    if (!list.IsArray()) throw ConfigurationError(std::string("field '") + name + "' is not a list");
+    if (!list.IsArray()) throw ConfigurationError(std::string("field '") + name + "' is not an array");
     return list;
 }
 
@@ -38,7 +39,7 @@
 
 double duration(const Value& object, const char* name) {
     const double value = seconds(object, name);
-    if (value < 0) throw ConfigurationError(std::string("field '") + name + "' is under 0");
+    if (value < 0) throw ConfigurationError(std::string("field '") + name + "' is negative");
     return value;
 }
 
@@ -51,7 +52,7 @@
     const Value* value = find(object, name);
     if (value == nullptr) return otherwise;
     if (!value->IsInt())
-        throw ConfigurationError(std::string("field '") + name + "' is not a small whole number");
+        throw ConfigurationError(std::string("field '") + name + "' is not a 32-bit whole number");
     return value->GetInt();
 }
 
@@ -63,7 +64,7 @@
 }
 
 std::string_view text(const Value& value, const char* name) {
-    if (!value.IsString()) throw ConfigurationError(std::string("field '") + name + "' is not a text");
+    if (!value.IsString()) throw ConfigurationError(std::string("field '") + name + "' is not a string");
     return {value.GetString(), value.GetStringLength()};
 }
 
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -50,7 +50,7 @@
     if (all || find(entry, "class") != nullptr) s.kind = read_name_index(names.kinds, entry, "class");
     s.cell = small(entry, "block", all ? 0 : -1);
     s.weight = number(entry, "share", 0);
-    if (s.weight < 0) throw ConfigurationError("field 'share' is under 0");
+    if (s.weight < 0) throw ConfigurationError("field 'share' is negative");
     s.started_at = number(entry, "born_ms", 0) / 1e3;
     return s;
 }
@@ -82,7 +82,7 @@
     for (const auto& member : value.GetObject()) {
         const std::string key(member.name.GetString(), member.name.GetStringLength());
         // It would be undefined which of the two counts.
-        if (!keys.insert(key).second) throw ConfigurationError("key '" + key + "' stands twice");
+        if (!keys.insert(key).second) throw ConfigurationError("key '" + key + "' appears twice");
         if (member.value.IsNull()) keys.erase(key);
         collect_keys(member.value, path.empty() ? key : path + "." + key, given);
     }
@@ -125,8 +125,8 @@
     for (const Value& peer : need_list(root, "peers").GetArray()) {
         config.peers.emplace_back(text(peer, "peers"));
         if (!parse_address(config.peers.back())) {
-            throw ConfigurationError("field 'peers' holds no address and port: '" + config.peers.back() +
-                                     "'");
+            throw ConfigurationError("field 'peers' has an entry that is not an address and port: '" +
+                                     config.peers.back() + "'");
         }
     }
 }
@@ -138,11 +138,11 @@
     if (limits == nullptr) return;
     config.descriptors = small(*limits, "sockets", kDefaultDescriptors);
     if (config.descriptors < kMinDescriptors) {
-        throw ConfigurationError("field 'limits.sockets' is under " + std::to_string(kMinDescriptors));
+        throw ConfigurationError("field 'limits.sockets' is less than " + std::to_string(kMinDescriptors));
     }
     config.memory_mb = small(*limits, "memory_mb", kDefaultMemoryMb);
     if (config.memory_mb < kMinMemoryMb) {
-        throw ConfigurationError("field 'limits.memory_mb' is under " + std::to_string(kMinMemoryMb));
+        throw ConfigurationError("field 'limits.memory_mb' is less than " + std::to_string(kMinMemoryMb));
     }
 }
 
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -15,7 +15,7 @@
 
 // Reports a key that has no effect because gossip is disabled.
 void complain_without_gossip(Table& table, const char* key, const std::string& switch_name) {
-    table.complain(key, "is said without " + switch_name + " = true, and would do nothing");
+    table.complain(key, "is set without " + switch_name + " = true, so it has no effect");
 }
 
 void read_log(Table& log, OperatorConfig& config) {
@@ -50,11 +50,11 @@
             std::istream_iterator<std::string>(words), std::istream_iterator<std::string>());
         if (zones.size() < 2) {
             fleet.complain("regions",
-                           "expected zones with blanks between, two at the least, found '" + region + "'");
+                           "expected at least two zone names separated by blanks, found '" + region + "'");
         }
         for (const std::string& zone : zones) {
             if (!assigned.insert(zone).second)
-                fleet.complain("regions", "zone '" + zone + "' stands in two of them");
+                fleet.complain("regions", "zone '" + zone + "' is listed more than once");
         }
     }
 }
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -105,7 +105,7 @@
     s.talk_connections = static_cast<int>(t.whole("talk_connections", s.talk_connections, 0, 1'000'000));
     s.talk_zones = t.flag("talk_zones", s.talk_zones);
     for (const char* key : {"talk_tenants", "talk_origin", "talk_cold", "talk_connections"}) {
-        if (t.has(key) && !s.talk) t.complain(key, "is said without talk = true, and would do nothing");
+        if (t.has(key) && !s.talk) t.complain(key, "is set without talk = true, so it has no effect");
     }
 }
 
@@ -139,7 +139,8 @@
     p.late_value_ratio = t.number("tardy_part", 0, 0, 1);
     if (p.idempotency == Idempotency::idempotency_key && p.deduplication_window <= 0) {
         t.complain("dedup_window",
-                   "is needed where repeat is \"deduplicated\"; expected how long a mark is known");
+                   "is required where repeat is \"deduplicated\"; expected how long an idempotency key is "
+                   "remembered");
     }
     if (p.latency_objective > p.client_timeout) {
         t.complain("latency_objective", "expected no more than client_timeout (" +
@@ -194,7 +195,8 @@
     trouble.delay = t.duration("delay", delays ? 0.5 : 0, 0, s.length);
     const std::vector<std::string> servers = s.server_names();
     for (const auto& [key, names] : {std::pair{"from", &trouble.from}, std::pair{"to", &trouble.to}}) {
-        if (!links && !names->empty()) t.complain(key, std::string("'") + row.word + "' strikes no links");
+        if (!links && !names->empty())
+            t.complain(key, std::string("'") + row.word + "' does not apply to links");
         for (const std::string& name : *names) {
             if (is_node(name, s) || contains(s.zones, name) || contains(servers, name)) continue;
             t.complain(key, "there is no zone, node or server '" + name + "'" + suggestion(name, s.zones));
@@ -208,7 +210,7 @@
 void read_trouble_nodes(Table& t, const Scenario& s, const TroubleRow& row, Trouble& trouble) {
     for (const std::string& name : t.texts("nodes")) {
         if (row.who != Who::nodes)
-            t.complain("nodes", std::string("'") + row.word + "' strikes no nodes together");
+            t.complain("nodes", std::string("'") + row.word + "' does not apply to a list of nodes");
         if (is_node(name, s)) {
             trouble.nodes.push_back(std::stoi(name.substr(1)));
         } else {
@@ -221,7 +223,8 @@
 
 void read_trouble_time(Table& t, const Scenario& s, const TroubleRow& row, Trouble& trouble) {
     trouble.at = t.duration("at", 0, 0, s.length);
-    if (!t.has("at")) t.complain("at", "is missing; expected a time of the day, such as \"10s\"");
+    if (!t.has("at"))
+        t.complain("at", "is missing; expected a time since the start of the day, such as \"10s\"");
     trouble.lasts = t.duration("lasts", 0, 0.01, s.length);
     if (row.lasts && !t.has("lasts"))
         t.complain("lasts", std::string("is missing; '") + row.word + "' needs it");
@@ -230,10 +233,10 @@
 void check_trouble_limits(Table& t, const Scenario& s, const TroubleRow& row, const Trouble& trouble) {
     const bool limits = trouble.kind == TroubleKind::limits;
     if (limits != t.has("origin"))
-        t.complain("origin", limits ? "is missing; 'limits' needs the origin's limit from then on"
-                                    : std::string("'") + row.word + "' sets no limit");
+        t.complain("origin", limits ? "is missing; 'limits' needs the origin's new limit"
+                                    : std::string("'") + row.word + "' takes no limit");
     if (limits && s.talk_origin <= 0)
-        t.complain("what", "'limits' needs a limit to begin with: node.talk_origin");
+        t.complain("what", "'limits' needs an initial limit in node.talk_origin");
 }
 
 // Checks the names of the servers or tenants that a trouble strikes.
@@ -247,7 +250,7 @@
         for (const TenantPlan& tenant : s.tenants) known.push_back(tenant.name);
     }
     if (known.empty() && !trouble.who.empty())
-        t.complain("who", std::string("'") + row.word + "' strikes nobody by name");
+        t.complain("who", std::string("'") + row.word + "' does not apply to servers or tenants by name");
     if ((row.who == Who::servers || row.who == Who::tenants) && trouble.who.empty()) {
         t.complain("who", std::string("is missing; '") + row.word + "' needs a list of names");
     }
@@ -283,10 +286,10 @@
     for (const ServerKind& k : s.kinds) {
         servers += k.count;
         if (!names.insert(k.name).second)
-            root.complain("server", "expected names that differ, found '" + k.name + "' again");
+            root.complain("server", "expected distinct names, found '" + k.name + "' again");
     }
     if (servers > kMaxServers) {
-        root.complain("server", "expected " + std::to_string(kMaxServers) + " servers at the most, found " +
+        root.complain("server", "expected no more than " + std::to_string(kMaxServers) + " servers, found " +
                                     std::to_string(servers));
     }
 }
@@ -298,7 +301,7 @@
     for (const OperationPlan& o : s.operations) {
         share += o.share;
         if (!names.insert(o.name).second) {
-            root.complain("operation", "expected names that differ, found '" + o.name + "' again");
+            root.complain("operation", "expected distinct names, found '" + o.name + "' again");
         }
         if (o.name.find_first_of(" ,=\r\n") != std::string::npos) {
             root.complain("operation",
@@ -306,7 +309,7 @@
         }
     }
     if (!s.operations.empty() && share <= 0)
-        root.complain("operation", "expected a share above 0 in one of them");
+        root.complain("operation", "expected at least one entry with a share above 0");
 }
 
 void check_arrivals(Table& root, const Scenario& s) {
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -128,7 +128,9 @@
             if (!parse_number(step, index) || index >= list->size()) {
                 throw ConfigurationFileError(where + ": there is no entry '" + step + "'");
             }
-            if (!more) throw ConfigurationFileError(where + ": names a whole entry, not a value");
+            if (!more)
+                throw ConfigurationFileError(where +
+                                             ": the path ends at an array entry, expected a key in it");
             at = list->get(index);
         } else if (toml::table* table = at->as_table()) {
             if (!more) {
@@ -138,7 +140,7 @@
             if (!table->contains(step)) table->insert(step, toml::table{});
             at = table->get(step);
         } else {
-            throw ConfigurationFileError(where + ": '" + step + "' stands below a value that is no table");
+            throw ConfigurationFileError(where + ": '" + step + "' is below a value that is not a table");
         }
         step = next;
     }
@@ -199,7 +201,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
     if (!node->is_number()) {
-        complain(key, "expected a number, found a " + kind_of(*node));
+        complain(key, "expected a number, found type " + kind_of(*node));
         return otherwise;
     }
     const double value = *node->value<double>();
@@ -211,7 +213,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
     if (!node->is_integer()) {
-        complain(key, "expected a whole number, found a " + kind_of(*node));
+        complain(key, "expected a whole number, found type " + kind_of(*node));
         return otherwise;
     }
     const std::int64_t value = *node->value<std::int64_t>();
@@ -235,7 +237,7 @@
 bool TomlFile::Table::flag(const std::string& key, bool otherwise) {
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
-    if (!node->is_boolean()) complain(key, "expected true or false, found a " + kind_of(*node));
+    if (!node->is_boolean()) complain(key, "expected true or false, found type " + kind_of(*node));
     return node->value<bool>().value_or(otherwise);
 }
 
@@ -243,7 +245,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return otherwise;
     if (!node->is_string()) {
-        complain(key, "expected a text, found a " + kind_of(*node));
+        complain(key, "expected a string, found type " + kind_of(*node));
         return otherwise;
     }
     return *node->value<std::string>();
@@ -251,9 +253,9 @@
 
 std::string TomlFile::Table::needed_text(const std::string& key) {
     std::string value = text(key, "");
-    if (value.empty() && !has(key)) complain(key, "is missing; expected a text");
+    if (value.empty() && !has(key)) complain(key, "is missing; expected a string");
     if (value.empty() && has(key) && table_->get(key)->is_string())
-        complain(key, "expected a text, found none");
+        complain(key, "expected a string that is not empty");
     return value;
 }
 
@@ -277,14 +279,14 @@
     const toml::node* node = find(key);
     if (node == nullptr) return all;
     if (!node->is_array()) {
-        complain(key, "expected a list of texts, found a " + kind_of(*node));
+        complain(key, "expected an array of strings, found type " + kind_of(*node));
         return all;
     }
     for (const toml::node& one : *node->as_array()) {
         if (one.is_string()) {
             all.push_back(*one.value<std::string>());
         } else {
-            complain(key, "expected a list of texts; one is a " + kind_of(one));
+            complain(key, "expected an array of strings; one entry has type " + kind_of(one));
         }
     }
     return all;
@@ -295,7 +297,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return points;
     const auto wrong = [&] {
-        complain(key, "expected points such as [[\"0s\", 1.0], [\"30s\", 2.5]], times rising");
+        complain(key, "expected points such as [[\"0s\", 1.0], [\"30s\", 2.5]], in ascending order of time");
         return std::vector<std::pair<double, double>>{};
     };
     if (!node->is_array()) return wrong();
@@ -318,7 +320,7 @@
 void TomlFile::Table::table(const std::string& key, const std::function<void(Table&)>& read) {
     const toml::node* node = find(key);
     if (node != nullptr && !node->is_table()) {
-        complain(key, "expected a table [" + at(key) + "], found a " + kind_of(*node));
+        complain(key, "expected a table [" + at(key) + "], found type " + kind_of(*node));
         return;
     }
     Table inner(file_, node == nullptr ? nullptr : node->as_table(), at(key));
@@ -332,7 +334,7 @@
     const toml::array* list = node->as_array();
     if (list == nullptr ||
         !std::all_of(list->begin(), list->end(), [](const auto& n) { return n.is_table(); })) {
-        complain(key, "expected entries [[" + at(key) + "]], found a " + kind_of(*node));
+        complain(key, "expected entries [[" + at(key) + "]], found type " + kind_of(*node));
         return;
     }
     std::size_t index = 0;
--- a/src/sim_adapter/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -71,7 +71,7 @@
             throw ConfigurationError("field 'mode' has the unknown value '" + std::string(mode) + "'");
         std::vector<Endpoint> entries;
         if (const Value* array = find(event, "entries")) {
-            if (!array->IsArray()) throw ConfigurationError("field 'entries' is not a list");
+            if (!array->IsArray()) throw ConfigurationError("field 'entries' is not an array");
             for (const Value& entry : array->GetArray()) {
                 if (!entry.IsObject()) throw ConfigurationError("an entry of 'entries' is not an object");
                 Endpoint endpoint;
@@ -317,7 +317,7 @@
         if (!document.IsObject()) throw ConfigurationError("a batch is not an object");
         const double now = number(need(document, "t_us"), "t_us") / 1e6;
         const Value& input = need(document, "input");
-        if (!input.IsArray()) throw ConfigurationError("field 'input' is not a list");
+        if (!input.IsArray()) throw ConfigurationError("field 'input' is not an array");
         buffer_.Clear();
         writer_.Reset(buffer_);
         writer_.StartObject();
