--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -14,8 +14,8 @@
 using Table = TomlFile::Table;
 
 // Reports a key that has no effect because gossip is disabled.
-void complain_without_gossip(Table& table, const char* key, const std::string& switch_name) {
-    table.complain(key, "is set without " + switch_name + " = true, so it has no effect");
+void report_key_without_gossip(Table& table, const char* key, const std::string& switch_name) {
+    table.add_error(key, "is set without " + switch_name + " = true, so it has no effect");
 }
 
 void read_log(Table& log, OperatorConfig& config) {
@@ -27,7 +27,8 @@
     config.registry_addresses = registry.texts("addresses");
     for (const std::string& address : config.registry_addresses) {
         if (!parse_address(address)) {
-            registry.complain("addresses", "expected HOST:PORT with a numeric host, found '" + address + "'");
+            registry.add_error("addresses",
+                               "expected HOST:PORT with a numeric host, found '" + address + "'");
         }
     }
     config.registry_path = registry.text("path", "");
@@ -35,11 +36,11 @@
     const std::string& path = config.registry_path;
     const bool is_valid = path.size() > 1 && path.front() == '/' && path.back() != '/';
     if (!path.empty() && !is_valid)
-        registry.complain("path", "expected a path such as \"/fleet\", found '" + path + "'");
+        registry.add_error("path", "expected a path such as \"/fleet\", found '" + path + "'");
     if (path.empty() && !config.registry_addresses.empty())
-        registry.complain("path", "is missing; addresses need it");
+        registry.add_error("path", "is missing; addresses need it");
     if (!path.empty() && config.registry_addresses.empty())
-        registry.complain("addresses", "is missing; path needs it");
+        registry.add_error("addresses", "is missing; path needs it");
 }
 
 void read_failure_domains(Table& fleet, OperatorConfig& config) {
@@ -49,12 +50,12 @@
         std::vector<std::string>& zones = config.failure_domains.emplace_back(
             std::istream_iterator<std::string>(words), std::istream_iterator<std::string>());
         if (zones.size() < 2) {
-            fleet.complain("regions",
-                           "expected at least two zone names separated by blanks, found '" + region + "'");
+            fleet.add_error("regions",
+                            "expected at least two zone names separated by blanks, found '" + region + "'");
         }
         for (const std::string& zone : zones) {
             if (!assigned.insert(zone).second)
-                fleet.complain("regions", "zone '" + zone + "' is listed more than once");
+                fleet.add_error("regions", "zone '" + zone + "' is listed more than once");
         }
     }
 }
@@ -68,7 +69,7 @@
     quotas.connections_per_server =
         static_cast<int>(limits.whole("connections", quotas.connections_per_server, 1, 1'000'000));
     for (const char* key : {"tenants", "origin", "cold", "connections"}) {
-        if (!config.gossip_enabled && limits.has(key)) complain_without_gossip(limits, key, "fleet.talk");
+        if (!config.gossip_enabled && limits.has(key)) report_key_without_gossip(limits, key, "fleet.talk");
     }
 }
 
@@ -81,9 +82,9 @@
     config.gossip_bytes_per_second = fleet.number("bytes_a_second", config.gossip_bytes_per_second, 256, 1e6);
     config.gossip_max_price_ratio = fleet.number("price_part", config.gossip_max_price_ratio, 0, 1);
     if (config.gossip_enabled) return;
-    if (fleet.has("verdicts")) complain_without_gossip(fleet, "verdicts", "talk");
+    if (fleet.has("verdicts")) report_key_without_gossip(fleet, "verdicts", "talk");
     if (fleet.has("zones") || fleet.has("regions"))
-        complain_without_gossip(fleet, fleet.has("zones") ? "zones" : "regions", "talk");
+        report_key_without_gossip(fleet, fleet.has("zones") ? "zones" : "regions", "talk");
 }
 
 }  // namespace
@@ -96,7 +97,7 @@
         root.table("registry", [&](Table& registry) { read_registry(registry, config); });
         root.table("fleet", [&](Table& fleet) { read_fleet(fleet, config); });
     });
-    file.throw_if_wrong();
+    file.throw_if_invalid();
     return config;
 }
 
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -17,12 +17,12 @@
     std::vector<std::size_t> row(b.size() + 1);
     for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
     for (std::size_t i = 1; i <= a.size(); ++i) {
-        std::size_t corner = row[0];
+        std::size_t diagonal = row[0];
         row[0] = i;
         for (std::size_t j = 1; j <= b.size(); ++j) {
-            const std::size_t swapped = corner + (a[i - 1] == b[j - 1] ? 0 : 1);
-            corner = row[j];
-            row[j] = std::min({row[j] + 1, row[j - 1] + 1, swapped});
+            const std::size_t substituted = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
+            diagonal = row[j];
+            row[j] = std::min({row[j] + 1, row[j - 1] + 1, substituted});
         }
     }
     return row[b.size()];
@@ -42,19 +42,19 @@
 
 }  // namespace
 
-std::string complaint_text(const std::string& file, std::size_t line, const std::string& path,
-                           const std::string& what) {
+std::string format_error(const std::string& file, std::size_t line, const std::string& path,
+                         const std::string& what) {
     return file + ":" + std::to_string(line) + ": " + path + ": " + what;
 }
 
-std::string nearest(std::string_view word, const std::vector<std::string>& known) {
+std::string closest_match(std::string_view word, const std::vector<std::string>& known) {
     std::string best;
-    std::size_t least = std::min(kMaxSuggestionDistance, word.size() / 2 + 1) + 1;
-    for (const std::string& k : known) {
-        const std::size_t distance = edit_distance(word, k);
-        if (distance < least) {
-            least = distance;
-            best = k;
+    std::size_t best_distance = std::min(kMaxSuggestionDistance, word.size() / 2 + 1) + 1;
+    for (const std::string& candidate : known) {
+        const std::size_t distance = edit_distance(word, candidate);
+        if (distance < best_distance) {
+            best_distance = distance;
+            best = candidate;
         }
     }
     return best;
@@ -98,7 +98,7 @@
         root_ = toml::parse(content.str(), path);
     } catch (const toml::parse_error& error) {
         throw ConfigurationFileError(
-            complaint_text(path, error.source().begin.line, "syntax", std::string(error.description())));
+            format_error(path, error.source().begin.line, "syntax", std::string(error.description())));
     }
     for (const std::string& assignment : overrides) apply_override(assignment);
 }
@@ -110,19 +110,19 @@
     if (equals == std::string::npos || equals == 0)
         throw ConfigurationFileError(where + ": expected PATH=VALUE");
     toml::table parsed;
-    const std::string given = assignment.substr(equals + 1);
+    const std::string value_text = assignment.substr(equals + 1);
     try {
-        parsed = toml::parse("value = " + given);
+        parsed = toml::parse("value = " + value_text);
     } catch (const toml::parse_error&) {
         // The shell may have removed the quotes: a bare word is taken as a string.
-        parsed.insert_or_assign("value", given);
+        parsed.insert_or_assign("value", value_text);
     }
     toml::node* at = &root_;
     std::stringstream steps(assignment.substr(0, equals));
     std::string step, next;
     std::getline(steps, step, '.');
     while (true) {
-        const bool more = static_cast<bool>(std::getline(steps, next, '.'));
+        const bool has_next = static_cast<bool>(std::getline(steps, next, '.'));
         if (toml::array* list = at->as_array()) {
             std::size_t index = 0;
             if (!parse_number(step, index) || index >= list->size()) {
@@ -133,7 +133,7 @@
                                              ": the path ends at an array entry, expected a key in it");
             at = list->get(index);
         } else if (toml::table* table = at->as_table()) {
-            if (!more) {
+            if (!has_next) {
                 table->insert_or_assign(step, *parsed.get("value"));
                 return;
             }
@@ -149,13 +149,13 @@
 void TomlFile::read(const std::function<void(Table&)>& read_root) {
     Table root(*this, &root_, "");
     read_root(root);
-    root.complain_unknown_keys();
+    root.report_unknown_keys();
 }
 
-void TomlFile::throw_if_wrong() const {
-    if (complaints_.empty()) return;
+void TomlFile::throw_if_invalid() const {
+    if (errors_.empty()) return;
     std::string all;
-    for (const std::string& c : complaints_) all += (all.empty() ? "" : "\n") + c;
+    for (const std::string& c : errors_) all += (all.empty() ? "" : "\n") + c;
     throw ConfigurationFileError(all);
 }
 
@@ -172,106 +172,106 @@
     return (node == nullptr ? table_->source() : node->source()).begin.line;
 }
 
-void TomlFile::Table::complain(const std::string& key, const std::string& what) {
-    file_.complaints_.push_back(complaint_text(file_.path_, line_of(key), at(key), what));
+void TomlFile::Table::add_error(const std::string& key, const std::string& what) {
+    file_.errors_.push_back(format_error(file_.path_, line_of(key), path_of(key), what));
 }
 
-void TomlFile::Table::complain_unknown_keys() {
+void TomlFile::Table::report_unknown_keys() {
     if (table_ == nullptr) return;
     const std::vector<std::string> known(known_keys_.begin(), known_keys_.end());
     for (const auto& [key, node] : *table_) {
         const std::string name(key.str());
         if (known_keys_.contains(name)) continue;
-        const std::string meant = nearest(name, known);
+        const std::string suggestion = closest_match(name, known);
         std::string list;
         for (const std::string& k : known) list += (list.empty() ? "" : ", ") + k;
-        complain(name, "unknown key; " +
-                           (meant.empty() ? "expected one of: " + list : "did you mean '" + meant + "'?"));
+        add_error(name, "unknown key; " + (suggestion.empty() ? "expected one of: " + list
+                                                              : "did you mean '" + suggestion + "'?"));
     }
 }
 
-bool TomlFile::Table::check_range(const std::string& key, double value, double least, double most,
-                                  const std::function<std::string(double)>& say) {
-    if (std::isfinite(value) && value >= least && value <= most) return true;
-    complain(key, "expected " + say(least) + " to " + say(most) + ", found " + say(value));
+bool TomlFile::Table::check_range(const std::string& key, double value, double min, double max,
+                                  const std::function<std::string(double)>& to_text) {
+    if (std::isfinite(value) && value >= min && value <= max) return true;
+    add_error(key, "expected " + to_text(min) + " to " + to_text(max) + ", found " + to_text(value));
     return false;
 }
 
-double TomlFile::Table::number(const std::string& key, double otherwise, double least, double most) {
+double TomlFile::Table::number(const std::string& key, double default_value, double min, double max) {
     const toml::node* node = find(key);
-    if (node == nullptr) return otherwise;
+    if (node == nullptr) return default_value;
     if (!node->is_number()) {
-        complain(key, "expected a number, found type " + kind_of(*node));
-        return otherwise;
+        add_error(key, "expected a number, found type " + kind_of(*node));
+        return default_value;
     }
     const double value = *node->value<double>();
-    return check_range(key, value, least, most, number_text) ? value : otherwise;
+    return check_range(key, value, min, max, number_text) ? value : default_value;
 }
 
-std::int64_t TomlFile::Table::whole(const std::string& key, std::int64_t otherwise, std::int64_t least,
-                                    std::int64_t most) {
+std::int64_t TomlFile::Table::whole(const std::string& key, std::int64_t default_value, std::int64_t min,
+                                    std::int64_t max) {
     const toml::node* node = find(key);
-    if (node == nullptr) return otherwise;
+    if (node == nullptr) return default_value;
     if (!node->is_integer()) {
-        complain(key, "expected a whole number, found type " + kind_of(*node));
-        return otherwise;
+        add_error(key, "expected a whole number, found type " + kind_of(*node));
+        return default_value;
     }
     const std::int64_t value = *node->value<std::int64_t>();
-    if (value >= least && value <= most) return value;
-    complain(key, "expected " + std::to_string(least) + " to " + std::to_string(most) + ", found " +
-                      std::to_string(value));
-    return otherwise;
+    if (value >= min && value <= max) return value;
+    add_error(key, "expected " + std::to_string(min) + " to " + std::to_string(max) + ", found " +
+                       std::to_string(value));
+    return default_value;
 }
 
-double TomlFile::Table::duration(const std::string& key, double otherwise, double least, double most) {
+double TomlFile::Table::duration(const std::string& key, double default_value, double min, double max) {
     const toml::node* node = find(key);
-    if (node == nullptr) return otherwise;
+    if (node == nullptr) return default_value;
     double value = 0;
     if (!node->is_string() || !parse_duration(*node->value<std::string_view>(), value)) {
-        complain(key, "expected a duration with its unit, such as \"250ms\" or \"3s\"");
-        return otherwise;
+        add_error(key, "expected a duration with its unit, such as \"250ms\" or \"3s\"");
+        return default_value;
     }
-    return check_range(key, value, least, most, duration_text) ? value : otherwise;
+    return check_range(key, value, min, max, duration_text) ? value : default_value;
 }
 
-bool TomlFile::Table::flag(const std::string& key, bool otherwise) {
+bool TomlFile::Table::flag(const std::string& key, bool default_value) {
     const toml::node* node = find(key);
-    if (node == nullptr) return otherwise;
-    if (!node->is_boolean()) complain(key, "expected true or false, found type " + kind_of(*node));
-    return node->value<bool>().value_or(otherwise);
+    if (node == nullptr) return default_value;
+    if (!node->is_boolean()) add_error(key, "expected true or false, found type " + kind_of(*node));
+    return node->value<bool>().value_or(default_value);
 }
 
-std::string TomlFile::Table::text(const std::string& key, const std::string& otherwise) {
+std::string TomlFile::Table::text(const std::string& key, const std::string& default_value) {
     const toml::node* node = find(key);
-    if (node == nullptr) return otherwise;
+    if (node == nullptr) return default_value;
     if (!node->is_string()) {
-        complain(key, "expected a string, found type " + kind_of(*node));
-        return otherwise;
+        add_error(key, "expected a string, found type " + kind_of(*node));
+        return default_value;
     }
     return *node->value<std::string>();
 }
 
-std::string TomlFile::Table::needed_text(const std::string& key) {
+std::string TomlFile::Table::required_text(const std::string& key) {
     std::string value = text(key, "");
-    if (value.empty() && !has(key)) complain(key, "is missing; expected a string");
+    if (value.empty() && !has(key)) add_error(key, "is missing; expected a string");
     if (value.empty() && has(key) && table_->get(key)->is_string())
-        complain(key, "expected a string that is not empty");
+        add_error(key, "expected a string that is not empty");
     return value;
 }
 
-std::size_t TomlFile::Table::word(const std::string& key, std::size_t otherwise,
+std::size_t TomlFile::Table::word(const std::string& key, std::size_t default_value,
                                   const std::vector<std::string>& words) {
     const toml::node* node = find(key);
-    if (node == nullptr) return otherwise;
+    if (node == nullptr) return default_value;
     const std::string found_word = node->value<std::string>().value_or("");
     const auto found = std::find(words.begin(), words.end(), found_word);
     if (found != words.end()) return static_cast<std::size_t>(found - words.begin());
     std::string list;
     for (const std::string& w : words) list += (list.empty() ? "\"" : ", \"") + w + "\"";
-    const std::string meant = nearest(found_word, words);
-    complain(key, "expected one of " + list + ", found '" + found_word + "'" +
-                      (meant.empty() ? "" : "; did you mean '" + meant + "'?"));
-    return otherwise;
+    const std::string suggestion = closest_match(found_word, words);
+    add_error(key, "expected one of " + list + ", found '" + found_word + "'" +
+                       (suggestion.empty() ? "" : "; did you mean '" + suggestion + "'?"));
+    return default_value;
 }
 
 std::vector<std::string> TomlFile::Table::texts(const std::string& key) {
@@ -279,14 +279,14 @@
     const toml::node* node = find(key);
     if (node == nullptr) return all;
     if (!node->is_array()) {
-        complain(key, "expected an array of strings, found type " + kind_of(*node));
+        add_error(key, "expected an array of strings, found type " + kind_of(*node));
         return all;
     }
-    for (const toml::node& one : *node->as_array()) {
-        if (one.is_string()) {
-            all.push_back(*one.value<std::string>());
+    for (const toml::node& element : *node->as_array()) {
+        if (element.is_string()) {
+            all.push_back(*element.value<std::string>());
         } else {
-            complain(key, "expected an array of strings; one entry has type " + kind_of(one));
+            add_error(key, "expected an array of strings; one entry has type " + kind_of(element));
         }
     }
     return all;
@@ -296,21 +296,21 @@
     std::vector<std::pair<double, double>> points;
     const toml::node* node = find(key);
     if (node == nullptr) return points;
-    const auto wrong = [&] {
-        complain(key, "expected points such as [[\"0s\", 1.0], [\"30s\", 2.5]], in ascending order of time");
+    const auto report_error = [&] {
+        add_error(key, "expected points such as [[\"0s\", 1.0], [\"30s\", 2.5]], in ascending order of time");
         return std::vector<std::pair<double, double>>{};
     };
-    if (!node->is_array()) return wrong();
-    for (const toml::node& one : *node->as_array()) {
-        const toml::array* pair = one.as_array();
+    if (!node->is_array()) return report_error();
+    for (const toml::node& element : *node->as_array()) {
+        const toml::array* point = element.as_array();
         double time = 0;
-        if (pair == nullptr || pair->size() != 2 || !pair->get(0)->is_string() ||
-            !pair->get(1)->is_number() || !parse_duration(*pair->get(0)->value<std::string_view>(), time)) {
-            return wrong();
+        if (point == nullptr || point->size() != 2 || !point->get(0)->is_string() ||
+            !point->get(1)->is_number() || !parse_duration(*point->get(0)->value<std::string_view>(), time)) {
+            return report_error();
         }
-        const double value = *pair->get(1)->value<double>();
+        const double value = *point->get(1)->value<double>();
         if (!(value >= 0) || !std::isfinite(value) || (!points.empty() && time <= points.back().first)) {
-            return wrong();
+            return report_error();
         }
         points.emplace_back(time, value);
     }
@@ -320,12 +320,12 @@
 void TomlFile::Table::table(const std::string& key, const std::function<void(Table&)>& read) {
     const toml::node* node = find(key);
     if (node != nullptr && !node->is_table()) {
-        complain(key, "expected a table [" + at(key) + "], found type " + kind_of(*node));
+        add_error(key, "expected a table [" + path_of(key) + "], found type " + kind_of(*node));
         return;
     }
-    Table inner(file_, node == nullptr ? nullptr : node->as_table(), at(key));
-    read(inner);
-    inner.complain_unknown_keys();
+    Table table(file_, node == nullptr ? nullptr : node->as_table(), path_of(key));
+    read(table);
+    table.report_unknown_keys();
 }
 
 void TomlFile::Table::each(const std::string& key, const std::function<void(Table&)>& read) {
@@ -334,14 +334,14 @@
     const toml::array* list = node->as_array();
     if (list == nullptr ||
         !std::all_of(list->begin(), list->end(), [](const auto& n) { return n.is_table(); })) {
-        complain(key, "expected entries [[" + at(key) + "]], found type " + kind_of(*node));
+        add_error(key, "expected entries [[" + path_of(key) + "]], found type " + kind_of(*node));
         return;
     }
     std::size_t index = 0;
-    for (const toml::node& one : *list) {
-        Table inner(file_, one.as_table(), at(key) + "[" + std::to_string(index++) + "]");
-        read(inner);
-        inner.complain_unknown_keys();
+    for (const toml::node& element : *list) {
+        Table table(file_, element.as_table(), path_of(key) + "[" + std::to_string(index++) + "]");
+        read(table);
+        table.report_unknown_keys();
     }
 }
 
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -23,11 +23,11 @@
 };
 
 // One complaint's form, shared by every reader: FILE:LINE: PATH: WHAT
-std::string complaint_text(const std::string& file, std::size_t line, const std::string& path,
-                           const std::string& what);
+std::string format_error(const std::string& file, std::size_t line, const std::string& path,
+                         const std::string& what);
 
 // The known word nearest to `word`, or empty if none is near enough to be meant.
-std::string nearest(std::string_view word, const std::vector<std::string>& known);
+std::string closest_match(std::string_view word, const std::vector<std::string>& known);
 
 // "250ms", "3s", "1.5m", "2h", "40us" as seconds; false: it is no duration with its unit.
 bool parse_duration(std::string_view text, double& seconds);
@@ -38,22 +38,22 @@
     // One table of the file; asking for a key makes it known.
     class Table {
       public:
-        double number(const std::string& key, double otherwise, double least, double most);
-        std::int64_t whole(const std::string& key, std::int64_t otherwise, std::int64_t least,
-                           std::int64_t most);
-        double duration(const std::string& key, double otherwise, double least, double most);
-        bool flag(const std::string& key, bool otherwise);
-        std::string text(const std::string& key, const std::string& otherwise);
-        std::string needed_text(const std::string& key);
+        double number(const std::string& key, double default_value, double min, double max);
+        std::int64_t whole(const std::string& key, std::int64_t default_value, std::int64_t min,
+                           std::int64_t max);
+        double duration(const std::string& key, double default_value, double min, double max);
+        bool flag(const std::string& key, bool default_value);
+        std::string text(const std::string& key, const std::string& default_value);
+        std::string required_text(const std::string& key);
         // One of `words`; its index.
-        std::size_t word(const std::string& key, std::size_t otherwise,
+        std::size_t word(const std::string& key, std::size_t default_value,
                          const std::vector<std::string>& words);
         std::vector<std::string> texts(const std::string& key);
         std::vector<std::pair<double, double>> curve(const std::string& key);  // [["0s", 1.0], ["30s", 2.0]]
         void table(const std::string& key, const std::function<void(Table&)>& read);
         void each(const std::string& key, const std::function<void(Table&)>& read);  // [[key]]
         bool has(const std::string& key) const { return table_ != nullptr && table_->contains(key); }
-        void complain(const std::string& key, const std::string& what);
+        void add_error(const std::string& key, const std::string& what);
         std::size_t line_of(const std::string& key) const;
         const std::string& path() const { return path_; }
 
@@ -62,10 +62,10 @@
         Table(TomlFile& file, const toml::table* table, std::string path)
             : file_(file), table_(table), path_(std::move(path)) {}
         const toml::node* find(const std::string& key);
-        std::string at(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
-        void complain_unknown_keys();
-        bool check_range(const std::string& key, double value, double least, double most,
-                         const std::function<std::string(double)>& say);
+        std::string path_of(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
+        void report_unknown_keys();
+        bool check_range(const std::string& key, double value, double min, double max,
+                         const std::function<std::string(double)>& to_text);
 
         TomlFile& file_;
         const toml::table* table_;
@@ -77,8 +77,8 @@
     // TOML's own spelling, put over what the file says; `a.2.b` names the third of [[a]].
     explicit TomlFile(const std::string& path, const std::vector<std::string>& overrides = {});
     void read(const std::function<void(Table&)>& read_root);
-    const std::vector<std::string>& complaints() const { return complaints_; }
-    void throw_if_wrong() const;
+    const std::vector<std::string>& errors() const { return errors_; }
+    void throw_if_invalid() const;
     // By its `format`: which of the project's kinds of file it says it is.
     bool is_scenario() const {
         return root_["format"].value<std::string>().value_or("").starts_with("scenario");
@@ -88,7 +88,7 @@
     void apply_override(const std::string& assignment);
     std::string path_;
     toml::table root_;
-    std::vector<std::string> complaints_;
+    std::vector<std::string> errors_;
 };
 
 }  // namespace brookrelay
