--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -12,10 +12,10 @@
 using Table = TomlFile::Table;
 
 constexpr double kSecondsPerHour = 3600;
-constexpr int kMaxServers = 3200;  // and kMaxNodes: what one machine's loopback can carry
-constexpr int kMaxNodes = 64;
-constexpr double kMaxRate = 200000;
-constexpr double kMaxArrivals = 5e6;  // of one day; all are kept in memory until the evaluation
+constexpr int kMaxServers = 3200;     // what the loopback interface of one machine can carry
+constexpr int kMaxNodes = 64;         // what the loopback interface of one machine can carry
+constexpr double kMaxRate = 200000;   // requests per second
+constexpr double kMaxArrivals = 5e6;  // per run; all are kept in memory until the evaluation
 
 enum class TroubleTarget { nobody, servers, tenants, node, nodes, links };
 struct TroubleSpec {
@@ -195,7 +195,7 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// The ends of the links that a trouble strikes: zones, nodes or servers.
+// Reads the ends of the links that a trouble affects: zones, nodes or servers.
 void read_link_ends(Table& table, const Scenario& scenario, const TroubleSpec& spec, Trouble& trouble) {
     const bool is_link_fault = spec.target == TroubleTarget::links;
     trouble.from = table.texts("from");
@@ -218,7 +218,7 @@
         table.add_error("from", std::string("is missing; '") + spec.word + "' needs zones, nodes or servers");
 }
 
-// The nodes that a trouble strikes together; without a list, the one of `node`.
+// Reads the nodes that a trouble affects at the same time; without a list, only `node`.
 void read_trouble_nodes(Table& table, const Scenario& scenario, const TroubleSpec& spec, Trouble& trouble) {
     for (const std::string& name : table.texts("nodes")) {
         if (spec.target != TroubleTarget::nodes)
@@ -252,13 +252,13 @@
         table.add_error("what", "'limits' needs an initial limit in node.talk_origin");
 }
 
-// Checks the names of the servers or tenants that a trouble strikes.
+// Checks the names of the servers or tenants that a trouble affects.
 void check_trouble_targets(Table& table, const Scenario& scenario, const TroubleSpec& spec,
                            const Trouble& trouble) {
     std::vector<std::string> known;
     if (spec.target == TroubleTarget::servers) {
         known = scenario.server_names();
-        known.pop_back();  // the origin has troubles of its own
+        known.pop_back();  // The origin has kinds of trouble of its own.
     }
     if (spec.target == TroubleTarget::tenants) {
         for (const TenantPlan& tenant : scenario.tenants) known.push_back(tenant.name);
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -86,7 +86,7 @@
     return number_text(seconds / 3600) + "h";
 }
 
-// ---- the file -------------------------------------------------------------------------------------------
+// ---- TomlFile -------------------------------------------------------------------------------------------
 
 TomlFile::TomlFile(const std::string& path, const std::vector<std::string>& overrides) : path_(path) {
     std::ifstream file(path);
@@ -103,7 +103,8 @@
     for (const std::string& assignment : overrides) apply_override(assignment);
 }
 
-// The value is parsed as TOML, so durations need their quotes here as in the file.
+// The value is parsed as TOML. Text that is not valid TOML, such as a duration without quotes, is taken as a
+// string.
 void TomlFile::apply_override(const std::string& assignment) {
     const std::size_t equals = assignment.find('=');
     const std::string where = "--set " + assignment;
@@ -114,7 +115,7 @@
     try {
         parsed = toml::parse("value = " + value_text);
     } catch (const toml::parse_error&) {
-        // The shell may have removed the quotes: a bare word is taken as a string.
+        // The shell may have removed the quotes of a string.
         parsed.insert_or_assign("value", value_text);
     }
     toml::node* at = &root_;
@@ -159,7 +160,8 @@
     throw ConfigurationFileError(all);
 }
 
-// ---- one table ------------------------------------------------------------------------------------------
+// ---- TomlFile::Table
+// ------------------------------------------------------------------------------------------
 
 const toml::node* TomlFile::Table::find(const std::string& key) {
     known_keys_.insert(key);
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -1,7 +1,7 @@
-// Checked reading of the operators' TOML files. It owns the parsed document and the list of what is wrong
-// with it: each complaint has the file, the line, the key's path, and what was expected there, and a key that
-// nobody asked for is one too. It never stops at the first and never fills in a default for what was given
-// but is wrong: whoever reads must look at complaints() before using anything.
+// Validating reader for the operators' TOML files. It owns the parsed document and collects all errors in it:
+// each has the file, the line, the path of the key and what was expected. A key that is never read is an
+// error too. An invalid value yields the default so that reading can go on, so callers must call
+// throw_if_invalid() or check errors() before they use any value.
 #pragma once
 
 #include <toml++/toml.h>
@@ -17,25 +17,27 @@
 
 namespace brookrelay {
 
-// Every complaint about one file, a line each.
+// All errors of one file, one per line.
 struct ConfigurationFileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// One complaint's form, shared by every reader: FILE:LINE: PATH: WHAT
+// Formats one error of a file: FILE:LINE: PATH: WHAT
 std::string format_error(const std::string& file, std::size_t line, const std::string& path,
                          const std::string& what);
 
-// The known word nearest to `word`, or empty if none is near enough to be meant.
+// The known word with the smallest edit distance to `word`; empty if none is close enough for a suggestion.
 std::string closest_match(std::string_view word, const std::vector<std::string>& known);
 
-// "250ms", "3s", "1.5m", "2h", "40us" as seconds; false: it is no duration with its unit.
+// Parses a number with a unit, such as "250ms", "3s", "1.5m", "2h" or "40us", into seconds. Returns false if
+// `text` is anything else.
 bool parse_duration(std::string_view text, double& seconds);
 std::string duration_text(double seconds);
 
 class TomlFile {
   public:
-    // One table of the file; asking for a key makes it known.
+    // One table of the file. Reading a key marks it as known; unknown keys are reported as errors. A missing
+    // table reads as an empty one.
     class Table {
       public:
         double number(const std::string& key, double default_value, double min, double max);
@@ -45,13 +47,15 @@
         bool flag(const std::string& key, bool default_value);
         std::string text(const std::string& key, const std::string& default_value);
         std::string required_text(const std::string& key);
-        // One of `words`; its index.
+        // The index of the value in `words`.
         std::size_t word(const std::string& key, std::size_t default_value,
                          const std::vector<std::string>& words);
         std::vector<std::string> texts(const std::string& key);
-        std::vector<std::pair<double, double>> curve(const std::string& key);  // [["0s", 1.0], ["30s", 2.0]]
+        // Points of time in seconds and value, in ascending order of time: [["0s", 1.0], ["30s", 2.0]].
+        std::vector<std::pair<double, double>> curve(const std::string& key);
         void table(const std::string& key, const std::function<void(Table&)>& read);
-        void each(const std::string& key, const std::function<void(Table&)>& read);  // [[key]]
+        // Calls `read` for each entry of the array of tables [[key]].
+        void each(const std::string& key, const std::function<void(Table&)>& read);
         bool has(const std::string& key) const { return table_ != nullptr && table_->contains(key); }
         void add_error(const std::string& key, const std::string& what);
         std::size_t line_of(const std::string& key) const;
@@ -73,13 +77,14 @@
         std::set<std::string> known_keys_;
     };
 
-    // Reads the file; a syntax error is thrown as BadFile at once. `overrides` are "path.to.key=value" in
-    // TOML's own spelling, put over what the file says; `a.2.b` names the third of [[a]].
+    // Parses the file and throws ConfigurationFileError if it is missing or has a syntax error. Each of
+    // `overrides` is "path.to.key=value" with a TOML value, and replaces the value in the file; `a.2.b` is
+    // key `b` in the third entry of [[a]].
     explicit TomlFile(const std::string& path, const std::vector<std::string>& overrides = {});
     void read(const std::function<void(Table&)>& read_root);
     const std::vector<std::string>& errors() const { return errors_; }
     void throw_if_invalid() const;
-    // By its `format`: which of the project's kinds of file it says it is.
+    // Whether the key `format` declares a scenario; other TOML files are operator configurations.
     bool is_scenario() const {
         return root_["format"].value<std::string>().value_or("").starts_with("scenario");
     }
