--- a/src/config/deployment.cpp
+++ b/src/config/deployment.cpp
@@ -25,7 +25,7 @@
                                                        {"DRAINING", EndpointState::draining},
                                                        {"DELETED", EndpointState::removed}}};
 
-// A duplicate name would be ambiguous.
+// Rejects duplicate names, which would be ambiguous.
 void require_unique(std::vector<std::string> names, const char* list) {
     std::sort(names.begin(), names.end());
     const auto duplicate = std::adjacent_find(names.begin(), names.end());
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,5 +1,5 @@
-// Typed access to JSON values. A value of the wrong type is an error and never replaced by a default: all
-// functions throw ConfigurationError, which names the faulty field.
+// Typed access to JSON values. A value of the wrong type is an error and is never replaced by a default: all
+// functions throw ConfigurationError, which names the invalid field.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -20,13 +20,15 @@
 
 // The member, or null if it is missing or JSON null.
 const rapidjson::Value* find(const rapidjson::Value& object, const char* name);
-// The member, which has to be there; need_list() also requires an array.
+// A required member; for need_list() it must be an array.
 const rapidjson::Value& need(const rapidjson::Value& object, const char* name);
 const rapidjson::Value& need_list(const rapidjson::Value& object, const char* name);
-// The readers of members return `otherwise` if the member is missing.
+// Readers that take a value convert it; readers that take an object convert its member `name`, or return
+// `otherwise` if it is missing.
 double number(const rapidjson::Value& value, const char* name);
 double number(const rapidjson::Value& object, const char* name, double otherwise);
-// Microseconds in the file, seconds in the result; duration() is 0 if missing, and rejects negative values.
+// Convert microseconds in the file to seconds. duration() returns 0 for a missing member and rejects negative
+// values.
 double seconds(const rapidjson::Value& object, const char* name, double otherwise = 0);
 double duration(const rapidjson::Value& object, const char* name);
 std::int64_t whole(const rapidjson::Value& value, const char* name);
@@ -34,11 +36,11 @@
 bool flag(const rapidjson::Value& object, const char* name, bool otherwise = false);
 std::string_view text(const rapidjson::Value& value, const char* name);
 
-// The words that a field may hold, each with its value.
+// The strings that a field may have, each with the value that it stands for.
 template <typename T, std::size_t N>
 using Words = std::array<std::pair<std::string_view, T>, N>;
 
-// The value of the word that the field holds.
+// The value that the field's string stands for.
 template <typename T, std::size_t N>
 T word(const rapidjson::Value& value, const char* name, const Words<T, N>& words) {
     const std::string_view found = text(value, name);
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kDefaultDescriptors = 1024;
 constexpr int kDefaultMemoryMb = 192;
-constexpr int kMinMemoryMb = 16;     // the program itself takes some 4
+constexpr int kMinMemoryMb = 16;     // the program itself uses about 4
 constexpr int kMinDescriptors = 32;  // for clients, servers and the origin
 
 int read_name_index(const std::vector<std::string>& names, const Value& server, const char* field) {
@@ -43,7 +43,7 @@
     EndpointRecord s;
     s.name = text(need(entry, "host"), "host");
     s.state = parse_endpoint_state(need(entry, "health"), "health");
-    // A draining or removed server needs no fields but its name and state.
+    // A draining or removed server needs only its name and state.
     const bool all = s.state == EndpointState::ready;
     if (all || find(entry, "dial") != nullptr) s.address = read_address(entry, "dial");
     if (all || find(entry, "site") != nullptr) s.zone = read_name_index(names.zones, entry, "site");
@@ -81,7 +81,7 @@
     std::set<std::string> keys;
     for (const auto& member : value.GetObject()) {
         const std::string key(member.name.GetString(), member.name.GetStringLength());
-        // It would be undefined which of the two counts.
+        // JSON does not define which of two equal keys applies.
         if (!keys.insert(key).second) throw ConfigurationError("key '" + key + "' appears twice");
         if (member.value.IsNull()) keys.erase(key);
         collect_keys(member.value, path.empty() ? key : path + "." + key, given);
@@ -90,7 +90,7 @@
     if (!first) std::erase_if(at->second, [&keys](const std::string& key) { return !keys.contains(key); });
 }
 
-// The first key that `running` gives and `wanted` lacks; empty if there is none.
+// The path of the first key that `running` has and `wanted` lacks; empty if there is none.
 std::string first_missing_key(const GivenKeys& running, const GivenKeys& wanted) {
     for (const auto& [path, keys] : running) {
         const auto there = wanted.find(path);
@@ -191,7 +191,7 @@
     if (wanted.memory_mb != running.memory_mb) field = "'limits.memory_mb'";
     if (zone(wanted) != zone(running)) field = "'az' (the node's own zone) in 'settings'";
     if (wanted.deployment.node_index != running.deployment.node_index) field = "'my_number' in 'settings'";
-    // Attempts in flight are accounted to the origin, and reads wait for them.
+    // Attempts in flight are accounted to the origin, and reads wait for them, so the origin cannot change.
     if (origin(wanted) != origin(running)) field = "'specifics.origin_kind' in 'settings'";
     if (field == nullptr) return {};
     return std::string("field ") + field + " cannot change while the node runs";
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -13,7 +13,7 @@
 
 using Table = TomlFile::Table;
 
-// Reports a key that has no effect because gossip is disabled.
+// Reports a key that has no effect because the key `switch_name` does not enable gossip.
 void report_key_without_gossip(Table& table, const char* key, const std::string& switch_name) {
     table.add_error(key, "is set without " + switch_name + " = true, so it has no effect");
 }
--- a/src/config/registration.h
+++ b/src/config/registration.h
@@ -1,4 +1,4 @@
-// Decodes the data of a service registration: one JSON object.
+// Decodes the data of a service registration, which is one JSON object.
 #pragma once
 
 #include <string>
@@ -9,8 +9,9 @@
 
 namespace brookrelay {
 
-// {"address": "HOST:PORT", "zone": NAME, "kind": NAME, "cell": 0, "started_ms": 0}. Throws
-// ConfigurationError naming the field. Where `names` has no zones or no kinds, any name is accepted.
+// Format: {"address": "HOST:PORT", "zone": NAME, "kind": NAME, "cell": 0, "started_ms": 0}. Throws
+// ConfigurationError, which names the invalid field. Where `names` has no zones or no kinds, any name is
+// accepted.
 Registration read_registration(std::string_view data, const Names& names);
 
 }  // namespace brookrelay
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -1,6 +1,6 @@
-// One day's scenario: the fleet, its work, who asks, and the troubles, as a TOML file says it. Read and
-// checked here alone; the rehearsal plays it on sockets and a model may play it in simulated time. It holds
-// no chance: what is drawn from a seed is drawn by whoever plays it.
+// A scenario file in TOML: the fleet, its operations, the clients and the troubles of one simulated day. This
+// is the only place that parses and validates it; the rehearsal runs it on sockets, and a model may run it in
+// simulated time. A scenario has no random values: whoever runs it draws them from the seed.
 #pragma once
 
 #include <cstdint>
@@ -12,71 +12,78 @@
 
 namespace brookrelay {
 
-using Curve = std::vector<std::pair<double, double>>;  // times rising; between the points a straight line
+// Points of time in seconds and value, in ascending order of time, with linear interpolation between them.
+using Curve = std::vector<std::pair<double, double>>;
+// The value of the curve at `time`; `otherwise` for an empty curve.
 double at(const Curve& curve, double time, double otherwise);
 
+// A kind of cache servers.
 struct ServerKind {
     std::string name = "box";
     int count = 4;
-    int slots = 2;              // pieces of work at the same time
-    int queue = 64;             // that wait; beyond it `busy`
-    double speed = 1;           // against the work that operations name
-    int keys = 4000;            // copies held, the longest unused goes first
-    int connections = 512;      // open at once; beyond it they are refused
-    double handshake = 200e-6;  // work that a new connection costs, seconds
-    int crowded_from = 48;      // work waiting and running, from which each piece takes longer
-    double crowding = 0.5;      // by this part, at twice as much
-    double warm_after = 6;      // seconds from a cold start to the whole capacity, in a straight line
+    int slots = 2;              // requests that run at the same time
+    int queue = 64;             // requests that wait; further ones are answered `busy`
+    double speed = 1;           // relative to the work that operations specify
+    int keys = 4000;            // cached keys; the least recently used is evicted first
+    int connections = 512;      // open at the same time; further ones are refused
+    double handshake = 200e-6;  // seconds of work for a new connection
+    int crowded_from = 48;      // waiting and running requests from which on each takes longer
+    double crowding = 0.5;      // relative slowdown at twice `crowded_from`
+    double warm_after = 6;      // seconds of linear growth from a cold start to full capacity
 };
 
+// The origin, which overloads when demand stays above a multiple of its capacity.
 struct OriginKind {
     int slots = 8;
     int queue = 400;
     double speed = 1;
-    double fall_multiple = 3;   // asked for more than this multiple of its capacity ...
-    double fall_time = 2;       // ... for this long it stops; 0: never
-    double halt = 3;            // for so long
-    double limit_marked = 0.8;  // the part of its capacity that reports call its limit
-    double reset_ratio = 0;     // of its answers that are lost with their connection; by the soak alone
+    double fall_multiple = 3;   // demand above this multiple of its capacity overloads it
+    double fall_time = 2;       // seconds of such demand after which it stops
+    double halt = 3;            // seconds that it stays stopped
+    double limit_marked = 0.8;  // ratio of its capacity that reports mark as its limit
+    double reset_ratio = 0;     // ratio of responses lost with their connection; set only by the soak
 };
 
+// An operation that clients request.
 struct OperationPlan {
     std::string name;
-    Operation promised;  // what the nodes are told
+    Operation promised;  // as configured on the nodes
     bool write = false;
-    double share = 1;    // of the arrivals
-    double work = 1e-3;  // at a cache that has the key, seconds of one slot
-    double origin_work = 8e-3;
+    double share = 1;           // relative share of the arrivals
+    double work = 1e-3;         // seconds of one slot of a cache server that has the key
+    double origin_work = 8e-3;  // seconds of one slot of the origin
     int value_bytes = 200;
 };
 
 struct TenantPlan {
     std::string name;
-    double share = 1;
-    double quota = 0;
-    std::vector<std::string> nodes = {},
-                             then = {};  // where its clients come, and from `moves` on; empty: anywhere
-    double moves = 0;
+    double share = 1;  // relative share of the arrivals
+    double quota = 0;  // requests per second; 0: none
+    // Nodes that its clients use, and those that they use from `moves` on; empty: any.
+    std::vector<std::string> nodes = {}, then = {};
+    double moves = 0;  // seconds since the start; 0: never
 };
 
 struct ClientsPlan {
-    double rate = 500;  // invocations a second, before any further tries
-    Curve curve;        // multiplies the rate
-    int retries = 2;
-    double wait = 0.15;  // before a further try, times a half to one and a half; doubled by each
-    double patience_least = 0.6, patience_most = 1.0;  // of the client timeout: when a try is given up
-    double leave = 0.02;  // part of the clients that leave before their time is up
-    bool mark_repeats = true;
-    double front_notices = 1;  // seconds until the front sends nothing more to a dead node
+    double rate = 500;   // requests per second, without client retries
+    Curve curve;         // factor of the rate over time
+    int retries = 2;     // per client
+    double wait = 0.15;  // seconds before a client retry, times 0.5 to 1.5, doubled by each retry
+    // Range of the ratio of the client timeout after which a client gives a request up.
+    double patience_least = 0.6, patience_most = 1.0;
+    double leave = 0.02;       // ratio of the clients that close the connection before that
+    bool mark_repeats = true;  // retries say that they are retries
+    double front_notices = 1;  // seconds until the load balancer in front stops using a dead node
 };
 
 struct KeysPlan {
     std::uint64_t count = 20000;
-    double skew = 0.9;   // of Zipf's law
-    double drift = 0;    // ranks a second by which popularity moves on
-    bool filled = true;  // caches begin with the most popular keys
+    double skew = 0.9;   // exponent of the Zipf distribution
+    double drift = 0;    // ranks per second by which the popularity shifts over the keys
+    bool filled = true;  // caches start with the most popular keys
 };
 
+// The kinds of trouble, in the order of trouble_words().
 enum class TroubleKind {
     silent,
     crash,
@@ -112,24 +119,26 @@
     limits,
     count
 };
+// The names of the kinds in scenario files.
 const std::vector<std::string>& trouble_words();
 
+// A fault, or a change of the demand or the configuration, at a given time.
 struct Trouble {
     TroubleKind kind = TroubleKind::silent;
-    double at = 0;
-    double lasts = 0;              // 0: until the end, or at once where nothing lasts
+    double at = 0;                 // seconds since the start
+    double lasts = 0;              // seconds; 0: until the end, or a kind without a duration
     std::vector<std::string> who;  // servers or tenants, by name
     int node = 0;
     double factor = 5;
     double part = 1;
     int count = 10;
-    std::vector<int> nodes;             // where several are struck together; else `node`
-    std::vector<std::string> from, to;  // zones, servers, or nodes as n0, n1 ...; `to` empty: everybody else
+    std::vector<int> nodes;             // affected at the same time; just `node` if the file lists none
+    std::vector<std::string> from, to;  // zones, servers, or nodes as n0, n1 ...; `to` empty: all others
     bool one_way = false;
-    double delay = 0;   // s
-    double origin = 0;  // the fleet's limit from then on, as the struck nodes are told
-    // Of reloads, by the soak alone: how many in quick succession, and whether they list the operations in
-    // another order and one more.
+    double delay = 0;   // seconds
+    double origin = 0;  // `limits`: the fleet's new limit for the origin, as configured on the affected nodes
+    // `reload`, set only by the soak: the number of reloads in quick succession, and whether they list the
+    // operations in another order with one more.
     int repeats = 1;
     bool rotates_operations = false;
 };
@@ -138,29 +147,29 @@
     std::string path, name, about;
     std::uint64_t seed = 1;
     double length = 30;
-    double count_from = 4;  // what is asked before is judged but not accounted
+    double count_from = 4;  // seconds; earlier requests are checked but not accounted
     int nodes = 2;
     std::vector<std::string> zones{"room-a"};
     std::vector<ServerKind> kinds;
     OriginKind origin;
     double discovery_lag = 0.15;
-    bool discovery_asked = false;  // nodes ask for lists by turns; else an agent beside each has them
-    double ask_every = 20;
-    double discovery_calls =
-        0;  // that it answers in a second, all nodes' together; others get 503; 0: any number
-    // By the soak alone: bytes a second at which lists longer than a few pieces are sent; 0: at once.
+    bool discovery_asked = false;  // nodes poll the endpoint list; else an agent at each node pushes it
+    double ask_every = 20;         // seconds between polls
+    double discovery_calls = 0;    // answered per second for all nodes, others get 503; 0: not limited
+    // Bytes per second at which endpoint lists longer than one piece are sent, set only by the soak; 0: at
+    // once.
     double list_rate = 0;
-    bool stale_files = false;    // restarted nodes find the list of the run's start in their file
-    bool signal_series = false;  // SIGHUP right before and after each SIGTERM
+    bool stale_files = false;    // restarted nodes have the endpoint list of the run's start in their file
+    bool signal_series = false;  // a SIGHUP right before and after each SIGTERM
     int node_memory_mb = 192, node_descriptors = 1024, most_forwards = 5, most_open = 20000;
     double connect_timeout = 0.25, connection_idle = 15;
-    bool talk = false;          // nodes tell each other what they see
-    double talk_bytes = 1024;   // a second, of each
-    bool talk_tenants = false;  // tenants' shares follow the demand over the fleet
-    double talk_origin = 0;     // forwards a second to the origin of all nodes together; 0: no such limit
-    double talk_cold = 0;       // and to one cache server while it is cold
-    int talk_connections = 0;   // open to one cache server, of all nodes together
-    bool talk_zones = true;     // leave a zone that is lost together, and take it back so
+    bool talk = false;          // nodes gossip
+    double talk_bytes = 1024;   // bytes of gossip per second and node
+    bool talk_tenants = false;  // tenants' quota shares follow the demand over the fleet
+    double talk_origin = 0;     // attempts per second of all nodes to the origin; 0: not limited
+    double talk_cold = 0;       // attempts per second of all nodes to one cold cache server; 0: not limited
+    int talk_connections = 0;   // connections of all nodes to one cache server; 0: not limited
+    bool talk_zones = true;     // nodes fail over from a lost zone, and back, together
     bool has(TroubleKind kind) const;
     double answer_grace = 0.02, drain_grace = 0.3;
     double cold_from = 0.3, warm_within = 8, fall_multiple = 4, fall_time = 2;
@@ -171,12 +180,13 @@
     KeysPlan keys;
     std::vector<Trouble> troubles;
 
-    std::vector<std::string> server_names() const;  // KIND-1, KIND-2 ... and at the end "origin"
+    std::vector<std::string> server_names() const;  // KIND-1, KIND-2 ... of all kinds, and last "origin"
     int kind_of(int server) const;                  // kinds.size() for the origin
-    double capacity() const;                        // work a second that all warm caches can do
+    double capacity() const;  // seconds of work per second that all warm cache servers can do
 };
 
-// `overrides`: PATH=VALUE, put over what the file says. Throws BadFile with every complaint.
+// Each of `overrides` is PATH=VALUE and replaces a value in the file. Throws ConfigurationFileError with all
+// errors.
 Scenario read_scenario(const std::string& path, const std::vector<std::string>& overrides = {});
 
 }  // namespace brookrelay
--- a/src/config/warm_start.cpp
+++ b/src/config/warm_start.cpp
@@ -101,7 +101,7 @@
     json.String(written_at.boot_id.data(), static_cast<rapidjson::SizeType>(written_at.boot_id.size()));
     put(json, kWrittenAtKey, written_at.seconds);
     json.EndObject();
-    // Both are objects: the first one's members go to the front of the second one's.
+    // Inserts the members of the new object before those of the snapshot, which is an object too.
     const std::string members(buffer.GetString() + 1, buffer.GetSize() - 2);
     return snapshot_text.insert(1, members + ",");
 }
