--- a/src/config/deployment.cpp
+++ b/src/config/deployment.cpp
@@ -33,21 +33,21 @@
         throw ConfigurationError(std::string("field '") + list + "' names '" + *duplicate + "' twice");
 }
 
-std::vector<std::string> texts(const Value& settings, const char* name) {
-    std::vector<std::string> all;
-    if (find(settings, name) == nullptr) return all;
-    for (const Value& v : need_list(settings, name).GetArray()) all.emplace_back(text(v, name));
-    require_unique(all, name);
-    return all;
+std::vector<std::string> read_strings(const Value& settings, const char* name) {
+    std::vector<std::string> names;
+    if (find(settings, name) == nullptr) return names;
+    for (const Value& entry : need_list(settings, name).GetArray()) names.emplace_back(text(entry, name));
+    require_unique(names, name);
+    return names;
 }
 
-std::vector<std::string> names_of(const Value& settings, const char* list) {
-    std::vector<std::string> all;
-    if (find(settings, list) == nullptr) return all;
-    for (const Value& v : need_list(settings, list).GetArray())
-        all.emplace_back(text(need(v, "name"), "name"));
-    require_unique(all, list);
-    return all;
+std::vector<std::string> read_entry_names(const Value& settings, const char* list) {
+    std::vector<std::string> names;
+    if (find(settings, list) == nullptr) return names;
+    for (const Value& entry : need_list(settings, list).GetArray())
+        names.emplace_back(text(need(entry, "name"), "name"));
+    require_unique(names, list);
+    return names;
 }
 
 void read_topology(const Value& settings, Deployment& deployment) {
@@ -144,8 +144,8 @@
 }
 
 Names read_names(const Value& settings) {
-    return {texts(settings, "localities"), texts(settings, "kinds"), names_of(settings, "operations"),
-            names_of(settings, "parties")};
+    return {read_strings(settings, "localities"), read_strings(settings, "kinds"),
+            read_entry_names(settings, "operations"), read_entry_names(settings, "parties")};
 }
 
 }  // namespace brookrelay
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -40,19 +40,20 @@
 }
 
 EndpointRecord read_server(const Value& entry, const Names& names) {
-    EndpointRecord s;
-    s.name = text(need(entry, "host"), "host");
-    s.state = parse_endpoint_state(need(entry, "health"), "health");
+    EndpointRecord server;
+    server.name = text(need(entry, "host"), "host");
+    server.state = parse_endpoint_state(need(entry, "health"), "health");
     // A draining or removed server needs only its name and state.
-    const bool all = s.state == EndpointState::ready;
-    if (all || find(entry, "dial") != nullptr) s.address = read_address(entry, "dial");
-    if (all || find(entry, "site") != nullptr) s.zone = read_name_index(names.zones, entry, "site");
-    if (all || find(entry, "class") != nullptr) s.kind = read_name_index(names.kinds, entry, "class");
-    s.cell = small(entry, "block", all ? 0 : -1);
-    s.weight = number(entry, "share", 0);
-    if (s.weight < 0) throw ConfigurationError("field 'share' is negative");
-    s.started_at = number(entry, "born_ms", 0) / 1e3;
-    return s;
+    const bool is_ready = server.state == EndpointState::ready;
+    if (is_ready || find(entry, "dial") != nullptr) server.address = read_address(entry, "dial");
+    if (is_ready || find(entry, "site") != nullptr) server.zone = read_name_index(names.zones, entry, "site");
+    if (is_ready || find(entry, "class") != nullptr)
+        server.kind = read_name_index(names.kinds, entry, "class");
+    server.cell = small(entry, "block", is_ready ? 0 : -1);
+    server.weight = number(entry, "share", 0);
+    if (server.weight < 0) throw ConfigurationError("field 'share' is negative");
+    server.started_at = number(entry, "born_ms", 0) / 1e3;
+    return server;
 }
 
 std::uint64_t read_seed(const Value& value) {
@@ -65,15 +66,15 @@
 // The endpoint list changes at run time, so its keys are not part of the comparison at a reload.
 constexpr std::string_view kEndpointListPath = "known.hosts";
 
-void collect_keys(const Value& value, const std::string& path, GivenKeys& given) {
+void collect_keys(const Value& value, const std::string& path, GivenKeys& keys_by_path) {
     if (path == kEndpointListPath) return;
     if (value.IsArray()) {
         for (const Value& entry : value.GetArray()) {
             if (!entry.IsObject()) continue;
-            collect_keys(entry, path + "[]", given);
-            const auto effect = entry.FindMember("repeat");
-            if (effect == entry.MemberEnd() || !effect->value.IsString()) continue;
-            collect_keys(entry, path + "[" + effect->value.GetString() + "]", given);
+            collect_keys(entry, path + "[]", keys_by_path);
+            const auto idempotency = entry.FindMember("repeat");
+            if (idempotency == entry.MemberEnd() || !idempotency->value.IsString()) continue;
+            collect_keys(entry, path + "[" + idempotency->value.GetString() + "]", keys_by_path);
         }
         return;
     }
@@ -84,20 +85,20 @@
         // JSON does not define which of two equal keys applies.
         if (!keys.insert(key).second) throw ConfigurationError("key '" + key + "' appears twice");
         if (member.value.IsNull()) keys.erase(key);
-        collect_keys(member.value, path.empty() ? key : path + "." + key, given);
+        collect_keys(member.value, path.empty() ? key : path + "." + key, keys_by_path);
     }
-    const auto [at, first] = given.try_emplace(path, keys);
-    if (!first) std::erase_if(at->second, [&keys](const std::string& key) { return !keys.contains(key); });
+    const auto [at, is_first] = keys_by_path.try_emplace(path, keys);
+    if (!is_first) std::erase_if(at->second, [&keys](const std::string& key) { return !keys.contains(key); });
 }
 
 // The path of the first key that `running` has and `wanted` lacks; empty if there is none.
 std::string first_missing_key(const GivenKeys& running, const GivenKeys& wanted) {
     for (const auto& [path, keys] : running) {
-        const auto there = wanted.find(path);
-        if (there == wanted.end())
+        const auto found = wanted.find(path);
+        if (found == wanted.end())
             continue;  // the parent key is reported as missing, or no operation has that idempotency
         for (const std::string& key : keys) {
-            if (!there->second.contains(key)) return path.empty() ? key : path + "." + key;
+            if (!found->second.contains(key)) return path.empty() ? key : path + "." + key;
         }
     }
     return {};
@@ -173,17 +174,19 @@
 }
 
 std::string why_not_reloadable(const NodeConfig& running, const NodeConfig& wanted) {
-    const auto zone = [](const NodeConfig& s) {
-        const auto az = static_cast<std::size_t>(s.deployment.zone);
-        return az < s.names.zones.size() ? s.names.zones[az] : std::string();
+    const auto zone = [](const NodeConfig& config) {
+        const auto zone_index = static_cast<std::size_t>(config.deployment.zone);
+        return zone_index < config.names.zones.size() ? config.names.zones[zone_index] : std::string();
     };
-    const auto origin = [](const NodeConfig& s) {
-        const auto kind = static_cast<std::size_t>(std::max(0, s.deployment.origin_kind));
-        return s.deployment.origin_kind >= 0 && kind < s.names.kinds.size() ? s.names.kinds[kind]
-                                                                            : std::string();
+    const auto origin = [](const NodeConfig& config) {
+        const auto kind = static_cast<std::size_t>(std::max(0, config.deployment.origin_kind));
+        return config.deployment.origin_kind >= 0 && kind < config.names.kinds.size()
+                   ? config.names.kinds[kind]
+                   : std::string();
     };
-    const std::string lacking = first_missing_key(running.given_keys, wanted.given_keys);
-    if (!lacking.empty()) return "key '" + lacking + "' is missing, which the running configuration has";
+    const std::string missing_key = first_missing_key(running.given_keys, wanted.given_keys);
+    if (!missing_key.empty())
+        return "key '" + missing_key + "' is missing, which the running configuration has";
     const char* field = nullptr;
     if (wanted.listen != running.listen) field = "'listen'";
     if (wanted.admin_listen != running.admin_listen) field = "'management'";
--- a/src/config/warm_start.cpp
+++ b/src/config/warm_start.cpp
@@ -51,13 +51,13 @@
     json.EndArray();
     json.Key("caches");
     json.StartArray();
-    for (const WarmStartSnapshot::ServerSnapshot& c : snapshot.servers) {
+    for (const WarmStartSnapshot::ServerSnapshot& server : snapshot.servers) {
         json.StartObject();
-        put_name(json, name_of(c.server));
-        put(json, "limit", c.concurrency_limit);
-        put(json, "rest", c.backoff_remaining);
+        put_name(json, name_of(server.server));
+        put(json, "limit", server.concurrency_limit);
+        put(json, "rest", server.backoff_remaining);
         json.Key("suspect");
-        json.Bool(c.ejected);
+        json.Bool(server.ejected);
         json.EndObject();
     }
     json.EndArray();
