--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,5 @@
-// What a node is told at its start: defaults, and a complaint that names the key where something is wrong.
+// The node configuration file: defaults, errors that name the invalid key, and which files a reload rejects.
+// Also the format of the warm-start snapshot.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -59,7 +60,7 @@
     EXPECT_TRUE(s.deployment.polls_endpoints);
     EXPECT_EQ(s.deployment.connection_idle_timeout, 60);
     EXPECT_EQ(s.max_open_requests, 20000);
-    EXPECT_EQ(s.deployment.operations[0].latency_objective, 1.2);  // none is told: the client timeout
+    EXPECT_EQ(s.deployment.operations[0].latency_objective, 1.2);  // missing in the file: the client timeout
     EXPECT_EQ(s.names.operations[0], "read");
     EXPECT_EQ(s.names.tenants[0], "acme");
     EXPECT_EQ(s.cached_endpoints.version, 41);
@@ -141,12 +142,13 @@
     ASSERT_EQ(news.servers.size(), 1U);
     EXPECT_EQ(news.servers[0].name, "s-2");
     EXPECT_EQ(news.servers[0].state, EndpointState::draining);
-    EXPECT_LT(news.servers[0].zone, 0);  // as it was
+    EXPECT_LT(news.servers[0].zone, 0);  // unchanged
     ASSERT_EQ(news.errors.size(), 1U);
     EXPECT_NE(news.errors[0].find("dial"), std::string::npos) << news.errors[0];
 }
 
-// A reload may add keys and drop entries, not keys: what lacks one was cut short, or written by a wrong hand.
+// A reload may add keys and remove entries, but not keys: a file that lacks one was truncated, or was not
+// generated for this node.
 TEST(NodeConfigReload, RejectsAFileThatLacksAKeyOfTheRunningOne) {
     const std::string running_text =
         with(R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000})",
@@ -154,7 +156,7 @@
   {"name":"put","repeat":"deduplicated","client_timeout_us":900000,"billed_value":2,"key_ttl_us":3000000})");
     const NodeConfig running = read(running_text);
     struct Case {
-        const char *from, *to, *key;  // the key that is complained of; empty: it is taken
+        const char *from, *to, *key;  // the key that the error names; empty: the file is accepted
     };
     for (const Case& c :
          {Case{"", "", ""}, Case{"\"conn_idle_us\":60000000,", "", "settings.permissions.conn_idle_us"},
--- a/tests/files_test.cpp
+++ b/tests/files_test.cpp
@@ -1,5 +1,5 @@
-// The operators' TOML files: what is wrong is said with file, line, key and what was expected, all of it at
-// once; what is right comes out as it was written.
+// The operators' TOML files: all errors are reported at once, each with file, line, key and what was expected,
+// and valid values are read as written.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -20,7 +20,7 @@
     return path;
 }
 
-// What reading says, without the file's path.
+// The error of reading a file with this text, with the file's path as F; empty if it is valid.
 template <typename Read>
 std::string said(const std::string& text, Read read) {
     const std::string path = file_with(text);
@@ -170,14 +170,14 @@
     for (const char* wrong : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
         EXPECT_THROW((void)read_scenario(path, {wrong}), ConfigurationFileError) << wrong;
     }
-    // What is put over is checked as the file is.
+    // Overrides are validated like the file.
     EXPECT_THROW((void)read_scenario(path, {"day.lenght=30s"}), ConfigurationFileError);
 }
 
 TEST(Durations, NeedTheirUnits) {
     const struct {
         const char* text;
-        double seconds;  // -1: none
+        double seconds;  // -1: not a duration
     } cases[] = {{"250ms", 0.25}, {"3s", 3}, {"1.5m", 90}, {"2h", 7200}, {"40us", 40e-6}, {"3", -1},
                  {"", -1},        {"s", -1}, {"3 s", -1},  {"-3s", -1},  {"1.2.3s", -1},  {"3days", -1}};
     for (const auto& c : cases) {
