--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-const std::string kGood =
+const std::string kValidFile =
     R"({"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"seq":41,"whole":true,"hosts":[
@@ -27,8 +27,8 @@
   "specifics":{"mode":"aside","origin_kind":2},"parties":[{"name":"acme","quota_per_s":67.0}],
   "operations":[{"name":"read","repeat":"idempotent","client_timeout_us":1200000}]}})";
 
-std::string with(const std::string& from, const std::string& to) {
-    std::string text = kGood;
+std::string valid_file_with(const std::string& from, const std::string& to) {
+    std::string text = kValidFile;
     const std::size_t at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
     if (at == std::string::npos) return text;
@@ -41,37 +41,38 @@
     EXPECT_GE(file, 0) << path;
     close(file);
     std::ofstream(path) << text;
-    struct Removed {
+    struct FileRemover {
         const char* path;
-        ~Removed() { std::remove(path); }
-    } removed{path};
+        ~FileRemover() { std::remove(path); }
+    } remover{path};
     return read_node_config(path);
 }
 
 TEST(NodeConfig, AValidFileIsReadInFull) {
-    const NodeConfig s = read(kGood);
-    EXPECT_EQ(s.name, "n1");
-    EXPECT_EQ(s.seed, 0x8c1f30d27a5be964ULL);
-    EXPECT_EQ(s.descriptors, 1024);
-    EXPECT_EQ(s.memory_mb, 192);
-    EXPECT_EQ(s.deployment.zone, 1);
-    EXPECT_EQ(s.deployment.zone_count, 2);
-    EXPECT_EQ(s.deployment.origin_kind, 2);
-    EXPECT_TRUE(s.deployment.polls_endpoints);
-    EXPECT_EQ(s.deployment.connection_idle_timeout, 60);
-    EXPECT_EQ(s.max_open_requests, 20000);
-    EXPECT_EQ(s.deployment.operations[0].latency_objective, 1.2);  // missing in the file: the client timeout
-    EXPECT_EQ(s.names.operations[0], "read");
-    EXPECT_EQ(s.names.tenants[0], "acme");
-    EXPECT_EQ(s.cached_endpoints.version, 41);
-    EXPECT_TRUE(s.cached_endpoints.is_full);
-    ASSERT_EQ(s.cached_endpoints.servers.size(), 2U);
-    const EndpointRecord& first = s.cached_endpoints.servers[0];
+    const NodeConfig config = read(kValidFile);
+    EXPECT_EQ(config.name, "n1");
+    EXPECT_EQ(config.seed, 0x8c1f30d27a5be964ULL);
+    EXPECT_EQ(config.descriptors, 1024);
+    EXPECT_EQ(config.memory_mb, 192);
+    EXPECT_EQ(config.deployment.zone, 1);
+    EXPECT_EQ(config.deployment.zone_count, 2);
+    EXPECT_EQ(config.deployment.origin_kind, 2);
+    EXPECT_TRUE(config.deployment.polls_endpoints);
+    EXPECT_EQ(config.deployment.connection_idle_timeout, 60);
+    EXPECT_EQ(config.max_open_requests, 20000);
+    EXPECT_EQ(config.deployment.operations[0].latency_objective,
+              1.2);  // missing in the file: the client timeout
+    EXPECT_EQ(config.names.operations[0], "read");
+    EXPECT_EQ(config.names.tenants[0], "acme");
+    EXPECT_EQ(config.cached_endpoints.version, 41);
+    EXPECT_TRUE(config.cached_endpoints.is_full);
+    ASSERT_EQ(config.cached_endpoints.servers.size(), 2U);
+    const EndpointRecord& first = config.cached_endpoints.servers[0];
     EXPECT_EQ(first.zone, 1);
     EXPECT_EQ(first.kind, 1);
     EXPECT_EQ(first.cell, 3);
     EXPECT_EQ(first.started_at, 1.5);
-    EXPECT_EQ(s.cached_endpoints.servers[1].state, EndpointState::removed);
+    EXPECT_EQ(config.cached_endpoints.servers[1].state, EndpointState::removed);
 }
 
 TEST(NodeConfig, AnErrorNamesTheKey) {
@@ -122,37 +123,37 @@
           Case{"127.0.0.1:3", ":3", "dial"},
           Case{"{\"name\"", "\"name\"", "JSON"}}) {
         SCOPED_TRACE(std::string(c.from) + " -> " + c.to);
-        std::string complaint;
+        std::string message;
         try {
-            read(with(c.from, c.to));
-        } catch (const ConfigurationError& bad) {
-            complaint = bad.what();
+            read(valid_file_with(c.from, c.to));
+        } catch (const ConfigurationError& error) {
+            message = error.what();
         }
-        EXPECT_NE(complaint.find(c.key), std::string::npos) << complaint;
+        EXPECT_NE(message.find(c.key), std::string::npos) << message;
     }
 }
 
-TEST(ServerListUpdate, OneBadEntryFailsAlone) {
+TEST(EndpointList, AnInvalidEntryIsSkippedAlone) {
     rapidjson::Document list;
     list.Parse(R"({"seq":43,"whole":false,"hosts":[
         {"host":"s-1","health":"SERVING"},{"host":"s-2","health":"DRAINING"}]})");
-    const EndpointUpdate news = parse_endpoint_update(list, read(kGood).names);
-    EXPECT_EQ(news.version, 43);
-    EXPECT_FALSE(news.is_full);
-    ASSERT_EQ(news.servers.size(), 1U);
-    EXPECT_EQ(news.servers[0].name, "s-2");
-    EXPECT_EQ(news.servers[0].state, EndpointState::draining);
-    EXPECT_LT(news.servers[0].zone, 0);  // unchanged
-    ASSERT_EQ(news.errors.size(), 1U);
-    EXPECT_NE(news.errors[0].find("dial"), std::string::npos) << news.errors[0];
+    const EndpointUpdate update = parse_endpoint_update(list, read(kValidFile).names);
+    EXPECT_EQ(update.version, 43);
+    EXPECT_FALSE(update.is_full);
+    ASSERT_EQ(update.servers.size(), 1U);
+    EXPECT_EQ(update.servers[0].name, "s-2");
+    EXPECT_EQ(update.servers[0].state, EndpointState::draining);
+    EXPECT_LT(update.servers[0].zone, 0);  // unchanged
+    ASSERT_EQ(update.errors.size(), 1U);
+    EXPECT_NE(update.errors[0].find("dial"), std::string::npos) << update.errors[0];
 }
 
 // A reload may add keys and remove entries, but not keys: a file that lacks one was truncated, or was not
 // generated for this node.
 TEST(NodeConfigReload, RejectsAFileThatLacksAKeyOfTheRunningOne) {
     const std::string running_text =
-        with(R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000})",
-             R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000,"billed_value":1},
+        valid_file_with(R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000})",
+                        R"({"name":"read","repeat":"idempotent","client_timeout_us":1200000,"billed_value":1},
   {"name":"put","repeat":"deduplicated","client_timeout_us":900000,"billed_value":2,"key_ttl_us":3000000})");
     const NodeConfig running = read(running_text);
     struct Case {
@@ -185,51 +186,51 @@
             ASSERT_NE(at, std::string::npos);
             text.replace(at, std::string(c.from).size(), c.to);
         }
-        const std::string against = why_not_reloadable(running, read(text));
+        const std::string reason = why_not_reloadable(running, read(text));
         if (*c.key == 0) {
-            EXPECT_EQ(against, "");
+            EXPECT_EQ(reason, "");
         } else {
-            EXPECT_NE(against.find("'" + std::string(c.key) + "'"), std::string::npos) << against;
+            EXPECT_NE(reason.find("'" + std::string(c.key) + "'"), std::string::npos) << reason;
         }
     }
 }
 
 TEST(NodeConfig, ATruncatedFileIsRejected) {
-    for (std::size_t length = 0; length < kGood.size(); ++length) {
-        bool refused = false;
+    for (std::size_t length = 0; length < kValidFile.size(); ++length) {
+        bool is_rejected = false;
         try {
-            read(kGood.substr(0, length));
+            read(kValidFile.substr(0, length));
         } catch (const ConfigurationError&) {
-            refused = true;
+            is_rejected = true;
         }
-        EXPECT_TRUE(refused) << "cut at " << length;
+        EXPECT_TRUE(is_rejected) << "cut at " << length;
     }
 }
 
-TEST(LearnedFile, MapsKindsAndCachesByName) {
-    const WarmStartSnapshot learned{
+TEST(WarmStart, MapsKindsAndServersByName) {
+    const WarmStartSnapshot snapshot{
         0.25, 0.5, 0.75, 3, 0.125, {1, 0.5}, {{0, 2.5, -4, false}, {1, 1, 0.5, true}}};
     const std::string text =
-        format_warm_start(learned, {"m1", "m2"}, [](int cache) { return cache == 0 ? "s-1" : "s-2"; });
-    const auto number = [](const std::string& name) { return name == "s-2" ? 7 : -1; };
-    const auto back = parse_warm_start(text, {"m2", "new"}, number);
-    ASSERT_TRUE(back.has_value());
-    EXPECT_EQ(back->spillover_ratio, 0.25);
-    EXPECT_EQ(back->shedding_ratio, 0.5);
-    EXPECT_EQ(back->admission_ratio, 0.75);
-    EXPECT_EQ(back->origin_concurrency_limit, 3);
-    EXPECT_EQ(back->origin_latency, 0.125);
-    EXPECT_EQ(back->kind_traffic_shares, std::vector<double>({0.5, 1}));
-    ASSERT_EQ(back->servers.size(), 1U);
-    EXPECT_EQ(back->servers[0].server, 7);
-    EXPECT_EQ(back->servers[0].concurrency_limit, 1);
-    EXPECT_EQ(back->servers[0].backoff_remaining, 0.5);
-    EXPECT_TRUE(back->servers[0].ejected);
+        format_warm_start(snapshot, {"m1", "m2"}, [](int server) { return server == 0 ? "s-1" : "s-2"; });
+    const auto index_of_server = [](const std::string& name) { return name == "s-2" ? 7 : -1; };
+    const auto decoded = parse_warm_start(text, {"m2", "new"}, index_of_server);
+    ASSERT_TRUE(decoded.has_value());
+    EXPECT_EQ(decoded->spillover_ratio, 0.25);
+    EXPECT_EQ(decoded->shedding_ratio, 0.5);
+    EXPECT_EQ(decoded->admission_ratio, 0.75);
+    EXPECT_EQ(decoded->origin_concurrency_limit, 3);
+    EXPECT_EQ(decoded->origin_latency, 0.125);
+    EXPECT_EQ(decoded->kind_traffic_shares, std::vector<double>({0.5, 1}));
+    ASSERT_EQ(decoded->servers.size(), 1U);
+    EXPECT_EQ(decoded->servers[0].server, 7);
+    EXPECT_EQ(decoded->servers[0].concurrency_limit, 1);
+    EXPECT_EQ(decoded->servers[0].backoff_remaining, 0.5);
+    EXPECT_TRUE(decoded->servers[0].ejected);
     for (std::size_t length = 0; length < text.size(); ++length)
-        EXPECT_FALSE(parse_warm_start(text.substr(0, length), {"m2"}, number).has_value())
+        EXPECT_FALSE(parse_warm_start(text.substr(0, length), {"m2"}, index_of_server).has_value())
             << "cut at " << length;
-    EXPECT_FALSE(parse_warm_start("[]", {}, number).has_value());
-    EXPECT_FALSE(parse_warm_start(R"({"reach":"far"})", {}, number).has_value());
+    EXPECT_FALSE(parse_warm_start("[]", {}, index_of_server).has_value());
+    EXPECT_FALSE(parse_warm_start(R"({"reach":"far"})", {}, index_of_server).has_value());
 }
 
 }  // namespace
--- a/tests/files_test.cpp
+++ b/tests/files_test.cpp
@@ -1,5 +1,5 @@
-// The operators' TOML files: all errors are reported at once, each with file, line, key and what was expected,
-// and valid values are read as written.
+// The operators' TOML files: all errors are reported at once, each with file, line, key and what was
+// expected, and valid values are read as written.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -14,7 +14,7 @@
 
 using namespace brookrelay;
 
-std::string file_with(const std::string& text) {
+std::string write_file(const std::string& text) {
     const std::string path = testing::TempDir() + "file-" + std::to_string(getpid()) + ".toml";
     std::ofstream(path) << text;
     return path;
@@ -22,24 +22,24 @@
 
 // The error of reading a file with this text, with the file's path as F; empty if it is valid.
 template <typename Read>
-std::string said(const std::string& text, Read read) {
-    const std::string path = file_with(text);
+std::string read_error(const std::string& text, Read read) {
+    const std::string path = write_file(text);
     try {
         read(path);
-    } catch (const ConfigurationFileError& bad) {
-        std::string all = bad.what();
-        for (std::size_t at = all.find(path); at != std::string::npos; at = all.find(path)) {
-            all.replace(at, path.size(), "F");
+    } catch (const ConfigurationFileError& exception) {
+        std::string errors = exception.what();
+        for (std::size_t at = errors.find(path); at != std::string::npos; at = errors.find(path)) {
+            errors.replace(at, path.size(), "F");
         }
-        return all;
+        return errors;
     }
     return "";
 }
 
-TEST(OperatorFile, SaysWhatIsWrong) {
+TEST(OperatorConfig, ReportsErrorsWithFileLineAndKey) {
     const struct {
         const char* text;
-        const char* complaint;
+        const char* error;
     } cases[] = {
         {"", ""},
         {"[log]\nformat = \"json\"\n", ""},
@@ -83,13 +83,13 @@
          "F:3: log.format: expected one of \"human\", \"json\", found ''\nF:2: log.lines"},
     };
     for (const auto& c : cases) {
-        const std::string all =
-            said(c.text, [](const std::string& path) { (void)read_operator_config(path); });
-        EXPECT_EQ(all.substr(0, std::string(c.complaint).size()), c.complaint) << c.text;
-        EXPECT_EQ(all.empty(), std::string(c.complaint).empty()) << all;
+        const std::string errors =
+            read_error(c.text, [](const std::string& path) { (void)read_operator_config(path); });
+        EXPECT_EQ(errors.substr(0, std::string(c.error).size()), c.error) << c.text;
+        EXPECT_EQ(errors.empty(), std::string(c.error).empty()) << errors;
     }
     EXPECT_THROW((void)read_operator_config("/no/such/file.toml"), ConfigurationFileError);
-    EXPECT_TRUE(read_operator_config(file_with("[log]\nformat = \"json\"\n")).json_log);
+    EXPECT_TRUE(read_operator_config(write_file("[log]\nformat = \"json\"\n")).json_log);
 }
 
 const char* const kScenario =
@@ -110,11 +110,11 @@
     "at = \"5s\"\n"              // 15
     "lasts = \"2s\"\n";          // 16
 
-TEST(Scenario, SaysWhatIsWrong) {
+TEST(Scenario, ReportsErrorsWithFileLineAndKey) {
     const struct {
         const char* from;
         const char* to;
-        const char* complaint;
+        const char* error;
     } cases[] = {
         {"20s", "20s", ""},
         {"format = \"scenario 1\"", "", "F:1: format: is missing; expected \"scenario 1\""},
@@ -149,14 +149,15 @@
     for (const auto& c : cases) {
         std::string text = kScenario;
         text.replace(text.find(c.from), std::string(c.from).size(), c.to);
-        const std::string all = said(text, [](const std::string& path) { (void)read_scenario(path); });
-        EXPECT_EQ(all.substr(0, std::string(c.complaint).size()), c.complaint) << c.to;
-        EXPECT_EQ(all.empty(), std::string(c.complaint).empty()) << all;
+        const std::string errors =
+            read_error(text, [](const std::string& path) { (void)read_scenario(path); });
+        EXPECT_EQ(errors.substr(0, std::string(c.error).size()), c.error) << c.to;
+        EXPECT_EQ(errors.empty(), std::string(c.error).empty()) << errors;
     }
 }
 
-TEST(Scenario, TakesValuesPutOverIt) {
-    const std::string path = file_with(kScenario);
+TEST(Scenario, AppliesOverrides) {
+    const std::string path = write_file(kScenario);
     const Scenario s =
         read_scenario(path, {"day.length=30s", "server.0.count=5", "clients.rate=77", "trouble.0.at=\"6s\"",
                              "clients.curve=[[\"0s\", 1.0], [\"10s\", 3.0]]"});
@@ -167,14 +168,14 @@
     EXPECT_DOUBLE_EQ(at(s.clients.curve, 5, 1), 2);
     EXPECT_EQ(s.server_names(),
               (std::vector<std::string>{"box-1", "box-2", "box-3", "box-4", "box-5", "origin"}));
-    for (const char* wrong : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
-        EXPECT_THROW((void)read_scenario(path, {wrong}), ConfigurationFileError) << wrong;
+    for (const char* invalid : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
+        EXPECT_THROW((void)read_scenario(path, {invalid}), ConfigurationFileError) << invalid;
     }
     // Overrides are validated like the file.
     EXPECT_THROW((void)read_scenario(path, {"day.lenght=30s"}), ConfigurationFileError);
 }
 
-TEST(Durations, NeedTheirUnits) {
+TEST(Durations, NeedAUnit) {
     const struct {
         const char* text;
         double seconds;  // -1: not a duration
@@ -182,9 +183,9 @@
                  {"", -1},        {"s", -1}, {"3 s", -1},  {"-3s", -1},  {"1.2.3s", -1},  {"3days", -1}};
     for (const auto& c : cases) {
         double seconds = -1;
-        const bool sound = parse_duration(c.text, seconds);
-        EXPECT_EQ(sound, c.seconds >= 0) << c.text;
-        EXPECT_NEAR(sound ? seconds : c.seconds, c.seconds, 1e-12) << c.text;
+        const bool is_duration = parse_duration(c.text, seconds);
+        EXPECT_EQ(is_duration, c.seconds >= 0) << c.text;
+        EXPECT_NEAR(is_duration ? seconds : c.seconds, c.seconds, 1e-12) << c.text;
     }
 }
 
