--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -129,7 +129,7 @@
     ++verdict_.unanswered;
     // Dated from the request: a delayed watcher may have left a new connection silent until the node's own
     // timeout closed it.
-    report(1, request, now, record.received_at, "the node ended the connection with no whole answer");
+    report(1, request, now, record.received_at, "the node closed the connection without a complete response");
 }
 
 void Auditor::on_client_timeout(double now, int request) {
@@ -187,7 +187,7 @@
     }
     if (request < 0 || index(request) >= history_.requests.size()) {
         report(1, -1, last_byte, last_byte,
-               "a forward to " + server_name(terms, server) + " names no invocation that was asked", false);
+               "an attempt to " + server_name(terms, server) + " names no request that a client sent", false);
         return;
     }
     check_retry(attempt);
@@ -320,12 +320,12 @@
     verdict.watcher_delay_ratio = run_time > 0 ? total_watcher_delay_ / run_time : 0;
     if (verdict.violations.empty() && !verdict.set_aside.empty()) {
         verdict.is_void = true;
-        verdict.void_reason = "the watcher was late just when " + std::to_string(verdict.set_aside.size()) +
-                              " limits seemed to be passed";
+        verdict.void_reason = "the watcher was delayed when " + std::to_string(verdict.set_aside.size()) +
+                              " limits seemed to be exceeded";
     } else if (verdict.watcher_delay_ratio > kMaxWatcherDelayRatio) {
         verdict.is_void = true;
-        verdict.void_reason = "the watcher was late for " +
-                              std::to_string(std::lround(100 * verdict.watcher_delay_ratio)) + "% of the day";
+        verdict.void_reason = "the watcher was delayed for " +
+                              std::to_string(std::lround(100 * verdict.watcher_delay_ratio)) + "% of the run";
     }
     add_service_totals(history_, verdict);
     return verdict;
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -68,8 +68,7 @@
     const bool is_made_by_server = is_known && source.request == request &&
                                    (source.outcome == Outcome::done || source.is_dropped_duplicate);
     if (!is_made_by_server) {
-        report(1, request, now, now, "succeeded with an answer that no server made for this invocation",
-               false);
+        report(1, request, now, now, "succeeded with an answer that no server made for this request", false);
         return;
     }
     const Operation& operation = history_.terms.operations[index(record.info.operation)];
@@ -100,7 +99,8 @@
     const double late = record.last_byte - request.ended_at;
     if (late <= kClientGoneGrace + history_.terms.slack || is_lost_with_node(request)) return;
     report(1, record.request, record.last_byte, request.ended_at,
-           attempt_text(attempt) + " began " + duration_text(late) + " after its client had left");
+           attempt_text(attempt) + " began " + duration_text(late) +
+               " after its client had closed the connection");
 }
 
 void Auditor::on_told_deadline(int attempt, double seconds) {
@@ -110,8 +110,8 @@
     const double left = request.received_at + request.info.timeout - record.first_byte;
     if (seconds <= left + kToldDeadlineSlack + history_.terms.slack) return;
     report(1, record.request, record.first_byte, request.received_at,
-           attempt_text(attempt) + " told its server " + duration_text(seconds) + ", and its client had " +
-               duration_text(left) + " left");
+           attempt_text(attempt) + " told its server of a timeout of " + duration_text(seconds) +
+               ", but its client had " + duration_text(left) + " left");
 }
 
 // ---- rule 2: no effect twice -----------------------------------------------------------------------------
@@ -140,7 +140,7 @@
 }
 
 std::string Auditor::attempt_text(int attempt) const {
-    return "forward " + std::to_string(attempt) + " to " +
+    return "attempt " + std::to_string(attempt) + " to " +
            server_name(history_.terms, history_.attempts[index(attempt)].server);
 }
 
@@ -153,7 +153,7 @@
                                       [&](int earlier) { return may_have_run(earlier, now); });
     if (attempt == record.attempts.end()) return;
     report(2, request, now, history_.attempts[index(*attempt)].last_byte,
-           "non-idempotent and throttled, which invites a repeat, though " + attempt_text(*attempt) +
+           "non-idempotent and throttled, which invites a retry, although " + attempt_text(*attempt) +
                " may have run",
            false);
 }
@@ -174,7 +174,7 @@
     const AttemptRecord& earlier = history_.attempts[index(earlier_attempt)];
     const RequestRecord& request = history_.requests[index(retry.request)];
     const Operation& operation = history_.terms.operations[index(request.info.operation)];
-    const auto though_it_ran = [&] { return " though " + attempt_text(earlier_attempt) + " may have run"; };
+    const auto though_it_ran = [&] { return " although " + attempt_text(earlier_attempt) + " may have run"; };
     if (operation.idempotency == Idempotency::none) {
         report(2, retry.request, retry.first_byte, earlier.last_byte,
                "non-idempotent: " + attempt_text(attempt) + " was sent" + though_it_ran(), false);
@@ -182,7 +182,7 @@
     }
     if (!shares_deduplication(operation.deduplication_scope, earlier.server, retry.server)) {
         report(2, retry.request, retry.first_byte, earlier.last_byte,
-               "deduplicated: " + attempt_text(attempt) + " is outside the group that drops its repeats," +
+               "deduplicated: " + attempt_text(attempt) + " is outside the group that drops its duplicates," +
                    though_it_ran(),
                false);
         return false;
@@ -191,8 +191,8 @@
         report(2, retry.request, retry.first_byte, earlier.last_byte,
                "deduplicated: " + attempt_text(attempt) + " came " +
                    duration_text(retry.last_byte - earlier.last_byte) +
-                   " later, when its mark is forgotten (" + duration_text(operation.deduplication_window) +
-                   ")," + though_it_ran());
+                   " later, when its idempotency key is forgotten (" +
+                   duration_text(operation.deduplication_window) + ")," + though_it_ran());
         return false;
     }
     return true;
@@ -214,9 +214,9 @@
     const double restarted_at = history_.servers[index(second.server)].started_at;
     if (operation.idempotency == Idempotency::idempotency_key && restarted_at > first.last_byte) return;
     report(2, second.request, second.effect_at, second.effect_at,
-           "its effect happened twice: forward " + std::to_string(record.first_effect) + " (invocation " +
+           "its effect happened twice: attempt " + std::to_string(record.first_effect) + " (request " +
                std::to_string(first.request) + ") at " + time_text(history_, first.effect_at) +
-               " and forward " + std::to_string(attempt) + " at " + time_text(history_, second.effect_at),
+               " and attempt " + std::to_string(attempt) + " at " + time_text(history_, second.effect_at),
            false);
 }
 
@@ -231,8 +231,8 @@
     if (record.first_byte <= known.since + terms.drain_grace + terms.slack) return;
     report(3, record.request, record.first_byte, known.since,
            attempt_text(attempt) + " began " + duration_text(record.first_byte - known.since) +
-               " after node " + std::to_string(node) + " was told that it " +
-               (known.state == EndpointState::removed ? "is gone" : "drains") + " (grace " +
+               " after node " + std::to_string(node) + " was notified that it " +
+               (known.state == EndpointState::removed ? "is removed" : "drains") + " (grace " +
                duration_text(terms.drain_grace) + ")");
 }
 
@@ -244,12 +244,12 @@
     const RecentWork work =
         recent_work(history_, record, now - std::max(terms.overload_window, kMinOverloadWindow));
     if (work.total == 0) return;
-    const std::string amount = std::to_string(record.recent_attempts.size()) + " forwards in " +
+    const std::string amount = std::to_string(record.recent_attempts.size()) + " attempts in " +
                                duration_text(terms.overload_window) + ", ";
     if (server == terms.origin) {
         if (work.cold_misses < kMinColdMissWork * work.total) return;
         report(4, work.last_request, now, now,
-               "the origin was stopped by " + amount + work.percent(work.cold_misses) +
+               "the origin was overloaded by " + amount + work.percent(work.cold_misses) +
                    " of them for misses at cold servers (" + work.node_shares() + ")");
         return;
     }
@@ -287,7 +287,7 @@
     record.over_limit_at = now;
     char text[160];
     std::snprintf(text, sizeof text,
-                  "%s got %.0f forwards within a second, of %.4g a second that all nodes together may send",
+                  "%s got %.0f attempts within a second; all nodes together may send %.4g per second",
                   server_name(terms, server).c_str(), sent, limit);
     report(5, first_request, now, from, text);
 }
--- a/src/audit/trace.cpp
+++ b/src/audit/trace.cpp
@@ -23,7 +23,7 @@
         case Outcome::failed:
             return "errored";
         case Outcome::none:
-            return "no answer";
+            return "no response";
     }
     return "?";
 }
@@ -33,16 +33,16 @@
         case RequestEnd::responded:
             return reply_text(request.reply);
         case RequestEnd::client_closed:
-            return "its client left";
+            return "closed by its client";
         case RequestEnd::connection_lost:
-            return "connection ended by the node";
+            return "connection closed by the node";
         case RequestEnd::timed_out:
-            return "its client gave up";
+            return "its client timed out";
         case RequestEnd::lost_with_node:
             return "lost with its node";
         case RequestEnd::open:
         case RequestEnd::unreachable:
-            return "node out of reach";
+            return "node unreachable";
     }
     return "?";
 }
@@ -54,23 +54,23 @@
 
 void add_attempt(const History& history, int number, TimedLines& lines) {
     const AttemptRecord& attempt = history.attempts[index(number)];
-    const std::string name = "  forward " + std::to_string(number);
+    const std::string name = "  attempt " + std::to_string(number);
     lines.emplace_back(attempt.last_byte, name + " reached " + server_name(history.terms, attempt.server));
     if (attempt.effect_at >= 0) lines.emplace_back(attempt.effect_at, name + " took effect");
     if (attempt.finished_at >= 0) {
         lines.emplace_back(attempt.finished_at,
                            name + " ended: " + outcome_text(attempt.outcome) +
-                               (attempt.is_dropped_duplicate ? " (a repeat, dropped)" : ""));
+                               (attempt.is_dropped_duplicate ? " (a duplicate, dropped)" : ""));
     }
 }
 
 void add_request(const History& history, int number, TimedLines& lines) {
     const RequestRecord& request = history.requests[index(number)];
     const RequestInfo& info = request.info;
-    const std::string name = "invocation " + std::to_string(number);
+    const std::string name = "request " + std::to_string(number);
     lines.emplace_back(request.received_at, name + " (try " + std::to_string(info.retry_number + 1) + ", " +
                                                 operation_name(history.terms, info.operation) + ", node " +
-                                                std::to_string(info.node) + ") asked, waits " +
+                                                std::to_string(info.node) + ") sent, timeout " +
                                                 duration_text(info.timeout));
     for (const int attempt : request.attempts) add_attempt(history, attempt, lines);
     if (request.ended_at >= 0) lines.emplace_back(request.ended_at, name + ": " + end_text(request));
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -142,7 +142,7 @@
          d.judge.on_client_closed(1.1, 0);
          d.judge.on_response(1.2, 0, Reply::failed, -1);
      }},
-    {"the connection ends without an answer", 1, "ended the connection",
+    {"the connection ends without an answer", 1, "closed the connection",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_connection_closed(1.2, 0);
@@ -153,13 +153,13 @@
          d.judge.on_node_killed(1.1, 0);
          d.judge.on_connection_closed(1.2, 0);
      }},
-    {"it ends at one node while another was killed", 1, "ended the connection",
+    {"it ends at one node while another was killed", 1, "closed the connection",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_node_killed(1.1, 1);
          d.judge.on_connection_closed(1.2, 0);
      }},
-    {"the node was killed before it was asked", 1, "ended the connection",
+    {"the node was killed before it was asked", 1, "closed the connection",
      [](Day& d) {
          d.judge.on_node_killed(0.5, 0);
          d.ask(1, 0, kRead);
@@ -205,7 +205,7 @@
          d.done(1.02, f);
          d.judge.on_response(1.1, 0, Reply::succeeded, f);
      }},
-    {"a forward that names nobody", 1, "names no invocation", [](Day& d) { d.send(1, -1, kBoxA); }},
+    {"a forward that names nobody", 1, "names no request", [](Day& d) { d.send(1, -1, kBoxA); }},
     // ---- rule 2, non-idempotent
     {"non-idempotent, sent again after silence", 2, "non-idempotent",
      [](Day& d) {
@@ -350,7 +350,7 @@
          d.judge.on_endpoint_state(1, 1, kBoxA, EndpointState::draining, false);
          d.fine(1.5, 0);
      }},
-    {"told again, the grace runs from the first word", 3, "is gone",
+    {"told again, the grace runs from the first word", 3, "is removed",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.judge.on_endpoint_state(1.3, 0, kBoxA, EndpointState::removed, false);
@@ -406,7 +406,7 @@
          push(d, kBoxA, 0, 0, 100);
          d.judge.on_server_overloaded(2, kBoxA);
      }},
-    {"the origin stopped by cold misses", 4, "origin was stopped",
+    {"the origin stopped by cold misses", 4, "origin was overloaded",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          for (int i = 0; i < 100; ++i) {
@@ -418,7 +418,7 @@
          }
          d.judge.on_server_overloaded(2, kOrigin);
      }},
-    {"the origin stopped by misses at a server that has become warm since", 4, "origin was stopped",
+    {"the origin stopped by misses at a server that has become warm since", 4, "origin was overloaded",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          push_misses(d);
