--- a/src/audit/terms.h
+++ b/src/audit/terms.h
@@ -21,7 +21,7 @@
     double answer_grace = 0;            // a response may be this much later than the client timeout
     double drain_grace = 0;             // a node may send to a draining or removed server for this long
     double overload_window = 0;         // attempts in this time before an overload count as its cause
-    double over_quota_value_ratio = 1;  // value of a request beyond its tenant's quota, to the full value
+    double over_quota_value_ratio = 1;  // value beyond a tenant's quota, relative to the full one
     double origin_limit = 0;            // attempts/s of all nodes to the origin; 0: not limited
     double cold_limit = 0;              // attempts/s of all nodes to one cold server; 0: not limited
     double slack = 0.050;               // added to each time limit, for the jitter of real sockets
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -1,5 +1,5 @@
-// The judge against days written by hand: each rule broken in each way it can be, and beside it the near miss
-// that is none. No socket and no clock.
+// The auditor against hand-written histories: each way to break a rule, and next to it the closest case that
+// does not break it. There are no sockets and no clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 using namespace brookrelay::audit;
 
 enum Op { kRead, kDedup, kOnce };
-constexpr int kBoxA = 0, kBoxB = 1, kBoxC = 2, kOrigin = 3;  // A and B share a zone, C is in another
+constexpr int kBoxA = 0, kBoxB = 1, kBoxC = 2, kOrigin = 3;  // A and B are in one zone, C is in another.
 
 Terms terms() {
     Terms t;
@@ -42,13 +42,13 @@
     return t;
 }
 
-// A day under the judge, with the usual steps in a line each.
+// One run with its auditor, and the usual steps of a history.
 struct Day {
     Auditor judge{terms()};
     int forwards = 0;
     int asked = 0;
 
-    // Whoever still waits has left by then, so that a case is judged by what it is about.
+    // Closes the clients that still wait, so that no case breaks rule 1 just because its history ends.
     Verdict end() {
         for (int i = 0; i < asked; ++i) judge.on_client_closed(1.9, i);
         return judge.finish(10);
@@ -73,7 +73,7 @@
         done(at, forward);
     }
     void busy(double at, int forward) { judge.on_attempt_finished(at, forward, Outcome::busy); }
-    // One read that goes well.
+    // A read that succeeds.
     void fine(double at, int inv, int server = kBoxA, int node = 0) {
         ask(at, inv, kRead, node);
         const int f = send(at + 0.001, inv, server);
@@ -84,8 +84,8 @@
 
 struct Case {
     const char* name;
-    int rule;          // broken; 0: none
-    const char* said;  // part of what is said
+    int rule;          // the broken rule; 0: none
+    const char* said;  // part of the violation's text
     std::function<void(Day&)> play;
 };
 
@@ -97,7 +97,7 @@
     }
 }
 
-// A hundred reads that miss at one cache and go on to the origin.
+// A hundred reads that miss at server A and are then sent to the origin.
 void push_misses(Day& d) {
     for (int i = 0; i < 100; ++i) {
         const double at = 1 + 0.0099 * i;
@@ -109,73 +109,73 @@
 }
 
 const Case kCases[] = {
-    {"a day that goes well", 0, "", [](Day& d) { d.fine(1, 0); }},
+    {"a request that succeeds", 0, "", [](Day& d) { d.fine(1, 0); }},
     // ---- rule 1
-    {"no answer", 1, "no final answer",
+    {"no response", 1, "no final answer",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_client_timeout(2.2, 0);
      }},
-    {"no answer yet, the time is not over", 0, "",
+    {"no response yet, before the deadline", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_client_timeout(2.05, 0);
      }},
-    {"an answer after the time", 1, "after the client timeout",
+    {"a response after the deadline", 1, "after the client timeout",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_response(2.08, 0, Reply::rejected, -1);
      }},
-    {"an answer within the grace", 0, "",
+    {"a response within the grace", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_response(2.06, 0, Reply::rejected, -1);
      }},
-    {"two answers", 1, "second final answer",
+    {"two responses", 1, "second final answer",
      [](Day& d) {
          d.fine(1, 0);
          d.judge.on_response(1.5, 0, Reply::failed, -1);
      }},
-    {"an answer to a client that has left", 0, "",
+    {"a response to a client that has closed", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_client_closed(1.1, 0);
          d.judge.on_response(1.2, 0, Reply::failed, -1);
      }},
-    {"the connection ends without an answer", 1, "closed the connection",
+    {"the connection is closed without a response", 1, "closed the connection",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_connection_closed(1.2, 0);
      }},
-    {"it ends because the node was killed", 0, "",
+    {"it is closed because the node was killed", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_node_killed(1.1, 0);
          d.judge.on_connection_closed(1.2, 0);
      }},
-    {"it ends at one node while another was killed", 1, "closed the connection",
+    {"it is closed by one node when another was killed", 1, "closed the connection",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_node_killed(1.1, 1);
          d.judge.on_connection_closed(1.2, 0);
      }},
-    {"the node was killed before it was asked", 1, "closed the connection",
+    {"the node was killed before the request", 1, "closed the connection",
      [](Day& d) {
          d.judge.on_node_killed(0.5, 0);
          d.ask(1, 0, kRead);
          d.judge.on_connection_closed(1.2, 0);
      }},
-    {"the node could not be reached", 0, "",
+    {"the node was unreachable", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.judge.on_unreachable(1.1, 0);
      }},
-    {"a forward after the answer", 1, "after the final answer",
+    {"an attempt after the response", 1, "after the final answer",
      [](Day& d) {
          d.fine(1, 0);
          d.send(1.1, 0, kBoxB);
      }},
-    {"a forward that crossed the answer", 0, "",
+    {"an attempt in transit when the response was given", 0, "",
      [](Day& d) {
          d.fine(1, 0);
          d.send(1.04, 0, kBoxB);
@@ -185,19 +185,19 @@
          d.ask(1, 0, kRead);
          d.judge.on_response(1.1, 0, Reply::succeeded, -1);
      }},
-    {"a success that was made for another", 1, "no server made",
+    {"a success that a server made for another request", 1, "no server made",
      [](Day& d) {
          d.fine(1, 0);
          d.ask(2, 1, kRead);
          d.judge.on_response(2.1, 1, Reply::succeeded, 0);
      }},
-    {"a success by a forward that had no answer", 1, "no server made",
+    {"a success by an attempt that had no response", 1, "no server made",
      [](Day& d) {
          d.ask(1, 0, kRead);
          const int f = d.send(1.01, 0, kBoxA);
          d.judge.on_response(1.1, 0, Reply::succeeded, f);
      }},
-    {"a success by a repeat that was dropped", 0, "",
+    {"a success by a dropped duplicate", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          const int f = d.send(1.01, 0, kOrigin);
@@ -205,46 +205,46 @@
          d.done(1.02, f);
          d.judge.on_response(1.1, 0, Reply::succeeded, f);
      }},
-    {"a forward that names nobody", 1, "names no request", [](Day& d) { d.send(1, -1, kBoxA); }},
+    {"an attempt that names no request", 1, "names no request", [](Day& d) { d.send(1, -1, kBoxA); }},
     // ---- rule 2, non-idempotent
-    {"non-idempotent, sent again after silence", 2, "non-idempotent",
+    {"non-idempotent, retried without a response", 2, "non-idempotent",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.send(1.01, 0, kOrigin);
          d.send(1.3, 0, kOrigin);
      }},
-    {"non-idempotent, sent again after an error", 2, "non-idempotent",
+    {"non-idempotent, retried after an error", 2, "non-idempotent",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.judge.on_attempt_finished(1.02, d.send(1.01, 0, kOrigin), Outcome::failed);
          d.send(1.3, 0, kOrigin);
      }},
-    {"non-idempotent, sent again after busy", 0, "",
+    {"non-idempotent, retried after busy", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.busy(1.02, d.send(1.01, 0, kOrigin));
          d.ran(1.4, d.send(1.3, 0, kOrigin));
      }},
-    {"non-idempotent, sent again just before busy came", 2, "non-idempotent",
+    {"non-idempotent, retried just before busy arrived", 2, "non-idempotent",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          const int f = d.send(1.01, 0, kOrigin);
          d.send(1.3, 0, kOrigin);
          d.busy(1.31, f);
      }},
-    {"non-idempotent, throttled with a forward out", 2, "throttled",
+    {"non-idempotent, throttled with an open attempt", 2, "throttled",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.send(1.01, 0, kOrigin);
          d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
-    {"non-idempotent, errored with a forward out", 0, "",
+    {"non-idempotent, errored with an open attempt", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.send(1.01, 0, kOrigin);
          d.judge.on_response(1.5, 0, Reply::failed, -1);
      }},
-    {"non-idempotent, throttled before any forward", 0, "",
+    {"non-idempotent, throttled before any attempt", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.judge.on_response(1.5, 0, Reply::rejected, -1);
@@ -255,79 +255,79 @@
          d.busy(1.02, d.send(1.01, 0, kOrigin));
          d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
-    {"an effect that happens twice over two tries", 2, "happened twice",
+    {"an effect that happens twice over a request and its retry", 2, "happened twice",
      [](Day& d) {
          d.ask(1, 0, kOnce, 0, 0, 0);
          const int first = d.send(1.01, 0, kOrigin);
-         d.busy(1.02, first);  // said never to have run, and then it did
+         d.busy(1.02, first);  // busy says that it never ran, but it runs later
          d.ran(1.03, first);
          d.judge.on_response(1.04, 0, Reply::rejected, -1);
          d.ask(1.2, 1, kOnce, 1, 0, 1);
          d.ran(1.25, d.send(1.21, 1, kOrigin));
      }},
-    {"two users each want it once", 0, "",
+    {"two users with one effect each", 0, "",
      [](Day& d) {
          d.ask(1, 0, kOnce);
          d.ran(1.02, d.send(1.01, 0, kOrigin));
          d.ask(1, 1, kOnce);
          d.ran(1.04, d.send(1.03, 1, kOrigin));
      }},
-    {"an idempotent effect twice", 0, "",
+    {"an idempotent effect that happens twice", 0, "",
      [](Day& d) {
          d.ask(1, 0, kRead);
          d.ran(1.02, d.send(1.01, 0, kBoxA));
          d.ran(1.04, d.send(1.03, 0, kBoxB));
      }},
     // ---- rule 2, deduplicated
-    {"deduplicated, sent again in its group and time", 0, "",
+    {"deduplicated, retried in its group and window", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kBoxA);
          d.send(1.3, 0, kBoxB);
      }},
-    {"deduplicated, sent outside its group", 2, "outside the group",
+    {"deduplicated, retried outside its group", 2, "outside the group",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kBoxA);
          d.send(1.3, 0, kBoxC);
      }},
-    {"deduplicated, outside its group, but the first never ran", 0, "",
+    {"deduplicated, retried outside its group after busy", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.busy(1.02, d.send(1.01, 0, kBoxA));
          d.send(1.3, 0, kBoxC);
      }},
-    {"deduplicated, at a cache and then at the origin", 2, "outside the group",
+    {"deduplicated, at a cache server and then at the origin", 2, "outside the group",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kBoxA);
          d.send(1.3, 0, kOrigin);
      }},
-    {"deduplicated, when its mark is forgotten", 2, "forgotten",
+    {"deduplicated, after its idempotency key is forgotten", 2, "forgotten",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kOrigin);
          d.send(3.07, 0, kOrigin);
      }},
-    {"deduplicated, just before its mark is forgotten", 0, "",
+    {"deduplicated, just before its idempotency key is forgotten", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kOrigin);
          d.send(3.05, 0, kOrigin);
      }},
-    {"deduplicated, throttled with a forward out", 0, "",
+    {"deduplicated, throttled with an open attempt", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.send(1.01, 0, kOrigin);
          d.judge.on_response(1.5, 0, Reply::rejected, -1);
      }},
-    {"deduplicated, and yet the effect twice", 2, "happened twice",
+    {"deduplicated, but the effect happens twice", 2, "happened twice",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.ran(1.02, d.send(1.01, 0, kBoxA));
          d.ran(1.4, d.send(1.3, 0, kBoxB));
      }},
-    {"twice, as the server forgot its marks with a restart", 0, "",
+    {"twice, because the server lost its deduplication state in a restart", 0, "",
      [](Day& d) {
          d.ask(1, 0, kDedup);
          d.ran(1.02, d.send(1.01, 0, kBoxA));
@@ -335,54 +335,54 @@
          d.ran(1.4, d.send(1.3, 0, kBoxB));
      }},
     // ---- rule 3
-    {"a forward to a draining server after the grace", 3, "drains",
+    {"an attempt to a draining server after the grace", 3, "drains",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.fine(1.36, 0);
      }},
-    {"a forward to a draining server within the grace", 0, "",
+    {"an attempt to a draining server within the grace", 0, "",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.fine(1.34, 0);
      }},
-    {"another node was told", 0, "",
+    {"another node was notified", 0, "",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 1, kBoxA, EndpointState::draining, false);
          d.fine(1.5, 0);
      }},
-    {"told again, the grace runs from the first word", 3, "is removed",
+    {"notified again, the grace runs from the first notification", 3, "is removed",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.judge.on_endpoint_state(1.3, 0, kBoxA, EndpointState::removed, false);
          d.fine(1.4, 0);
      }},
-    {"it serves again", 0, "",
+    {"it is ready again", 0, "",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::draining, false);
          d.judge.on_endpoint_state(1.3, 0, kBoxA, EndpointState::ready, false);
          d.fine(2, 0);
      }},
-    {"the node has restarted and knows nothing of it", 0, "",
+    {"the node has restarted since the notification", 0, "",
      [](Day& d) {
          d.judge.on_endpoint_state(1, 0, kBoxA, EndpointState::removed, false);
          d.judge.on_node_started(1.3, 0);
          d.fine(2, 0);
      }},
     // ---- rule 4
-    {"a cold server pushed over by who knew", 4, "pushed over",
+    {"a cold server overloaded by nodes that knew of its start", 4, "pushed over",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          d.judge.on_endpoint_state(0.8, 0, kBoxA, EndpointState::ready, true);
          push(d, kBoxA, 0, 0, 100);
          d.judge.on_server_overloaded(2, kBoxA);
      }},
-    {"pushed over by who did not know of its start", 0, "",
+    {"overloaded by nodes that did not know of its start", 0, "",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          push(d, kBoxA, 0, 0, 100);
          d.judge.on_server_overloaded(2, kBoxA);
      }},
-    {"by two, of whom the lesser part knew", 0, "",
+    {"by two nodes, less than two thirds by the one that knew", 0, "",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          d.judge.on_endpoint_state(0.8, 0, kBoxA, EndpointState::ready, true);
@@ -390,7 +390,7 @@
          push(d, kBoxA, 1, 60, 40);
          d.judge.on_server_overloaded(2, kBoxA);
      }},
-    {"it had become warm", 0, "",
+    {"it was warm by then", 0, "",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          d.judge.on_endpoint_state(0.8, 0, kBoxA, EndpointState::ready, true);
@@ -398,7 +398,7 @@
          push(d, kBoxA, 0, 0, 100);
          d.judge.on_server_overloaded(2, kBoxA);
      }},
-    {"it started anew, and nobody has been told of that", 0, "",
+    {"it restarted, and no node was notified of that", 0, "",
      [](Day& d) {
          d.judge.on_server_started(0.3, kBoxA, true);
          d.judge.on_endpoint_state(0.4, 0, kBoxA, EndpointState::ready, true);
@@ -406,7 +406,7 @@
          push(d, kBoxA, 0, 0, 100);
          d.judge.on_server_overloaded(2, kBoxA);
      }},
-    {"the origin stopped by cold misses", 4, "origin was overloaded",
+    {"the origin overloaded by cold misses", 4, "origin was overloaded",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          for (int i = 0; i < 100; ++i) {
@@ -418,20 +418,20 @@
          }
          d.judge.on_server_overloaded(2, kOrigin);
      }},
-    {"the origin stopped by misses at a server that has become warm since", 4, "origin was overloaded",
+    {"the origin overloaded by misses at a server that has become warm since", 4, "origin was overloaded",
      [](Day& d) {
          d.judge.on_server_started(0.5, kBoxA, true);
          push_misses(d);
          d.judge.on_server_warm(1.99, kBoxA);
          d.judge.on_server_overloaded(2, kOrigin);
      }},
-    {"the origin stopped by misses at a server that became cold only after them", 0, "",
+    {"the origin overloaded by misses at a server that became cold only after them", 0, "",
      [](Day& d) {
          push_misses(d);
          d.judge.on_server_started(1.995, kBoxA, true);
          d.judge.on_server_overloaded(2, kOrigin);
      }},
-    {"the origin stopped by misses at warm caches", 0, "",
+    {"the origin overloaded by misses at warm servers", 0, "",
      [](Day& d) {
          push_misses(d);
          d.judge.on_server_overloaded(2, kOrigin);
@@ -455,29 +455,29 @@
         EXPECT_EQ(v.violations_by_rule[static_cast<std::size_t>(c.rule)], 1);
         ASSERT_EQ(v.violations.size(), 1U);
         EXPECT_NE(v.violations.front().what.find(c.said), std::string::npos) << v.violations.front().what;
-        // What names an invocation must show its way.
+        // A violation about a request has the trace of that request.
         EXPECT_EQ(v.violations.front().trace.empty(), v.violations.front().request < 0);
     }
 }
 
-// What is seen while the watcher stands still is dated late: it may be no breach at all.
-// A limit of ten a second, of two nodes: 14 may come within a second, a quarter of a second's and one at each
-// node saved up.
+// With a limit of ten per second and two nodes, 14 attempts may arrive within a second: the limit, the tokens
+// of a quarter of a second, and one attempt of each node.
 TEST(Auditor, HoldsTheStrictLimitsOfAllNodesTogether) {
     struct Row {
         const char* name;
         int server, node, sends;
-        double over;      // s in which they come
-        bool cold, told;  // the server; the node, of its start
+        double over;      // seconds over which the attempts are spread
+        bool cold, told;  // the server is cold; the node was notified of its start
         int broken;
     };
-    for (const Row& row : {Row{"as many as may be", kOrigin, 0, 14, 0.5, false, false, 0},
-                           Row{"one more", kOrigin, 0, 15, 0.5, false, false, 1},
-                           Row{"more, over two seconds", kOrigin, 0, 20, 2, false, false, 0},
-                           Row{"for three seconds, said once for each", kOrigin, 1, 60, 3, false, false, 3},
-                           Row{"a warm server has no limit", kBoxA, 0, 40, 0.5, false, false, 0},
-                           Row{"a cold one has", kBoxA, 0, 15, 0.5, true, true, 1},
-                           Row{"not for who was not told", kBoxA, 1, 40, 0.5, true, false, 0}}) {
+    for (const Row& row :
+         {Row{"as many as allowed", kOrigin, 0, 14, 0.5, false, false, 0},
+          Row{"one more than allowed", kOrigin, 0, 15, 0.5, false, false, 1},
+          Row{"more, spread over two seconds", kOrigin, 0, 20, 2, false, false, 0},
+          Row{"for three seconds, reported once per second", kOrigin, 1, 60, 3, false, false, 3},
+          Row{"a warm server has no limit", kBoxA, 0, 40, 0.5, false, false, 0},
+          Row{"a cold server has a limit", kBoxA, 0, 15, 0.5, true, true, 1},
+          Row{"not for a node that was not notified", kBoxA, 1, 40, 0.5, true, false, 0}}) {
         Terms t = terms();
         t.origin_limit = t.cold_limit = 10;
         Day d{Auditor(t)};
@@ -493,16 +493,17 @@
     }
 }
 
+// Observations during a delay of the watcher are dated late, so what they show may be no violation.
 TEST(Auditor, ItsOwnLatenessMakesADayVoidAndNotBroken) {
     const struct {
         const char* name;
         double late_until, late_by;
         bool is_void;
-    } cases[] = {{"just then", 2.1, 0.06, true},
-                 {"a little before the end of the time", 2.05, 0.03, true},
-                 {"long before", 1.5, 0.06, false},
-                 {"long after", 9, 0.06, false},
-                 {"by next to nothing", 2.1, 0.01, false}};
+    } cases[] = {{"during the violation", 2.1, 0.06, true},
+                 {"shortly before the deadline", 2.05, 0.03, true},
+                 {"long before the deadline", 1.5, 0.06, false},
+                 {"long after the violation", 9, 0.06, false},
+                 {"too short to count", 2.1, 0.01, false}};
     for (const auto& c : cases) {
         SCOPED_TRACE(c.name);
         Day day;
@@ -514,13 +515,13 @@
         EXPECT_EQ(v.violations.size(), c.is_void ? 0U : 1U);
         EXPECT_EQ(v.set_aside.size(), c.is_void ? 1U : 0U);
     }
-    // A connection that was left without a word for long is let go by any node.
+    // A node closes a connection that is silent for long, here because the watcher was delayed.
     Day unsaid;
     unsaid.ask(1, 0, kRead);
     unsaid.judge.on_watcher_delay(3.5, 2.4);
     unsaid.judge.on_connection_closed(3.5, 0);
     EXPECT_TRUE(unsaid.judge.finish(1000).is_void);
-    // Far more than are kept, all of a late day: none of them may be called broken.
+    // More violations than the auditor keeps, all during a delay: none of them counts as broken.
     Day many;
     for (int i = 0; i < 30000; ++i) many.ask(1, i, kRead);
     many.judge.on_watcher_delay(3, 2.5);
@@ -528,13 +529,13 @@
     const Verdict all_late = many.judge.finish(1000);
     EXPECT_TRUE(all_late.is_void);
     EXPECT_EQ(all_late.violations_by_rule[1], 0);
-    // What no clock decides stays broken.
+    // A violation that does not depend on a clock still counts.
     Day twice;
     twice.fine(1, 0);
     twice.judge.on_watcher_delay(1.6, 0.3);
     twice.judge.on_response(1.6, 0, Reply::failed, -1);
     EXPECT_EQ(twice.judge.finish(100).violations.size(), 1U);
-    // And a day on which it was late for long cannot be relied upon at all.
+    // A run in which the watcher was delayed for a long time is void.
     Day slow;
     slow.fine(1, 0);
     slow.judge.on_watcher_delay(5, 1);
@@ -558,16 +559,16 @@
         day.judge.on_response(at, inv, Reply::succeeded, f);
     };
     ask(100, 0, 0, 0, 0);
-    serve(100.4, 0);  // in time: 1 of 1
+    serve(100.4, 0);  // in time: earns 1 of 1
     ask(100, 1, 0, 1, 0);
-    serve(100.6, 1);  // late: 0 of 1
+    serve(100.6, 1);  // late: earns 0 of 1
     ask(101, 2, 0, 2, 0);
     day.judge.on_response(101.1, 2, Reply::rejected, -1);
     ask(101.2, 3, 0, 2, 1);
-    serve(101.4, 3);  // the second try, in time from the first: 1 of 1
-    for (int i = 0; i < 4; ++i) ask(102.1, 4 + i, 1, 3 + i, 0);  // two are beyond the share: 2 + 2 x 0.1
+    serve(101.4, 3);  // the retry is in time counted from the first request: earns 1 of 1
+    for (int i = 0; i < 4; ++i) ask(102.1, 4 + i, 1, 3 + i, 0);  // two are beyond the quota: 2 + 2 x 0.1
     serve(102.2, 4);
-    serve(102.2, 7);  // within, and beyond
+    serve(102.2, 7);  // one within the quota, one beyond it
     const Verdict v = day.judge.finish(110);
     EXPECT_NEAR(v.total.offered, 3 + 2.2, 1e-9);
     EXPECT_NEAR(v.total.earned, 2 + 1.1, 1e-9);
