--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -18,7 +18,7 @@
 Auditor::Auditor(Terms terms)
     : history_{std::move(terms), 0, {}, {}, {}, {}},
       endpoint_states_(index(history_.terms.nodes),
-                       std::vector<KnownState>(history_.terms.server_names.size())),
+                       std::vector<AnnouncedState>(history_.terms.server_names.size())),
       node_paused_until_(index(history_.terms.nodes), -1),
       node_killed_at_(index(history_.terms.nodes), -1),
       tenant_requests_(history_.terms.tenants.size()) {
@@ -233,11 +233,11 @@
 // ---- discovery, nodes, and the watcher itself ------------------------------------------------------------
 
 void Auditor::on_endpoint_state(double now, int node, int server, EndpointState state, bool is_fresh_start) {
-    KnownState& known = endpoint_states_[index(node)][index(server)];
+    AnnouncedState& announced = endpoint_states_[index(node)][index(server)];
     // The grace runs from the first notification: a repeated one, or one from draining to removed, does not
     // start it again.
-    if (known.state == EndpointState::ready || state == EndpointState::ready) known.since = now;
-    known.state = state;
+    if (announced.state == EndpointState::ready || state == EndpointState::ready) announced.since = now;
+    announced.state = state;
     if (is_fresh_start) history_.servers[index(server)].start_is_known[index(node)] = true;
 }
 
@@ -289,7 +289,7 @@
                                    depends_on_clock});
 }
 
-void Auditor::weigh_pending_violations(Verdict& verdict) {
+void Auditor::classify_pending_violations(Verdict& verdict) {
     for (PendingViolation& pending : pending_violations_) {
         Violation& violation = pending.violation;
         const bool is_set_aside =
@@ -315,7 +315,7 @@
         if (history_.requests[request].is_registered) on_client_timeout(now, static_cast<int>(request));
     }
     Verdict verdict = verdict_;
-    weigh_pending_violations(verdict);
+    classify_pending_violations(verdict);
     verdict.max_watcher_delay = max_watcher_delay_;
     const double run_time = now - history_.run_started_at;
     verdict.watcher_delay_ratio = run_time > 0 ? total_watcher_delay_ / run_time : 0;
--- a/src/audit/auditor.h
+++ b/src/audit/auditor.h
@@ -85,7 +85,7 @@
         bool depends_on_clock = true;
     };
     // A server's state as discovery has announced it to a node.
-    struct KnownState {
+    struct AnnouncedState {
         EndpointState state = EndpointState::ready;
         double since = 0;
     };
@@ -100,7 +100,7 @@
     // `from` matters only if a clock decides whether the rule is broken.
     void report(int rule, int request, double at, double from, std::string what,
                 bool depends_on_clock = true);
-    void weigh_pending_violations(Verdict& verdict);
+    void classify_pending_violations(Verdict& verdict);
 
     // The rules, rules.cpp.
     bool may_have_run(int attempt, double at) const;
@@ -118,7 +118,7 @@
     void check_fleet_limit(double now, int server);
 
     History history_;
-    std::vector<std::vector<KnownState>> endpoint_states_;  // [node][server]
+    std::vector<std::vector<AnnouncedState>> endpoint_states_;  // [node][server]
     std::vector<double> node_paused_until_;
     std::vector<double> node_killed_at_;                     // the last time; -1: never
     std::vector<std::pair<double, double>> watcher_delays_;  // [from, until]
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -176,16 +176,18 @@
     const AttemptRecord& earlier = history_.attempts[index(earlier_attempt)];
     const RequestRecord& request = history_.requests[index(retry.request)];
     const Operation& operation = history_.terms.operations[index(request.info.operation)];
-    const auto though_it_ran = [&] { return " although " + attempt_text(earlier_attempt) + " may have run"; };
+    const auto although_it_ran = [&] {
+        return " although " + attempt_text(earlier_attempt) + " may have run";
+    };
     if (operation.idempotency == Idempotency::none) {
         report(2, retry.request, retry.first_byte, earlier.last_byte,
-               "non-idempotent: " + attempt_text(attempt) + " was sent" + though_it_ran(), false);
+               "non-idempotent: " + attempt_text(attempt) + " was sent" + although_it_ran(), false);
         return false;
     }
     if (!shares_deduplication(operation.deduplication_scope, earlier.server, retry.server)) {
         report(2, retry.request, retry.first_byte, earlier.last_byte,
                "deduplicated: " + attempt_text(attempt) + " is outside the group that drops its duplicates," +
-                   though_it_ran(),
+                   although_it_ran(),
                false);
         return false;
     }
@@ -194,7 +196,7 @@
                "deduplicated: " + attempt_text(attempt) + " came " +
                    duration_text(retry.last_byte - earlier.last_byte) +
                    " later, when its idempotency key is forgotten (" +
-                   duration_text(operation.deduplication_window) + ")," + though_it_ran());
+                   duration_text(operation.deduplication_window) + ")," + although_it_ran());
         return false;
     }
     return true;
@@ -228,13 +230,13 @@
     const Terms& terms = history_.terms;
     const AttemptRecord& record = history_.attempts[index(attempt)];
     const int node = history_.requests[index(record.request)].info.node;
-    const KnownState& known = endpoint_states_[index(node)][index(record.server)];
-    if (known.state == EndpointState::ready) return;
-    if (record.first_byte <= known.since + terms.drain_grace + terms.slack) return;
-    report(3, record.request, record.first_byte, known.since,
-           attempt_text(attempt) + " began " + duration_text(record.first_byte - known.since) +
+    const AnnouncedState& announced = endpoint_states_[index(node)][index(record.server)];
+    if (announced.state == EndpointState::ready) return;
+    if (record.first_byte <= announced.since + terms.drain_grace + terms.slack) return;
+    report(3, record.request, record.first_byte, announced.since,
+           attempt_text(attempt) + " began " + duration_text(record.first_byte - announced.since) +
                " after node " + std::to_string(node) + " was notified that it " +
-               (known.state == EndpointState::removed ? "is removed" : "drains") + " (grace " +
+               (announced.state == EndpointState::removed ? "is removed" : "drains") + " (grace " +
                duration_text(terms.drain_grace) + ")");
 }
 
