--- a/src/model/model_checker.h
+++ b/src/model/model_checker.h
@@ -1,10 +1,11 @@
-// Plays every order of a small world's happenings to a depth, each from a copy: no state is taken for
-// another, so what it does not find is not there at that depth. It knows nothing of what the worlds are
-// about.
+// Bounded model checker: runs every sequence of actions of a model up to a depth, each from a copy of the
+// model. States are not merged, so a violation that it does not find does not exist at that depth. It does
+// not depend on what the models are about.
 //
-// A World is copied and has: `acts`, how many happenings there are; `names()`, what they are called; `kLong`,
-// seconds of a step; `step(act)`, empty or what was broken by it; `at_rest()`, whether it is where it must
-// come to once faults stop, within `kRest` steps.
+// A World is a copyable model with these members: `acts`, the number of actions; `names()`, their names;
+// `kLong`, the seconds of a step; `step(act)`, which applies an action and returns the violated invariant or
+// an empty string; and `at_rest()`, whether it is in the state that it must reach within `kRest` steps
+// without faults.
 #pragma once
 
 #include <algorithm>
@@ -16,10 +17,10 @@
 namespace brookrelay::model {
 
 struct Explored {
-    std::uint64_t states = 0, ends = 0;
-    double rest_most = 0;  // s from the last happening until it came to rest, at the most
-    double took = 0;       // s
-    std::string broken;    // the first promise that was, and by which happenings; empty: none
+    std::uint64_t states = 0, ends = 0;  // steps taken, and sequences run to the full depth
+    double rest_most = 0;                // the longest recovery after the last action, in seconds
+    double took = 0;                     // seconds of the check itself
+    std::string broken;  // the first violated invariant and the actions that led to it; empty: none
 };
 
 namespace detail {
@@ -34,7 +35,7 @@
 template <typename World>
 void explore(const World& from, int depth, std::vector<int>& path, Explored& e) {
     if (!e.broken.empty()) return;
-    if (depth == 0) {  // faults stop: it must come to rest within a number of steps
+    if (depth == 0) {  // No more faults: the model must recover within a number of steps.
         ++e.ends;
         World last = from;
         int steps = 0;
@@ -43,7 +44,7 @@
             if (!broken.empty()) e.broken = told<World>(broken, path);
         }
         e.rest_most = std::max(e.rest_most, steps * World::kLong);
-        if (!last.at_rest()) e.broken = told<World>("it never comes to rest", path);
+        if (!last.at_rest()) e.broken = told<World>("it does not recover", path);
         return;
     }
     for (int act = 0; act < World::acts; ++act) {
@@ -59,7 +60,7 @@
 
 }  // namespace detail
 
-// The happening numbered 0 is that nothing happens.
+// Runs every sequence of `depth` actions from `begin`. Action 0 must be the one without a fault.
 template <typename World>
 Explored explore(const World& begin, int depth) {
     Explored e;
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -1,5 +1,5 @@
-// Datagrams under way in simulated time: lost, doubled, delayed and cut by a seed. It owns them and the
-// chance, and knows nothing of what they say.
+// A datagram network in simulated time. Its random generator, seeded by the caller, decides which datagrams
+// are lost, duplicated and delayed. It does not depend on their contents.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +16,7 @@
   public:
     explicit Network(std::uint64_t seed) : chance_(seed) {}
 
+    // Counts the bytes and queues the datagram, unless it is lost or the link is cut.
     void send(double now, int from, int to, const std::string& bytes) {
         sent_bytes += static_cast<double>(bytes.size());
         if (cut(from, to)) return;
@@ -24,7 +25,7 @@
                 flying_.emplace(now + quickest + (slowest - quickest) * unit(), std::tuple{from, to, bytes});
         }
     }
-    // In the order of their times, those due: `take(from, to, bytes)`.
+    // Calls `take(from, to, bytes)` for each datagram that is due, in order of arrival.
     template <typename Take>
     void deliver(double now, Take take) {
         for (auto in = flying_.begin(); in != flying_.end() && in->first <= now; in = flying_.erase(in))
@@ -33,7 +34,7 @@
     double unit() { return std::uniform_real_distribution<>(0, 1)(chance_); }
     std::uint64_t draw() { return chance_(); }
 
-    double loss = 0, doubled = 0, quickest = 0.001, slowest = 0.03;  // parts, and s
+    double loss = 0, doubled = 0, quickest = 0.001, slowest = 0.03;  // probabilities, and delays in seconds
     std::function<bool(int from, int to)> cut = [](int, int) { return false; };
     double sent_bytes = 0;
 
--- a/src/model/outlier_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -1,5 +1,6 @@
-// Many nodes in simulated time that tell each other which subjects fail: the real exchange, on a network that
-// loses, doubles, delays and cuts by a seed. What it says is simulated, never measured.
+// A fleet in simulated time that gossips about failing servers. It runs the real outlier exchange on a
+// simulated network that loses, duplicates, delays and cuts datagrams by a seed. Its results are simulated,
+// not measured.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,7 @@
 
 namespace brookrelay::model {
 
-// Nodes, subjects and how a forward to one ends; node n stands in zone n % zones.
+// Nodes that send attempts to servers and exchange the outcomes. Node n is in zone n % zones.
 class FindingFleet {
   private:
     int zones_;
@@ -23,7 +24,7 @@
 
   public:
     Network network;
-    static constexpr gossip::ServerKey kSick = 5;  // the one that gates may let little to
+    static constexpr gossip::ServerKey kSick = 5;  // the server for which `part_to_sick` limits the traffic
     FindingFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024)
         : zones_(zones), network(seed) {
         for (int n = 0; n < nodes; ++n) {
@@ -40,7 +41,7 @@
         stands_[n].clear();
     }
     void stop(int n) { nodes_[at(n)].reset(); }
-    // For so long a second of ten endings at each node, each at a subject drawn by chance.
+    // Runs the fleet for `seconds`. Each node finishes `rate` attempts per second, each at a random server.
     // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     void run(double seconds) {
         const double until = now_ + seconds;
@@ -58,7 +59,7 @@
                     e.on_request(now_);
                     const auto subject = static_cast<gossip::ServerKey>(unit() * kCaches) + 1;
                     if (subject == kSick && unit() > part_to_sick) continue;
-                    // Who has a verdict tries it seldom, as the module does.
+                    // A node with a verdict sends the server few attempts, as the balancer does.
                     if (stands_[n].contains(subject) && unit() > 2.0 / (rate / kCaches * count() / zones_))
                         continue;
                     e.on_attempt_finished(
@@ -76,7 +77,7 @@
         }
     }
     void send(int from, int to, std::string bytes) { network.send(now_, from, to, std::move(bytes)); }
-    // Part of the nodes that are up, and for which `of` holds, with a verdict on the subject.
+    // Of the running nodes for which `of` holds, the ratio that has a verdict on `subject`.
     double told(
         gossip::ServerKey subject, const std::function<bool(int)>& of = [](int) { return true; }) const {
         int all = 0, those = 0;
@@ -87,7 +88,7 @@
         }
         return all == 0 ? 0 : static_cast<double>(those) / all;
     }
-    // Seconds until `done`, in steps; `most` if it never is.
+    // Runs until `done` or for `most` seconds; returns the seconds that passed.
     double until(double most, const std::function<bool()>& done) {
         const double from = now_;
         while (now_ - from < most && !done()) run(gossip::OutlierExchange::kTickInterval);
@@ -100,8 +101,8 @@
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
 
     static constexpr int kCaches = 12;
-    double rate = 10;         // endings a second at each node
-    double part_to_sick = 1;  // of what would go there, that its gates let through
+    double rate = 10;         // attempts per second and node
+    double part_to_sick = 1;  // ratio of the attempts to kSick that are sent
     std::set<int> frozen;
     std::function<bool(int node, gossip::ServerKey)> fate = [](int, gossip::ServerKey) { return true; };
 
--- a/src/model/quota_fleet.h
+++ b/src/model/quota_fleet.h
@@ -1,6 +1,6 @@
-// Many nodes in simulated time and one limit that is theirs together, with a demand at each: the real
-// exchange, on a network that loses, doubles, delays and cuts by a seed. What it says is simulated, never
-// measured.
+// A fleet in simulated time that shares one quota, with a demand at each node. It runs the real exchange on a
+// simulated network that loses, duplicates, delays and cuts datagrams by a seed. Its results are simulated,
+// not measured.
 #pragma once
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 
 namespace brookrelay::model {
 
-// One limit, and a demand that is a part of it at each node; a node uses what it may, in steps of an eighth
-// of a second.
+// One quota, and at each node a demand that is a ratio of it. A node uses its demand up to its share, in
+// steps of an eighth of a second.
 class LimitFleet {
   public:
     LimitFleet(int nodes, std::uint64_t seed) : network(seed), demand(static_cast<std::size_t>(nodes)) {
@@ -50,7 +50,8 @@
             if (frozen.contains(to)) return void(asleep_.emplace_back(from, to, bytes));
             nodes_[at(to)]->on_datagram(now_, from, bytes);
         });
-        if (frozen.empty() && !asleep_.empty()) {  // what lay in their sockets, read first
+        if (frozen.empty() &&
+            !asleep_.empty()) {  // A resumed node first reads the datagrams queued in its socket.
             for (const auto& [from, to, what] : std::exchange(asleep_, {}))
                 nodes_[at(to)]->on_datagram(now_, from, what);
         }
@@ -64,7 +65,7 @@
             e.set_quota_demand(now_, 0, d * gossip::kTotalUnits);
             for (gossip::Outgoing& o : e.tick(now_)) network.send(now_, n, o.to, std::move(o.bytes));
         }
-        // What is in force, those who sleep included: they forward again without a word to anybody.
+        // The shares in force include those of frozen nodes, which send again as soon as they resume.
         for (int n = 0; n < count(); ++n) {
             const double part =
                 nodes_[at(n)]->quota_share(0, now_) / static_cast<double>(gossip::kTotalUnits);
@@ -91,7 +92,7 @@
     std::vector<double> demand;
     std::set<int> frozen;
     double most = 0,
-           use = 1;  // parts in force together, at the most so far; and of what could be used, what is
+           use = 1;  // highest sum of the shares so far, in quotas; ratio of the usable quota in use
 };
 
 }  // namespace brookrelay::model
--- a/src/model/quota_lease_model.h
+++ b/src/model/quota_lease_model.h
@@ -1,4 +1,4 @@
-// A world small enough to be explored: three nodes and a limit that is theirs together. For explorer.h.
+// A model for model_checker.h: three nodes that share one quota by leases.
 #pragma once
 
 #include <array>
@@ -10,8 +10,8 @@
 
 namespace brookrelay::model {
 
-// Three nodes, one limit; the first needs it all. In steps of 0.75 s: a lease is over four steps after it was
-// asked.
+// Three nodes share one quota, and one of them, at first node 0, needs all of it. A step takes 0.75 s, so a
+// lease expires four steps after it was requested.
 class SmallLimits {
   public:
     enum Act {
@@ -31,15 +31,15 @@
     static constexpr int kRest = 40;
     static const std::vector<std::string>& names() {
         static const std::vector<std::string> all{"nothing",
-                                                  "the demand moves",
-                                                  "all words lost",
-                                                  "all words late",
-                                                  "answers late",
-                                                  "all words doubled",
-                                                  "a lender starts anew",
-                                                  "the taker starts anew",
-                                                  "the taker stands still",
-                                                  "one cut off"};
+                                                  "the demand moves to another node",
+                                                  "all messages lost",
+                                                  "all messages late",
+                                                  "grants late",
+                                                  "all messages duplicated",
+                                                  "a lender restarts",
+                                                  "the borrower restarts",
+                                                  "the borrower is paused",
+                                                  "node 2 cut off"};
         return all;
     }
     SmallLimits() {
@@ -52,7 +52,7 @@
         if (act == need_moves) needy_ = (needy_ + 1) % 3;
         if (act == giver_restarts) start((needy_ + 1) % 3);
         if (act == taker_restarts) start(needy_);
-        // What was late comes now, before what is newer and behind what follows from it.
+        // Delayed messages arrive in this step, before its own messages but after the ticks of all nodes.
         std::vector<Message> in = std::exchange(late_, {});
         if (act == taker_frozen) frozen_ = needy_;
         for (int n = 0; n < 3; ++n) {
@@ -68,14 +68,15 @@
                 in.push_back({n, a.to, true, lives_[at(n)], number, a.request, {}});
             }
         }
-        for (int round = 0; round < 2; ++round) {  // questions, then their answers
+        for (int round = 0; round < 2; ++round) {  // requests, then their grants
             std::vector<Message> answers;
             for (const Message& m : in) {
                 const bool lost = act == all_lost || (act == cut_one && (m.from == 2 || m.to == 2)) ||
                                   m.to == frozen_ || m.from == frozen_;
                 if (lost && m.to != frozen_) continue;
                 if (m.to == frozen_ || act == all_late ||
-                    (act == answers_late && !m.asks)) {  // it lies there until it wakes, or is on its way
+                    (act == answers_late &&
+                     !m.asks)) {  // It stays in the frozen node's socket, or is in transit.
                     late_.push_back(m);
                     continue;
                 }
@@ -84,7 +85,8 @@
                         const gossip::LeaseGrant g =
                             nodes_[at(m.to)].on_request(now_, m.from, m.number, m.want);
                         answers.push_back({m.to, m.from, false, m.life, m.number, {}, g});
-                    } else if (m.life == lives_[at(m.to)]) {  // the header names the life that asked
+                    } else if (m.life ==
+                               lives_[at(m.to)]) {  // The header names the incarnation that sent the request.
                         nodes_[at(m.to)].on_grant(now_, m.from, m.grant);
                     }
                 }
@@ -93,7 +95,7 @@
         }
         for (const Message& m : in) late_.push_back(m);
         if (act != taker_frozen) frozen_ = -1;
-        return over() ? "more than the whole is in force" : "";
+        return over() ? "the shares in force exceed the quota" : "";
     }
     bool over() const {
         for (const double later : {0.0, 0.2, 0.5, 0.74}) {
--- a/src/model/zone_failover_model.h
+++ b/src/model/zone_failover_model.h
@@ -1,4 +1,4 @@
-// A world small enough to be explored: three nodes and the zone that they may leave. For explorer.h.
+// A model for model_checker.h: three nodes and a zone from which they may fail over.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,9 @@
 
 namespace brookrelay::model {
 
-// Three nodes of one zone that ask another, in steps of half a second. At each step one of these happens;
-// then each node asks as it may, says what it has to say, and what is not lost is heard.
+// Three nodes of zone 0 that use zone 1, in steps of half a second. In each step one action happens; then
+// each node sends attempts as its zone weight allows and gossips its reports, and reports that are not lost
+// arrive.
 class SmallZones {
   public:
     enum Act {
@@ -28,9 +29,14 @@
     static constexpr double kLong = 0.5;
     static constexpr int kRest = 80;
     static const std::vector<std::string>& names() {
-        static const std::vector<std::string> all{
-            "nothing",          "the zone goes or comes back", "all words lost",  "one hears nobody",
-            "nobody hears one", "an old word comes again",     "one starts anew", "one stands still"};
+        static const std::vector<std::string> all{"nothing",
+                                                  "the zone fails or recovers",
+                                                  "all reports lost",
+                                                  "node 0 receives nothing",
+                                                  "nothing from node 0 arrives",
+                                                  "an old report arrives again",
+                                                  "node 0 restarts",
+                                                  "node 0 is paused"};
         return all;
     }
     SmallZones(bool liar, bool lost) : liar_(liar) {
@@ -38,7 +44,7 @@
         if (lost) step(zone_turns);
         for (int n = 0; lost && n < 4; ++n) step(nothing);
     }
-    // Empty, or what was broken.
+    // Returns the violated invariant, or an empty string.
     // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     std::string step(int act) {
         now_ += kLong;
@@ -78,7 +84,7 @@
                 if (to != from && !lost) nodes_[at(to)].on_reports(now_, from, stamp, all, 0);
             }
         }
-        // An old word of one node comes again, behind its newer one.
+        // An old report of one node arrives again after its newer one.
         if (act == words_late) nodes_[0].on_reports(now_, 1, {1, number_ - 5}, late, kLong);
         for (int n = 0; n < 3; ++n) {
             const double before = orders_[at(n)].weight;
@@ -87,18 +93,18 @@
                 if (o.zone == 1) orders_[at(n)] = o;
             }
             const bool leaves = before > 0 && orders_[at(n)].weight <= 0;
-            // By whom it leaves: never while the zone has been up for longer than any word is kept.
+            // No node may fail over from a zone that has been up for longer than any report is kept.
             if (leaves && up_ && now_ - turned_ > 3 + 2 * kLong && !(liar_ && n == 2))
-                return "left a zone that answers, by node " + std::to_string(n);
-            if (orders_[at(n)].weight > 1) return "more than all";
+                return "failed over from a zone that responds, at node " + std::to_string(n);
+            if (orders_[at(n)].weight > 1) return "a zone weight above 1";
         }
-        // On the way back nobody is more than two steps from the others, two seconds after the last
-        // disturbance.
+        // While the nodes return to the zone, no weight is more than four times another one (two ramp steps),
+        // once four seconds have passed since the last fault.
         double least = 1, most = 0;
         for (int n = 0; n < (liar_ ? 2 : 3); ++n)
             least = std::min(least, orders_[at(n)].weight), most = std::max(most, orders_[at(n)].weight);
         if (up_ && now_ - disturbed_ > 4 && now_ - turned_ > 4 && least > 0 && most / least > 4)
-            return "one ramps by itself";
+            return "one node ramps up alone";
         return {};
     }
     bool at_rest() const {
--- a/src/model/zone_fleet.h
+++ b/src/model/zone_fleet.h
@@ -1,6 +1,6 @@
-// Many nodes of several zones in simulated time, which ask caches and tell each other whether zones answer:
-// the real exchange, on a network that loses, doubles and cuts by a seed. What it says is simulated, never
-// measured.
+// A fleet of several zones in simulated time that sends attempts to cache servers and gossips about which
+// zones respond. It runs the real exchange on a simulated network that loses, duplicates and cuts datagrams
+// by a seed. Its results are simulated, not measured.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace brookrelay::model {
 
-// Node n stands in zone n % zones; who asks goes to the own zone first, then to the next ones.
+// Node n is in zone n % zones. A request goes to the node's own zone first, then to the next ones.
 class ZoneFleet {
   private:
     int zones_;
@@ -28,7 +28,7 @@
   public:
     Network network;
     static constexpr double kStep = gossip::OutlierExchange::kTickInterval;
-    static constexpr int kCaches = 6;  // a zone
+    static constexpr int kCaches = 6;  // per zone
     ZoneFleet(int nodes, int zones, std::uint64_t seed, std::vector<int> regions = {})
         : zones_(zones), regions_(std::move(regions)), network(seed) {
         for (int n = 0; n < nodes; ++n) {
@@ -78,8 +78,8 @@
 
     std::function<bool(int node, int zone, int cache)> answers = [](int, int, int) { return true; };
     std::set<int> frozen;
-    double rate = 20;             // asked a second at each node
-    std::map<int, double> asked;  // forwards to each zone so far
+    double rate = 20;             // requests per second and node
+    std::map<int, double> asked;  // attempts to each zone so far
 
   private:
     struct Node {
