--- a/src/model/model_checker.h
+++ b/src/model/model_checker.h
@@ -26,35 +26,36 @@
 namespace detail {
 
 template <typename World>
-std::string told(const std::string& what, const std::vector<int>& path) {
-    std::string text = what + ", after:";
-    for (const int act : path) text += " " + World::names()[static_cast<std::size_t>(act)] + ";";
+std::string describe(const std::string& violation, const std::vector<int>& actions) {
+    std::string text = violation + ", after:";
+    for (const int action : actions)
+        text += " " + World::action_names()[static_cast<std::size_t>(action)] + ";";
     return text;
 }
 
 template <typename World>
-void explore(const World& from, int depth, std::vector<int>& path, Explored& e) {
-    if (!e.broken.empty()) return;
+void explore(const World& begin, int depth, std::vector<int>& actions, Explored& result) {
+    if (!result.broken.empty()) return;
     if (depth == 0) {  // No more faults: the model must recover within a number of steps.
-        ++e.ends;
-        World last = from;
+        ++result.ends;
+        World recovering = begin;
         int steps = 0;
-        for (; steps < World::kRest && !last.at_rest(); ++steps) {
-            const std::string broken = last.step(0);
-            if (!broken.empty()) e.broken = told<World>(broken, path);
+        for (; steps < World::kMaxRecoverySteps && !recovering.has_recovered(); ++steps) {
+            const std::string broken = recovering.step(0);
+            if (!broken.empty()) result.broken = describe<World>(broken, actions);
         }
-        e.rest_most = std::max(e.rest_most, steps * World::kLong);
-        if (!last.at_rest()) e.broken = told<World>("it does not recover", path);
+        result.rest_most = std::max(result.rest_most, steps * World::kStepSeconds);
+        if (!recovering.has_recovered()) result.broken = describe<World>("it does not recover", actions);
         return;
     }
-    for (int act = 0; act < World::acts; ++act) {
-        World next = from;
-        path.push_back(act);
-        const std::string broken = next.step(act);
-        ++e.states;
-        if (!broken.empty() && e.broken.empty()) e.broken = told<World>(broken, path);
-        explore(next, depth - 1, path, e);
-        path.pop_back();
+    for (int action = 0; action < World::action_count; ++action) {
+        World copy = begin;
+        actions.push_back(action);
+        const std::string broken = copy.step(action);
+        ++result.states;
+        if (!broken.empty() && result.broken.empty()) result.broken = describe<World>(broken, actions);
+        explore(copy, depth - 1, actions, result);
+        actions.pop_back();
     }
 }
 
@@ -63,12 +64,12 @@
 // Runs every sequence of `depth` actions from `begin`. Action 0 must be the one without a fault.
 template <typename World>
 Explored explore(const World& begin, int depth) {
-    Explored e;
-    std::vector<int> path;
-    const auto from = std::chrono::steady_clock::now();
-    detail::explore(begin, depth, path, e);
-    e.took = std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
-    return e;
+    Explored result;
+    std::vector<int> actions;
+    const auto started_at = std::chrono::steady_clock::now();
+    detail::explore(begin, depth, actions, result);
+    result.took = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
+    return result;
 }
 
 }  // namespace brookrelay::model
--- a/src/model/outlier_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -28,17 +28,17 @@
     FindingFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024)
         : zones_(zones), network(seed) {
         for (int n = 0; n < nodes; ++n) {
-            terms_.push_back({n, nodes, n % zones, zones, bytes, 0, 0.004});
-            starts_.push_back(1000);
+            settings_.push_back({n, nodes, n % zones, zones, bytes, 0, 0.004});
+            next_incarnations_.push_back(1000);
             start(n);
         }
     }
     void start(int n) {
-        nodes_.resize(terms_.size());
-        nodes_[at(n)] =
-            std::make_unique<gossip::OutlierExchange>(terms_[at(n)], starts_[at(n)]++, network.draw(), now_);
+        nodes_.resize(settings_.size());
+        nodes_[at(n)] = std::make_unique<gossip::OutlierExchange>(
+            settings_[at(n)], next_incarnations_[at(n)]++, network.draw(), now_);
         nodes_[at(n)]->set_local_server_count(kCaches);
-        stands_[n].clear();
+        verdicts_[n].clear();
     }
     void stop(int n) { nodes_[at(n)].reset(); }
     // Runs the fleet for `seconds`. Each node finishes `rate` attempts per second, each at a random server.
@@ -53,25 +53,26 @@
             });
             for (int n = 0; n < count(); ++n) {
                 if (nodes_[at(n)] == nullptr || frozen.contains(n)) continue;
-                gossip::OutlierExchange& e = *nodes_[at(n)];
+                gossip::OutlierExchange& exchange = *nodes_[at(n)];
                 for (int i = 0; i < 2; ++i) {
                     if (unit() > rate * gossip::OutlierExchange::kTickInterval / 2) continue;
-                    e.on_request(now_);
-                    const auto subject = static_cast<gossip::ServerKey>(unit() * kCaches) + 1;
-                    if (subject == kSick && unit() > part_to_sick) continue;
+                    exchange.on_request(now_);
+                    const auto server = static_cast<gossip::ServerKey>(unit() * kCaches) + 1;
+                    if (server == kSick && unit() > part_to_sick) continue;
                     // A node with a verdict sends the server few attempts, as the balancer does.
-                    if (stands_[n].contains(subject) && unit() > 2.0 / (rate / kCaches * count() / zones_))
+                    if (verdicts_[n].contains(server) && unit() > 2.0 / (rate / kCaches * count() / zones_))
                         continue;
-                    e.on_attempt_finished(
-                        now_, subject,
-                        fate(n, subject) ? gossip::AttemptHealth::good : gossip::AttemptHealth::bad);
+                    exchange.on_attempt_finished(
+                        now_, server,
+                        fate(n, server) ? gossip::AttemptHealth::good : gossip::AttemptHealth::bad);
                 }
-                for (gossip::Outgoing& o : e.tick(now_)) send(n, o.to, std::move(o.bytes));
-                for (const gossip::OutlierExchange::ServerVerdict& v : e.verdicts(now_)) {
-                    if (v.bad)
-                        stands_[n].insert(v.server);
+                for (gossip::Outgoing& outgoing : exchange.tick(now_))
+                    send(n, outgoing.to, std::move(outgoing.bytes));
+                for (const gossip::OutlierExchange::ServerVerdict& verdict : exchange.verdicts(now_)) {
+                    if (verdict.bad)
+                        verdicts_[n].insert(verdict.server);
                     else
-                        stands_[n].erase(v.server);
+                        verdicts_[n].erase(verdict.server);
                 }
             }
         }
@@ -79,14 +80,14 @@
     void send(int from, int to, std::string bytes) { network.send(now_, from, to, std::move(bytes)); }
     // Of the running nodes for which `of` holds, the ratio that has a verdict on `subject`.
     double told(
-        gossip::ServerKey subject, const std::function<bool(int)>& of = [](int) { return true; }) const {
-        int all = 0, those = 0;
+        gossip::ServerKey server, const std::function<bool(int)>& of = [](int) { return true; }) const {
+        int running = 0, matching = 0;
         for (int n = 0; n < count(); ++n) {
             if (nodes_[at(n)] == nullptr || frozen.contains(n) || !of(n)) continue;
-            ++all;
-            those += stands_.at(n).contains(subject);
+            ++running;
+            matching += verdicts_.at(n).contains(server);
         }
-        return all == 0 ? 0 : static_cast<double>(those) / all;
+        return running == 0 ? 0 : static_cast<double>(matching) / running;
     }
     // Runs until `done` or for `most` seconds; returns the seconds that passed.
     double until(double most, const std::function<bool()>& done) {
@@ -107,10 +108,10 @@
     std::function<bool(int node, gossip::ServerKey)> fate = [](int, gossip::ServerKey) { return true; };
 
   private:
-    std::vector<gossip::GossipSettings> terms_;
-    std::vector<std::uint32_t> starts_;
+    std::vector<gossip::GossipSettings> settings_;
+    std::vector<std::uint32_t> next_incarnations_;
     std::vector<std::unique_ptr<gossip::OutlierExchange>> nodes_;
-    std::map<int, std::set<gossip::ServerKey>> stands_;
+    std::map<int, std::set<gossip::ServerKey>> verdicts_;
 };
 
 }  // namespace brookrelay::model
--- a/src/model/quota_fleet.h
+++ b/src/model/quota_fleet.h
@@ -29,51 +29,53 @@
         run(nodes > 100 ? 20 : 5);
     }
     void start(int n, int nodes = 0) {
-        gossip::GossipSettings t;
-        t.node_index = n;
-        t.node_count = nodes > 0 ? nodes : count();
-        nodes_[at(n)] = std::make_unique<gossip::OutlierExchange>(t, 1000 + ++starts_, network.draw(), now_);
+        gossip::GossipSettings settings;
+        settings.node_index = n;
+        settings.node_count = nodes > 0 ? nodes : count();
+        nodes_[at(n)] = std::make_unique<gossip::OutlierExchange>(settings, 1000 + ++incarnation_count_,
+                                                                  network.draw(), now_);
     }
     void run(double seconds) {
         for (const double until = now_ + seconds; now_ < until - 1e-9;) step();
     }
-    double until(double longest, const std::function<bool()>& done) {
+    double until(double max_seconds, const std::function<bool()>& done) {
         const double from = now_;
         do {
             step();
-        } while (now_ - from < longest && !done());
+        } while (now_ - from < max_seconds && !done());
         return now_ - from;
     }
     void step() {
         now_ += gossip::OutlierExchange::kTickInterval;
         network.deliver(now_, [this](int from, int to, const std::string& bytes) {
-            if (frozen.contains(to)) return void(asleep_.emplace_back(from, to, bytes));
+            if (frozen.contains(to)) return void(queued_for_frozen_.emplace_back(from, to, bytes));
             nodes_[at(to)]->on_datagram(now_, from, bytes);
         });
-        if (frozen.empty() &&
-            !asleep_.empty()) {  // A resumed node first reads the datagrams queued in its socket.
-            for (const auto& [from, to, what] : std::exchange(asleep_, {}))
-                nodes_[at(to)]->on_datagram(now_, from, what);
+        // Resumed nodes first read the datagrams queued in their sockets.
+        if (frozen.empty() && !queued_for_frozen_.empty()) {
+            for (const auto& [from, to, bytes] : std::exchange(queued_for_frozen_, {}))
+                nodes_[at(to)]->on_datagram(now_, from, bytes);
         }
-        std::uint64_t all = 0;
+        std::uint64_t total_units = 0;
         double used = 0, wanted = 0;
         for (int n = 0; n < count(); ++n) {
             if (frozen.contains(n)) continue;
-            gossip::OutlierExchange& e = *nodes_[at(n)];
-            const double d = demand[at(n)];
-            e.on_request(now_);
-            e.set_quota_demand(now_, 0, d * gossip::kTotalUnits);
-            for (gossip::Outgoing& o : e.tick(now_)) network.send(now_, n, o.to, std::move(o.bytes));
+            gossip::OutlierExchange& exchange = *nodes_[at(n)];
+            const double node_demand = demand[at(n)];
+            exchange.on_request(now_);
+            exchange.set_quota_demand(now_, 0, node_demand * gossip::kTotalUnits);
+            for (gossip::Outgoing& outgoing : exchange.tick(now_))
+                network.send(now_, n, outgoing.to, std::move(outgoing.bytes));
         }
         // The shares in force include those of frozen nodes, which send again as soon as they resume.
         for (int n = 0; n < count(); ++n) {
-            const double part =
+            const double share =
                 nodes_[at(n)]->quota_share(0, now_) / static_cast<double>(gossip::kTotalUnits);
-            all += nodes_[at(n)]->quota_share(0, now_);
-            used += std::min(part, demand[at(n)]);
+            total_units += nodes_[at(n)]->quota_share(0, now_);
+            used += std::min(share, demand[at(n)]);
             wanted += demand[at(n)];
         }
-        most = std::max(most, static_cast<double>(all) / gossip::kTotalUnits);
+        most = std::max(most, static_cast<double>(total_units) / gossip::kTotalUnits);
         use = wanted > 0 ? used / std::min(1.0, wanted) : 1;
     }
     int count() const { return static_cast<int>(nodes_.size()); }
@@ -83,16 +85,17 @@
 
   private:
     double now_ = 100;
-    std::uint32_t starts_ = 0;
+    std::uint32_t incarnation_count_ = 0;
     std::vector<std::unique_ptr<gossip::OutlierExchange>> nodes_;
-    std::vector<std::tuple<int, int, std::string>> asleep_;
+    std::vector<std::tuple<int, int, std::string>> queued_for_frozen_;
 
   public:
     Network network;
-    std::vector<double> demand;
-    std::set<int> frozen;
-    double most = 0,
-           use = 1;  // highest sum of the shares so far, in quotas; ratio of the usable quota in use
+    std::vector<double> demand;  // of each node, as a ratio of the quota
+    std::set<int> frozen;        // paused nodes
+    // The highest sum of the shares in force so far, as a ratio of the quota, and the ratio of the usable
+    // quota that is in use now.
+    double most = 0, use = 1;
 };
 
 }  // namespace brookrelay::model
--- a/src/model/zone_fleet.h
+++ b/src/model/zone_fleet.h
@@ -23,7 +23,7 @@
     int zones_;
     std::vector<int> regions_;
     double now_ = 100;
-    std::uint32_t starts_ = 0;
+    std::uint32_t incarnation_count_ = 0;
 
   public:
     Network network;
@@ -38,20 +38,21 @@
         run(nodes > 100 ? 20 : 4);
     }
     void start(int n, int nodes = 0) {
-        Node& it = nodes_[at(n)];
-        gossip::GossipSettings t;
-        t.node_index = n;
-        t.node_count = nodes > 0 ? nodes : count();
-        t.zone = n % zones_;
-        t.zone_count = zones_;
-        t.zone_failover = true;
-        t.slow_start_duration = 8;
-        t.failure_domains = regions_;
-        it = Node();
-        it.exchange = std::make_unique<gossip::OutlierExchange>(t, 1000 + ++starts_, network.draw(), now_);
-        it.exchange->set_local_server_count(kCaches);
-        it.orders.assign(static_cast<std::size_t>(zones_), {});
-        it.next_trial.assign(static_cast<std::size_t>(zones_), 0);
+        Node& node = nodes_[at(n)];
+        gossip::GossipSettings settings;
+        settings.node_index = n;
+        settings.node_count = nodes > 0 ? nodes : count();
+        settings.zone = n % zones_;
+        settings.zone_count = zones_;
+        settings.zone_failover = true;
+        settings.slow_start_duration = 8;
+        settings.failure_domains = regions_;
+        node = Node();
+        node.exchange = std::make_unique<gossip::OutlierExchange>(settings, 1000 + ++incarnation_count_,
+                                                                  network.draw(), now_);
+        node.exchange->set_local_server_count(kCaches);
+        node.zone_changes.assign(static_cast<std::size_t>(zones_), {});
+        node.next_probe_at.assign(static_cast<std::size_t>(zones_), 0);
     }
     void run(double seconds) {
         for (const double until = now_ + seconds; now_ < until - 1e-9;) step();
@@ -61,7 +62,7 @@
         while (now_ - from < most && !done()) step();
         return now_ - from;
     }
-    double part(int node, int zone) const { return nodes_[at(node)].orders[at(zone)].weight; }
+    double part(int node, int zone) const { return nodes_[at(node)].zone_changes[at(zone)].weight; }
     bool all(int of_zone, const std::function<bool(double part)>& holds, int zone) const {
         for (int n = 0; n < count(); ++n) {
             if (n % zones_ == of_zone && !frozen.contains(n) && !holds(part(n, zone))) return false;
@@ -84,9 +85,9 @@
   private:
     struct Node {
         std::unique_ptr<gossip::OutlierExchange> exchange;
-        std::vector<gossip::ZoneFailover::Change> orders;
-        std::vector<double> next_trial;
-        std::multimap<double, std::tuple<int, gossip::ServerKey, gossip::ZoneAttempt>> ending;
+        std::vector<gossip::ZoneFailover::Change> zone_changes;
+        std::vector<double> next_probe_at;
+        std::multimap<double, std::tuple<int, gossip::ServerKey, gossip::ZoneAttempt>> open_attempts;
     };
     void step() {
         now_ += kStep;
@@ -95,37 +96,40 @@
         });
         for (int n = 0; n < count(); ++n) {
             if (frozen.contains(n)) continue;
-            Node& it = nodes_[at(n)];
+            Node& node = nodes_[at(n)];
             for (double left = rate * kStep; left > 0; left -= 1) {
-                if (unit() < left) ask(n, it);
+                if (unit() < left) send_request(n, node);
             }
-            for (auto e = it.ending.begin(); e != it.ending.end() && e->first <= now_;
-                 e = it.ending.erase(e)) {
-                const auto& [zone, subject, end] = e->second;
-                it.exchange->on_zone_attempt_finished(now_, zone, subject, end);
+            for (auto attempt = node.open_attempts.begin();
+                 e != node.open_attempts.end() && attempt->first <= now_;
+                 attempt = node.open_attempts.erase(attempt)) {
+                const auto& [zone, server, outcome] = attempt->second;
+                node.exchange->on_zone_attempt_finished(now_, zone, server, outcome);
             }
-            for (gossip::Outgoing& o : it.exchange->tick(now_))
-                network.send(now_, n, o.to, std::move(o.bytes));
-            for (const gossip::ZoneFailover::Change& o : it.exchange->zone_orders()) {
-                it.orders[at(o.zone)] = o;
-                it.next_trial[at(o.zone)] = now_ + o.probe_interval * unit();
+            for (gossip::Outgoing& outgoing : node.exchange->tick(now_))
+                network.send(now_, n, outgoing.to, std::move(outgoing.bytes));
+            for (const gossip::ZoneFailover::Change& change : node.exchange->zone_orders()) {
+                node.zone_changes[at(change.zone)] = change;
+                node.next_probe_at[at(change.zone)] = now_ + change.probe_interval * unit();
             }
         }
     }
-    void ask(int n, Node& it) {
-        it.exchange->on_request(now_);
+    void send_request(int n, Node& node) {
+        node.exchange->on_request(now_);
         const double key = unit();
         for (int k = 0; k < zones_; ++k) {
             const int z = (n + k) % zones_;
-            const gossip::ZoneFailover::Change& o = it.orders[at(z)];
-            if (o.weight > 0 ? key >= o.weight : now_ < it.next_trial[at(z)]) continue;
-            if (o.weight <= 0) it.next_trial[at(z)] = now_ + o.probe_interval * (0.75 + 0.5 * unit());
+            const gossip::ZoneFailover::Change& change = node.zone_changes[at(z)];
+            if (change.weight > 0 ? key >= change.weight : now_ < node.next_probe_at[at(z)]) continue;
+            if (change.weight <= 0)
+                node.next_probe_at[at(z)] = now_ + change.probe_interval * (0.75 + 0.5 * unit());
             const int cache = static_cast<int>(unit() * kCaches);
             const bool up = answers(n, z, cache);
             ++asked[z];
-            it.ending.emplace(now_ + (up ? 0.03 : 0.2),
-                              std::tuple{z, static_cast<gossip::ServerKey>(z * 100 + cache),
-                                         up ? gossip::ZoneAttempt::healthy : gossip::ZoneAttempt::silent});
+            node.open_attempts.emplace(
+                now_ + (up ? 0.03 : 0.2),
+                std::tuple{z, static_cast<gossip::ServerKey>(z * 100 + cache),
+                           up ? gossip::ZoneAttempt::healthy : gossip::ZoneAttempt::silent});
             return;
         }
     }
