--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -15,8 +15,8 @@
 int check_node_config(const std::string& path) {
     try {
         const NodeConfig config = read_node_config(path);
-        std::printf("%s: a station's file: node %s, %zu operations, %zu servers known; sound\n", path.c_str(),
-                    config.name.c_str(), config.deployment.operations.size(),
+        std::printf("%s: node configuration: node %s, %zu operations, %zu servers known; valid\n",
+                    path.c_str(), config.name.c_str(), config.deployment.operations.size(),
                     config.cached_endpoints.servers.size());
         return kDone;
     } catch (const ConfigurationError& error) {
@@ -31,20 +31,21 @@
     if (path.ends_with(".json")) return check_node_config(path);
     if (!path.ends_with(".toml")) {
         std::fprintf(stderr,
-                     "%s: expected a .json file (a station's) or a .toml file (operators' or a scenario)\n",
+                     "%s: expected a .json file (node configuration) or a .toml file (operator configuration "
+                     "or scenario)\n",
                      path.c_str());
         return kWrongUse;
     }
     if (TomlFile(path).is_scenario()) {
         const Scenario s = read_scenario(path);
         std::printf(
-            "%s: a scenario: '%s', %.0f s, %d nodes, %zu servers, %zu operations, %zu troubles; sound\n",
+            "%s: scenario: '%s', %.0f s, %d nodes, %zu servers, %zu operations, %zu troubles; valid\n",
             path.c_str(), s.name.c_str(), s.length, s.nodes, s.server_names().size() - 1, s.operations.size(),
             s.troubles.size());
         return kDone;
     }
     (void)read_operator_config(path);
-    std::printf("%s: the operators' own file; sound\n", path.c_str());
+    std::printf("%s: operator configuration; valid\n", path.c_str());
     return kDone;
 }
 
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -41,7 +41,7 @@
     const ErrorRef error(error_out);
     const std::size_t end = response.find("\r\n\r\n");
     if (end == std::string::npos) {
-        why = error != nullptr ? error->message : "no whole answer";
+        why = error != nullptr ? error->message : "incomplete response";
         return {};
     }
     status = response.starts_with("HTTP/1.1 ") ? std::atoi(response.c_str() + 9) : 0;
@@ -107,7 +107,7 @@
 void print_limits(const rapidjson::Value& s) {
     const auto real = [](const rapidjson::Value& o, const char* key) { return number(o, key, 0); };
     if (need_list(s, "limits").Empty())
-        std::printf("no limit of the whole fleet: [fleet.limits] in the operators' file\n");
+        std::printf("no fleet limit is configured ([fleet.limits] in the operator configuration)\n");
     for (const rapidjson::Value& l : need_list(s, "limits").GetArray()) {
         const std::string kind(text(need(l, "kind"), "kind"));
         std::printf(
@@ -137,8 +137,8 @@
         if (state.HasParseError() || !state.IsObject()) throw ConfigurationError("not JSON");
         printed(state);
     } catch (const ConfigurationError& error) {
-        std::fprintf(stderr, "brookrelay: %s: no state of a fleet: %s\n", options.address.c_str(),
-                     error.what());
+        std::fprintf(stderr, "brookrelay: %s: the response is not a fleet status: %s\n",
+                     options.address.c_str(), error.what());
         return kBroken;
     }
     return kDone;
--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -85,7 +85,7 @@
     std::printf("%s", std::string(std::istreambuf_iterator<char>(file), {}).c_str());
     std::fflush(stdout);
     const int code = WIFEXITED(status) ? WEXITSTATUS(status) : kBroken;
-    if (!WIFEXITED(status)) std::printf("a day's process ended by signal %d\n", WTERMSIG(status));
+    if (!WIFEXITED(status)) std::printf("the process of one seed was ended by signal %d\n", WTERMSIG(status));
     ++(code == kDone ? tally.kept : code == kVoidExit ? tally.is_void : tally.failed);
 }
 
