--- a/src/cli/check.h
+++ b/src/cli/check.h
@@ -1,12 +1,12 @@
-// `brookrelay check FILE`: recognizes the kind of a configuration file and reports all errors in it. What a
-// file must contain is defined in src/config/ alone.
+// `brookrelay check FILE`: recognizes the kind of a configuration file and reports all errors in it. Only
+// src/config/ defines what a file must contain.
 #pragma once
 
 #include <string>
 
 namespace brookrelay {
 
-// Prints the result and returns the exit code. Throws ConfigurationFileError for a wrong TOML file.
+// Prints the result and returns the exit code. Throws ConfigurationFileError for an invalid TOML file.
 int check_file(const std::string& path);
 
 }  // namespace brookrelay
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -14,12 +14,12 @@
 namespace brookrelay {
 namespace {
 
-constexpr guint kCallTimeout = 2;  // seconds; a node answers within one, however busy it is
+constexpr guint kCallTimeout = 2;  // seconds; a node responds within 1 s under any load
 
 template <typename T>
 using Ref = std::unique_ptr<T, GObjectUnref>;
 
-// Calls the admin server; returns the body of the response, or sets `why` to what went wrong.
+// Calls the admin server; returns the body of the response, or sets `why` to the cause of the failure.
 std::string call_admin_server(const std::string& address, const std::string& method,
                               const std::string& target, int& status, std::string& why) {
     const Ref<GSocketClient> client(g_socket_client_new());
--- a/src/cli/fleet_commands.h
+++ b/src/cli/fleet_commands.h
@@ -12,7 +12,7 @@
     std::string leave, take_back;  // zones to drain or to take back into use; empty: none
 };
 
-// Each prints the answer of the node and returns the exit code.
+// Each prints the response of the node and returns the exit code.
 int fleet_status(const FleetOptions& options);
 int fleet_zones(const FleetOptions& options);
 int fleet_limits(const FleetOptions& options);
--- a/src/cli/registry_watch.h
+++ b/src/cli/registry_watch.h
@@ -1,5 +1,5 @@
 // `brookrelay registry watch`: follows a path of a coordination service and prints the endpoint changes of
-// which a daemon would be notified, a line each, until a signal ends it.
+// which a daemon would be notified, one per line, until SIGTERM or SIGINT ends it.
 #pragma once
 
 #include <string>
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -21,11 +21,11 @@
 
 namespace fs = std::filesystem;
 
-// Counted by the signal handler, hence global and atomic.
+// The number of signals so far. It is global and atomic because the signal handler counts them.
 std::atomic<int> interruptions{0};
 
 extern "C" void on_interrupt(int) {
-    // The first signal ends the run with a report, the second at once; the kernel then ends the daemons.
+    // The first signal ends the run with a report. The second exits at once, and the kernel ends the daemons.
     if (++interruptions > 1) _exit(130);
 }
 
--- a/src/cli/rehearse.h
+++ b/src/cli/rehearse.h
@@ -1,5 +1,5 @@
 // `brookrelay rehearse`: finds the scenario, runs it once or as an experiment of many runs, shows the
-// progress and writes the reports. It handles Ctrl-C and the report folders; src/testkit/ does the rest.
+// progress and writes the reports. It handles signals and the report folders; src/testkit/ runs the scenario.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 namespace brookrelay {
 
 struct RehearseOptions {
-    std::string scenario = "festival";  // a file, or the name of one that is shipped
-    std::vector<std::string> daemons;   // programs; none: this one
+    std::string scenario = "festival";  // a file, or the name of an installed scenario
+    std::vector<std::string> daemons;   // paths of programs; empty: this one
     std::string seeds;                  // "3", "1..5" or "1,4,9"; empty: the scenario's own
     std::vector<std::string> sets;      // PATH=VALUE or PATH=V1,V2
     int jobs = 1;                       // runs of an experiment at the same time
@@ -19,24 +19,24 @@
 };
 
 // Runs the scenario once, or an experiment if there are several daemons, seeds or values. Returns the exit
-// code; throws ConfigurationFileError for a wrong scenario.
+// code; throws ConfigurationFileError for an invalid scenario.
 int rehearse(const RehearseOptions& options);
 
 struct LoadOptions {
-    std::vector<std::string> daemons;  // programs; none: this one
-    std::vector<int> clients{16, 64};
-    double rate = 0;  // requests/s; 0: closed loop
+    std::vector<std::string> daemons;  // paths of programs; empty: this one
+    std::vector<int> clients{16, 64};  // numbers of clients, each measured
+    double rate = 0;                   // requests/s; 0: closed loop
     double seconds = 5;
-    int rounds = 1;  // measurements of each daemon, in turn
+    int rounds = 1;  // measurements of each daemon, which take turns
     int value_bytes = 200;
 };
 
 // `brookrelay rehearse load`: prints a line for each measurement; returns the exit code.
 int measure_load(const LoadOptions& options);
 
-// The file of a scenario given by path or by name; empty if there is none.
+// The path of a scenario given by path or by name; empty if it does not exist.
 std::string find_scenario(const std::string& named);
-// The folder for the logs and reports of a run, which is made: `requested`, or else a new one below
+// Creates the folder for the logs and reports of a run: `requested`, or if that is empty a new one below
 // rehearsals/.
 std::string new_report_folder(const std::string& requested, const std::string& name);
 // The path of this executable.
--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -21,8 +21,8 @@
 
 namespace fs = std::filesystem;
 
-constexpr int kVoidExit = 3;      // of a child: its day proves nothing
-constexpr int kShrinkPlays = 16;  // at most, of one failing seed
+constexpr int kVoidExit = 3;      // exit code of a child whose run is void
+constexpr int kShrinkPlays = 16;  // the most runs to shrink one failing seed
 
 double seconds_now() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -52,7 +52,7 @@
     return text.str();
 }
 
-// A day of thousands of servers holds a descriptor for each; the daemons have limits of their own.
+// A run needs a descriptor for each of its thousands of servers. The daemons set limits of their own.
 void raise_descriptor_limit() {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -60,7 +60,7 @@
     setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Plays one seed in this process, which is a child of its own; what it found is left in `report`.
+// Runs one seed in this process, a child made for it, and writes the result to the file `report`.
 int play_in_child(std::uint64_t seed, const testkit::SoakOptions& options, bool shrink,
                   const std::string& report) {
     raise_descriptor_limit();
@@ -105,7 +105,7 @@
     }
     const std::string folder = new_report_folder(command.out, "soak");
     const double started = seconds_now();
-    std::map<pid_t, std::string> running;  // each child's report
+    std::map<pid_t, std::string> running;  // by child: the path of its report
     Tally tally;
     const auto wait_for_one = [&] {
         int status = 0;
@@ -118,7 +118,7 @@
     for (const std::uint64_t seed : testkit::read_seeds(command.seeds)) {
         if (command.minutes > 0 && seconds_now() - started > command.minutes * 60) break;
         options.folder = folder + "/seed-" + std::to_string(seed);
-        fs::remove_all(options.folder);  // the logs of an earlier play would be judged with this one's
+        fs::remove_all(options.folder);  // the logs of an earlier run would be checked with those of this one
         fs::create_directories(options.folder);
         const std::string report = options.folder + "/report.txt";
         const pid_t child = fork();
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -1,4 +1,5 @@
-// The program as a user starts it: its exit codes, what it says of wrong use, and an interrupted rehearsal.
+// The program as a user starts it: exit codes, messages for wrong use, an interrupted rehearsal and JSON
+// logs.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -102,7 +103,7 @@
               nullptr);
         _exit(127);
     }
-    // Each node serves: the daemons stand, and the day is about to begin.
+    // Wait until node n1 accepts clients: the daemons are running, and the run is about to start.
     for (int i = 0; i < 1000 && content(out + "/n1.log").find("serves on") == std::string::npos; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
--- a/tests/mixed_cases.cpp
+++ b/tests/mixed_cases.cpp
@@ -1,4 +1,4 @@
-// A suite that is red on purpose, for known_red_test.sh.
+// A test suite that fails on purpose, for known_red_test.sh.
 #include <gtest/gtest.h>
 
 TEST(Mixed, Passes) { SUCCEED(); }
