--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -37,11 +37,11 @@
         return kWrongUse;
     }
     if (TomlFile(path).is_scenario()) {
-        const Scenario s = read_scenario(path);
+        const Scenario scenario = read_scenario(path);
         std::printf(
             "%s: scenario: '%s', %.0f s, %d nodes, %zu servers, %zu operations, %zu troubles; valid\n",
-            path.c_str(), s.name.c_str(), s.length, s.nodes, s.server_names().size() - 1, s.operations.size(),
-            s.troubles.size());
+            path.c_str(), scenario.name.c_str(), scenario.length, scenario.nodes,
+            scenario.server_names().size() - 1, scenario.operations.size(), scenario.troubles.size());
         return kDone;
     }
     (void)read_operator_config(path);
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -17,25 +17,26 @@
 constexpr guint kCallTimeout = 2;  // seconds; a node responds within 1 s under any load
 
 template <typename T>
-using Ref = std::unique_ptr<T, GObjectUnref>;
+using GObjectRef = std::unique_ptr<T, GObjectUnref>;
 
 // Calls the admin server; returns the body of the response, or sets `why` to the cause of the failure.
 std::string call_admin_server(const std::string& address, const std::string& method,
                               const std::string& target, int& status, std::string& why) {
-    const Ref<GSocketClient> client(g_socket_client_new());
+    const GObjectRef<GSocketClient> client(g_socket_client_new());
     g_socket_client_set_timeout(client.get(), kCallTimeout);
     GError* error_out = nullptr;
-    const Ref<GSocketConnection> up(
+    const GObjectRef<GSocketConnection> connection(
         g_socket_client_connect_to_host(client.get(), address.c_str(), 0, nullptr, &error_out));
     std::string response;
-    if (up != nullptr) {
-        const std::string call = method + " " + target + " HTTP/1.1\r\nHost: node\r\n\r\n";
-        GOutputStream* out = g_io_stream_get_output_stream(G_IO_STREAM(up.get()));
-        GInputStream* in = g_io_stream_get_input_stream(G_IO_STREAM(up.get()));
-        if (g_output_stream_write_all(out, call.data(), call.size(), nullptr, nullptr, &error_out)) {
+    if (connection != nullptr) {
+        const std::string request = method + " " + target + " HTTP/1.1\r\nHost: node\r\n\r\n";
+        GOutputStream* out = g_io_stream_get_output_stream(G_IO_STREAM(connection.get()));
+        GInputStream* in = g_io_stream_get_input_stream(G_IO_STREAM(connection.get()));
+        if (g_output_stream_write_all(out, request.data(), request.size(), nullptr, nullptr, &error_out)) {
             char buffer[4096];
-            for (gssize n = 0; (n = g_input_stream_read(in, buffer, sizeof buffer, nullptr, &error_out)) > 0;)
-                response.append(buffer, static_cast<std::size_t>(n));
+            for (gssize count = 0;
+                 (count = g_input_stream_read(in, buffer, sizeof buffer, nullptr, &error_out)) > 0;)
+                response.append(buffer, static_cast<std::size_t>(count));
         }
     }
     const ErrorRef error(error_out);
@@ -48,80 +49,83 @@
     return response.substr(end + 4);
 }
 
-void print_status(const rapidjson::Value& s) {
-    const auto real = [](const rapidjson::Value& o, const char* key) { return number(o, key, 0); };
+void print_status(const rapidjson::Value& status) {
+    const auto field = [](const rapidjson::Value& object, const char* key) { return number(object, key, 0); };
     std::printf("hears others: %s   doubts itself: %s   may send %.0f bytes/s   stood still %.0f times\n",
-                flag(s, "hears") ? "yes" : "NO", flag(s, "doubts_itself") ? "YES" : "no",
-                real(s, "bytes_a_second"), real(s, "stalls"));
-    const rapidjson::Value& d = need(s, "datagrams");
+                flag(status, "hears") ? "yes" : "NO", flag(status, "doubts_itself") ? "YES" : "no",
+                field(status, "bytes_a_second"), field(status, "stalls"));
+    const rapidjson::Value& datagrams = need(status, "datagrams");
     std::printf(
         "datagrams: %.0f sent (%.0f bytes), %.0f heard; thrown away: %.0f unsound, %.0f from strangers, %.0f "
         "of dead lives; %.0f late\n",
-        real(d, "sent"), real(d, "sent_bytes"), real(d, "received"), real(d, "unsound"), real(d, "strangers"),
-        real(d, "dead_lives"), real(d, "late"));
+        field(datagrams, "sent"), field(datagrams, "sent_bytes"), field(datagrams, "received"),
+        field(datagrams, "unsound"), field(datagrams, "strangers"), field(datagrams, "dead_lives"),
+        field(datagrams, "late"));
     std::printf("words kept: %.0f, the oldest %.1f s\n\npeer   state   last known\n",
-                real(need(s, "words"), "kept"), real(need(s, "words"), "oldest_s"));
-    for (const rapidjson::Value& p : need_list(s, "peers").GetArray()) {
-        if (find(p, "age_s") == nullptr) {
-            std::printf("n%-5.0f %-7s never\n", real(p, "node"),
-                        std::string(text(need(p, "state"), "state")).c_str());
+                field(need(status, "words"), "kept"), field(need(status, "words"), "oldest_s"));
+    for (const rapidjson::Value& peer : need_list(status, "peers").GetArray()) {
+        if (find(peer, "age_s") == nullptr) {
+            std::printf("n%-5.0f %-7s never\n", field(peer, "node"),
+                        std::string(text(need(peer, "state"), "state")).c_str());
         } else {
-            std::printf("n%-5.0f %-7s %.1f s ago\n", real(p, "node"),
-                        std::string(text(need(p, "state"), "state")).c_str(), real(p, "age_s"));
+            std::printf("n%-5.0f %-7s %.1f s ago\n", field(peer, "node"),
+                        std::string(text(need(peer, "state"), "state")).c_str(), field(peer, "age_s"));
         }
     }
-    std::printf("\n%s\n", need_list(s, "verdicts").Empty() ? "no findings" : "findings");
-    for (const rapidjson::Value& v : need_list(s, "verdicts").GetArray()) {
-        std::printf("%s: %s\n", std::string(text(need(v, "server"), "server")).c_str(),
-                    flag(v, "counts_here") ? "found bad, counts here" : "does not count here");
-        for (const rapidjson::Value& k : need_list(v, "said_by").GetArray()) {
+    std::printf("\n%s\n", need_list(status, "verdicts").Empty() ? "no findings" : "findings");
+    for (const rapidjson::Value& verdict : need_list(status, "verdicts").GetArray()) {
+        std::printf("%s: %s\n", std::string(text(need(verdict, "server"), "server")).c_str(),
+                    flag(verdict, "counts_here") ? "found bad, counts here" : "does not count here");
+        for (const rapidjson::Value& report : need_list(verdict, "said_by").GetArray()) {
             std::string zones;
-            for (const rapidjson::Value& z : need_list(k, "zones").GetArray())
-                zones += (zones.empty() ? "" : ", ") + std::string(text(z, "zones"));
-            std::printf("    keeper n%.0f: %s, %.0f voices, %.1f s old\n", real(k, "keeper"),
-                        zones.empty() ? "well again" : ("bad for " + zones).c_str(), real(k, "voices"),
-                        real(k, "age_s"));
+            for (const rapidjson::Value& zone : need_list(report, "zones").GetArray())
+                zones += (zones.empty() ? "" : ", ") + std::string(text(zone, "zones"));
+            std::printf("    keeper n%.0f: %s, %.0f voices, %.1f s old\n", field(report, "keeper"),
+                        zones.empty() ? "well again" : ("bad for " + zones).c_str(), field(report, "voices"),
+                        field(report, "age_s"));
         }
     }
 }
 
-void print_zones(const rapidjson::Value& s) {
-    const auto real = [](const rapidjson::Value& o, const char* key) { return number(o, key, 0); };
+void print_zones(const rapidjson::Value& status) {
+    const auto field = [](const rapidjson::Value& object, const char* key) { return number(object, key, 0); };
     std::printf("%-20s %-10s %5s  %8s  why\n", "zone", "state", "part", "for");
-    for (const rapidjson::Value& z : need_list(s, "zones").GetArray()) {
-        std::string lost;
-        for (const rapidjson::Value& n : need_list(z, "said_lost").GetArray()) {
-            lost +=
-                (lost.empty() ? ": n" : ", n") + (n.IsInt() ? std::to_string(n.GetInt()) : std::string("?"));
+    for (const rapidjson::Value& zone : need_list(status, "zones").GetArray()) {
+        std::string reporters;
+        for (const rapidjson::Value& node : need_list(zone, "said_lost").GetArray()) {
+            reporters += (reporters.empty() ? ": n" : ", n") +
+                         (node.IsInt() ? std::to_string(node.GetInt()) : std::string("?"));
         }
         std::printf(
             "%-20s %-10s %5.3g  %6.1f s  %s%.0f say lost of %.0f needed%s; %.0f are answered there, %.0f "
             "strained; %.0f heard; fell %.0f times lately\n",
-            std::string(text(need(z, "zone"), "zone")).c_str(),
-            std::string(text(need(z, "state"), "state")).c_str(), real(z, "part"), real(z, "since_s"),
-            flag(z, "by_hand") ? "BY HAND; " : "", real(z, "lost"), real(z, "needed"), lost.c_str(),
-            real(z, "answers"), real(z, "strained"), real(z, "heard"), real(z, "falls"));
+            std::string(text(need(zone, "zone"), "zone")).c_str(),
+            std::string(text(need(zone, "state"), "state")).c_str(), field(zone, "part"),
+            field(zone, "since_s"), flag(zone, "by_hand") ? "BY HAND; " : "", field(zone, "lost"),
+            field(zone, "needed"), reporters.c_str(), field(zone, "answers"), field(zone, "strained"),
+            field(zone, "heard"), field(zone, "falls"));
     }
 }
 
-void print_limits(const rapidjson::Value& s) {
-    const auto real = [](const rapidjson::Value& o, const char* key) { return number(o, key, 0); };
-    if (need_list(s, "limits").Empty())
+void print_limits(const rapidjson::Value& status) {
+    const auto field = [](const rapidjson::Value& object, const char* key) { return number(object, key, 0); };
+    if (need_list(status, "limits").Empty())
         std::printf("no fleet limit is configured ([fleet.limits] in the operator configuration)\n");
-    for (const rapidjson::Value& l : need_list(s, "limits").GetArray()) {
-        const std::string kind(text(need(l, "kind"), "kind"));
+    for (const rapidjson::Value& limit : need_list(status, "limits").GetArray()) {
+        const std::string kind(text(need(limit, "kind"), "kind"));
         std::printf(
             "%-24s %s  %.4g %s in all; here %.4f of it: own %.4f, borrowed %.4f from %.0f nodes (lent %.4f "
             "to %.0f), needs %.4f",
-            std::string(text(need(l, "limit"), "limit")).c_str(), kind.c_str(), real(l, "whole"),
-            std::string(text(need(l, "unit"), "unit")).c_str(), real(l, "part"), real(l, "own"),
-            real(l, "borrowed"), real(l, "lenders"), real(l, "lent"), real(l, "takers"), real(l, "need"));
-        if (kind == "strict") std::printf("; declined %.0f forwards", real(l, "declined"));
+            std::string(text(need(limit, "limit"), "limit")).c_str(), kind.c_str(), field(limit, "whole"),
+            std::string(text(need(limit, "unit"), "unit")).c_str(), field(limit, "part"), field(limit, "own"),
+            field(limit, "borrowed"), field(limit, "lenders"), field(limit, "lent"), field(limit, "takers"),
+            field(limit, "need"));
+        if (kind == "strict") std::printf("; declined %.0f forwards", field(limit, "declined"));
         std::printf("\n");
     }
 }
 
-int show(const FleetOptions& options, void (*printed)(const rapidjson::Value&)) {
+int show_status(const FleetOptions& options, void (*print)(const rapidjson::Value&)) {
     int status = 0;
     std::string why;
     const std::string body = call_admin_server(options.address, "GET", "/control/fleet", status, why);
@@ -131,11 +135,11 @@
         return kBroken;
     }
     if (options.json) return std::printf("%s", body.c_str()), kDone;
-    rapidjson::Document state;
-    state.Parse(body.c_str());
+    rapidjson::Document document;
+    document.Parse(body.c_str());
     try {
-        if (state.HasParseError() || !state.IsObject()) throw ConfigurationError("not JSON");
-        printed(state);
+        if (document.HasParseError() || !document.IsObject()) throw ConfigurationError("not JSON");
+        print(document);
     } catch (const ConfigurationError& error) {
         std::fprintf(stderr, "brookrelay: %s: the response is not a fleet status: %s\n",
                      options.address.c_str(), error.what());
@@ -154,17 +158,17 @@
 }  // namespace
 
 int fleet_status(const FleetOptions& options) {
-    return is_valid(options) ? show(options, print_status) : kWrongUse;
+    return is_valid(options) ? show_status(options, print_status) : kWrongUse;
 }
 
 int fleet_limits(const FleetOptions& options) {
-    return is_valid(options) ? show(options, print_limits) : kWrongUse;
+    return is_valid(options) ? show_status(options, print_limits) : kWrongUse;
 }
 
 int fleet_zones(const FleetOptions& options) {
     if (!is_valid(options)) return kWrongUse;
     const bool leave = !options.leave.empty();
-    if (!leave && options.take_back.empty()) return show(options, print_zones);
+    if (!leave && options.take_back.empty()) return show_status(options, print_zones);
     const std::unique_ptr<char, decltype(&g_free)> name(
         g_uri_escape_string((leave ? options.leave : options.take_back).c_str(), nullptr, FALSE), &g_free);
     int status = 0;
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -22,11 +22,11 @@
 namespace fs = std::filesystem;
 
 // The number of signals so far. It is global and atomic because the signal handler counts them.
-std::atomic<int> interruptions{0};
+std::atomic<int> interrupt_count{0};
 
 extern "C" void on_interrupt(int) {
     // The first signal ends the run with a report. The second exits at once, and the kernel ends the daemons.
-    if (++interruptions > 1) _exit(130);
+    if (++interrupt_count > 1) _exit(130);
 }
 
 void install_interrupt_handlers() {
@@ -68,8 +68,8 @@
 
 namespace {
 
-testkit::ReportHead head_of(const RehearseOptions& options, const testkit::DayPlan& plan,
-                            const std::vector<std::string>& sets) {
+testkit::ReportHead report_head(const RehearseOptions& options, const testkit::DayPlan& plan,
+                                const std::vector<std::string>& sets) {
     testkit::ReportHead head;
     head.version = std::string("brookrelay ") + BROOKRELAY_VERSION;
     head.program = plan.program;
@@ -79,23 +79,23 @@
     return head;
 }
 
-testkit::DayPlan plan_of(const std::string& path, const std::vector<std::string>& sets) {
+testkit::DayPlan run_plan(const std::string& path, const std::vector<std::string>& sets) {
     testkit::DayPlan plan;
     plan.scenario = read_scenario(path, sets);
-    plan.interrupted = [] { return interruptions.load() > 0; };
+    plan.interrupted = [] { return interrupt_count.load() > 0; };
     return plan;
 }
 
 int run_once(const RehearseOptions& options, const std::string& path, std::uint64_t seed,
              const std::string& program) {
-    testkit::DayPlan plan = plan_of(path, options.sets);
+    testkit::DayPlan plan = run_plan(path, options.sets);
     plan.seed = seed;
     plan.program = program;
     plan.folder = new_report_folder(options.out, path);
-    const bool terminal = isatty(2) != 0;
+    const bool is_terminal = isatty(2) != 0;
     if (!options.quiet) {
-        plan.progress = [terminal](double now, const std::string& line) {
-            if (terminal) {
+        plan.progress = [is_terminal](double now, const std::string& line) {
+            if (is_terminal) {
                 std::fprintf(stderr, "\r%-110s", line.c_str());
             } else if (static_cast<int>(now) % 10 == 0) {
                 std::fprintf(stderr, "%s\n", line.c_str());
@@ -103,8 +103,8 @@
         };
     }
     const testkit::DayResult result = testkit::play_day(plan);
-    if (terminal && !options.quiet) std::fprintf(stderr, "\r%-110s\r", "");
-    testkit::write_reports(head_of(options, plan, options.sets), plan, result);
+    if (is_terminal && !options.quiet) std::fprintf(stderr, "\r%-110s\r", "");
+    testkit::write_reports(report_head(options, plan, options.sets), plan, result);
     std::printf("%s", testkit::summary_text(plan, result).c_str());
     std::printf("report           %s/report.html\n", plan.folder.c_str());
     return testkit::verdict_word(result) == "kept" ? kDone : kBroken;
@@ -120,7 +120,7 @@
     plan.sweeps = std::move(sweeps);
     plan.folder = new_report_folder(options.out, path);
     plan.jobs = options.jobs;
-    plan.interrupted = [] { return interruptions.load() > 0; };
+    plan.interrupted = [] { return interrupt_count.load() > 0; };
     if (!options.quiet) {
         plan.progress = [](std::size_t done, std::size_t all, const testkit::Cell& c) {
             std::fprintf(stderr, "%zu of %zu: seed %llu, daemon %zu%s%s: %s, service %.4f\n", done, all,
@@ -131,11 +131,11 @@
     // Each setting is read once before the first run, so that an error in one costs no run.
     for (const testkit::Cell& c : testkit::cells_of(plan)) (void)read_scenario(path, c.sets);
     const testkit::ExperimentResult result = testkit::play_experiment(plan, [&](const testkit::Cell& cell) {
-        testkit::DayPlan day = plan_of(path, cell.sets);
+        testkit::DayPlan day = run_plan(path, cell.sets);
         day.seed = cell.seed;
         day.program = daemons[cell.daemon];
         day.folder = cell.folder;
-        testkit::write_reports(head_of(options, day, cell.sets), day, testkit::play_day(day));
+        testkit::write_reports(report_head(options, day, cell.sets), day, testkit::play_day(day));
         return kDone;
     });
     testkit::write_experiment(plan, result);
@@ -159,13 +159,13 @@
         options.daemons.empty() ? std::vector{own_program()} : options.daemons;
     std::vector<std::uint64_t> seeds;
     std::vector<testkit::Sweep> sweeps;
-    bool has_sweep = false;
+    bool has_several_values = false;
     try {
         seeds = options.seeds.empty() ? std::vector{read_scenario(path).seed}
                                       : testkit::read_seeds(options.seeds);
         for (const std::string& set : options.sets) {
             sweeps.push_back(testkit::read_sweep(set));
-            has_sweep = has_sweep || sweeps.back().values.size() > 1;
+            has_several_values = has_several_values || sweeps.back().values.size() > 1;
         }
     } catch (const std::invalid_argument& error) {
         std::fprintf(stderr, "brookrelay: %s\n", error.what());
@@ -173,7 +173,7 @@
     }
     install_interrupt_handlers();
     try {
-        if (has_sweep || seeds.size() > 1 || daemons.size() > 1) {
+        if (has_several_values || seeds.size() > 1 || daemons.size() > 1) {
             return run_experiment(options, path, seeds, std::move(sweeps), daemons);
         }
         return run_once(options, path, seeds.front(), daemons.front());
@@ -189,7 +189,7 @@
     const std::vector<std::string> daemons =
         options.daemons.empty() ? std::vector{own_program()} : options.daemons;
     const std::string folder = new_report_folder("", "load");
-    int code = kDone;
+    int exit_code = kDone;
     for (int round = 0; round < options.rounds; ++round) {
         for (const int clients : options.clients) {
             for (const std::string& daemon : daemons) {
@@ -204,11 +204,11 @@
                 std::printf("%s%s%s\n", daemons.size() > 1 ? daemon.c_str() : "",
                             daemons.size() > 1 ? "  " : "", testkit::load_line(plan, result).c_str());
                 std::fflush(stdout);
-                if (!result.failed.empty()) code = kBroken;
+                if (!result.failed.empty()) exit_code = kBroken;
             }
         }
     }
-    return code;
+    return exit_code;
 }
 
 }  // namespace brookrelay
--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -21,8 +21,8 @@
 
 namespace fs = std::filesystem;
 
-constexpr int kVoidExit = 3;      // exit code of a child whose run is void
-constexpr int kShrinkPlays = 16;  // the most runs to shrink one failing seed
+constexpr int kVoidExitCode = 3;    // exit code of a child whose run is void
+constexpr int kMaxShrinkRuns = 16;  // the most runs to shrink one failing seed
 
 double seconds_now() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -37,7 +37,7 @@
     return command;
 }
 
-std::string text_of(const testkit::SoakResult& result, const testkit::SoakOptions& options) {
+std::string format_result(const testkit::SoakResult& result, const testkit::SoakOptions& options) {
     std::ostringstream text;
     text << "seed " << result.seed << ": "
          << (result.has_failed() ? "FAILED"
@@ -61,23 +61,24 @@
 }
 
 // Runs one seed in this process, a child made for it, and writes the result to the file `report`.
-int play_in_child(std::uint64_t seed, const testkit::SoakOptions& options, bool shrink,
-                  const std::string& report) {
+int run_in_child(std::uint64_t seed, const testkit::SoakOptions& options, bool shrink,
+                 const std::string& report) {
     raise_descriptor_limit();
     const testkit::SoakResult result = testkit::play_soak(seed, options);
     std::ofstream file(report);
-    file << text_of(result, options);
+    file << format_result(result, options);
     if (result.has_failed() && shrink) {
-        testkit::SoakOptions again = options;
-        again.folder += "-shrink";
-        file << "  shrunk: " << replay_command(seed, testkit::shrink_soak(seed, again, kShrinkPlays)) << "\n";
+        testkit::SoakOptions shrink_options = options;
+        shrink_options.folder += "-shrink";
+        file << "  shrunk: "
+             << replay_command(seed, testkit::shrink_soak(seed, shrink_options, kMaxShrinkRuns)) << "\n";
     }
     file.flush();
-    return result.has_failed() ? kBroken : result.is_void ? kVoidExit : kDone;
+    return result.has_failed() ? kBroken : result.is_void ? kVoidExitCode : kDone;
 }
 
 struct Tally {
-    int kept = 0, failed = 0, is_void = 0;
+    int kept = 0, failed = 0, void_runs = 0;
 };
 
 void count_child(int status, const std::string& report, Tally& tally) {
@@ -86,7 +87,7 @@
     std::fflush(stdout);
     const int code = WIFEXITED(status) ? WEXITSTATUS(status) : kBroken;
     if (!WIFEXITED(status)) std::printf("the process of one seed was ended by signal %d\n", WTERMSIG(status));
-    ++(code == kDone ? tally.kept : code == kVoidExit ? tally.is_void : tally.failed);
+    ++(code == kDone ? tally.kept : code == kVoidExitCode ? tally.void_runs : tally.failed);
 }
 
 }  // namespace
@@ -122,13 +123,13 @@
         fs::create_directories(options.folder);
         const std::string report = options.folder + "/report.txt";
         const pid_t child = fork();
-        if (child == 0) _exit(play_in_child(seed, options, command.shrink, report));
+        if (child == 0) _exit(run_in_child(seed, options, command.shrink, report));
         running.emplace(child, report);
         if (static_cast<int>(running.size()) >= command.jobs) wait_for_one();
     }
     while (!running.empty()) wait_for_one();
     std::printf("soak: %d kept, %d failed, %d void, %.0f s, logs in %s\n", tally.kept, tally.failed,
-                tally.is_void, seconds_now() - started, folder.c_str());
+                tally.void_runs, seconds_now() - started, folder.c_str());
     return tally.failed == 0 && tally.kept > 0 ? kDone : kBroken;
 }
 
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -18,18 +18,18 @@
 
 namespace {
 
-struct Ran {
+struct ProgramResult {
     int code = -1;
-    std::string said;
+    std::string output;
 };
 
-Ran run(const std::string& arguments) {
-    Ran r;
+ProgramResult run(const std::string& arguments) {
+    ProgramResult result;
     FILE* pipe = popen(("unset GW_CONFIG; " BROOKRELAY_PROGRAM " " + arguments + " 2>&1").c_str(), "r");
-    char room[4096];
-    while (std::fgets(room, sizeof room, pipe) != nullptr) r.said += room;
-    r.code = WEXITSTATUS(pclose(pipe));
-    return r;
+    char buffer[4096];
+    while (std::fgets(buffer, sizeof buffer, pipe) != nullptr) result.output += buffer;
+    result.code = WEXITSTATUS(pclose(pipe));
+    return result;
 }
 
 std::string content(const std::string& path) {
@@ -43,14 +43,14 @@
     return path;
 }
 
-TEST(CommandLine, SaysWhatIsWrongByItsExitCode) {
+TEST(CommandLine, ReportsWrongUseByExitCodeAndMessage) {
     const std::string root = BROOKRELAY_ROOT;
     const std::string bad = folder("files") + "/bad.toml";
     std::ofstream(bad) << "[lgo]\n";
     const struct {
         std::string arguments;
         int code;
-        const char* said;
+        const char* output;
     } cases[] = {
         {"--version", 0, "brookrelay "},
         {"--help", 0, "rehearse"},
@@ -89,9 +89,9 @@
         {"rehearse festival --set day.lenght=1", 2, "did you mean 'length'?"},
     };
     for (const auto& c : cases) {
-        const Ran r = run(c.arguments);
-        EXPECT_EQ(r.code, c.code) << c.arguments << "\n" << r.said;
-        EXPECT_NE(r.said.find(c.said), std::string::npos) << c.arguments << "\n" << r.said;
+        const ProgramResult result = run(c.arguments);
+        EXPECT_EQ(result.code, c.code) << c.arguments << "\n" << result.output;
+        EXPECT_NE(result.output.find(c.output), std::string::npos) << c.arguments << "\n" << result.output;
     }
 }
 
@@ -126,9 +126,9 @@
     int port = 0;
     close(brookrelay::testkit::bound_socket(port));
     const std::string listen = brookrelay::testkit::own_loopback() + ":" + std::to_string(port);
-    std::string station = content(BROOKRELAY_ROOT "/deploy/example.json");
-    station.replace(station.find("127.0.0.1:11311"), 15, listen);
-    std::ofstream(out + "/station.json") << station;
+    std::string node_config = content(BROOKRELAY_ROOT "/deploy/example.json");
+    node_config.replace(node_config.find("127.0.0.1:11311"), 15, listen);
+    std::ofstream(out + "/station.json") << node_config;
     const pid_t child = fork();
     if (child == 0) {
         std::freopen((out + "/log").c_str(), "w", stderr);
