--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -28,13 +28,13 @@
     return value.GetDouble();
 }
 
-double number(const Value& object, const char* name, double otherwise) {
+double number(const Value& object, const char* name, double default_value) {
     const Value* value = find(object, name);
-    return value == nullptr ? otherwise : number(*value, name);
+    return value == nullptr ? default_value : number(*value, name);
 }
 
-double seconds(const Value& object, const char* name, double otherwise) {
-    return number(object, name, otherwise * 1e6) / 1e6;
+double seconds(const Value& object, const char* name, double default_value) {
+    return number(object, name, default_value * 1e6) / 1e6;
 }
 
 double duration(const Value& object, const char* name) {
@@ -48,17 +48,17 @@
     return value.GetInt64();
 }
 
-int small(const Value& object, const char* name, int otherwise) {
+int small(const Value& object, const char* name, int default_value) {
     const Value* value = find(object, name);
-    if (value == nullptr) return otherwise;
+    if (value == nullptr) return default_value;
     if (!value->IsInt())
         throw ConfigurationError(std::string("field '") + name + "' is not a 32-bit whole number");
     return value->GetInt();
 }
 
-bool flag(const Value& object, const char* name, bool otherwise) {
+bool flag(const Value& object, const char* name, bool default_value) {
     const Value* value = find(object, name);
-    if (value == nullptr) return otherwise;
+    if (value == nullptr) return default_value;
     if (!value->IsBool()) throw ConfigurationError(std::string("field '") + name + "' is not true or false");
     return value->GetBool();
 }
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -24,16 +24,16 @@
 const rapidjson::Value& need(const rapidjson::Value& object, const char* name);
 const rapidjson::Value& need_list(const rapidjson::Value& object, const char* name);
 // Readers that take a value convert it; readers that take an object convert its member `name`, or return
-// `otherwise` if it is missing.
+// `default_value` if it is missing.
 double number(const rapidjson::Value& value, const char* name);
-double number(const rapidjson::Value& object, const char* name, double otherwise);
+double number(const rapidjson::Value& object, const char* name, double default_value);
 // Convert microseconds in the file to seconds. duration() returns 0 for a missing member and rejects negative
 // values.
-double seconds(const rapidjson::Value& object, const char* name, double otherwise = 0);
+double seconds(const rapidjson::Value& object, const char* name, double default_value = 0);
 double duration(const rapidjson::Value& object, const char* name);
 std::int64_t whole(const rapidjson::Value& value, const char* name);
-int small(const rapidjson::Value& object, const char* name, int otherwise);
-bool flag(const rapidjson::Value& object, const char* name, bool otherwise = false);
+int small(const rapidjson::Value& object, const char* name, int default_value);
+bool flag(const rapidjson::Value& object, const char* name, bool default_value = false);
 std::string_view text(const rapidjson::Value& value, const char* name);
 
 // The strings that a field may have, each with the value that it stands for.
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -379,8 +379,8 @@
     return words;
 }
 
-double at(const Curve& curve, double time, double otherwise) {
-    if (curve.empty()) return otherwise;
+double at(const Curve& curve, double time, double default_value) {
+    if (curve.empty()) return default_value;
     if (time <= curve.front().first) return curve.front().second;
     for (std::size_t i = 1; i < curve.size(); ++i) {
         const auto& [t1, v1] = curve[i];
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -14,8 +14,8 @@
 
 // Points of time in seconds and value, in ascending order of time, with linear interpolation between them.
 using Curve = std::vector<std::pair<double, double>>;
-// The value of the curve at `time`; `otherwise` for an empty curve.
-double at(const Curve& curve, double time, double otherwise);
+// The value of the curve at `time`; `default_value` for an empty curve.
+double at(const Curve& curve, double time, double default_value);
 
 // A kind of cache servers.
 struct ServerKind {
