--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -85,39 +85,39 @@
 
 // The kinds of trouble, in the order of trouble_words().
 enum class TroubleKind {
-    silent,
-    crash,
-    slow,
-    cold_return,
-    void_copies,
-    hot_key,
-    origin_slow,
-    origin_stop,
-    scan,
-    discovery_down,
-    discovery_stale,
-    discovery_restart,
-    drain,
-    remove,
-    node_kill,
-    node_restart,
-    reload,
-    reload_bad,
-    spoilt,
-    tricklers,
-    non_readers,
-    over_share,
-    cut,
-    lossy,
-    late,
-    doubled,
-    reordered,
-    garbled,
-    freeze,
-    starved,
-    list_late,
-    limits,
-    count
+    silent,             // servers send nothing and accept no connections
+    crash,              // servers stop and restart cold; discovery removes them meanwhile
+    slow,               // servers are slower by `factor`
+    cold_return,        // servers restart cold at once
+    void_copies,        // each cache server loses `part` of its keys
+    hot_key,            // `part` of the requests are for one key
+    origin_slow,        // the origin is slower by `factor`
+    origin_stop,        // the origin stops
+    scan,               // additional requests, `part` of the rate, each for a new key
+    discovery_down,     // discovery does not respond
+    discovery_stale,    // discovery holds its updates back
+    discovery_restart,  // versions start again; the soak also leaves out the servers in `who`
+    drain,              // discovery announces servers as draining
+    remove,             // servers are announced as draining, then removed, and stop
+    node_kill,          // nodes are killed and started again
+    node_restart,       // nodes are terminated and started again
+    reload,             // a node reloads its configuration
+    reload_bad,         // a node is told to reload a truncated configuration
+    spoilt,             // `part` of the values that servers return are malformed
+    tricklers,          // `count` clients that write slowly
+    non_readers,        // `count` clients that do not read
+    over_share,         // tenants send `factor` times their share
+    cut,                // links transfer nothing
+    lossy,              // links lose `part` of the datagrams
+    late,               // links delay `part` of the datagrams by `delay`
+    doubled,            // links duplicate `part` of the datagrams
+    reordered,          // links delay `part` of the datagrams by up to `delay`
+    garbled,            // links corrupt `part` of the datagrams
+    freeze,             // nodes are stopped by SIGSTOP
+    starved,            // nodes are stopped for `part` of each second
+    list_late,          // discovery holds its updates for nodes back
+    limits,             // the fleet's limit for the origin changes to `origin`
+    count               // the number of kinds
 };
 // The names of the kinds in scenario files.
 const std::vector<std::string>& trouble_words();
@@ -125,17 +125,17 @@
 // A fault, or a change of the demand or the configuration, at a given time.
 struct Trouble {
     TroubleKind kind = TroubleKind::silent;
-    double at = 0;                 // seconds since the start
-    double lasts = 0;              // seconds; 0: until the end, or a kind without a duration
-    std::vector<std::string> who;  // servers or tenants, by name
-    int node = 0;
-    double factor = 5;
-    double part = 1;
-    int count = 10;
-    std::vector<int> nodes;             // affected at the same time; just `node` if the file lists none
+    double at = 0;                      // seconds since the start
+    double lasts = 0;                   // seconds; 0: a default of the kind, or without an end
+    std::vector<std::string> who;       // servers or tenants, by name
+    int node = 0;                       // the affected node, if `nodes` is empty
+    double factor = 5;                  // see TroubleKind
+    double part = 1;                    // see TroubleKind; a ratio
+    int count = 10;                     // see TroubleKind
+    std::vector<int> nodes;             // nodes affected at the same time
     std::vector<std::string> from, to;  // zones, servers, or nodes as n0, n1 ...; `to` empty: all others
-    bool one_way = false;
-    double delay = 0;   // seconds
+    bool one_way = false;               // affects only the direction from `from` to `to`
+    double delay = 0;                   // seconds
     double origin = 0;  // `limits`: the fleet's new limit for the origin, as configured on the affected nodes
     // `reload`, set only by the soak: the number of reloads in quick succession, and whether they list the
     // operations in another order with one more.
