--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -39,9 +39,10 @@
 class TomlFile {
   public:
     // One table of the file. Reading a key marks it as known; unknown keys are reported as errors. A missing
-    // table reads as an empty one.
+    // table reads as an empty one. The readers return `default_value` for a missing or invalid value.
     class Table {
       public:
+        // Reads a number from `min` to `max`.
         double number(const std::string& key, double default_value, double min, double max);
         std::int64_t whole(const std::string& key, std::int64_t default_value, std::int64_t min,
                            std::int64_t max);
