--- a/src/sim_adapter/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -29,6 +29,7 @@
 using Document = rapidjson::GenericDocument<rapidjson::UTF8<>, Pool, Pool>;
 using rapidjson::Value;
 
+// The protocol's names of attempt outcomes.
 constexpr std::array<std::pair<std::string_view, AttemptOutcome>, 9> kAttemptOutcomes{
     {{"done", AttemptOutcome::succeeded},
      {"enoent", AttemptOutcome::miss},
@@ -40,6 +41,8 @@
      {"ecanceled", AttemptOutcome::cancelled},
      {"skipped", AttemptOutcome::not_sent}}};
 
+// One simulated node with its balancer. The public functions decode events; the overrides of Host write
+// commands.
 class Instance final : public Host {
   public:
     Instance(std::int64_t number, Writer& out) : instance_number_(number), out_(out) {}
@@ -237,12 +240,14 @@
     }
 
   private:
+    // A request that has not been released. Its index in `slots_` is the balancer's request id.
     struct Slot {
         std::int64_t external_id = 0;
         int open_attempts = 0;
         bool is_ended = false;
     };
 
+    // Checks that the event has the member, and returns the event.
     static const Value& require_member(const Value& event, const char* name) {
         need(event, name);
         return event;
@@ -304,8 +309,10 @@
     std::vector<std::string> server_names_;
 };
 
+// Decodes batches and passes each event to its instance.
 class Adapter {
   public:
+    // Handles one input line, which it overwrites, and writes one output line.
     void process_batch(std::string& line) {
         value_pool_.Clear();
         Document document(&value_pool_, 1024, &parse_stack_);
