--- a/src/cli/soak.h
+++ b/src/cli/soak.h
@@ -19,7 +19,7 @@
     std::string out;  // the folder for logs; empty: a new one below rehearsals/
 };
 
-// Returns the exit code: 0 if at least one run is not void and no run violated an invariant, else 1.
+// Returns the exit code: 0 if at least one run is kept and none has failed, else 1.
 int soak(const SoakCommandOptions& options);
 
 }  // namespace brookrelay
--- a/src/model/outlier_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -78,7 +78,7 @@
         }
     }
     void send(int from, int to, std::string bytes) { network.send(now_, from, to, std::move(bytes)); }
-    // Of the running nodes for which `of` holds, the ratio that has a verdict on `subject`.
+    // Of the running nodes for which `of` holds, the ratio that has a verdict on `server`.
     double told(
         gossip::ServerKey server, const std::function<bool(int)>& of = [](int) { return true; }) const {
         int running = 0, matching = 0;
--- a/src/model/zone_fleet.h
+++ b/src/model/zone_fleet.h
@@ -101,7 +101,7 @@
                 if (unit() < left) send_request(n, node);
             }
             for (auto attempt = node.open_attempts.begin();
-                 e != node.open_attempts.end() && attempt->first <= now_;
+                 attempt != node.open_attempts.end() && attempt->first <= now_;
                  attempt = node.open_attempts.erase(attempt)) {
                 const auto& [zone, server, outcome] = attempt->second;
                 node.exchange->on_zone_attempt_finished(now_, zone, server, outcome);
