--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -129,7 +129,7 @@
             if (!parse_number(step, index) || index >= list->size()) {
                 throw ConfigurationFileError(where + ": there is no entry '" + step + "'");
             }
-            if (!more)
+            if (!has_next)
                 throw ConfigurationFileError(where +
                                              ": the path ends at an array entry, expected a key in it");
             at = list->get(index);
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -44,7 +44,7 @@
 }
 
 // One run with its auditor, and the usual steps of a history.
-struct Run {
+struct RunHistory {
     Auditor auditor{make_terms()};
     int attempts = 0;
     int requests = 0;
@@ -88,10 +88,10 @@
     const char* name;
     int rule;          // the broken rule; 0: none
     const char* text;  // part of the violation's text
-    std::function<void(Run&)> record;
+    std::function<void(RunHistory&)> record;
 };
 
-void send_reads(Run& run, int server, int node, int first, int count, double from = 1) {
+void send_reads(RunHistory& run, int server, int node, int first, int count, double from = 1) {
     for (int i = 0; i < count; ++i) {
         run.send_request(from + 0.01 * i, first + i, kRead, node);
         run.send_attempt(from + 0.01 * i, first + i, server);
@@ -100,7 +100,7 @@
 }
 
 // A hundred reads that miss at server A and are then sent to the origin.
-void send_misses(Run& run) {
+void send_misses(RunHistory& run) {
     for (int i = 0; i < 100; ++i) {
         const double at = 1 + 0.0099 * i;
         run.send_request(at, i, kRead);
@@ -111,96 +111,96 @@
 }
 
 const Case kCases[] = {
-    {"a request that succeeds", 0, "", [](Run& run) { run.run_successful_read(1, 0); }},
+    {"a request that succeeds", 0, "", [](RunHistory& run) { run.run_successful_read(1, 0); }},
     // ---- rule 1
     {"no response", 1, "no final answer",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_client_timeout(2.2, 0);
      }},
     {"no response yet, before the deadline", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_client_timeout(2.05, 0);
      }},
     {"a response after the deadline", 1, "after the client timeout",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_response(2.08, 0, Reply::rejected, -1);
      }},
     {"a response within the grace", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_response(2.06, 0, Reply::rejected, -1);
      }},
     {"two responses", 1, "second final answer",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.run_successful_read(1, 0);
          run.auditor.on_response(1.5, 0, Reply::failed, -1);
      }},
     {"a response to a client that has closed", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_client_closed(1.1, 0);
          run.auditor.on_response(1.2, 0, Reply::failed, -1);
      }},
     {"the connection is closed without a response", 1, "closed the connection",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_connection_closed(1.2, 0);
      }},
     {"it is closed because the node was killed", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_node_killed(1.1, 0);
          run.auditor.on_connection_closed(1.2, 0);
      }},
     {"it is closed by one node when another was killed", 1, "closed the connection",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_node_killed(1.1, 1);
          run.auditor.on_connection_closed(1.2, 0);
      }},
     {"the node was killed before the request", 1, "closed the connection",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_node_killed(0.5, 0);
          run.send_request(1, 0, kRead);
          run.auditor.on_connection_closed(1.2, 0);
      }},
     {"the node was unreachable", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_unreachable(1.1, 0);
      }},
     {"an attempt after the response", 1, "after the final answer",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.run_successful_read(1, 0);
          run.send_attempt(1.1, 0, kServerB);
      }},
     {"an attempt in transit when the response was given", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.run_successful_read(1, 0);
          run.send_attempt(1.04, 0, kServerB);
      }},
     {"a success that no server made", 1, "no server made",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.auditor.on_response(1.1, 0, Reply::succeeded, -1);
      }},
     {"a success that a server made for another request", 1, "no server made",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.run_successful_read(1, 0);
          run.send_request(2, 1, kRead);
          run.auditor.on_response(2.1, 1, Reply::succeeded, 0);
      }},
     {"a success by an attempt that had no response", 1, "no server made",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          const int f = run.send_attempt(1.01, 0, kServerA);
          run.auditor.on_response(1.1, 0, Reply::succeeded, f);
      }},
     {"a success by a dropped duplicate", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          const int f = run.send_attempt(1.01, 0, kOrigin);
          run.auditor.on_duplicate_dropped(1.02, f);
@@ -208,58 +208,58 @@
          run.auditor.on_response(1.1, 0, Reply::succeeded, f);
      }},
     {"an attempt that names no request", 1, "names no request",
-     [](Run& run) { run.send_attempt(1, -1, kServerA); }},
+     [](RunHistory& run) { run.send_attempt(1, -1, kServerA); }},
     // ---- rule 2, non-idempotent
     {"non-idempotent, retried without a response", 2, "non-idempotent",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.send_attempt(1.01, 0, kOrigin);
          run.send_attempt(1.3, 0, kOrigin);
      }},
     {"non-idempotent, retried after an error", 2, "non-idempotent",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.auditor.on_attempt_finished(1.02, run.send_attempt(1.01, 0, kOrigin), Outcome::failed);
          run.send_attempt(1.3, 0, kOrigin);
      }},
     {"non-idempotent, retried after busy", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.answer_busy(1.02, run.send_attempt(1.01, 0, kOrigin));
          run.finish_with_effect(1.4, run.send_attempt(1.3, 0, kOrigin));
      }},
     {"non-idempotent, retried just before busy arrived", 2, "non-idempotent",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          const int f = run.send_attempt(1.01, 0, kOrigin);
          run.send_attempt(1.3, 0, kOrigin);
          run.answer_busy(1.31, f);
      }},
     {"non-idempotent, throttled with an open attempt", 2, "throttled",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.send_attempt(1.01, 0, kOrigin);
          run.auditor.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"non-idempotent, errored with an open attempt", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.send_attempt(1.01, 0, kOrigin);
          run.auditor.on_response(1.5, 0, Reply::failed, -1);
      }},
     {"non-idempotent, throttled before any attempt", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.auditor.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"non-idempotent, throttled after busy", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.answer_busy(1.02, run.send_attempt(1.01, 0, kOrigin));
          run.auditor.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"an effect that happens twice over a request and its retry", 2, "happened twice",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent, 0, 0, 0);
          const int first = run.send_attempt(1.01, 0, kOrigin);
          run.answer_busy(1.02, first);  // busy says that it never ran, but it runs later
@@ -269,69 +269,69 @@
          run.finish_with_effect(1.25, run.send_attempt(1.21, 1, kOrigin));
      }},
     {"two users with one effect each", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kNonIdempotent);
          run.finish_with_effect(1.02, run.send_attempt(1.01, 0, kOrigin));
          run.send_request(1, 1, kNonIdempotent);
          run.finish_with_effect(1.04, run.send_attempt(1.03, 1, kOrigin));
      }},
     {"an idempotent effect that happens twice", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kRead);
          run.finish_with_effect(1.02, run.send_attempt(1.01, 0, kServerA));
          run.finish_with_effect(1.04, run.send_attempt(1.03, 0, kServerB));
      }},
     // ---- rule 2, deduplicated
     {"deduplicated, retried in its group and window", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.send_attempt(1.01, 0, kServerA);
          run.send_attempt(1.3, 0, kServerB);
      }},
     {"deduplicated, retried outside its group", 2, "outside the group",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.send_attempt(1.01, 0, kServerA);
          run.send_attempt(1.3, 0, kServerC);
      }},
     {"deduplicated, retried outside its group after busy", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.answer_busy(1.02, run.send_attempt(1.01, 0, kServerA));
          run.send_attempt(1.3, 0, kServerC);
      }},
     {"deduplicated, at a cache server and then at the origin", 2, "outside the group",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.send_attempt(1.01, 0, kServerA);
          run.send_attempt(1.3, 0, kOrigin);
      }},
     {"deduplicated, after its idempotency key is forgotten", 2, "forgotten",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.send_attempt(1.01, 0, kOrigin);
          run.send_attempt(3.07, 0, kOrigin);
      }},
     {"deduplicated, just before its idempotency key is forgotten", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.send_attempt(1.01, 0, kOrigin);
          run.send_attempt(3.05, 0, kOrigin);
      }},
     {"deduplicated, throttled with an open attempt", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.send_attempt(1.01, 0, kOrigin);
          run.auditor.on_response(1.5, 0, Reply::rejected, -1);
      }},
     {"deduplicated, but the effect happens twice", 2, "happened twice",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.finish_with_effect(1.02, run.send_attempt(1.01, 0, kServerA));
          run.finish_with_effect(1.4, run.send_attempt(1.3, 0, kServerB));
      }},
     {"twice, because the server lost its deduplication state in a restart", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.send_request(1, 0, kDeduplicated);
          run.finish_with_effect(1.02, run.send_attempt(1.01, 0, kServerA));
          run.auditor.on_server_started(1.2, kServerB, false);
@@ -339,54 +339,54 @@
      }},
     // ---- rule 3
     {"an attempt to a draining server after the grace", 3, "drains",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_endpoint_state(1, 0, kServerA, EndpointState::draining, false);
          run.run_successful_read(1.36, 0);
      }},
     {"an attempt to a draining server within the grace", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_endpoint_state(1, 0, kServerA, EndpointState::draining, false);
          run.run_successful_read(1.34, 0);
      }},
     {"another node was notified", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_endpoint_state(1, 1, kServerA, EndpointState::draining, false);
          run.run_successful_read(1.5, 0);
      }},
     {"notified again, the grace runs from the first notification", 3, "is removed",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_endpoint_state(1, 0, kServerA, EndpointState::draining, false);
          run.auditor.on_endpoint_state(1.3, 0, kServerA, EndpointState::removed, false);
          run.run_successful_read(1.4, 0);
      }},
     {"it is ready again", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_endpoint_state(1, 0, kServerA, EndpointState::draining, false);
          run.auditor.on_endpoint_state(1.3, 0, kServerA, EndpointState::ready, false);
          run.run_successful_read(2, 0);
      }},
     {"the node has restarted since the notification", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_endpoint_state(1, 0, kServerA, EndpointState::removed, false);
          run.auditor.on_node_started(1.3, 0);
          run.run_successful_read(2, 0);
      }},
     // ---- rule 4
     {"a cold server overloaded by nodes that knew of its start", 4, "pushed over",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.5, kServerA, true);
          run.auditor.on_endpoint_state(0.8, 0, kServerA, EndpointState::ready, true);
          send_reads(run, kServerA, 0, 0, 100);
          run.auditor.on_server_overloaded(2, kServerA);
      }},
     {"overloaded by nodes that did not know of its start", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.5, kServerA, true);
          send_reads(run, kServerA, 0, 0, 100);
          run.auditor.on_server_overloaded(2, kServerA);
      }},
     {"by two nodes, less than two thirds by the one that knew", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.5, kServerA, true);
          run.auditor.on_endpoint_state(0.8, 0, kServerA, EndpointState::ready, true);
          send_reads(run, kServerA, 0, 0, 60);
@@ -394,7 +394,7 @@
          run.auditor.on_server_overloaded(2, kServerA);
      }},
     {"it was warm by then", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.5, kServerA, true);
          run.auditor.on_endpoint_state(0.8, 0, kServerA, EndpointState::ready, true);
          run.auditor.on_server_warm(0.9, kServerA);
@@ -402,7 +402,7 @@
          run.auditor.on_server_overloaded(2, kServerA);
      }},
     {"it restarted, and no node was notified of that", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.3, kServerA, true);
          run.auditor.on_endpoint_state(0.4, 0, kServerA, EndpointState::ready, true);
          run.auditor.on_server_started(0.5, kServerA, true);
@@ -410,7 +410,7 @@
          run.auditor.on_server_overloaded(2, kServerA);
      }},
     {"the origin overloaded by cold misses", 4, "origin was overloaded",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.5, kServerA, true);
          for (int i = 0; i < 100; ++i) {
              const double at = 1 + 0.01 * i;
@@ -424,20 +424,20 @@
          run.auditor.on_server_overloaded(2, kOrigin);
      }},
     {"the origin overloaded by misses at a server that has become warm since", 4, "origin was overloaded",
-     [](Run& run) {
+     [](RunHistory& run) {
          run.auditor.on_server_started(0.5, kServerA, true);
          send_misses(run);
          run.auditor.on_server_warm(1.99, kServerA);
          run.auditor.on_server_overloaded(2, kOrigin);
      }},
     {"the origin overloaded by misses at a server that became cold only after them", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          send_misses(run);
          run.auditor.on_server_started(1.995, kServerA, true);
          run.auditor.on_server_overloaded(2, kOrigin);
      }},
     {"the origin overloaded by misses at warm servers", 0, "",
-     [](Run& run) {
+     [](RunHistory& run) {
          send_misses(run);
          run.auditor.on_server_overloaded(2, kOrigin);
      }},
@@ -446,7 +446,7 @@
 TEST(Auditor, ReportsEachWayToBreakARule) {
     for (const Case& c : kCases) {
         SCOPED_TRACE(c.name);
-        Run run;
+        RunHistory run;
         c.record(run);
         const Verdict verdict = run.end();
         EXPECT_FALSE(verdict.is_void);
@@ -486,7 +486,7 @@
           Row{"not for a node that was not notified", kServerA, 1, 40, 0.5, true, false, 0}}) {
         Terms terms = make_terms();
         terms.origin_limit = terms.cold_limit = 10;
-        Run run{Auditor(terms)};
+        RunHistory run{Auditor(terms)};
         if (row.is_cold) run.auditor.on_server_started(0.5, row.server, true);
         if (row.is_notified)
             run.auditor.on_endpoint_state(0.6, row.node, row.server, EndpointState::ready, true);
@@ -513,7 +513,7 @@
                  {"too short to count", 2.1, 0.01, false}};
     for (const auto& c : cases) {
         SCOPED_TRACE(c.name);
-        Run run;
+        RunHistory run;
         run.send_request(1, 0, kRead);
         run.auditor.on_watcher_delay(c.delay_end, c.delay);
         run.auditor.on_response(2.1, 0, Reply::failed, -1);
@@ -523,13 +523,13 @@
         EXPECT_EQ(verdict.set_aside.size(), c.is_void ? 1U : 0U);
     }
     // A node closes a connection that is silent for long, here because the watcher was delayed.
-    Run silent;
+    RunHistory silent;
     silent.send_request(1, 0, kRead);
     silent.auditor.on_watcher_delay(3.5, 2.4);
     silent.auditor.on_connection_closed(3.5, 0);
     EXPECT_TRUE(silent.auditor.finish(1000).is_void);
     // More violations than the auditor keeps, all during a delay: none of them counts as broken.
-    Run many_violations;
+    RunHistory many_violations;
     for (int i = 0; i < 30000; ++i) many_violations.send_request(1, i, kRead);
     many_violations.auditor.on_watcher_delay(3, 2.5);
     for (int i = 0; i < 30000; ++i) many_violations.auditor.on_response(3, i, Reply::failed, -1);
@@ -537,20 +537,20 @@
     EXPECT_TRUE(all_late.is_void);
     EXPECT_EQ(all_late.violations_by_rule[1], 0);
     // A violation that does not depend on a clock still counts.
-    Run twice;
+    RunHistory twice;
     twice.run_successful_read(1, 0);
     twice.auditor.on_watcher_delay(1.6, 0.3);
     twice.auditor.on_response(1.6, 0, Reply::failed, -1);
     EXPECT_EQ(twice.auditor.finish(100).violations.size(), 1U);
     // A run in which the watcher was delayed for a long time is void.
-    Run long_delay;
+    RunHistory long_delay;
     long_delay.run_successful_read(1, 0);
     long_delay.auditor.on_watcher_delay(5, 1);
     EXPECT_TRUE(long_delay.auditor.finish(10).is_void);
 }
 
 TEST(Auditor, AccountsBilledValue) {
-    Run run;
+    RunHistory run;
     run.auditor.start_run(100);
     const auto send_request = [&](double at, int request, int tenant, int user, int retry_number) {
         RequestInfo info;
