--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -11,14 +11,14 @@
 
 constexpr std::size_t kMaxPendingViolations = 20000;  // further ones are only counted
 constexpr std::size_t kMaxTracedViolations = 200;     // further ones are counted but not listed
-constexpr double kMaxWatcherDelayRatio = 0.02;        // of the run; beyond it nothing can be relied upon
+constexpr double kMaxWatcherDelayRatio = 0.02;        // of the run; a run with more is void
 
 }  // namespace
 
 Auditor::Auditor(Terms terms)
     : history_{std::move(terms), 0, {}, {}, {}, {}},
       endpoint_states_(index(history_.terms.nodes),
-                       std::vector<KnownState>(history_.terms.server_names.size())),
+                       std::vector<AnnouncedState>(history_.terms.server_names.size())),
       node_paused_until_(index(history_.terms.nodes), -1),
       node_killed_at_(index(history_.terms.nodes), -1),
       tenant_requests_(history_.terms.tenants.size()) {
@@ -69,7 +69,7 @@
                false);
         return;
     }
-    if (record.end != RequestEnd::open) return;  // the node may still write to a client that has closed
+    if (record.end != RequestEnd::open) return;  // The node may still write to a client that has closed.
     record.reply = reply;
     end_request(request, now, RequestEnd::responded);
     count_reply(reply);
@@ -129,7 +129,7 @@
     ++verdict_.unanswered;
     // Dated from the request: a delayed watcher may have left a new connection silent until the node's own
     // timeout closed it.
-    report(1, request, now, record.received_at, "the node ended the connection with no whole answer");
+    report(1, request, now, record.received_at, "the node closed the connection without a complete response");
 }
 
 void Auditor::on_client_timeout(double now, int request) {
@@ -187,7 +187,7 @@
     }
     if (request < 0 || index(request) >= history_.requests.size()) {
         report(1, -1, last_byte, last_byte,
-               "a forward to " + server_name(terms, server) + " names no invocation that was asked", false);
+               "an attempt to " + server_name(terms, server) + " names no request that a client sent", false);
         return;
     }
     check_retry(attempt);
@@ -233,15 +233,15 @@
 // ---- discovery, nodes, and the watcher itself ------------------------------------------------------------
 
 void Auditor::on_endpoint_state(double now, int node, int server, EndpointState state, bool is_fresh_start) {
-    KnownState& known = endpoint_states_[index(node)][index(server)];
+    AnnouncedState& announced = endpoint_states_[index(node)][index(server)];
     // The grace runs from the first notification: a repeated one, or one from draining to removed, does not
     // start it again.
-    if (known.state == EndpointState::ready || state == EndpointState::ready) known.since = now;
-    known.state = state;
+    if (announced.state == EndpointState::ready || state == EndpointState::ready) announced.since = now;
+    announced.state = state;
     if (is_fresh_start) history_.servers[index(server)].start_is_known[index(node)] = true;
 }
 
-// A new process starts from its own endpoint list; what the previous one was notified of does not bind it.
+// A new process starts from its own endpoint list; notifications to the previous process do not bind it.
 void Auditor::on_node_started(double, int node) {
     endpoint_states_[index(node)].assign(history_.terms.server_names.size(), {});
 }
@@ -257,8 +257,8 @@
     watcher_delays_.emplace_back(now - delay, now);
 }
 
-// An observation made after a delay is dated late: a limit exceeded shortly after one cannot be told from a
-// limit that was kept.
+// An observation made after a delay is dated late, so a limit that seems exceeded shortly after a delay may
+// have been kept.
 bool Auditor::is_reliable(double from, double until) const {
     const double slack = history_.terms.slack;
     // NOLINTNEXTLINE(modernize-loop-convert): backwards, and Clang 14 has no std::views
@@ -289,7 +289,7 @@
                                    depends_on_clock});
 }
 
-void Auditor::weigh_pending_violations(Verdict& verdict) {
+void Auditor::classify_pending_violations(Verdict& verdict) {
     for (PendingViolation& pending : pending_violations_) {
         Violation& violation = pending.violation;
         const bool is_set_aside =
@@ -300,7 +300,8 @@
         violation.trace = trace_request(history_, violation.request);
         destination.push_back(std::move(violation));
     }
-    // Unrecorded ones were not weighed; they count only if others of their rule stood.
+    // Unrecorded violations were not checked against the delays; they count only if one of their rule was
+    // kept.
     for (std::size_t rule = 0; rule < verdict.violations_by_rule.size(); ++rule) {
         if (verdict.violations_by_rule[rule] > 0)
             verdict.violations_by_rule[rule] += unrecorded_violations_[rule];
@@ -314,18 +315,18 @@
         if (history_.requests[request].is_registered) on_client_timeout(now, static_cast<int>(request));
     }
     Verdict verdict = verdict_;
-    weigh_pending_violations(verdict);
+    classify_pending_violations(verdict);
     verdict.max_watcher_delay = max_watcher_delay_;
     const double run_time = now - history_.run_started_at;
     verdict.watcher_delay_ratio = run_time > 0 ? total_watcher_delay_ / run_time : 0;
     if (verdict.violations.empty() && !verdict.set_aside.empty()) {
         verdict.is_void = true;
-        verdict.void_reason = "the watcher was late just when " + std::to_string(verdict.set_aside.size()) +
-                              " limits seemed to be passed";
+        verdict.void_reason = "the watcher was delayed when " + std::to_string(verdict.set_aside.size()) +
+                              " limits seemed to be exceeded";
     } else if (verdict.watcher_delay_ratio > kMaxWatcherDelayRatio) {
         verdict.is_void = true;
-        verdict.void_reason = "the watcher was late for " +
-                              std::to_string(std::lround(100 * verdict.watcher_delay_ratio)) + "% of the day";
+        verdict.void_reason = "the watcher was delayed for " +
+                              std::to_string(std::lround(100 * verdict.watcher_delay_ratio)) + "% of the run";
     }
     add_service_totals(history_, verdict);
     return verdict;
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -9,12 +9,14 @@
 namespace brookrelay::audit {
 namespace {
 
-constexpr double kMinNotifiedWork = 2.0 / 3.0;  // of an overload, from nodes that knew of the start: rule 4
-constexpr double kMinColdMissWork = 1.0 / 3.0;  // of what overloaded the origin: rule 4
-constexpr double kClientGoneGrace = 0.1;        // s after its client left in which an attempt may begin
-constexpr double kToldDeadlineSlack = 0.15;     // s that a server may be told more than is left
-constexpr double kLimitBurst = 1.25;  // a fleet limit, and the quarter of a second's tokens saved up: rule 5
-constexpr double kLimitWindow = 1.0;  // seconds
+// Rule 4: the least ratio of an overload that comes from nodes that knew of the server's start.
+constexpr double kMinNotifiedWork = 2.0 / 3.0;
+// Rule 4: the least ratio of the origin's overload that comes from misses at cold servers.
+constexpr double kMinColdMissWork = 1.0 / 3.0;
+constexpr double kClientGoneGrace = 0.1;     // rule 1: s that an attempt may start after its client closed
+constexpr double kToldDeadlineSlack = 0.15;  // rule 1: s by which the told timeout may exceed the time left
+constexpr double kLimitBurst = 1.25;         // rule 5: the limit, with the saved tokens of a quarter second
+constexpr double kLimitWindow = 1.0;         // rule 5: seconds
 
 // The work of a server's recent attempts, by what caused them.
 struct RecentWork {
@@ -68,8 +70,7 @@
     const bool is_made_by_server = is_known && source.request == request &&
                                    (source.outcome == Outcome::done || source.is_dropped_duplicate);
     if (!is_made_by_server) {
-        report(1, request, now, now, "succeeded with an answer that no server made for this invocation",
-               false);
+        report(1, request, now, now, "succeeded with an answer that no server made for this request", false);
         return;
     }
     const Operation& operation = history_.terms.operations[index(record.info.operation)];
@@ -91,8 +92,8 @@
     check_endpoint_state(attempt);
 }
 
-// Hostile clients only seem to leave: they are taken for gone from the start, so that nothing is owed to
-// them.
+// Checks that nothing is sent for a client that has closed. Uncounted hostile clients are recorded as closed
+// from the start, because no response is owed to them, and are not checked.
 void Auditor::check_client_presence(int attempt) {
     const AttemptRecord& record = history_.attempts[index(attempt)];
     const RequestRecord& request = history_.requests[index(record.request)];
@@ -100,7 +101,8 @@
     const double late = record.last_byte - request.ended_at;
     if (late <= kClientGoneGrace + history_.terms.slack || is_lost_with_node(request)) return;
     report(1, record.request, record.last_byte, request.ended_at,
-           attempt_text(attempt) + " began " + duration_text(late) + " after its client had left");
+           attempt_text(attempt) + " began " + duration_text(late) +
+               " after its client had closed the connection");
 }
 
 void Auditor::on_told_deadline(int attempt, double seconds) {
@@ -110,8 +112,8 @@
     const double left = request.received_at + request.info.timeout - record.first_byte;
     if (seconds <= left + kToldDeadlineSlack + history_.terms.slack) return;
     report(1, record.request, record.first_byte, request.received_at,
-           attempt_text(attempt) + " told its server " + duration_text(seconds) + ", and its client had " +
-               duration_text(left) + " left");
+           attempt_text(attempt) + " told its server of a timeout of " + duration_text(seconds) +
+               ", but its client had " + duration_text(left) + " left");
 }
 
 // ---- rule 2: no effect twice -----------------------------------------------------------------------------
@@ -140,11 +142,11 @@
 }
 
 std::string Auditor::attempt_text(int attempt) const {
-    return "forward " + std::to_string(attempt) + " to " +
+    return "attempt " + std::to_string(attempt) + " to " +
            server_name(history_.terms, history_.attempts[index(attempt)].server);
 }
 
-// A rejection invites the client to repeat the request.
+// Checks a rejection, which invites the client to retry the request.
 void Auditor::check_rejection(double now, int request) {
     const RequestRecord& record = history_.requests[index(request)];
     const Operation& operation = history_.terms.operations[index(record.info.operation)];
@@ -153,7 +155,7 @@
                                       [&](int earlier) { return may_have_run(earlier, now); });
     if (attempt == record.attempts.end()) return;
     report(2, request, now, history_.attempts[index(*attempt)].last_byte,
-           "non-idempotent and throttled, which invites a repeat, though " + attempt_text(*attempt) +
+           "non-idempotent and throttled, which invites a retry, although " + attempt_text(*attempt) +
                " may have run",
            false);
 }
@@ -174,16 +176,18 @@
     const AttemptRecord& earlier = history_.attempts[index(earlier_attempt)];
     const RequestRecord& request = history_.requests[index(retry.request)];
     const Operation& operation = history_.terms.operations[index(request.info.operation)];
-    const auto though_it_ran = [&] { return " though " + attempt_text(earlier_attempt) + " may have run"; };
+    const auto although_it_ran = [&] {
+        return " although " + attempt_text(earlier_attempt) + " may have run";
+    };
     if (operation.idempotency == Idempotency::none) {
         report(2, retry.request, retry.first_byte, earlier.last_byte,
-               "non-idempotent: " + attempt_text(attempt) + " was sent" + though_it_ran(), false);
+               "non-idempotent: " + attempt_text(attempt) + " was sent" + although_it_ran(), false);
         return false;
     }
     if (!shares_deduplication(operation.deduplication_scope, earlier.server, retry.server)) {
         report(2, retry.request, retry.first_byte, earlier.last_byte,
-               "deduplicated: " + attempt_text(attempt) + " is outside the group that drops its repeats," +
-                   though_it_ran(),
+               "deduplicated: " + attempt_text(attempt) + " is outside the group that drops its duplicates," +
+                   although_it_ran(),
                false);
         return false;
     }
@@ -191,15 +195,15 @@
         report(2, retry.request, retry.first_byte, earlier.last_byte,
                "deduplicated: " + attempt_text(attempt) + " came " +
                    duration_text(retry.last_byte - earlier.last_byte) +
-                   " later, when its mark is forgotten (" + duration_text(operation.deduplication_window) +
-                   ")," + though_it_ran());
+                   " later, when its idempotency key is forgotten (" +
+                   duration_text(operation.deduplication_window) + ")," + although_it_ran());
         return false;
     }
     return true;
 }
 
-// Two effects of one piece of work. If a client retried because of a wrong response, the checks above name
-// the node's fault too, but only this one sees the harm.
+// Checks that a request, with its retries, has one effect. If a client retried because of a wrong response,
+// the checks above report that response too, but only this one detects the second effect.
 void Auditor::check_effects(int user, int attempt) {
     UserRecord& record = history_.users[index(user)];
     const Operation& operation = history_.terms.operations[index(record.operation)];
@@ -214,9 +218,9 @@
     const double restarted_at = history_.servers[index(second.server)].started_at;
     if (operation.idempotency == Idempotency::idempotency_key && restarted_at > first.last_byte) return;
     report(2, second.request, second.effect_at, second.effect_at,
-           "its effect happened twice: forward " + std::to_string(record.first_effect) + " (invocation " +
+           "its effect happened twice: attempt " + std::to_string(record.first_effect) + " (request " +
                std::to_string(first.request) + ") at " + time_text(history_, first.effect_at) +
-               " and forward " + std::to_string(attempt) + " at " + time_text(history_, second.effect_at),
+               " and attempt " + std::to_string(attempt) + " at " + time_text(history_, second.effect_at),
            false);
 }
 
@@ -226,13 +230,13 @@
     const Terms& terms = history_.terms;
     const AttemptRecord& record = history_.attempts[index(attempt)];
     const int node = history_.requests[index(record.request)].info.node;
-    const KnownState& known = endpoint_states_[index(node)][index(record.server)];
-    if (known.state == EndpointState::ready) return;
-    if (record.first_byte <= known.since + terms.drain_grace + terms.slack) return;
-    report(3, record.request, record.first_byte, known.since,
-           attempt_text(attempt) + " began " + duration_text(record.first_byte - known.since) +
-               " after node " + std::to_string(node) + " was told that it " +
-               (known.state == EndpointState::removed ? "is gone" : "drains") + " (grace " +
+    const AnnouncedState& announced = endpoint_states_[index(node)][index(record.server)];
+    if (announced.state == EndpointState::ready) return;
+    if (record.first_byte <= announced.since + terms.drain_grace + terms.slack) return;
+    report(3, record.request, record.first_byte, announced.since,
+           attempt_text(attempt) + " began " + duration_text(record.first_byte - announced.since) +
+               " after node " + std::to_string(node) + " was notified that it " +
+               (announced.state == EndpointState::removed ? "is removed" : "drains") + " (grace " +
                duration_text(terms.drain_grace) + ")");
 }
 
@@ -244,12 +248,12 @@
     const RecentWork work =
         recent_work(history_, record, now - std::max(terms.overload_window, kMinOverloadWindow));
     if (work.total == 0) return;
-    const std::string amount = std::to_string(record.recent_attempts.size()) + " forwards in " +
+    const std::string amount = std::to_string(record.recent_attempts.size()) + " attempts in " +
                                duration_text(terms.overload_window) + ", ";
     if (server == terms.origin) {
         if (work.cold_misses < kMinColdMissWork * work.total) return;
         report(4, work.last_request, now, now,
-               "the origin was stopped by " + amount + work.percent(work.cold_misses) +
+               "the origin was overloaded by " + amount + work.percent(work.cold_misses) +
                    " of them for misses at cold servers (" + work.node_shares() + ")");
         return;
     }
@@ -262,9 +266,8 @@
 
 // ---- rule 5: strict limits of the whole fleet ------------------------------------------------------------
 
-// Counts what all nodes together sent within the last second. The bound is the limit, the tokens that may
-// have been saved up, and one attempt of each node. Towards a cold server it binds only the nodes that knew
-// of its start.
+// Counts the attempts of all nodes within the last second. The bound is the limit, the tokens that may have
+// been saved, and one attempt of each node. For a cold server, only the nodes that knew of its start count.
 void Auditor::check_fleet_limit(double now, int server) {
     const Terms& terms = history_.terms;
     ServerRecord& record = history_.servers[index(server)];
@@ -287,7 +290,7 @@
     record.over_limit_at = now;
     char text[160];
     std::snprintf(text, sizeof text,
-                  "%s got %.0f forwards within a second, of %.4g a second that all nodes together may send",
+                  "%s got %.0f attempts within a second; all nodes together may send %.4g per second",
                   server_name(terms, server).c_str(), sent, limit);
     report(5, first_request, now, from, text);
 }
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -5,7 +5,8 @@
 using rapidjson::Value;
 
 const Value* find(const Value& object, const char* name) {
-    if (!object.IsObject()) throw ConfigurationError(std::string("no object to hold '") + name + "'");
+    if (!object.IsObject())
+        throw ConfigurationError(std::string("expected an object with field '") + name + "'");
     const auto member = object.FindMember(name);
     return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
@@ -18,7 +19,7 @@
 
 const Value& need_list(const Value& object, const char* name) {
     const Value& list = need(object, name);
-    if (!list.IsArray()) throw ConfigurationError(std::string("field '") + name + "' is not a list");
+    if (!list.IsArray()) throw ConfigurationError(std::string("field '") + name + "' is not an array");
     return list;
 }
 
@@ -27,18 +28,18 @@
     return value.GetDouble();
 }
 
-double number(const Value& object, const char* name, double otherwise) {
+double number(const Value& object, const char* name, double default_value) {
     const Value* value = find(object, name);
-    return value == nullptr ? otherwise : number(*value, name);
+    return value == nullptr ? default_value : number(*value, name);
 }
 
-double seconds(const Value& object, const char* name, double otherwise) {
-    return number(object, name, otherwise * 1e6) / 1e6;
+double seconds(const Value& object, const char* name, double default_value) {
+    return number(object, name, default_value * 1e6) / 1e6;
 }
 
 double duration(const Value& object, const char* name) {
     const double value = seconds(object, name);
-    if (value < 0) throw ConfigurationError(std::string("field '") + name + "' is under 0");
+    if (value < 0) throw ConfigurationError(std::string("field '") + name + "' is negative");
     return value;
 }
 
@@ -47,23 +48,23 @@
     return value.GetInt64();
 }
 
-int small(const Value& object, const char* name, int otherwise) {
+int small(const Value& object, const char* name, int default_value) {
     const Value* value = find(object, name);
-    if (value == nullptr) return otherwise;
+    if (value == nullptr) return default_value;
     if (!value->IsInt())
-        throw ConfigurationError(std::string("field '") + name + "' is not a small whole number");
+        throw ConfigurationError(std::string("field '") + name + "' is not a 32-bit whole number");
     return value->GetInt();
 }
 
-bool flag(const Value& object, const char* name, bool otherwise) {
+bool flag(const Value& object, const char* name, bool default_value) {
     const Value* value = find(object, name);
-    if (value == nullptr) return otherwise;
+    if (value == nullptr) return default_value;
     if (!value->IsBool()) throw ConfigurationError(std::string("field '") + name + "' is not true or false");
     return value->GetBool();
 }
 
 std::string_view text(const Value& value, const char* name) {
-    if (!value.IsString()) throw ConfigurationError(std::string("field '") + name + "' is not a text");
+    if (!value.IsString()) throw ConfigurationError(std::string("field '") + name + "' is not a string");
     return {value.GetString(), value.GetStringLength()};
 }
 
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -1,7 +1,7 @@
-// Checked reading of the operators' TOML files. It owns the parsed document and the list of what is wrong
-// with it: each complaint has the file, the line, the key's path, and what was expected there, and a key that
-// nobody asked for is one too. It never stops at the first and never fills in a default for what was given
-// but is wrong: whoever reads must look at complaints() before using anything.
+// Validating reader for the operators' TOML files. It owns the parsed document and collects all errors in it:
+// each has the file, the line, the path of the key and what was expected. A key that is never read is an
+// error too. An invalid value yields the default so that reading can go on, so callers must call
+// throw_if_invalid() or check errors() before they use any value.
 #pragma once
 
 #include <toml++/toml.h>
@@ -17,43 +17,55 @@
 
 namespace brookrelay {
 
-// Every complaint about one file, a line each.
+// All errors of one file, one per line.
 struct ConfigurationFileError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// One complaint's form, shared by every reader: FILE:LINE: PATH: WHAT
-std::string complaint_text(const std::string& file, std::size_t line, const std::string& path,
-                           const std::string& what);
+// Formats one error of a file: FILE:LINE: PATH: WHAT
+std::string format_error(const std::string& file, std::size_t line, const std::string& path,
+                         const std::string& what);
 
-// The known word nearest to `word`, or empty if none is near enough to be meant.
-std::string nearest(std::string_view word, const std::vector<std::string>& known);
+// The known word with the smallest edit distance to `word`; empty if none is close enough for a suggestion.
+std::string closest_match(std::string_view word, const std::vector<std::string>& known);
 
-// "250ms", "3s", "1.5m", "2h", "40us" as seconds; false: it is no duration with its unit.
+// Parses a number with a unit, such as "250ms", "3s", "1.5m", "2h" or "40us", into seconds. Returns false if
+// `text` is anything else.
 bool parse_duration(std::string_view text, double& seconds);
+// Formats a duration with the unit that suits its length, as parse_duration() reads it.
 std::string duration_text(double seconds);
 
+// A parsed file with the errors found in it so far.
 class TomlFile {
   public:
-    // One table of the file; asking for a key makes it known.
+    // One table of the file. Reading a key marks it as known; unknown keys are reported as errors. A missing
+    // table reads as an empty one. The readers return `default_value` for a missing or invalid value.
     class Table {
       public:
-        double number(const std::string& key, double otherwise, double least, double most);
-        std::int64_t whole(const std::string& key, std::int64_t otherwise, std::int64_t least,
-                           std::int64_t most);
-        double duration(const std::string& key, double otherwise, double least, double most);
-        bool flag(const std::string& key, bool otherwise);
-        std::string text(const std::string& key, const std::string& otherwise);
-        std::string needed_text(const std::string& key);
-        // One of `words`; its index.
-        std::size_t word(const std::string& key, std::size_t otherwise,
+        // Reads a number from `min` to `max`.
+        double number(const std::string& key, double default_value, double min, double max);
+        std::int64_t whole(const std::string& key, std::int64_t default_value, std::int64_t min,
+                           std::int64_t max);
+        // Reads a string with a unit; the result and the bounds are in seconds.
+        double duration(const std::string& key, double default_value, double min, double max);
+        bool flag(const std::string& key, bool default_value);
+        std::string text(const std::string& key, const std::string& default_value);
+        // Reports a missing or empty string as an error.
+        std::string required_text(const std::string& key);
+        // The index of the value in `words`.
+        std::size_t word(const std::string& key, std::size_t default_value,
                          const std::vector<std::string>& words);
+        // An array of strings; empty if it is missing.
         std::vector<std::string> texts(const std::string& key);
-        std::vector<std::pair<double, double>> curve(const std::string& key);  // [["0s", 1.0], ["30s", 2.0]]
+        // Points of time in seconds and value, in ascending order of time: [["0s", 1.0], ["30s", 2.0]].
+        std::vector<std::pair<double, double>> curve(const std::string& key);
+        // Calls `read` for the table [key], also if it is missing.
         void table(const std::string& key, const std::function<void(Table&)>& read);
-        void each(const std::string& key, const std::function<void(Table&)>& read);  // [[key]]
+        // Calls `read` for each entry of the array of tables [[key]].
+        void each(const std::string& key, const std::function<void(Table&)>& read);
         bool has(const std::string& key) const { return table_ != nullptr && table_->contains(key); }
-        void complain(const std::string& key, const std::string& what);
+        // Adds an error with the line of the key, or of the table if the key is missing.
+        void add_error(const std::string& key, const std::string& what);
         std::size_t line_of(const std::string& key) const;
         const std::string& path() const { return path_; }
 
@@ -62,10 +74,10 @@
         Table(TomlFile& file, const toml::table* table, std::string path)
             : file_(file), table_(table), path_(std::move(path)) {}
         const toml::node* find(const std::string& key);
-        std::string at(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
-        void complain_unknown_keys();
-        bool check_range(const std::string& key, double value, double least, double most,
-                         const std::function<std::string(double)>& say);
+        std::string path_of(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
+        void report_unknown_keys();
+        bool check_range(const std::string& key, double value, double min, double max,
+                         const std::function<std::string(double)>& to_text);
 
         TomlFile& file_;
         const toml::table* table_;
@@ -73,13 +85,16 @@
         std::set<std::string> known_keys_;
     };
 
-    // Reads the file; a syntax error is thrown as BadFile at once. `overrides` are "path.to.key=value" in
-    // TOML's own spelling, put over what the file says; `a.2.b` names the third of [[a]].
+    // Parses the file and throws ConfigurationFileError if it is missing or has a syntax error. Each of
+    // `overrides` is "path.to.key=value" with a TOML value, and replaces the value in the file; `a.2.b` is
+    // key `b` in the third entry of [[a]].
     explicit TomlFile(const std::string& path, const std::vector<std::string>& overrides = {});
+    // Calls `read_root` for the root table, then reports the keys that it has not read.
     void read(const std::function<void(Table&)>& read_root);
-    const std::vector<std::string>& complaints() const { return complaints_; }
-    void throw_if_wrong() const;
-    // By its `format`: which of the project's kinds of file it says it is.
+    const std::vector<std::string>& errors() const { return errors_; }
+    // Throws ConfigurationFileError with all errors, if there are any.
+    void throw_if_invalid() const;
+    // Whether the key `format` declares a scenario; other TOML files are operator configurations.
     bool is_scenario() const {
         return root_["format"].value<std::string>().value_or("").starts_with("scenario");
     }
@@ -88,7 +103,7 @@
     void apply_override(const std::string& assignment);
     std::string path_;
     toml::table root_;
-    std::vector<std::string> complaints_;
+    std::vector<std::string> errors_;
 };
 
 }  // namespace brookrelay
--- a/src/config/warm_start.cpp
+++ b/src/config/warm_start.cpp
@@ -51,13 +51,13 @@
     json.EndArray();
     json.Key("caches");
     json.StartArray();
-    for (const WarmStartSnapshot::ServerSnapshot& c : snapshot.servers) {
+    for (const WarmStartSnapshot::ServerSnapshot& server : snapshot.servers) {
         json.StartObject();
-        put_name(json, name_of(c.server));
-        put(json, "limit", c.concurrency_limit);
-        put(json, "rest", c.backoff_remaining);
+        put_name(json, name_of(server.server));
+        put(json, "limit", server.concurrency_limit);
+        put(json, "rest", server.backoff_remaining);
         json.Key("suspect");
-        json.Bool(c.ejected);
+        json.Bool(server.ejected);
         json.EndObject();
     }
     json.EndArray();
@@ -101,7 +101,7 @@
     json.String(written_at.boot_id.data(), static_cast<rapidjson::SizeType>(written_at.boot_id.size()));
     put(json, kWrittenAtKey, written_at.seconds);
     json.EndObject();
-    // Both are objects: the first one's members go to the front of the second one's.
+    // Inserts the members of the new object before those of the snapshot, which is an object too.
     const std::string members(buffer.GetString() + 1, buffer.GetSize() - 2);
     return snapshot_text.insert(1, members + ",");
 }
--- a/src/model/zone_failover_model.h
+++ b/src/model/zone_failover_model.h
@@ -1,4 +1,4 @@
-// A world small enough to be explored: three nodes and the zone that they may leave. For explorer.h.
+// A model for model_checker.h: three nodes and a zone from which they may fail over.
 #pragma once
 
 #include <algorithm>
@@ -10,115 +10,121 @@
 
 namespace brookrelay::model {
 
-// Three nodes of one zone that ask another, in steps of half a second. At each step one of these happens;
-// then each node asks as it may, says what it has to say, and what is not lost is heard.
+// Three nodes of zone 0 that use zone 1, in steps of half a second. In each step one action happens; then
+// each node sends attempts as its zone weight allows and gossips its reports, and reports that are not lost
+// arrive.
 class SmallZones {
   public:
-    enum Act {
-        nothing,
-        zone_turns,
-        words_lost,
-        one_deaf,
-        one_mute,
-        words_late,
-        one_restarts,
-        one_frozen,
-        acts
+    enum Action {
+        no_fault,
+        zone_toggles,
+        reports_lost,
+        cannot_receive,
+        cannot_send,
+        old_report,
+        node_restarts,
+        node_paused,
+        action_count
     };
-    static constexpr double kLong = 0.5;
-    static constexpr int kRest = 80;
-    static const std::vector<std::string>& names() {
-        static const std::vector<std::string> all{
-            "nothing",          "the zone goes or comes back", "all words lost",  "one hears nobody",
-            "nobody hears one", "an old word comes again",     "one starts anew", "one stands still"};
+    static constexpr double kStepSeconds = 0.5;
+    static constexpr int kMaxRecoverySteps = 80;
+    static const std::vector<std::string>& action_names() {
+        static const std::vector<std::string> all{"nothing",
+                                                  "the zone fails or recovers",
+                                                  "all reports lost",
+                                                  "node 0 receives nothing",
+                                                  "nothing from node 0 arrives",
+                                                  "an old report arrives again",
+                                                  "node 0 restarts",
+                                                  "node 0 is paused"};
         return all;
     }
-    SmallZones(bool liar, bool lost) : liar_(liar) {
+    SmallZones(bool has_faulty_node, bool lost) : has_faulty_(has_faulty_node) {
         for (int n = 0; n < 3; ++n) nodes_.push_back(gossip::ZoneFailover({n, 0, 2, 4, {}}, 0));
-        if (lost) step(zone_turns);
-        for (int n = 0; lost && n < 4; ++n) step(nothing);
+        if (lost) step(zone_toggles);
+        for (int n = 0; lost && n < 4; ++n) step(no_fault);
     }
-    // Empty, or what was broken.
+    // Returns the violated invariant, or an empty string.
     // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
-    std::string step(int act) {
-        now_ += kLong;
-        if (act == zone_turns) {
-            up_ = !up_;
-            turned_ = now_;
+    std::string step(int action) {
+        now_ += kStepSeconds;
+        if (action == zone_toggles) {
+            is_up_ = !is_up_;
+            toggled_at_ = now_;
         }
-        if (act == one_restarts) {
+        if (action == node_restarts) {
             nodes_[0] = gossip::ZoneFailover({0, 0, 2, 4, {}}, now_);
-            orders_[0] = {1, 1, 0};
+            changes_[0] = {1, 1, 0};
         }
-        if (act == words_lost || act == one_deaf || act == one_mute || act == one_restarts ||
-            act == one_frozen || act == words_late)
-            disturbed_ = now_;
-        const std::vector<gossip::ZoneReport> late =
-            act == words_late ? nodes_[1].reports(now_ - kLong) : std::vector<gossip::ZoneReport>{};
+        if (action == reports_lost || action == cannot_receive || action == cannot_send ||
+            action == node_restarts || action == node_paused || action == old_report)
+            last_fault_at_ = now_;
+        const std::vector<gossip::ZoneReport> old_reports =
+            action == old_report ? nodes_[1].reports(now_ - kStepSeconds) : std::vector<gossip::ZoneReport>{};
         for (int n = 0; n < 3; ++n) {
-            if (act == one_frozen && n == 0) continue;
-            gossip::ZoneFailover& z = nodes_[at(n)];
-            const gossip::ZoneFailover::Change& o = orders_[at(n)];
-            z.on_attempt_finished(now_, 0, 1, gossip::ZoneAttempt::healthy);
-            const bool asks = o.weight > 0 || o.probe_interval < 10;
-            const bool lies = liar_ && n == 2;
-            for (int k = 0; asks && k < 3; ++k)
-                z.on_attempt_finished(
+            if (action == node_paused && n == 0) continue;
+            gossip::ZoneFailover& node = nodes_[at(n)];
+            const gossip::ZoneFailover::Change& change = changes_[at(n)];
+            node.on_attempt_finished(now_, 0, 1, gossip::ZoneAttempt::healthy);
+            const bool sends_attempts = change.weight > 0 || change.probe_interval < 10;
+            const bool is_faulty = has_faulty_ && n == 2;
+            for (int k = 0; sends_attempts && k < 3; ++k)
+                node.on_attempt_finished(
                     now_, 1, static_cast<gossip::ServerKey>(10 + k),
-                    up_ && !lies ? gossip::ZoneAttempt::healthy : gossip::ZoneAttempt::silent);
+                    is_up_ && !is_faulty ? gossip::ZoneAttempt::healthy : gossip::ZoneAttempt::silent);
         }
-        if (act == one_frozen) nodes_[0].on_process_pause(now_);
+        if (action == node_paused) nodes_[0].on_process_pause(now_);
         for (int from = 0; from < 3; ++from) {
             const std::vector<gossip::ZoneReport> all = nodes_[at(from)].reports(now_);
-            const gossip::Stamp stamp{1, ++number_};
+            const gossip::Stamp stamp{1, ++sequence_};
             for (int to = 0; to < 3; ++to) {
-                const bool lost = act == words_lost || (act == one_deaf && to == 0) ||
-                                  (act == one_mute && from == 0) ||
-                                  (act == one_frozen && (from == 0 || to == 0));
+                const bool lost = action == reports_lost || (action == cannot_receive && to == 0) ||
+                                  (action == cannot_send && from == 0) ||
+                                  (action == node_paused && (from == 0 || to == 0));
                 if (to != from && !lost) nodes_[at(to)].on_reports(now_, from, stamp, all, 0);
             }
         }
-        // An old word of one node comes again, behind its newer one.
-        if (act == words_late) nodes_[0].on_reports(now_, 1, {1, number_ - 5}, late, kLong);
+        // An old report of one node arrives again after its newer one.
+        if (action == old_report)
+            nodes_[0].on_reports(now_, 1, {1, sequence_ - 5}, old_reports, kStepSeconds);
         for (int n = 0; n < 3; ++n) {
-            const double before = orders_[at(n)].weight;
-            for (const gossip::ZoneFailover::Change& o :
+            const double before = changes_[at(n)].weight;
+            for (const gossip::ZoneFailover::Change& change :
                  nodes_[at(n)].tick(now_, {0, 1, 2}, static_cast<std::int64_t>(now_ / 2))) {
-                if (o.zone == 1) orders_[at(n)] = o;
+                if (change.zone == 1) changes_[at(n)] = change;
             }
-            const bool leaves = before > 0 && orders_[at(n)].weight <= 0;
-            // By whom it leaves: never while the zone has been up for longer than any word is kept.
-            if (leaves && up_ && now_ - turned_ > 3 + 2 * kLong && !(liar_ && n == 2))
-                return "left a zone that answers, by node " + std::to_string(n);
-            if (orders_[at(n)].weight > 1) return "more than all";
+            const bool fails_over = before > 0 && changes_[at(n)].weight <= 0;
+            // No node may fail over from a zone that has been up for longer than any report is kept.
+            if (fails_over && is_up_ && now_ - toggled_at_ > 3 + 2 * kStepSeconds && !(has_faulty_ && n == 2))
+                return "failed over from a zone that responds, at node " + std::to_string(n);
+            if (changes_[at(n)].weight > 1) return "a zone weight above 1";
         }
-        // On the way back nobody is more than two steps from the others, two seconds after the last
-        // disturbance.
+        // From 4 s after the last change on, returning nodes are within two ramp steps (a factor of 4).
         double least = 1, most = 0;
-        for (int n = 0; n < (liar_ ? 2 : 3); ++n)
-            least = std::min(least, orders_[at(n)].weight), most = std::max(most, orders_[at(n)].weight);
-        if (up_ && now_ - disturbed_ > 4 && now_ - turned_ > 4 && least > 0 && most / least > 4)
-            return "one ramps by itself";
+        for (int n = 0; n < (has_faulty_ ? 2 : 3); ++n)
+            least = std::min(least, changes_[at(n)].weight), most = std::max(most, changes_[at(n)].weight);
+        if (is_up_ && now_ - last_fault_at_ > 4 && now_ - toggled_at_ > 4 && least > 0 && most / least > 4)
+            return "one node ramps up alone";
         return {};
     }
-    bool at_rest() const {
-        for (int n = 0; n < (liar_ ? 2 : 3); ++n) {
-            if (up_ ? orders_[at(n)].weight < 1 : orders_[at(n)].weight > 0) return false;
+    bool has_recovered() const {
+        for (int n = 0; n < (has_faulty_ ? 2 : 3); ++n) {
+            if (is_up_ ? changes_[at(n)].weight < 1 : changes_[at(n)].weight > 0) return false;
         }
         return true;
     }
-    bool up() const { return up_; }
+    bool zone_is_up() const { return is_up_; }
 
   private:
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
-    bool liar_;
-    bool up_ = true;
-    double now_ = 0, turned_ = -100, disturbed_ = -100;
-    std::uint32_t number_ = 0;
+    bool has_faulty_;
+    bool is_up_ = true;
+    double now_ = 0, toggled_at_ = -100, last_fault_at_ = -100;
+    std::uint32_t sequence_ = 0;
     std::vector<gossip::ZoneFailover> nodes_;
-    std::array<gossip::ZoneFailover::Change, 3> orders_{gossip::ZoneFailover::Change{1, 1, 0},
-                                                        gossip::ZoneFailover::Change{1, 1, 0},
-                                                        gossip::ZoneFailover::Change{1, 1, 0}};
+    std::array<gossip::ZoneFailover::Change, 3> changes_{gossip::ZoneFailover::Change{1, 1, 0},
+                                                         gossip::ZoneFailover::Change{1, 1, 0},
+                                                         gossip::ZoneFailover::Change{1, 1, 0}};
 };
 
 }  // namespace brookrelay::model
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -1,4 +1,5 @@
-// The program as a user starts it: its exit codes, what it says of wrong use, and an interrupted rehearsal.
+// The program as a user starts it: exit codes, messages for wrong use, an interrupted rehearsal and JSON
+// logs.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,18 +18,18 @@
 
 namespace {
 
-struct Ran {
+struct ProgramResult {
     int code = -1;
-    std::string said;
+    std::string output;
 };
 
-Ran run(const std::string& arguments) {
-    Ran r;
+ProgramResult run(const std::string& arguments) {
+    ProgramResult result;
     FILE* pipe = popen(("unset GW_CONFIG; " BROOKRELAY_PROGRAM " " + arguments + " 2>&1").c_str(), "r");
-    char room[4096];
-    while (std::fgets(room, sizeof room, pipe) != nullptr) r.said += room;
-    r.code = WEXITSTATUS(pclose(pipe));
-    return r;
+    char buffer[4096];
+    while (std::fgets(buffer, sizeof buffer, pipe) != nullptr) result.output += buffer;
+    result.code = WEXITSTATUS(pclose(pipe));
+    return result;
 }
 
 std::string content(const std::string& path) {
@@ -42,14 +43,14 @@
     return path;
 }
 
-TEST(CommandLine, SaysWhatIsWrongByItsExitCode) {
+TEST(CommandLine, ReportsWrongUseByExitCodeAndMessage) {
     const std::string root = BROOKRELAY_ROOT;
     const std::string bad = folder("files") + "/bad.toml";
     std::ofstream(bad) << "[lgo]\n";
     const struct {
         std::string arguments;
         int code;
-        const char* said;
+        const char* output;
     } cases[] = {
         {"--version", 0, "brookrelay "},
         {"--help", 0, "rehearse"},
@@ -65,9 +66,9 @@
         {"check", 2, "FILE is required"},
         {"check " + bad, 2, "did you mean 'log'?"},
         {"check " + root + "/README.md", 2, "expected a .json file"},
-        {"check " + root + "/deploy/example.json", 0, "a station's file"},
-        {"check " + root + "/deploy/operator.toml", 0, "the operators' own file"},
-        {"check " + root + "/deploy/fleet.toml", 0, "the operators' own file"},
+        {"check " + root + "/deploy/example.json", 0, ": node configuration:"},
+        {"check " + root + "/deploy/operator.toml", 0, ": operator configuration;"},
+        {"check " + root + "/deploy/fleet.toml", 0, ": operator configuration;"},
         {"check " + root + "/scenarios/fleet-faults.toml", 0, "40 nodes"},
         {"fleet status", 2, "--address is required"},
         {"fleet status --address here:1", 2, "numeric host"},
@@ -82,15 +83,15 @@
         {"fleet zones --address 127.0.0.1:1 --leave a", 1, "127.0.0.1:1: "},
         {"check " + root + "/scenarios/zone-lost.toml", 0, "12 nodes"},
         {"check " + root + "/scenarios/uneven-tenants.toml", 0, "12 nodes"},
-        {"check " + root + "/scenarios/festival.toml", 0, "a scenario"},
+        {"check " + root + "/scenarios/festival.toml", 0, "scenario: '"},
         {"rehearse nowhere", 2, "there is no scenario 'nowhere'"},
         {"rehearse festival --seeds x", 2, "expected seeds"},
         {"rehearse festival --set day.lenght=1", 2, "did you mean 'length'?"},
     };
     for (const auto& c : cases) {
-        const Ran r = run(c.arguments);
-        EXPECT_EQ(r.code, c.code) << c.arguments << "\n" << r.said;
-        EXPECT_NE(r.said.find(c.said), std::string::npos) << c.arguments << "\n" << r.said;
+        const ProgramResult result = run(c.arguments);
+        EXPECT_EQ(result.code, c.code) << c.arguments << "\n" << result.output;
+        EXPECT_NE(result.output.find(c.output), std::string::npos) << c.arguments << "\n" << result.output;
     }
 }
 
@@ -102,7 +103,7 @@
               nullptr);
         _exit(127);
     }
-    // Each node serves: the daemons stand, and the day is about to begin.
+    // Wait until node n1 accepts clients: the daemons are running, and the run is about to start.
     for (int i = 0; i < 1000 && content(out + "/n1.log").find("serves on") == std::string::npos; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
@@ -125,9 +126,9 @@
     int port = 0;
     close(brookrelay::testkit::bound_socket(port));
     const std::string listen = brookrelay::testkit::own_loopback() + ":" + std::to_string(port);
-    std::string station = content(BROOKRELAY_ROOT "/deploy/example.json");
-    station.replace(station.find("127.0.0.1:11311"), 15, listen);
-    std::ofstream(out + "/station.json") << station;
+    std::string node_config = content(BROOKRELAY_ROOT "/deploy/example.json");
+    node_config.replace(node_config.find("127.0.0.1:11311"), 15, listen);
+    std::ofstream(out + "/station.json") << node_config;
     const pid_t child = fork();
     if (child == 0) {
         std::freopen((out + "/log").c_str(), "w", stderr);
--- a/tests/files_test.cpp
+++ b/tests/files_test.cpp
@@ -1,5 +1,5 @@
-// The operators' TOML files: what is wrong is said with file, line, key and what was expected, all of it at
-// once; what is right comes out as it was written.
+// The operators' TOML files: all errors are reported at once, each with file, line, key and what was
+// expected, and valid values are read as written.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -14,32 +14,32 @@
 
 using namespace brookrelay;
 
-std::string file_with(const std::string& text) {
+std::string write_file(const std::string& text) {
     const std::string path = testing::TempDir() + "file-" + std::to_string(getpid()) + ".toml";
     std::ofstream(path) << text;
     return path;
 }
 
-// What reading says, without the file's path.
+// The error of reading a file with this text, with the file's path as F; empty if it is valid.
 template <typename Read>
-std::string said(const std::string& text, Read read) {
-    const std::string path = file_with(text);
+std::string read_error(const std::string& text, Read read) {
+    const std::string path = write_file(text);
     try {
         read(path);
-    } catch (const ConfigurationFileError& bad) {
-        std::string all = bad.what();
-        for (std::size_t at = all.find(path); at != std::string::npos; at = all.find(path)) {
-            all.replace(at, path.size(), "F");
+    } catch (const ConfigurationFileError& exception) {
+        std::string errors = exception.what();
+        for (std::size_t at = errors.find(path); at != std::string::npos; at = errors.find(path)) {
+            errors.replace(at, path.size(), "F");
         }
-        return all;
+        return errors;
     }
     return "";
 }
 
-TEST(OperatorFile, SaysWhatIsWrong) {
+TEST(OperatorConfig, ReportsErrorsWithFileLineAndKey) {
     const struct {
         const char* text;
-        const char* complaint;
+        const char* error;
     } cases[] = {
         {"", ""},
         {"[log]\nformat = \"json\"\n", ""},
@@ -50,7 +50,7 @@
         {"\n[log]\nfromat = \"json\"\n", "F:3: log.fromat: unknown key; did you mean 'format'?"},
         {"[log]\nzzzzzzzz = 1\n", "F:2: log.zzzzzzzz: unknown key; expected one of: format, lines_a_second"},
         {"[lag]\n", "F:1: lag: unknown key; did you mean 'log'?"},
-        {"log = 1\n", "F:1: log: expected a table [log], found a integer"},
+        {"log = 1\n", "F:1: log: expected a table [log], found type integer"},
         {"[log]\nlines_a_second = 0\n", "F:2: log.lines_a_second: expected 1 to 100000, found 0"},
         {"[log]\nlines_a_second = 1.5\n", "F:2: log.lines_a_second: expected a whole number"},
         {"[registry]\naddresses = [\"127.0.0.1:2181\"]\npath = \"/fleet\"\nsession = \"4s\"\n", ""},
@@ -58,21 +58,21 @@
         {"[fleet]\ntalk = true\nzones = true\nregions = [\"a b\", \"c d\"]\n", ""},
         {"[fleet]\ntalk = true\n[fleet.limits]\ntenants = true\norigin = 200\n", ""},
         {"[fleet.limits]\ntenants = true\n",
-         "F:2: fleet.limits.tenants: is said without fleet.talk = true, and would do nothing"},
+         "F:2: fleet.limits.tenants: is set without fleet.talk = true, so it has no effect"},
         {"[fleet]\ntalk = true\n[fleet.limits]\ncold = 12.5\nconnections = 90\n", ""},
         {"[fleet.limits]\nconnections = 90\n",
-         "F:2: fleet.limits.connections: is said without fleet.talk = true, and would do nothing"},
+         "F:2: fleet.limits.connections: is set without fleet.talk = true, so it has no effect"},
         {"[fleet]\ntalk = true\n[fleet.limits]\ncold = 0\n", "F:4: fleet.limits.cold: expected 0.1 to"},
         {"[fleet]\ntalk = true\n[fleet.limits]\nconnections = 0.5\n",
          "F:4: fleet.limits.connections: expected a whole number"},
         {"[fleet]\ntalk = true\n[fleet.limits]\norigin = 0.2\n", "F:4: fleet.limits.origin: expected 1 to"},
-        {"[fleet]\nzones = true\n", "F:2: fleet.zones: is said without talk = true, and would do nothing"},
+        {"[fleet]\nzones = true\n", "F:2: fleet.zones: is set without talk = true, so it has no effect"},
         {"[fleet]\ntalk = true\nregions = [\"a\"]\n",
-         "F:3: fleet.regions: expected zones with blanks between, two at the least, found 'a'"},
+         "F:3: fleet.regions: expected at least two zone names separated by blanks, found 'a'"},
         {"[fleet]\ntalk = true\nregions = [\"a b\", \"c a\"]\n",
-         "F:3: fleet.regions: zone 'a' stands in two of them"},
+         "F:3: fleet.regions: zone 'a' is listed more than once"},
         {"[fleet]\nverdicts = true\n",
-         "F:2: fleet.verdicts: is said without talk = true, and would do nothing"},
+         "F:2: fleet.verdicts: is set without talk = true, so it has no effect"},
         {"[fleet]\ntalk = true\nbytes_a_second = 10\n", "F:3: fleet.bytes_a_second: expected 256 to"},
         {"[registry]\npath = \"/fleet\"\n", "F:1: registry.addresses: is missing; path needs it"},
         {"[registry]\naddresses = [\"here:2181\"]\npath = \"/fleet\"\n",
@@ -83,13 +83,13 @@
          "F:3: log.format: expected one of \"human\", \"json\", found ''\nF:2: log.lines"},
     };
     for (const auto& c : cases) {
-        const std::string all =
-            said(c.text, [](const std::string& path) { (void)read_operator_config(path); });
-        EXPECT_EQ(all.substr(0, std::string(c.complaint).size()), c.complaint) << c.text;
-        EXPECT_EQ(all.empty(), std::string(c.complaint).empty()) << all;
+        const std::string errors =
+            read_error(c.text, [](const std::string& path) { (void)read_operator_config(path); });
+        EXPECT_EQ(errors.substr(0, std::string(c.error).size()), c.error) << c.text;
+        EXPECT_EQ(errors.empty(), std::string(c.error).empty()) << errors;
     }
     EXPECT_THROW((void)read_operator_config("/no/such/file.toml"), ConfigurationFileError);
-    EXPECT_TRUE(read_operator_config(file_with("[log]\nformat = \"json\"\n")).json_log);
+    EXPECT_TRUE(read_operator_config(write_file("[log]\nformat = \"json\"\n")).json_log);
 }
 
 const char* const kScenario =
@@ -110,11 +110,11 @@
     "at = \"5s\"\n"              // 15
     "lasts = \"2s\"\n";          // 16
 
-TEST(Scenario, SaysWhatIsWrong) {
+TEST(Scenario, ReportsErrorsWithFileLineAndKey) {
     const struct {
         const char* from;
         const char* to;
-        const char* complaint;
+        const char* error;
     } cases[] = {
         {"20s", "20s", ""},
         {"format = \"scenario 1\"", "", "F:1: format: is missing; expected \"scenario 1\""},
@@ -127,7 +127,7 @@
         {"box-1", "box-3", "F:14: trouble[0].who: there is no 'box-3'; did you mean 'box-1'?"},
         {"who = [\"box-1\"]", "", "F:12: trouble[0].who: is missing; 'silent' needs a list of names"},
         {"who = [\"box-1\"]", "who = \"box-1\"",
-         "F:14: trouble[0].who: expected a list of texts, found a string"},
+         "F:14: trouble[0].who: expected an array of strings, found type string"},
         {"at = \"5s\"", "", "F:12: trouble[0].at: is missing"},
         {"at = \"5s\"", "at = \"21s\"", "F:15: trouble[0].at: expected 0s to 20s, found 21s"},
         {"what = \"silent\"", "what = \"cut\"\nfrom = [\"room-z\"]",
@@ -139,23 +139,25 @@
         {"lasts = \"2s\"", "", "F:12: trouble[0].lasts: is missing; 'silent' needs it"},
         {"client_timeout = \"1s\"", "client_timeout = \"1s\"\nlatency_objective = \"2s\"",
          "F:10: operation[0].latency_objective: expected no more than client_timeout (1s), found 2s"},
-        {"client_timeout = \"1s\"", "repeat = \"deduplicated\"", "F:7: operation[0].dedup_window: is needed"},
+        {"client_timeout = \"1s\"", "repeat = \"deduplicated\"",
+         "F:7: operation[0].dedup_window: is required"},
         {"[[tenant]]", "[clients]\nrate = 200000\ncurve = [[\"0s\", 9.0]]\n[[tenant]]",
          "F:10: clients: expected no more than 5000000 arrivals in a day, found up to 36000000"},
-        {"[[operation]]", "[operation]", "F:7: operation: expected entries [[operation]], found a table"},
+        {"[[operation]]", "[operation]", "F:7: operation: expected entries [[operation]], found type table"},
         {"name = \"read\"", "name = \"a b\"", "F:7: operation: expected a name without blanks"},
     };
     for (const auto& c : cases) {
         std::string text = kScenario;
         text.replace(text.find(c.from), std::string(c.from).size(), c.to);
-        const std::string all = said(text, [](const std::string& path) { (void)read_scenario(path); });
-        EXPECT_EQ(all.substr(0, std::string(c.complaint).size()), c.complaint) << c.to;
-        EXPECT_EQ(all.empty(), std::string(c.complaint).empty()) << all;
+        const std::string errors =
+            read_error(text, [](const std::string& path) { (void)read_scenario(path); });
+        EXPECT_EQ(errors.substr(0, std::string(c.error).size()), c.error) << c.to;
+        EXPECT_EQ(errors.empty(), std::string(c.error).empty()) << errors;
     }
 }
 
-TEST(Scenario, TakesValuesPutOverIt) {
-    const std::string path = file_with(kScenario);
+TEST(Scenario, AppliesOverrides) {
+    const std::string path = write_file(kScenario);
     const Scenario s =
         read_scenario(path, {"day.length=30s", "server.0.count=5", "clients.rate=77", "trouble.0.at=\"6s\"",
                              "clients.curve=[[\"0s\", 1.0], [\"10s\", 3.0]]"});
@@ -166,24 +168,24 @@
     EXPECT_DOUBLE_EQ(at(s.clients.curve, 5, 1), 2);
     EXPECT_EQ(s.server_names(),
               (std::vector<std::string>{"box-1", "box-2", "box-3", "box-4", "box-5", "origin"}));
-    for (const char* wrong : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
-        EXPECT_THROW((void)read_scenario(path, {wrong}), ConfigurationFileError) << wrong;
+    for (const char* invalid : {"nothing", "=3", "server.7.count=1", "day.length.x=1", "server.0=1"}) {
+        EXPECT_THROW((void)read_scenario(path, {invalid}), ConfigurationFileError) << invalid;
     }
-    // What is put over is checked as the file is.
+    // Overrides are validated like the file.
     EXPECT_THROW((void)read_scenario(path, {"day.lenght=30s"}), ConfigurationFileError);
 }
 
-TEST(Durations, NeedTheirUnits) {
+TEST(Durations, NeedAUnit) {
     const struct {
         const char* text;
-        double seconds;  // -1: none
+        double seconds;  // -1: not a duration
     } cases[] = {{"250ms", 0.25}, {"3s", 3}, {"1.5m", 90}, {"2h", 7200}, {"40us", 40e-6}, {"3", -1},
                  {"", -1},        {"s", -1}, {"3 s", -1},  {"-3s", -1},  {"1.2.3s", -1},  {"3days", -1}};
     for (const auto& c : cases) {
         double seconds = -1;
-        const bool sound = parse_duration(c.text, seconds);
-        EXPECT_EQ(sound, c.seconds >= 0) << c.text;
-        EXPECT_NEAR(sound ? seconds : c.seconds, c.seconds, 1e-12) << c.text;
+        const bool is_duration = parse_duration(c.text, seconds);
+        EXPECT_EQ(is_duration, c.seconds >= 0) << c.text;
+        EXPECT_NEAR(is_duration ? seconds : c.seconds, c.seconds, 1e-12) << c.text;
     }
 }
 
