--- a/src/testkit/daemon_process.cpp
+++ b/src/testkit/daemon_process.cpp
@@ -33,30 +33,30 @@
 void put_us(Json& json, const char* key, double seconds) {
     json.Key(key), json.Int64(std::llround(seconds * 1e6));
 }
-void put_flag(Json& json, const char* key, bool value) { json.Key(key), json.Bool(value); }
+void put_bool(Json& json, const char* key, bool value) { json.Key(key), json.Bool(value); }
 
-double field_after(const std::string& text, const char* name) {
+double number_after(const std::string& text, const char* name) {
     const std::size_t at = text.find(name);
     return at == std::string::npos
                ? 0
                : std::strtod(text.c_str() + at + std::char_traits<char>::length(name), nullptr);
 }
 
-std::string content(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream file(path);
     std::ostringstream out;
     out << file.rdbuf();
     return out.str();
 }
 
-constexpr int kInherited = 5;
-constexpr int kExecPipe = 3;  // in the child, until it becomes the program
-constexpr int kFirstHighDescriptor = 64;
+constexpr int kInheritedListenerFd = 5;
+constexpr int kExecPipeFd = 3;  // in the child, until it becomes the program
+constexpr int kMinTemporaryFd = 64;
 
 // In the child: everything up to the exec. Nothing is allocated, since the parent may have threads.
-void become_ready_to_exec(const DaemonProcess::Place& place, const std::string& log, pid_t parent,
-                          int exec_pipe) {
-    const int until_exec = fcntl(exec_pipe, F_DUPFD_CLOEXEC, kFirstHighDescriptor);
+void prepare_child_for_exec(const DaemonProcess::Place& place, const std::string& log, pid_t parent,
+                            int exec_pipe) {
+    const int temporary_exec_pipe = fcntl(exec_pipe, F_DUPFD_CLOEXEC, kMinTemporaryFd);
     // However the rehearsal ends, its daemons end with it.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(127);
@@ -67,18 +67,18 @@
         CPU_SET(static_cast<std::size_t>(place.cpu), &set);
         sched_setaffinity(0, sizeof set, &set);
     }
-    const int out = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    const int none = open("/dev/null", O_RDONLY);
-    dup2(none, 0);
-    dup2(out, 1);
-    dup2(out, 2);
+    const int log_file = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    const int null_input = open("/dev/null", O_RDONLY);
+    dup2(null_input, 0);
+    dup2(log_file, 1);
+    dup2(log_file, 2);
     if (place.listener >= 0) {
-        dup2(place.listener, kInherited);
-        fcntl(kInherited, F_SETFD, 0);
+        dup2(place.listener, kInheritedListenerFd);
+        fcntl(kInheritedListenerFd, F_SETFD, 0);
     }
-    const int first_closed = place.listener >= 0 ? kInherited + 1 : kInherited;
-    dup3(until_exec, kExecPipe, O_CLOEXEC);
-    for (int fd = kExecPipe + 1; fd < kInherited; ++fd) close(fd);
+    const int first_closed = place.listener >= 0 ? kInheritedListenerFd + 1 : kInheritedListenerFd;
+    dup3(temporary_exec_pipe, kExecPipeFd, O_CLOEXEC);
+    for (int fd = kExecPipeFd + 1; fd < kInheritedListenerFd; ++fd) close(fd);
     close_range(static_cast<unsigned>(first_closed), ~0U, 0);
     sigset_t all;
     sigfillset(&all);
@@ -108,10 +108,10 @@
         if (!entry.starts_with("GW_")) environment.push_back(*at);
     }
     environment.push_back(const_cast<char*>(config.c_str()));
-    std::string tmp = "TMPDIR=" + place_.tmp;
-    if (!place_.tmp.empty()) environment.push_back(tmp.data());
-    std::string accept = "GW_ACCEPT_FD=" + std::to_string(kInherited);
-    if (place_.listener >= 0) environment.push_back(accept.data());
+    std::string tmpdir = "TMPDIR=" + place_.tmp;
+    if (!place_.tmp.empty()) environment.push_back(tmpdir.data());
+    std::string accept_fd = "GW_ACCEPT_FD=" + std::to_string(kInheritedListenerFd);
+    if (place_.listener >= 0) environment.push_back(accept_fd.data());
     for (std::string& entry : place_.environment) environment.push_back(entry.data());
     environment.push_back(nullptr);
     std::vector<char*> arguments{place_.program.data()};
@@ -125,13 +125,13 @@
     pid_ = fork();
     if (pid_ != 0) {
         close(exec_pipe[1]);
-        char none_comes = 0;
-        while (pid_ > 0 && read(exec_pipe[0], &none_comes, 1) < 0 && errno == EINTR) continue;
+        char unused = 0;
+        while (pid_ > 0 && read(exec_pipe[0], &unused, 1) < 0 && errno == EINTR) continue;
         close(exec_pipe[0]);
         if (pid_ < 0) throw std::runtime_error("cannot start a process");
         return;
     }
-    become_ready_to_exec(place_, log, parent, exec_pipe[1]);
+    prepare_child_for_exec(place_, log, parent, exec_pipe[1]);
     execve(place_.program.c_str(), arguments.data(), environment.data());
     _exit(127);
 }
@@ -163,14 +163,14 @@
     if (pid_ <= 0) return f;
     const std::string proc = "/proc/" + std::to_string(pid_);
     // The first two of its numbers: nanoseconds on a core, and waiting for one.
-    std::istringstream schedule(content(proc + "/schedstat"));
+    std::istringstream schedule(read_file(proc + "/schedstat"));
     double ran = 0, waited = 0;
     schedule >> ran >> waited;
     f.cpu = ran / 1e9;
     f.waited = waited / 1e9;
-    const std::string status = content(proc + "/status");
-    f.rss_mb = field_after(status, "VmRSS:") / 1024;
-    f.rss_most_mb = field_after(status, "VmHWM:") / 1024;
+    const std::string status = read_file(proc + "/status");
+    f.rss_mb = number_after(status, "VmRSS:") / 1024;
+    f.rss_most_mb = number_after(status, "VmHWM:") / 1024;
     if (DIR* folder = opendir((proc + "/fd").c_str())) {
         while (readdir(folder) != nullptr) ++f.descriptors;
         closedir(folder);
@@ -180,8 +180,9 @@
 }
 
 // NOLINTNEXTLINE(readability-function-size): see ROADMAP
-std::string station_json(const Scenario& s, int node, const std::string& listen, const std::string& discovery,
-                         const std::string& known, std::uint64_t seed, const GossipAddresses& talk) {
+std::string node_config_json(const Scenario& s, int node, const std::string& listen,
+                             const std::string& discovery, const std::string& endpoint_list,
+                             std::uint64_t seed, const GossipAddresses& gossip) {
     rapidjson::StringBuffer buffer;
     Json json(buffer);
     std::ostringstream hex;
@@ -191,12 +192,12 @@
     put(json, "listen", listen);
     put(json, "discovery", discovery);
     put(json, "seed", hex.str());
-    if (!talk.management.empty()) put(json, "management", talk.management);
-    if (!talk.listen.empty()) {
-        put(json, "peer_listen", talk.listen);
+    if (!gossip.management.empty()) put(json, "management", gossip.management);
+    if (!gossip.listen.empty()) {
+        put(json, "peer_listen", gossip.listen);
         json.Key("peers");
         json.StartArray();
-        for (const std::string& peer : talk.peers) json.String(peer.c_str());
+        for (const std::string& peer : gossip.peers) json.String(peer.c_str());
         json.EndArray();
     }
     json.Key("limits");
@@ -206,7 +207,7 @@
     put(json, "sockets", s.node_descriptors);
     json.EndObject();
     json.Key("known");
-    json.RawValue(known.data(), known.size(), rapidjson::kObjectType);
+    json.RawValue(endpoint_list.data(), endpoint_list.size(), rapidjson::kObjectType);
     json.Key("settings");
     json.StartObject();
     put(json, "az", node % static_cast<int>(s.zones.size()));
@@ -232,14 +233,14 @@
     json.EndObject();
     json.Key("permissions");
     json.StartObject();
-    put_flag(json, "cancel", true);
-    put_flag(json, "may_duplicate", true);
-    put_flag(json, "peers", !talk.listen.empty());
+    put_bool(json, "cancel", true);
+    put_bool(json, "may_duplicate", true);
+    put_bool(json, "peers", !gossip.listen.empty());
     put(json, "most_forwards", s.most_forwards);
     put(json, "max_open", s.most_open);
     put_us(json, "connect_timeout_us", s.connect_timeout);
     put_us(json, "conn_idle_us", s.connection_idle);
-    put_flag(json, "retry_after", s.longest_advice > 0);
+    put_bool(json, "retry_after", s.longest_advice > 0);
     put_us(json, "max_retry_after_us", s.longest_advice);
     json.EndObject();
     json.Key("guarantees");
--- a/src/testkit/daemon_process.h
+++ b/src/testkit/daemon_process.h
@@ -45,7 +45,7 @@
     bool running();                               // false also if it has ended by itself; keeps its exit code
     void kill();                                  // and waits for its end
     int exit_code() const { return exit_code_; }  // 128 + the signal if one ended it
-    bool expected_to_end = false;
+    bool is_expected_to_end = false;
     ProcessUsage figures() const;
     const Place& place() const { return place_; }
     std::string log_path() const { return place_.folder + "/" + place_.name + ".log"; }
@@ -65,8 +65,8 @@
 };
 
 // The node configuration file (JSON) of one node of a scenario's fleet.
-std::string station_json(const Scenario& scenario, int node, const std::string& listen,
-                         const std::string& discovery, const std::string& known, std::uint64_t seed,
-                         const GossipAddresses& talk = {});
+std::string node_config_json(const Scenario& scenario, int node, const std::string& listen,
+                             const std::string& discovery, const std::string& endpoint_list,
+                             std::uint64_t seed, const GossipAddresses& gossip = {});
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/experiment.cpp
+++ b/src/testkit/experiment.cpp
@@ -32,34 +32,34 @@
     return grand + "/" + parent + "/" + path.filename().string();
 }
 
-bool read_number(const std::string& text, double& value) {
+bool parse_double(const std::string& text, double& value) {
     const char* end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data(), end, value);
     return error == std::errc() && at == end;
 }
 
-std::string number_text(double v, const char* how = "%.4f") {
-    char room[32];
-    std::snprintf(room, sizeof room, how, v);
-    return room;
+std::string format_number(double v, const char* format = "%.4f") {
+    char buffer[32];
+    std::snprintf(buffer, sizeof buffer, format, v);
+    return buffer;
 }
 
 // Where one number alone was swept, the settings stand along the axis by their value; else there is none.
-std::vector<double> positions(const ExperimentPlan& plan, const std::vector<std::string>& settings) {
+std::vector<double> axis_positions(const ExperimentPlan& plan, const std::vector<std::string>& settings) {
     std::size_t swept = 0;
     for (const Sweep& s : plan.sweeps) swept += s.values.size() > 1 ? 1 : 0;
     std::vector<double> values;
     for (const std::string& s : settings) {
         double value = 0;
         const std::string digits = s.substr(s.find('=') + 1);
-        if (swept != 1 || !read_number(digits, value) || (!values.empty() && value <= values.back()))
+        if (swept != 1 || !parse_double(digits, value) || (!values.empty() && value <= values.back()))
             return {};
         values.push_back(value);
     }
     return values;
 }
 
-std::string csv_word(const std::string& text) {
+std::string csv_quoted(const std::string& text) {
     std::string out = "\"";
     for (const char c : text) out += c == '"' ? "\"\"" : std::string(1, c);
     return out + "\"";
@@ -74,13 +74,13 @@
         throw std::invalid_argument("expected PATH=VALUE, found '" + text + "'");
     sweep.path = text.substr(0, equals);
     int depth = 0;
-    bool quoted = false;
+    bool is_quoted = false;
     std::string value;
     for (const char c : text.substr(equals + 1)) {
-        if (c == '"') quoted = !quoted;
-        if (!quoted && c == '[') ++depth;
-        if (!quoted && c == ']') --depth;
-        if (c == ',' && depth == 0 && !quoted) {
+        if (c == '"') is_quoted = !is_quoted;
+        if (!is_quoted && c == '[') ++depth;
+        if (!is_quoted && c == ']') --depth;
+        if (c == ',' && depth == 0 && !is_quoted) {
             sweep.values.push_back(std::exchange(value, {}));
         } else {
             value += c;
@@ -91,18 +91,18 @@
 }
 
 std::vector<std::uint64_t> read_seeds(const std::string& text) {
-    constexpr std::uint64_t kSeedsMost = 10000;
+    constexpr std::uint64_t kMaxSeedsInRange = 10000;
     std::vector<std::uint64_t> seeds;
     std::stringstream parts(text);
     std::string part;
     while (std::getline(parts, part, ',')) {
         const std::size_t dots = part.find("..");
         std::uint64_t first = 0, last = 0;
-        const bool sound = dots == std::string::npos
-                               ? parse_number(part, first) && (last = first, true)
-                               : parse_number(std::string_view(part).substr(0, dots), first) &&
-                                     parse_number(std::string_view(part).substr(dots + 2), last);
-        if (!sound || last < first || last - first >= kSeedsMost) {
+        const bool is_valid = dots == std::string::npos
+                                  ? parse_number(part, first) && (last = first, true)
+                                  : parse_number(std::string_view(part).substr(0, dots), first) &&
+                                        parse_number(std::string_view(part).substr(dots + 2), last);
+        if (!is_valid || last < first || last - first >= kMaxSeedsInRange) {
             throw std::invalid_argument("expected seeds such as 3, 1..5 or 1,4,9, found '" + text + "'");
         }
         for (std::uint64_t s = first; s <= last; ++s) seeds.push_back(s);
@@ -293,20 +293,20 @@
     for (const auto& [setting, daemon] : groups) {
         out += short_name(plan.daemons[daemon]) + (setting.empty() ? "" : "  " + setting) + "\n";
         for (const Measure& m : all_measures()) {
-            double sum = 0, least = 0, most = 0;
+            double sum = 0, min = 0, max = 0;
             int n = 0;
             for (const Cell& c : r.cells) {
                 if (c.setting != setting || c.daemon != daemon || !c.measures.played) continue;
                 const double v = c.measures.*(m.value);
-                least = n == 0 ? v : std::min(least, v);
-                most = n == 0 ? v : std::max(most, v);
+                min = n == 0 ? v : std::min(min, v);
+                max = n == 0 ? v : std::max(max, v);
                 sum += v;
                 ++n;
             }
             if (n == 0) continue;
             char line[160];
-            std::snprintf(line, sizeof line, "    %-26s %12.4f  (%.4f to %.4f) %s\n", m.name, sum / n, least,
-                          most, m.unit);
+            std::snprintf(line, sizeof line, "    %-26s %12.4f  (%.4f to %.4f) %s\n", m.name, sum / n, min,
+                          max, m.unit);
             out += line;
         }
     }
@@ -326,13 +326,13 @@
 void write_experiment(const ExperimentPlan& plan, const ExperimentResult& r) {
     std::ofstream csv(plan.folder + "/experiment.csv");
     csv << "day,daemon,setting,seed,verdict";
-    for (const Measure& m : all_measures()) csv << "," << csv_word(m.name);
+    for (const Measure& m : all_measures()) csv << "," << csv_quoted(m.name);
     csv << "\n";
     for (std::size_t i = 0; i < r.cells.size(); ++i) {
         const Cell& c = r.cells[i];
-        csv << i + 1 << "," << csv_word(plan.daemons[c.daemon]) << "," << csv_word(c.setting) << "," << c.seed
-            << "," << csv_word(c.measures.verdict);
-        for (const Measure& m : all_measures()) csv << "," << number_text(c.measures.*(m.value), "%.6f");
+        csv << i + 1 << "," << csv_quoted(plan.daemons[c.daemon]) << "," << csv_quoted(c.setting) << ","
+            << c.seed << "," << csv_quoted(c.measures.verdict);
+        for (const Measure& m : all_measures()) csv << "," << format_number(c.measures.*(m.value), "%.6f");
         csv << "\n";
     }
     std::string html =
@@ -343,7 +343,7 @@
         "svg .label{fill:#666}table{border-collapse:collapse}td,th{padding:3px 12px 3px 0;text-align:left;"
         "border-bottom:1px solid "
         "#eee}pre{background:#f6f6f6;padding:8px;overflow-x:auto}</style></head><body><h1>" +
-        html_escaped(std::filesystem::path(plan.scenario).stem().string()) + ": experiment</h1>";
+        escape_html(std::filesystem::path(plan.scenario).stem().string()) + ": experiment</h1>";
     // One chart a measure: the settings, or the seeds where nothing was swept, along the axis.
     std::vector<std::string> settings;
     for (const Cell& c : r.cells) {
@@ -351,8 +351,8 @@
             settings.push_back(c.setting);
     }
     const bool swept = settings.size() > 1;
-    const std::vector<double> along = positions(plan, settings);
-    const bool by_value = !along.empty();
+    const std::vector<double> positions = axis_positions(plan, settings);
+    const bool by_value = !positions.empty();
     for (const Measure& m : all_measures()) {
         Chart chart;
         chart.title = std::string(m.name) + (*m.unit == '\0' ? "" : std::string(" (") + m.unit + ")");
@@ -361,22 +361,22 @@
                                  : "seed, in the order played";
         chart.y_label = m.name;
         for (std::size_t d = 0; d < plan.daemons.size(); ++d) {
-            Curve2d curve{short_name(plan.daemons[d])};
+            ChartCurve curve{short_name(plan.daemons[d])};
             if (swept) {
                 for (std::size_t s = 0; s < settings.size(); ++s) {
-                    double sum = 0, least = 0, most = 0;
+                    double sum = 0, min = 0, max = 0;
                     int n = 0;
                     for (const Cell& c : r.cells) {
                         if (c.daemon != d || c.setting != settings[s] || !c.measures.played) continue;
                         const double v = c.measures.*(m.value);
-                        least = n == 0 ? v : std::min(least, v);
-                        most = n == 0 ? v : std::max(most, v);
+                        min = n == 0 ? v : std::min(min, v);
+                        max = n == 0 ? v : std::max(max, v);
                         sum += v;
                         ++n;
                     }
                     if (n == 0) continue;
-                    curve.points.emplace_back(by_value ? along[s] : static_cast<double>(s + 1), sum / n);
-                    curve.band.emplace_back(least, most);
+                    curve.points.emplace_back(by_value ? positions[s] : static_cast<double>(s + 1), sum / n);
+                    curve.band.emplace_back(min, max);
                 }
             } else {
                 double x = 1;
@@ -387,17 +387,17 @@
             }
             chart.curves.push_back(std::move(curve));
         }
-        html += svg_text(chart);
+        html += chart_svg(chart);
     }
     if (swept && !by_value) {
         html += "<table><tr><th></th><th>setting</th></tr>";
         for (std::size_t s = 0; s < settings.size(); ++s) {
             html +=
-                "<tr><td>" + std::to_string(s + 1) + "</td><td>" + html_escaped(settings[s]) + "</td></tr>";
+                "<tr><td>" + std::to_string(s + 1) + "</td><td>" + escape_html(settings[s]) + "</td></tr>";
         }
         html += "</table>";
     }
-    html += "<pre>" + html_escaped(experiment_text(plan, r)) + "</pre></body></html>\n";
+    html += "<pre>" + escape_html(experiment_text(plan, r)) + "</pre></body></html>\n";
     std::ofstream page(plan.folder + "/experiment.html");
     if (!(page << html << std::flush) || !(csv << std::flush)) {
         throw std::runtime_error("cannot write the experiment's files in " + plan.folder);
--- a/src/testkit/fault_schedule.cpp
+++ b/src/testkit/fault_schedule.cpp
@@ -15,10 +15,10 @@
 // Boost's, not the standard library's: its distributions draw the same numbers on every machine.
 using Engine = boost::random::mt19937_64;
 
-constexpr std::uint64_t kScanRank = 1ULL << 40;  // keys nobody else asks for
-constexpr std::uint64_t kHotRank = 1ULL << 41;
+constexpr std::uint64_t kFirstScanRank = 1ULL << 40;  // keys nobody else asks for
+constexpr std::uint64_t kFirstHotRank = 1ULL << 41;
 
-std::uint64_t mixed(std::uint64_t x) {  // splitmix64's last step: different ranks give different keys
+std::uint64_t mix_bits(std::uint64_t x) {  // splitmix64's last step: different ranks give different keys
     x += 0x9e3779b97f4a7c15ULL;
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
@@ -27,46 +27,47 @@
 
 class Zipf {
   public:
-    Zipf(std::uint64_t count, double skew) : sums_(count) {
+    Zipf(std::uint64_t count, double skew) : cumulative_weights_(count) {
         double sum = 0;
         for (std::uint64_t i = 0; i < count; ++i) {
             sum += std::pow(static_cast<double>(i + 1), -skew);
-            sums_[i] = sum;
+            cumulative_weights_[i] = sum;
         }
     }
     std::uint64_t rank(double draw) const {
-        const auto at = std::lower_bound(sums_.begin(), sums_.end(), draw * sums_.back());
-        return static_cast<std::uint64_t>(at - sums_.begin());
+        const auto at = std::lower_bound(cumulative_weights_.begin(), cumulative_weights_.end(),
+                                         draw * cumulative_weights_.back());
+        return static_cast<std::uint64_t>(at - cumulative_weights_.begin());
     }
 
   private:
-    std::vector<double> sums_;
+    std::vector<double> cumulative_weights_;
 };
 
 // Arrivals of one stream: a rate at each time, and how the rest of an arrival is drawn.
-struct Stream {
-    double from = 0, until = 0, peak = 0;
+struct ArrivalStream {
+    double from = 0, until = 0, max_rate = 0;
     std::function<double(double)> rate;
     std::function<void(PlannedRequest&, Engine&)> fill;
 };
 
-void draw_stream(const Stream& stream, Engine& engine, std::vector<PlannedRequest>& out) {
-    if (stream.peak <= 0) return;
+void draw_arrivals(const ArrivalStream& stream, Engine& engine, std::vector<PlannedRequest>& out) {
+    if (stream.max_rate <= 0) return;
     boost::random::uniform_01<double> unit;
-    boost::random::exponential_distribution<double> gap(stream.peak);
+    boost::random::exponential_distribution<double> interval(stream.max_rate);
     // Thinning: arrivals at the highest rate, of which each stays by the rate at its time.
-    for (double t = stream.from + gap(engine); t < stream.until; t += gap(engine)) {
-        const bool stays = unit(engine) * stream.peak < stream.rate(t);
+    for (double t = stream.from + interval(engine); t < stream.until; t += interval(engine)) {
+        const bool is_kept = unit(engine) * stream.max_rate < stream.rate(t);
         PlannedRequest p;
         p.at = t;
         stream.fill(p, engine);
-        if (stays) out.push_back(p);
+        if (is_kept) out.push_back(p);
     }
 }
 
 }  // namespace
 
-std::uint64_t key_of_rank(std::uint64_t rank) { return mixed(rank); }
+std::uint64_t key_of_rank(std::uint64_t rank) { return mix_bits(rank); }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): see ROADMAP
 std::vector<PlannedRequest> draw_schedule(const Scenario& s, std::uint64_t seed) {
@@ -81,26 +82,26 @@
     boost::random::discrete_distribution<int> read(read_shares);
     boost::random::uniform_01<double> unit;
 
-    const auto common = [&](PlannedRequest& p, Engine& e) {
+    const auto fill_common = [&](PlannedRequest& p, Engine& e) {
         p.operation = operation(e);
         if (!tenant_shares.empty()) p.tenant = boost::random::discrete_distribution<int>(tenant_shares)(e);
-        const auto moved = static_cast<std::uint64_t>(s.keys.drift * p.at);
-        p.key = key_of_rank((zipf.rank(unit(e)) + moved) % s.keys.count);
-        p.patience = static_cast<float>(s.clients.patience_least +
-                                        (s.clients.patience_most - s.clients.patience_least) * unit(e));
+        const auto rank_shift = static_cast<std::uint64_t>(s.keys.drift * p.at);
+        p.key = key_of_rank((zipf.rank(unit(e)) + rank_shift) % s.keys.count);
+        p.timeout_ratio = static_cast<float>(s.clients.patience_least +
+                                             (s.clients.patience_most - s.clients.patience_least) * unit(e));
         p.leaves = unit(e) < s.clients.leave ? static_cast<float>(unit(e)) : -1.0F;
-        p.node_draw = static_cast<float>(unit(e));
-        p.chance = static_cast<std::uint32_t>(e());
+        p.node_selector = static_cast<float>(unit(e));
+        p.random_bits = static_cast<std::uint32_t>(e());
         // Key of a hot spell, if one is on: drawn here, so that the spell moves arrivals and adds none.
         const double draw = unit(e);
         for (std::size_t i = 0; i < s.troubles.size(); ++i) {
             const Trouble& t = s.troubles[i];
             if (t.kind == TroubleKind::hot_key && p.at >= t.at && p.at < t.at + t.lasts && draw < t.part) {
-                p.key = key_of_rank(kHotRank + i);
+                p.key = key_of_rank(kFirstHotRank + i);
             }
         }
     };
-    const double highest = [&] {
+    const double max_multiplier = [&] {
         double most = s.clients.curve.empty() ? 1 : 0;
         for (const auto& [time, value] : s.clients.curve) most = std::max(most, value);
         return most;
@@ -109,22 +110,22 @@
 
     std::vector<PlannedRequest> all;
     // Each stream has a generator of its own, so that a trouble that adds arrivals changes no others.
-    Engine base(seed * 1000003);
-    draw_stream({0, s.length, s.clients.rate * highest, rate, common}, base, all);
+    Engine base_engine(seed * 1000003);
+    draw_arrivals({0, s.length, s.clients.rate * max_multiplier, rate, fill_common}, base_engine, all);
     for (std::size_t i = 0; i < s.troubles.size(); ++i) {
         const Trouble& t = s.troubles[i];
-        Engine own(seed * 1000003 + 17 * (i + 1));
+        Engine fault_engine(seed * 1000003 + 17 * (i + 1));
         const double until = std::min(s.length, t.at + t.lasts);
         if (t.kind == TroubleKind::scan) {
-            std::uint64_t next = kScanRank + (static_cast<std::uint64_t>(i) << 30);
-            draw_stream(
+            std::uint64_t next_rank = kFirstScanRank + (static_cast<std::uint64_t>(i) << 30);
+            draw_arrivals(
                 {t.at, until, s.clients.rate * t.part, [&](double) { return s.clients.rate * t.part; },
                  [&](PlannedRequest& p, Engine& e) {
-                     common(p, e);
+                     fill_common(p, e);
                      if (!read.probabilities().empty()) p.operation = read(e);
-                     p.key = key_of_rank(next++);
+                     p.key = key_of_rank(next_rank++);
                  }},
-                own, all);
+                fault_engine, all);
         }
         if (t.kind == TroubleKind::over_share && t.factor > 1) {
             for (const std::string& name : t.who) {
@@ -136,13 +137,13 @@
                     share = s.tenants[n].share;
                     tenant = static_cast<int>(n);
                 }
-                const double more = s.clients.rate * (t.factor - 1) * (sum > 0 ? share / sum : 0);
-                draw_stream({t.at, until, more, [&](double) { return more; },
-                             [&](PlannedRequest& p, Engine& e) {
-                                 common(p, e);
-                                 p.tenant = tenant;
-                             }},
-                            own, all);
+                const double extra_rate = s.clients.rate * (t.factor - 1) * (sum > 0 ? share / sum : 0);
+                draw_arrivals({t.at, until, extra_rate, [&](double) { return extra_rate; },
+                               [&](PlannedRequest& p, Engine& e) {
+                                   fill_common(p, e);
+                                   p.tenant = tenant;
+                               }},
+                              fault_engine, all);
             }
         }
     }
@@ -153,7 +154,7 @@
 
 std::uint64_t digest(const std::vector<PlannedRequest>& schedule, const std::vector<Trouble>& troubles) {
     std::uint64_t h = 0;
-    const auto add = [&h](std::uint64_t x) { h = mixed(h ^ x); };
+    const auto add = [&h](std::uint64_t x) { h = mix_bits(h ^ x); };
     const auto bits = [](double d) {
         std::uint64_t x = 0;
         std::memcpy(&x, &d, sizeof x);
@@ -163,7 +164,7 @@
         add(bits(p.at));
         add(p.key);
         add(static_cast<std::uint64_t>(p.operation) << 32 | static_cast<std::uint32_t>(p.tenant));
-        add(bits(static_cast<double>(p.patience)) ^ bits(static_cast<double>(p.leaves)));
+        add(bits(static_cast<double>(p.timeout_ratio)) ^ bits(static_cast<double>(p.leaves)));
     }
     for (const Trouble& t : troubles) {
         add(static_cast<std::uint64_t>(t.kind));
--- a/src/testkit/fault_schedule.h
+++ b/src/testkit/fault_schedule.h
@@ -14,11 +14,11 @@
     double at = 0;
     int operation = 0;
     int tenant = -1;
-    std::uint64_t key = 0;     // as servers and nodes see it
-    float patience = 1;        // part of the client timeout after which a try is given up
-    float leaves = -1;         // part of that after which the client goes; -1: it stays
-    float node_draw = 0;       // 0 to 1: which node the front deals it to
-    std::uint32_t chance = 0;  // for what is drawn later on its behalf
+    std::uint64_t key = 0;          // as servers and nodes see it
+    float timeout_ratio = 1;        // part of the client timeout after which a try is given up
+    float leaves = -1;              // part of that after which the client goes; -1: it stays
+    float node_selector = 0;        // 0 to 1: which node the front deals it to
+    std::uint32_t random_bits = 0;  // for what is drawn later on its behalf
 };
 
 std::vector<PlannedRequest> draw_schedule(const Scenario& scenario, std::uint64_t seed);
--- a/src/testkit/fleet_views.cpp
+++ b/src/testkit/fleet_views.cpp
@@ -46,7 +46,7 @@
     return most;
 }
 
-std::string zones_text(const Scenario& s, const DayResult& day) {
+std::string zone_failover_text(const Scenario& s, const DayResult& day) {
     std::string text;
     const int zones = static_cast<int>(s.zones.size());
     for (int z = 0; z < zones; ++z) {
@@ -54,18 +54,19 @@
         const auto part = [z](const FleetView& v) {
             return v.parts.size() > static_cast<std::size_t>(z) ? v.parts[static_cast<std::size_t>(z)] : 1;
         };
-        const double all_left = when_all(day, 0, own, [&](const FleetView& v) { return part(v) <= 0; });
-        if (all_left < 0) continue;
+        const double all_left_at = when_all(day, 0, own, [&](const FleetView& v) { return part(v) <= 0; });
+        if (all_left_at < 0) continue;
         const auto first = std::find_if(day.views.begin(), day.views.end(),
                                         [&](const FleetView& v) { return own(v.node) && part(v) <= 0; });
-        const double back = when_all(day, all_left, own, [&](const FleetView& v) { return part(v) >= 1; });
+        const double recovered_at =
+            when_all(day, all_left_at, own, [&](const FleetView& v) { return part(v) >= 1; });
         char line[160];
         std::snprintf(line, sizeof line,
                       "zone             %s left by its nodes from %.1f s on, by all at %.1f s, ",
-                      s.zones[static_cast<std::size_t>(z)].c_str(), first->time, all_left);
+                      s.zones[static_cast<std::size_t>(z)].c_str(), first->time, all_left_at);
         text += line;
-        std::snprintf(line, sizeof line, "in full use again at %.1f s\n", back);
-        text += back < 0 ? "not in full use again\n" : line;
+        std::snprintf(line, sizeof line, "in full use again at %.1f s\n", recovered_at);
+        text += recovered_at < 0 ? "not in full use again\n" : line;
     }
     return text;
 }
--- a/src/testkit/fleet_views.h
+++ b/src/testkit/fleet_views.h
@@ -20,6 +20,6 @@
 // Of its capacity, the most that the origin was asked in a second in which it stood.
 double origin_peak(const DayResult& day);
 // A line for each zone that its own nodes left: when, and when they used it in full again.
-std::string zones_text(const Scenario& scenario, const DayResult& day);
+std::string zone_failover_text(const Scenario& scenario, const DayResult& day);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/histogram.h
+++ b/src/testkit/histogram.h
@@ -9,32 +9,33 @@
 
 class LatencyHistogram {
   public:
-    LatencyHistogram() : bins_(boost::histogram::make_histogram(Axis(kBins, kLeast, kMost))) {}
+    LatencyHistogram() : bins_(boost::histogram::make_histogram(Axis(kBins, kMinSeconds, kMaxSeconds))) {}
     void add(double seconds) {
         bins_(seconds);
         ++count_;
         sum_ += seconds;
-        most_ = std::max(most_, seconds);
+        max_ = std::max(max_, seconds);
     }
     void add(const LatencyHistogram& other) {
         bins_ += other.bins_;
         count_ += other.count_;
         sum_ += other.sum_;
-        most_ = std::max(most_, other.most_);
+        max_ = std::max(max_, other.max_);
     }
     std::uint64_t count() const { return count_; }
     double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
-    double most() const { return most_; }
+    double most() const { return max_; }
     // The upper bound of the given quantile, 0 to 1; 0 if the histogram is empty.
     double quantile(double part) const {
-        const double wanted = part * static_cast<double>(count_);
-        double seen = bins_.at(-1);  // under the first bin
-        if (count_ > 0 && seen >= wanted) return kLeast;
+        const double target_count = part * static_cast<double>(count_);
+        double cumulative_count = bins_.at(-1);  // under the first bin
+        if (count_ > 0 && cumulative_count >= target_count) return kMinSeconds;
         for (int i = 0; i < kBins; ++i) {
-            seen += bins_.at(i);
-            if (seen >= wanted && seen > 0) return std::min(bins_.axis().bin(i).upper(), most_);
+            cumulative_count += bins_.at(i);
+            if (cumulative_count >= target_count && cumulative_count > 0)
+                return std::min(bins_.axis().bin(i).upper(), max_);
         }
-        return most_;
+        return max_;
     }
     // Time and count of each bin that is not empty.
     std::vector<std::pair<double, double>> bins() const {
@@ -47,11 +48,11 @@
 
   private:
     static constexpr int kBins = 600;  // each 2.7% wider than the one before
-    static constexpr double kLeast = 10e-6, kMost = 100;
+    static constexpr double kMinSeconds = 10e-6, kMaxSeconds = 100;
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     decltype(boost::histogram::make_histogram(Axis(1, 1, 2))) bins_;
     std::uint64_t count_ = 0;
-    double sum_ = 0, most_ = 0;
+    double sum_ = 0, max_ = 0;
 };
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -20,14 +20,14 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kReadyMost = 15;
-constexpr std::uint32_t kDay = 0x10ad;
+constexpr double kReadyTimeout = 15;
+constexpr std::uint32_t kRunId = 0x10ad;
 
 // A loop in a thread of its own.
-class Loop {
+class EventLoopThread {
   public:
-    Loop() : guard_(boost::asio::make_work_guard(io)), thread_([this] { io.run(); }) {}
-    ~Loop() { stop(); }
+    EventLoopThread() : guard_(boost::asio::make_work_guard(io)), thread_([this] { io.run(); }) {}
+    ~EventLoopThread() { stop(); }
     void stop() {
         guard_.reset();
         io.stop();
@@ -41,21 +41,21 @@
 };
 
 // Answers every read with a value, at once.
-class QuickCache {
+class InstantCacheServer {
   public:
-    QuickCache(Io& io, const Clock& clock, const std::string& host, int bytes)
+    InstantCacheServer(Io& io, const Clock& clock, const std::string& host, int bytes)
         : clock_(clock),
           value_(value_text(0, 0, 0, static_cast<std::size_t>(bytes))),
           listener_(io, host, [this](Tcp::socket s) {
-              conns_.insert(
-                  Connection::accepted(std::move(s), clock_,
-                                       {nullptr, [this](Connection& c) { input(c); },
-                                        [this](Connection& c) { conns_.erase(c.shared_from_this()); }}));
+              connections_.insert(Connection::accepted(
+                  std::move(s), clock_,
+                  {nullptr, [this](Connection& c) { on_input(c); },
+                   [this](Connection& c) { connections_.erase(c.shared_from_this()); }}));
           }) {}
     std::string address() const { return listener_.address(); }
 
   private:
-    void input(Connection& conn) {
+    void on_input(Connection& conn) {
         Command command;
         std::string out;
         for (std::size_t n = read_command(conn.input(), command); n > 0;
@@ -72,26 +72,26 @@
     }
     const Clock& clock_;
     const std::string value_;
-    std::set<Connection::Ptr> conns_;
+    std::set<Connection::Ptr> connections_;
     Listener listener_;
 };
 
 // Some of the clients, on one loop.
-class Askers {
+class LoadGenerator {
   public:
-    Askers(const LoadPlan& plan, const Clock& clock, Tcp::endpoint where, int clients, int first_id,
-           double rate)
+    LoadGenerator(const LoadPlan& plan, const Clock& clock, Tcp::endpoint node, int clients, int first_id,
+                  double rate)
         : plan_(plan),
           clock_(clock),
-          where_(std::move(where)),
+          node_(std::move(node)),
           next_id_(first_id),
           rate_(rate),
-          chance_(static_cast<std::uint64_t>(first_id) + 1),
+          random_(static_cast<std::uint64_t>(first_id) + 1),
           arrivals_(loop_.io) {
-        boost::asio::post(loop_.io, [this, clients] { begin(clients); });
+        boost::asio::post(loop_.io, [this, clients] { start(clients); });
     }
-    void count(bool yes) {
-        boost::asio::post(loop_.io, [this, yes] { counting_ = yes; });
+    void set_counting(bool is_counting) {
+        boost::asio::post(loop_.io, [this, is_counting] { is_counting_ = is_counting; });
     }
     void stop() { loop_.stop(); }
 
@@ -101,80 +101,80 @@
   private:
     struct Client {
         Connection::Ptr conn;
-        double due = -1;  // of what is out; -1: nothing is
+        double due_at = -1;  // of what is out; -1: nothing is
         std::string id;
     };
 
-    void begin(int clients) {
+    void start(int clients) {
         for (int i = 0; i < clients; ++i) {
             Client& c = clients_.emplace_back();
             c.conn =
-                Connection::to(loop_.io, where_, clock_,
-                               {[this, &c](Connection&) { free(c); }, [this, &c](Connection&) { input(c); },
-                                [this](Connection&) { ++other; }});
+                Connection::to(loop_.io, node_, clock_,
+                               {[this, &c](Connection&) { on_connection_free(c); },
+                                [this, &c](Connection&) { on_input(c); }, [this](Connection&) { ++other; }});
         }
         if (rate_ > 0) next_arrival(clock_.now());
     }
     void next_arrival(double after) {
-        boost::random::exponential_distribution<double> gap(rate_);
-        const double at = after + gap(chance_);
+        boost::random::exponential_distribution<double> interval(rate_);
+        const double at = after + interval(random_);
         arrivals_.expires_at(clock_.at(at));
         arrivals_.async_wait([this, at](const Code& bad) {
             if (bad) return;
-            waiting_.push_back(at);
-            deal();
+            pending_arrivals_.push_back(at);
+            assign_arrivals();
             next_arrival(at);
         });
     }
-    void deal() {
-        while (!waiting_.empty() && !idle_.empty()) {
+    void assign_arrivals() {
+        while (!pending_arrivals_.empty() && !idle_.empty()) {
             Client& c = *idle_.back();
             idle_.pop_back();
-            ask(c, waiting_.front());
-            waiting_.pop_front();
+            send_request(c, pending_arrivals_.front());
+            pending_arrivals_.pop_front();
         }
     }
-    void free(Client& c) {
-        if (rate_ <= 0) return ask(c, clock_.now());
+    void on_connection_free(Client& c) {
+        if (rate_ <= 0) return send_request(c, clock_.now());
         idle_.push_back(&c);
-        deal();
+        assign_arrivals();
     }
-    void ask(Client& c, double due) {
-        c.due = due;
-        c.id = id_text(kDay, next_id_++);
-        const std::uint64_t key = key_of_rank(chance_() % static_cast<std::uint64_t>(plan_.keys));
+    void send_request(Client& c, double due_at) {
+        c.due_at = due_at;
+        c.id = id_text(kRunId, next_id_++);
+        const std::uint64_t key = key_of_rank(random_() % static_cast<std::uint64_t>(plan_.keys));
         c.conn->write("mg " + key_text(key) + " v O" + c.id + " Pc=read,t=shop,d=2000\r\n");
     }
-    void input(Client& c) {
-        Heard heard;
-        const std::size_t taken = read_heard(c.conn->input(), heard);
+    void on_input(Client& c) {
+        Heard reply;
+        const std::size_t taken = read_heard(c.conn->input(), reply);
         if (taken == 0) return;
-        const bool good = heard.kind == Heard::Kind::value && heard.id == c.id;
-        if (counting_) {
-            if (good) latency.add(clock_.now() - c.due);
-            ++(good ? succeeded : heard.kind == Heard::Kind::busy ? throttled : other);
+        const bool good = reply.kind == Heard::Kind::value && reply.id == c.id;
+        if (is_counting_) {
+            if (good) latency.add(clock_.now() - c.due_at);
+            ++(good ? succeeded : reply.kind == Heard::Kind::busy ? throttled : other);
         }
         c.conn->take(taken);
-        free(c);
+        on_connection_free(c);
     }
 
     const LoadPlan& plan_;
     const Clock& clock_;
-    const Tcp::endpoint where_;
+    const Tcp::endpoint node_;
     int next_id_;
     const double rate_;
-    boost::random::mt19937_64 chance_;
-    bool counting_ = false;
-    Loop loop_;
+    boost::random::mt19937_64 random_;
+    bool is_counting_ = false;
+    EventLoopThread loop_;
     boost::asio::steady_timer arrivals_;
     std::deque<Client> clients_;
     std::vector<Client*> idle_;
-    std::deque<double> waiting_;
+    std::deque<double> pending_arrivals_;
 };
 
-void pass(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
+void sleep_for(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
-Scenario scenario_of(const LoadPlan& plan) {
+Scenario make_scenario(const LoadPlan& plan) {
     Scenario s;
     s.nodes = 1;
     ServerKind box;
@@ -189,14 +189,14 @@
     return s;
 }
 
-bool answers(Io& io, const Tcp::endpoint& where) {
+bool is_ready(Io& io, const Tcp::endpoint& node) {
     Tcp::socket socket(io);
     Code bad;
-    socket.connect(where, bad);
+    socket.connect(node, bad);
     if (bad) return false;
     boost::asio::write(socket, boost::asio::buffer("mn\r\n", 4), bad);
-    char room[4];
-    boost::asio::read(socket, boost::asio::buffer(room), bad);
+    char buffer[4];
+    boost::asio::read(socket, boost::asio::buffer(buffer), bad);
     return !bad;
 }
 
@@ -207,59 +207,60 @@
     LoadResult result;
     const Clock clock;
     const std::string host = own_loopback();
-    const Scenario scenario = scenario_of(plan);
-    std::vector<std::unique_ptr<Loop>> loops;
+    const Scenario scenario = make_scenario(plan);
+    std::vector<std::unique_ptr<EventLoopThread>> loops;
     loops.reserve(static_cast<std::size_t>(plan.threads));
-    for (int i = 0; i < plan.threads; ++i) loops.push_back(std::make_unique<Loop>());
+    for (int i = 0; i < plan.threads; ++i) loops.push_back(std::make_unique<EventLoopThread>());
     // Made before their loops see a connection, and gone only after those have stopped.
-    std::vector<std::unique_ptr<QuickCache>> caches;
-    std::string hosts;
+    std::vector<std::unique_ptr<InstantCacheServer>> caches;
+    std::string endpoints;
     for (int i = 0; i < plan.caches; ++i) {
-        Loop& loop = *loops[static_cast<std::size_t>(i % plan.threads)];
-        caches.push_back(std::make_unique<QuickCache>(loop.io, clock, host, plan.value_bytes));
-        hosts += (i == 0 ? "" : ",") + std::string(R"({"host":"box-)") + std::to_string(i + 1) +
-                 R"(","dial":")" + caches.back()->address() +
-                 R"(","site":"room-a","class":"box","block":0,"health":"SERVING"})";
+        EventLoopThread& loop = *loops[static_cast<std::size_t>(i % plan.threads)];
+        caches.push_back(std::make_unique<InstantCacheServer>(loop.io, clock, host, plan.value_bytes));
+        endpoints += (i == 0 ? "" : ",") + std::string(R"({"host":"box-)") + std::to_string(i + 1) +
+                     R"(","dial":")" + caches.back()->address() +
+                     R"(","site":"room-a","class":"box","block":0,"health":"SERVING"})";
     }
     // Discovery has nothing to say: it listens, and that is all.
     Io io;
     Tcp::acceptor discovery(io, {boost::asio::ip::make_address(host), 0});
     const std::string discovery_at = host + ":" + std::to_string(discovery.local_endpoint().port());
     const unsigned short port = free_port(io, host);
-    const Tcp::endpoint where(boost::asio::ip::make_address(host), port);
+    const Tcp::endpoint node(boost::asio::ip::make_address(host), port);
     const int cpu = plan.cpu >= 0 ? plan.cpu : static_cast<int>(std::thread::hardware_concurrency()) - 1;
     const std::string listen = host + ":" + std::to_string(port);
     DaemonProcess daemon({plan.program, plan.folder, "load", cpu});
-    daemon.configure(station_json(scenario, 0, listen, discovery_at,
-                                  R"({"seq":1,"whole":true,"hosts":[)" + hosts + "]}", 7));
+    daemon.configure(node_config_json(scenario, 0, listen, discovery_at,
+                                      R"({"seq":1,"whole":true,"hosts":[)" + endpoints + "]}", 7));
     daemon.start();
-    while (!answers(io, where)) {
-        if (!daemon.running() || clock.now() > kReadyMost) {
+    while (!is_ready(io, node)) {
+        if (!daemon.running() || clock.now() > kReadyTimeout) {
             result.failed = "the daemon does not serve; see " + daemon.log_path();
             break;
         }
-        pass(0.02);
+        sleep_for(0.02);
     }
     if (result.failed.empty()) {
         result.idle_rss_mb = daemon.figures().rss_mb;
-        std::vector<std::unique_ptr<Askers>> askers;
+        std::vector<std::unique_ptr<LoadGenerator>> generators;
         for (int i = 0; i < plan.threads; ++i) {
-            const int part = plan.clients / plan.threads + (i < plan.clients % plan.threads ? 1 : 0);
-            if (part == 0) continue;
-            askers.push_back(std::make_unique<Askers>(plan, clock, where, part, i << 28,
-                                                      plan.rate * part / std::max(1, plan.clients)));
+            const int client_count = plan.clients / plan.threads + (i < plan.clients % plan.threads ? 1 : 0);
+            if (client_count == 0) continue;
+            generators.push_back(
+                std::make_unique<LoadGenerator>(plan, clock, node, client_count, i << 28,
+                                                plan.rate * client_count / std::max(1, plan.clients)));
         }
-        pass(plan.warm_up);
+        sleep_for(plan.warm_up);
         const double cpu_before = daemon.figures().cpu, from = clock.now();
-        for (auto& a : askers) a->count(true);
-        pass(plan.seconds);
-        for (auto& a : askers) a->count(false);
+        for (auto& a : generators) a->set_counting(true);
+        sleep_for(plan.seconds);
+        for (auto& a : generators) a->set_counting(false);
         result.seconds = clock.now() - from;
         const ProcessUsage after = daemon.figures();
         result.cpu = after.cpu - cpu_before;
         result.rss_mb = after.rss_mb;
-        for (auto& a : askers) a->stop();
-        for (auto& a : askers) {
+        for (auto& a : generators) a->stop();
+        for (auto& a : generators) {
             result.latency.add(a->latency);
             result.succeeded += a->succeeded;
             result.throttled += a->throttled;
@@ -279,9 +280,10 @@
         line, sizeof line,
         "%4d clients %s %8.0f/s  p50 %.3f  p99 %.3f  p99.9 %.3f ms  %.1f us of processor an invocation  "
         "RSS %.1f MB (idle %.1f)  throttled %llu  other %llu",
-        plan.clients, plan.rate > 0 ? "open  " : "closed", r.per_second(), 1e3 * r.latency.quantile(0.5),
-        1e3 * r.latency.quantile(0.99), 1e3 * r.latency.quantile(0.999), r.cpu_us(), r.rss_mb, r.idle_rss_mb,
-        static_cast<unsigned long long>(r.throttled), static_cast<unsigned long long>(r.other));
+        plan.clients, plan.rate > 0 ? "open  " : "closed", r.successes_per_second(),
+        1e3 * r.latency.quantile(0.5), 1e3 * r.latency.quantile(0.99), 1e3 * r.latency.quantile(0.999),
+        r.cpu_us_per_request(), r.rss_mb, r.idle_rss_mb, static_cast<unsigned long long>(r.throttled),
+        static_cast<unsigned long long>(r.other));
     return line;
 }
 
--- a/src/testkit/load.h
+++ b/src/testkit/load.h
@@ -32,8 +32,10 @@
     double cpu = 0;          // seconds of the daemon in that time
     double rss_mb = 0;       // at its end
     double idle_rss_mb = 0;  // before the first client
-    double per_second() const { return seconds > 0 ? static_cast<double>(succeeded) / seconds : 0; }
-    double cpu_us() const { return succeeded > 0 ? 1e6 * cpu / static_cast<double>(succeeded) : 0; }
+    double successes_per_second() const { return seconds > 0 ? static_cast<double>(succeeded) / seconds : 0; }
+    double cpu_us_per_request() const {
+        return succeeded > 0 ? 1e6 * cpu / static_cast<double>(succeeded) : 0;
+    }
 };
 
 LoadResult play_load(const LoadPlan& plan);
--- a/src/testkit/load_clients.h
+++ b/src/testkit/load_clients.h
@@ -23,70 +23,72 @@
     ~LoadClients();
 
     // The load balancer's view of a node: its address, and whether it gets requests.
-    void node_at(int node, const Tcp::endpoint& where);
-    void front_uses(int node, bool yes);
-    void begin(double day);  // time of the run's start, by the environment's clock
-    bool all_over() const { return next_ >= schedule_.size() && open_ == 0 && waiting_ == 0; }
+    void set_node_address(int node, const Tcp::endpoint& where);
+    void set_node_in_use(int node, bool yes);
+    void start(double start_time);  // time of the run's start, by the environment's clock
+    bool is_finished() const {
+        return next_planned_ >= schedule_.size() && open_requests_ == 0 && pending_retries_ == 0;
+    }
     void stop();  // sends no further requests
 
     // For other clients of the run: numbers that no request or user of these has, and where to connect.
-    int next_request() { return last_inv_++; }
-    int next_user() { return last_user_++; }
-    std::vector<std::pair<int, Tcp::endpoint>> used_nodes() const;
+    int take_request_id() { return next_request_id_++; }
+    int take_user_id() { return next_user_id_++; }
+    std::vector<std::pair<int, Tcp::endpoint>> nodes_in_use() const;
 
     // Faults: slow writers and slow readers, whose requests are not counted.
-    void trickle(int node, int count, double until);
-    void never_read(int node, int count, double until);
+    void add_slow_writers(int node, int count, double until);
+    void add_non_readers(int node, int count, double until);
 
     const std::vector<LatencyHistogram>& latencies() const {
         return latencies_;
     }  // of successful requests, by operation
-    int open() const { return open_; }
-    std::uint64_t asked() const { return static_cast<std::uint64_t>(last_inv_); }
+    int open_request_count() const { return open_requests_; }
+    std::uint64_t request_count() const { return static_cast<std::uint64_t>(next_request_id_); }
     std::uint64_t succeeded() const { return succeeded_; }
 
   private:
     struct User {
         const PlannedRequest* plan = nullptr;
         int number = 0;
-        int tries = 0;
-        double first_asked = 0;
-        std::uint64_t mark = 0;
+        int retry_count = 0;
+        double first_sent_at = 0;
+        std::uint64_t idempotency_key = 0;
     };
-    struct Line;  // one client connection
-    struct Trickler;
+    struct ClientConnection;  // one client connection
+    struct SlowWriter;
     struct NonReader;
     struct Node {
         Tcp::endpoint where;
-        bool used = false;
-        std::deque<std::shared_ptr<Line>> idle;
-        std::set<std::shared_ptr<Line>> all;
+        bool is_in_use = false;
+        std::deque<std::shared_ptr<ClientConnection>> idle;
+        std::set<std::shared_ptr<ClientConnection>> all;
     };
 
     void next_arrival();
     void attempt(User user);
-    int pick(const User& user);
-    void send(const std::shared_ptr<Line>& line);
-    void input(const std::shared_ptr<Line>& line);
-    void ended(const std::shared_ptr<Line>& line);
-    void expire(const std::shared_ptr<Line>& line, int inv);
-    void free_line(const std::shared_ptr<Line>& line);
-    void over(const std::shared_ptr<Line>& line);
-    enum class After { busy, errored, unreachable, lost };
-    void try_again(const User& user, After after, double advice);
-    void dial(int node, const std::shared_ptr<Line>& line);
+    int pick_node(const User& user);
+    void send(const std::shared_ptr<ClientConnection>& client);
+    void on_input(const std::shared_ptr<ClientConnection>& client);
+    void on_connection_closed(const std::shared_ptr<ClientConnection>& client);
+    void on_timeout(const std::shared_ptr<ClientConnection>& client, int request_id);
+    void release(const std::shared_ptr<ClientConnection>& client);
+    void discard(const std::shared_ptr<ClientConnection>& client);
+    enum class Outcome { busy, errored, unreachable, lost };
+    void schedule_retry(const User& user, Outcome outcome, double retry_after);
+    void dial(int node, const std::shared_ptr<ClientConnection>& client);
 
     TestEnvironment& environment_;
     const std::vector<PlannedRequest>& schedule_;
-    std::size_t next_ = 0;
-    double begun_ = 0;
+    std::size_t next_planned_ = 0;
+    double started_at_ = 0;
     std::vector<Node> nodes_;
-    boost::random::mt19937_64 chance_;
+    boost::random::mt19937_64 random_;
     boost::asio::steady_timer arrivals_;
-    int last_inv_ = 0;
-    int last_user_ = 0;
-    int open_ = 0, waiting_ = 0;
-    bool stopped_ = false;
+    int next_request_id_ = 0;
+    int next_user_id_ = 0;
+    int open_requests_ = 0, pending_retries_ = 0;
+    bool is_stopped_ = false;
     std::uint64_t succeeded_ = 0;
     std::vector<LatencyHistogram> latencies_;
 };
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -11,9 +11,9 @@
 
 using audit::index;
 
-constexpr double kSelfCheckInterval = 0.005;  // seconds between the checks for delays of the event loop
+constexpr double kLoopCheckInterval = 0.005;  // seconds between the checks for delays of the event loop
 
-audit::Terms terms_of(const Scenario& s) {
+audit::Terms auditor_terms(const Scenario& s) {
     audit::Terms t;
     for (const OperationPlan& o : s.operations) {
         t.operations.push_back(o.promised);
@@ -49,12 +49,12 @@
 ScenarioRun::ScenarioRun(const DayPlan& plan)
     : plan_(plan),
       scenario_(plan.scenario),
-      auditor_(terms_of(plan.scenario)),
+      auditor_(auditor_terms(plan.scenario)),
       environment_{io_, clock_, plan.scenario, auditor_, own_loopback(), 0, 0, {}, {}, {}, {}},
       nodes_(index(plan.scenario.nodes)) {
-    std::random_device any;
+    std::random_device entropy;
     environment_.day =
-        any();  // ids of days that run side by side must not meet; nothing that counts hangs on it
+        entropy();  // ids of days that run side by side must not meet; nothing that counts hangs on it
     const int servers = static_cast<int>(scenario_.server_names().size()) - 1;
     for (int i = 0; i < servers; ++i) {
         caches_.push_back(
@@ -81,7 +81,7 @@
     }
 }
 
-FakeCacheServer* ScenarioRun::server(const std::string& name) {
+FakeCacheServer* ScenarioRun::find_server(const std::string& name) {
     const std::vector<std::string> names = scenario_.server_names();
     const auto at = std::find(names.begin(), names.end(), name);
     return caches_[static_cast<std::size_t>(at - names.begin())].get();
@@ -92,37 +92,37 @@
     io_.stop();
 }
 
-void ScenarioRun::begin() {
+void ScenarioRun::start_load() {
     if (plan_.begun) {
-        std::vector<std::string> all, managements;
+        std::vector<std::string> peer_listens, managements;
         for (const Node& n : nodes_) {
-            all.push_back(n.talk.listen);
-            managements.push_back(n.talk.management);
+            peer_listens.push_back(n.gossip.listen);
+            managements.push_back(n.gossip.management);
         }
-        plan_.begun(all, managements);
+        plan_.begun(peer_listens, managements);
     }
-    clients_->begin(started_at_);
+    clients_->start(started_at_);
     if (plan_.mannered_clients > 0) start_mannered_clients();
     for (const Trouble& t : scenario_.troubles)
         environment_.at(started_at_ + t.at, [this, &t] { inject_fault(t); });
-    forwards_before_.assign(caches_.size() + 1, 0);
-    list_calls_before_ = discovery_->counts().calls;
+    last_attempt_counts_.assign(caches_.size() + 1, 0);
+    last_list_call_count_ = discovery_->counts().calls;
     environment_.at(started_at_ + 1, [this] { record_second(); });
     check_daemons();
-    if (scenario_.talk) read_views();
-    check_own_delay(environment_.now() + kSelfCheckInterval);
+    if (scenario_.talk) query_fleet_views();
+    check_loop_delay(environment_.now() + kLoopCheckInterval);
     environment_.at(started_at_ + scenario_.length, [this] { check_finished(); });
 }
 
 void ScenarioRun::start_mannered_clients() {
     mannered_clients_ = std::make_unique<ManneredClients>(
         environment_,
-        ManneredClients::Numbering{[this] { return clients_->next_request(); },
-                                   [this] { return clients_->next_user(); }},
+        ManneredClients::Numbering{[this] { return clients_->take_request_id(); },
+                                   [this] { return clients_->take_user_id(); }},
         plan_.seed);
     std::size_t turn = 0;
     const auto pick = [this, turn]() mutable -> std::optional<std::pair<int, Tcp::endpoint>> {
-        const auto used = clients_->used_nodes();
+        const auto used = clients_->nodes_in_use();
         if (used.empty()) return std::nullopt;
         return used[turn++ % used.size()];
     };
@@ -131,12 +131,12 @@
 
 // The day is over once whoever asked has been answered, or has waited as long as anyone waits.
 void ScenarioRun::check_finished() {
-    double longest = 0;
+    double max_timeout = 0;
     for (const OperationPlan& o : scenario_.operations)
-        longest = std::max(longest, o.promised.client_timeout);
-    const bool long_enough = run_time(environment_.now()) > scenario_.length + 2 * longest + 1;
-    if (clients_->all_over() || long_enough) {
-        ended_ = true;
+        max_timeout = std::max(max_timeout, o.promised.client_timeout);
+    const bool has_timed_out = to_run_time(environment_.now()) > scenario_.length + 2 * max_timeout + 1;
+    if (clients_->is_finished() || has_timed_out) {
+        has_ended_ = true;
         io_.stop();
         return;
     }
@@ -144,7 +144,7 @@
 }
 
 // NOLINTNEXTLINE(readability-function-size): see ROADMAP
-DayResult ScenarioRun::play() {
+DayResult ScenarioRun::run() {
     schedule_ = draw_schedule(scenario_, plan_.seed);
     result_.digest = digest(schedule_, scenario_.troubles);
     result_.planned = schedule_.size();
@@ -163,7 +163,7 @@
             write_operator_file(n, scenario_.talk_origin);
             place.arguments = {"serve", "--operator", operator_path(n)};
             place.tmp = plan_.folder;  // what operators take out by hand stays out over a restart
-            nodes_[index(n)].talk = {network_->peer_listen(n), {}, network_->peers()};
+            nodes_[index(n)].gossip = {network_->peer_listen(n), {}, network_->peers()};
             assign_admin_address(n);
         }
         if (plan_.state_folders) place.tmp = plan_.folder;
@@ -174,27 +174,27 @@
         start_node(n);
     }
     // The loop wakes at least this often to hear of an interruption.
-    std::function<void()> listen_for_end = [&] {
-        if (interrupted()) {
+    std::function<void()> check_interruption = [&] {
+        if (is_interrupted()) {
             result_.was_interrupted = true;
-            ended_ = true;
+            has_ended_ = true;
             io_.stop();
             return;
         }
-        if (!ended_) environment_.at(environment_.now() + 0.05, listen_for_end);
+        if (!has_ended_) environment_.at(environment_.now() + 0.05, check_interruption);
     };
-    listen_for_end();
+    check_interruption();
     io_.run();
-    ended_ = true;
+    has_ended_ = true;
     if (mannered_clients_ != nullptr) {
         mannered_clients_->stop();
         result_.complaints = mannered_clients_->complaints();
     }
     clients_->stop();
     const double now = environment_.now();
-    result_.length = has_started_ ? std::max(0.0, run_time(now)) : 0;
+    result_.length = has_started_ ? std::max(0.0, to_run_time(now)) : 0;
     for (Node& n : nodes_) {
-        n.daemon->expected_to_end = true;
+        n.daemon->is_expected_to_end = true;
         n.daemon->kill();
     }
     if (result_.failed.empty()) result_.verdict = auditor_.finish(now);
@@ -219,8 +219,8 @@
 }
 
 DayResult play_day(const DayPlan& plan) {
-    ScenarioRun day(plan);
-    return day.play();
+    ScenarioRun run(plan);
+    return run.run();
 }
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -58,7 +58,7 @@
         double part = 0, need = 0, declined = 0;  // of the whole, and forwards so far
     };
     std::map<std::string, Limit> limits;  // of the whole fleet's, what is this node's
-    double oldest_word = 0, sent_bytes = 0, unsound = 0, strangers = 0;
+    double oldest_report_age = 0, sent_bytes = 0, unsound = 0, strangers = 0;
 };
 
 struct DayResult {
--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -19,21 +19,21 @@
 using Json = rapidjson::PrettyWriter<rapidjson::StringBuffer>;
 
 constexpr std::size_t kMaxViolationsShown = 20;
-constexpr const char* kRules[] = {"",
-                                  "one final answer in time",
-                                  "no effect twice",
-                                  "drains kept",
-                                  "nothing cold pushed over",
-                                  "limits of the whole fleet kept"};
-
-std::string format(const char* how, double a) {
-    char room[64];
-    std::snprintf(room, sizeof room, how, a);
-    return room;
+constexpr const char* kRuleNames[] = {"",
+                                      "one final answer in time",
+                                      "no effect twice",
+                                      "drains kept",
+                                      "nothing cold pushed over",
+                                      "limits of the whole fleet kept"};
+
+std::string format_number(const char* format, double a) {
+    char buffer[64];
+    std::snprintf(buffer, sizeof buffer, format, a);
+    return buffer;
 }
 
-std::string percent(double part) { return format("%.1f%%", 100 * part); }
-std::string ms(double seconds) { return format("%.1f", 1e3 * seconds); }
+std::string percent(double part) { return format_number("%.1f%%", 100 * part); }
+std::string milliseconds(double seconds) { return format_number("%.1f", 1e3 * seconds); }
 
 void put(Json& json, const char* key, double value) {
     json.Key(key);
@@ -44,8 +44,8 @@
     json.Key(key);
     json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
-void put_flag(Json& json, const char* key, bool value) { json.Key(key), json.Bool(value); }
-void put_list(Json& json, const char* key, const std::vector<double>& values) {
+void put_bool(Json& json, const char* key, bool value) { json.Key(key), json.Bool(value); }
+void put_numbers(Json& json, const char* key, const std::vector<double>& values) {
     json.Key(key);
     json.StartArray();
     for (const double v : values) json.Double(std::round(v * 1e4) / 1e4);
@@ -79,13 +79,14 @@
     json.EndArray();
 }
 
-struct Worst {
+struct WorstService {
     std::string name = "-";
     double part = 1;
 };
 
-Worst worst(const std::vector<audit::ServiceTotals>& accounts, const std::vector<std::string>& names) {
-    Worst w;
+WorstService find_worst(const std::vector<audit::ServiceTotals>& accounts,
+                        const std::vector<std::string>& names) {
+    WorstService w;
     for (std::size_t i = 0; i < accounts.size(); ++i) {
         if (accounts[i].offered <= 0) continue;
         if (w.name == "-" || accounts[i].ratio() < w.part) w = {names[i], accounts[i].ratio()};
@@ -107,12 +108,13 @@
 
 // ---- pictures -------------------------------------------------------------------------------------------
 
-Chart over_time(const DayPlan& plan, const DayResult& r, const std::string& title, const std::string& y) {
+Chart make_time_chart(const DayPlan& plan, const DayResult& r, const std::string& title,
+                      const std::string& y) {
     Chart c;
     c.title = title;
     c.x_label = "seconds of the day";
     c.y_label = y;
-    c.x_to = plan.scenario.length;
+    c.x_max = plan.scenario.length;
     // The ends of troubles are marked in the list alone: a line for each would hide the curves.
     int number = 0;
     for (const auto& [at, text] : r.marks) {
@@ -123,11 +125,11 @@
 }
 
 std::string service_chart(const DayPlan& plan, const DayResult& r) {
-    Chart c = over_time(plan, r, "Billed service", "part of the billed value");
-    Curve2d part{"service", "", {}};
+    Chart c = make_time_chart(plan, r, "Billed service", "part of the billed value");
+    ChartCurve part{"service", "", {}};
     double most = 0;
     for (const audit::ServiceTotals& a : r.verdict.seconds) most = std::max(most, a.offered);
-    Curve2d asked{"asked (against its highest second)", "#bbbbbb", {}};
+    ChartCurve asked{"asked (against its highest second)", "#bbbbbb", {}};
     for (std::size_t i = 0; i < r.verdict.seconds.size(); ++i) {
         const audit::ServiceTotals& a = r.verdict.seconds[i];
         const double t = static_cast<double>(i) + 0.5;
@@ -135,18 +137,18 @@
         asked.points.emplace_back(t, most > 0 ? a.offered / most : 0);
     }
     c.curves = {asked, part};
-    c.y_top = 1.05;
-    return svg_text(c);
+    c.y_max = 1.05;
+    return chart_svg(c);
 }
 
 std::string load_chart(const DayPlan& plan, const DayResult& r) {
-    Chart c = over_time(plan, r, "Load of each cache server against their mean", "times the mean");
+    Chart c = make_time_chart(plan, r, "Load of each cache server against their mean", "times the mean");
     const std::size_t caches = r.series.servers.empty() ? 0 : r.series.servers.size() - 1;
-    if (r.series.forwards.size() < caches + 1) return svg_text(c);
+    if (r.series.forwards.size() < caches + 1) return chart_svg(c);
     const std::size_t seconds = r.series.forwards[0].size();
-    Curve2d highest{"highest", "#c8553d", {}};
+    ChartCurve highest{"highest", "#c8553d", {}};
     for (std::size_t s = 0; s < caches; ++s) {
-        Curve2d one{r.series.servers[s], "#9fb8c4", {}, 0.8, false, false, {}};
+        ChartCurve one{r.series.servers[s], "#9fb8c4", {}, 0.8, false, false, {}};
         for (std::size_t t = 0; t < seconds; ++t) {
             double sum = 0;
             for (std::size_t i = 0; i < caches; ++i) sum += r.series.forwards[i][t];
@@ -160,20 +162,20 @@
         c.curves.push_back(std::move(one));
     }
     for (auto& [at, value] : highest.points) {
-        for (const Curve2d& curve : c.curves) {
+        for (const ChartCurve& curve : c.curves) {
             for (const auto& [t, times] : curve.points) {
                 if (t == at) value = std::max(value, times);
             }
         }
     }
     c.curves.push_back(std::move(highest));
-    c.y_least_top = 2;
-    return svg_text(c);
+    c.y_max_at_least = 2;
+    return chart_svg(c);
 }
 
 std::string origin_chart(const DayPlan& plan, const DayResult& r) {
-    Chart c = over_time(plan, r, "Work asked of the origin against its limit", "work a second");
-    Curve2d asked{"asked", "", {}}, capacity{"capacity", "#588157", {}},
+    Chart c = make_time_chart(plan, r, "Work asked of the origin against its limit", "work a second");
+    ChartCurve asked{"asked", "", {}}, capacity{"capacity", "#588157", {}},
         limit{"limit", "#b08900", {}, 1.2, true, true, {}},
         stop{"stops from here", "#9b2226", {}, 1.2, true, true, {}};
     for (std::size_t i = 0; i < r.series.origin_asked.size(); ++i) {
@@ -187,9 +189,9 @@
     double top = 0;
     for (const auto& [t, v] : asked.points) top = std::max(top, v);
     for (const auto& [t, v] : capacity.points) top = std::max(top, v);
-    c.y_top = top > 0 ? 1.15 * top : 1;
+    c.y_max = top > 0 ? 1.15 * top : 1;
     if (plan.scenario.origin.fall_multiple > 0) c.curves.push_back(stop);
-    return svg_text(c);
+    return chart_svg(c);
 }
 
 std::string latency_chart(const DayPlan& plan, const DayResult& r) {
@@ -198,9 +200,9 @@
     c.x_label = "milliseconds (log)";
     c.y_label = "part answered by then";
     c.log_x = true;
-    c.y_top = 1.02;
+    c.y_max = 1.02;
     for (std::size_t i = 0; i < r.latencies.size(); ++i) {
-        Curve2d curve{plan.scenario.operations[i].name, "", {}};
+        ChartCurve curve{plan.scenario.operations[i].name, "", {}};
         double seen = 0;
         for (const auto& [time, count] : r.latencies[i].bins()) {
             seen += count;
@@ -209,31 +211,31 @@
         }
         if (!curve.points.empty()) c.curves.push_back(std::move(curve));
     }
-    return svg_text(c);
+    return chart_svg(c);
 }
 
 std::string cost_chart(const DayPlan& plan, const DayResult& r) {
-    Chart c = over_time(plan, r, "Processor time of all daemons", "seconds a second");
-    Curve2d cpu{"processor time", "", {}};
+    Chart c = make_time_chart(plan, r, "Processor time of all daemons", "seconds a second");
+    ChartCurve cpu{"processor time", "", {}};
     for (std::size_t i = 0; i < r.series.cpu.size(); ++i)
         cpu.points.emplace_back(static_cast<double>(i) + 0.5, r.series.cpu[i]);
     c.curves = {cpu};
-    return svg_text(c);
+    return chart_svg(c);
 }
 
 std::string violation_html(const audit::Violation& f) {
     std::string out = "<details><summary><b>rule " + std::to_string(f.rule) + "</b> at " +
-                      format("%.3f s", f.at) +
+                      format_number("%.3f s", f.at) +
                       (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " +
-                      html_escaped(f.what) + "</summary><pre>";
-    for (const std::string& line : f.trace) out += html_escaped(line) + "\n";
+                      escape_html(f.what) + "</summary><pre>";
+    for (const std::string& line : f.trace) out += escape_html(line) + "\n";
     return out + "</pre></details>";
 }
 
-std::string row(std::initializer_list<std::string> cells, const char* tag = "td") {
+std::string row_html(std::initializer_list<std::string> cells, const char* tag = "td") {
     std::string out = "<tr>";
     for (const std::string& c : cells)
-        out += std::string("<") + tag + ">" + html_escaped(c) + "</" + tag + ">";
+        out += std::string("<") + tag + ">" + escape_html(c) + "</" + tag + ">";
     return out + "</tr>";
 }
 
@@ -253,8 +255,8 @@
     "#ddd;border-radius:6px;padding:8px 14px}"
     ".tile b{display:block;font-size:21px}";
 
-std::string tile(const std::string& value, const std::string& name) {
-    return "<div class='tile'><b>" + html_escaped(value) + "</b><span class='soft'>" + html_escaped(name) +
+std::string tile_html(const std::string& value, const std::string& name) {
+    return "<div class='tile'><b>" + escape_html(value) + "</b><span class='soft'>" + escape_html(name) +
            "</span></div>";
 }
 
@@ -271,51 +273,54 @@
     const audit::Verdict& v = r.verdict;
     const Scenario& s = plan.scenario;
     std::string out;
-    const auto say = [&out](const std::string& text) { out += text + "\n"; };
+    const auto add_line = [&out](const std::string& text) { out += text + "\n"; };
     if (!r.failed.empty()) return "not played: " + r.failed + "\n";
-    say("rules            " + verdict_word(r) + (v.is_void ? ": " + v.void_reason : "") +
-        (r.was_interrupted ? " (interrupted)" : ""));
+    add_line("rules            " + verdict_word(r) + (v.is_void ? ": " + v.void_reason : "") +
+             (r.was_interrupted ? " (interrupted)" : ""));
     for (std::size_t rule = 1; rule < v.violations_by_rule.size(); ++rule) {
         if (v.violations_by_rule[rule] > 0) {
-            say("  rule " + std::to_string(rule) + " (" + kRules[rule] + "): broken " +
-                std::to_string(v.violations_by_rule[rule]) + " times");
+            add_line("  rule " + std::to_string(rule) + " (" + kRuleNames[rule] + "): broken " +
+                     std::to_string(v.violations_by_rule[rule]) + " times");
         }
     }
-    if (r.crashes > 0) say("  daemons ended by themselves " + std::to_string(r.crashes) + " times");
-    const Worst op = worst(v.operations, operation_names(s)), tenant = worst(v.tenants, tenant_names(s));
-    say("billed service   " + format("%.4f", v.total.ratio()) + " whole,  " + format("%.4f", v.worst_window) +
-        " worst 10 s (from " + format("%.0f s", v.worst_window_from) + "),  " + format("%.4f ", op.part) +
-        op.name + ",  " + format("%.4f ", tenant.part) + tenant.name);
-    say("invocations      " + std::to_string(v.requests) + " of " + std::to_string(v.users) +
-        " users: " + std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.rejected) +
-        " throttled, " + std::to_string(v.failed) + " errored, " + std::to_string(v.truncated) + " cut, " +
-        std::to_string(v.unanswered) + " unanswered, " + std::to_string(v.left) + " left, " +
-        std::to_string(v.lost_with_node) + " lost with their node");
-    say("servers          " + std::to_string(v.attempts) + " forwards, " + std::to_string(r.hits) +
-        " hits, " + std::to_string(r.misses) + " misses, " + std::to_string(r.server_busy) +
-        " busy; origin " + std::to_string(r.origin_reads) + " reads, " + std::to_string(r.origin_writes) +
-        " writes, " + std::to_string(r.origin_halts) + " stops; " + std::to_string(v.dropped_duplicates) +
-        " repeats dropped");
+    if (r.crashes > 0) add_line("  daemons ended by themselves " + std::to_string(r.crashes) + " times");
+    const WorstService op = find_worst(v.operations, operation_names(s)),
+                       tenant = find_worst(v.tenants, tenant_names(s));
+    add_line("billed service   " + format_number("%.4f", v.total.ratio()) + " whole,  " +
+             format_number("%.4f", v.worst_window) + " worst 10 s (from " +
+             format_number("%.0f s", v.worst_window_from) + "),  " + format_number("%.4f ", op.part) +
+             op.name + ",  " + format_number("%.4f ", tenant.part) + tenant.name);
+    add_line("invocations      " + std::to_string(v.requests) + " of " + std::to_string(v.users) +
+             " users: " + std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.rejected) +
+             " throttled, " + std::to_string(v.failed) + " errored, " + std::to_string(v.truncated) +
+             " cut, " + std::to_string(v.unanswered) + " unanswered, " + std::to_string(v.left) + " left, " +
+             std::to_string(v.lost_with_node) + " lost with their node");
+    add_line("servers          " + std::to_string(v.attempts) + " forwards, " + std::to_string(r.hits) +
+             " hits, " + std::to_string(r.misses) + " misses, " + std::to_string(r.server_busy) +
+             " busy; origin " + std::to_string(r.origin_reads) + " reads, " +
+             std::to_string(r.origin_writes) + " writes, " + std::to_string(r.origin_halts) + " stops; " +
+             std::to_string(v.dropped_duplicates) + " repeats dropped");
     std::string times = "latency (ms)     ";
     for (std::size_t i = 0; i < r.latencies.size(); ++i) {
         const LatencyHistogram& h = r.latencies[i];
-        times += (i == 0 ? "" : ",  ") + s.operations[i].name + " p50 " + ms(h.quantile(0.5)) + " p99 " +
-                 ms(h.quantile(0.99)) + " p99.9 " + ms(h.quantile(0.999));
+        times += (i == 0 ? "" : ",  ") + s.operations[i].name + " p50 " + milliseconds(h.quantile(0.5)) +
+                 " p99 " + milliseconds(h.quantile(0.99)) + " p99.9 " + milliseconds(h.quantile(0.999));
     }
-    say(times);
-    say("daemons          " +
-        format("%.1f us", v.requests > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.requests) : 0) +
-        " of processor an invocation, " + format("%.1f MB", r.daemon_rss_mb) +
-        " at the most; the kit was late " + format("%.1f ms", 1e3 * v.max_watcher_delay) + " at the worst, " +
-        percent(v.watcher_delay_ratio) + " of the day");
-    out += zones_text(s, r);
+    add_line(times);
+    add_line(
+        "daemons          " +
+        format_number("%.1f us", v.requests > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.requests) : 0) +
+        " of processor an invocation, " + format_number("%.1f MB", r.daemon_rss_mb) +
+        " at the most; the kit was late " + format_number("%.1f ms", 1e3 * v.max_watcher_delay) +
+        " at the worst, " + percent(v.watcher_delay_ratio) + " of the day");
+    out += zone_failover_text(s, r);
     for (std::size_t i = 0; i < std::min(v.violations.size(), std::size_t{3}); ++i) {
         const audit::Violation& f = v.violations[i];
-        say("broken: rule " + std::to_string(f.rule) + " at " + format("%.3f s", f.at) +
-            (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " + f.what);
-        for (const std::string& line : f.trace) say("    " + line);
+        add_line("broken: rule " + std::to_string(f.rule) + " at " + format_number("%.3f s", f.at) +
+                 (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " + f.what);
+        for (const std::string& line : f.trace) add_line("    " + line);
     }
-    if (v.violations.size() > 3) say("... and more: see the report");
+    if (v.violations.size() > 3) add_line("... and more: see the report");
     return out;
 }
 
@@ -338,8 +343,8 @@
     put(json, "day_digest", key_text(r.digest));
     put(json, "verdict", verdict_word(r));
     put(json, "failed", r.failed);
-    put_flag(json, "interrupted", r.was_interrupted);
-    put_flag(json, "void", v.is_void);
+    put_bool(json, "interrupted", r.was_interrupted);
+    put_bool(json, "void", v.is_void);
     put(json, "void_why", v.void_reason);
     put(json, "length", r.length);
     json.Key("broken");
@@ -355,17 +360,17 @@
     put(json, "whole", v.total.ratio());
     put(json, "worst_ten", v.worst_window);
     put(json, "worst_ten_from", v.worst_window_from);
-    put(json, "worst_operation", worst(v.operations, operation_names(s)).part);
-    put(json, "worst_tenant", worst(v.tenants, tenant_names(s)).part);
-    const auto accounts = [&json](const char* key, const std::vector<audit::ServiceTotals>& all,
-                                  const std::vector<std::string>& names) {
+    put(json, "worst_operation", find_worst(v.operations, operation_names(s)).part);
+    put(json, "worst_tenant", find_worst(v.tenants, tenant_names(s)).part);
+    const auto put_all_totals = [&json](const char* key, const std::vector<audit::ServiceTotals>& all,
+                                        const std::vector<std::string>& names) {
         json.Key(key);
         json.StartArray();
         for (std::size_t i = 0; i < all.size(); ++i) put_totals(json, names[i], all[i]);
         json.EndArray();
     };
-    accounts("operations", v.operations, operation_names(s));
-    accounts("tenants", v.tenants, tenant_names(s));
+    put_all_totals("operations", v.operations, operation_names(s));
+    put_all_totals("tenants", v.tenants, tenant_names(s));
     json.EndObject();
     json.Key("counts");
     json.StartObject();
@@ -437,12 +442,12 @@
     json.EndArray();
     std::vector<double> asked, earned;
     for (const audit::ServiceTotals& a : v.seconds) asked.push_back(a.offered), earned.push_back(a.earned);
-    put_list(json, "asked", asked);
-    put_list(json, "earned", earned);
-    put_list(json, "origin_asked", r.series.origin_asked);
-    put_list(json, "origin_capacity", r.series.origin_capacity);
-    put_list(json, "cpu", r.series.cpu);
-    put_list(json, "rss_mb", r.series.rss_mb);
+    put_numbers(json, "asked", asked);
+    put_numbers(json, "earned", earned);
+    put_numbers(json, "origin_asked", r.series.origin_asked);
+    put_numbers(json, "origin_capacity", r.series.origin_capacity);
+    put_numbers(json, "cpu", r.series.cpu);
+    put_numbers(json, "rss_mb", r.series.rss_mb);
     json.EndObject();
     json.Key("marks");
     json.StartArray();
@@ -464,21 +469,25 @@
     const Scenario& s = plan.scenario;
     const std::string word = verdict_word(r);
     std::string out = "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>" +
-                      html_escaped(s.name) + " - rehearsal</title><style>" + kStyle + "</style></head><body>";
-    out += "<h1>" + html_escaped(s.name) + " <span class='badge " + word.substr(0, word.find(' ')) +
+                      escape_html(s.name) + " - rehearsal</title><style>" + kStyle + "</style></head><body>";
+    out += "<h1>" + escape_html(s.name) + " <span class='badge " + word.substr(0, word.find(' ')) +
            "'>rules " + word + "</span></h1>";
-    out += "<p class='soft'>" + html_escaped(s.about) + "</p>";
-    if (!r.failed.empty()) out += "<p>The day was not played: " + html_escaped(r.failed) + "</p>";
+    out += "<p class='soft'>" + escape_html(s.about) + "</p>";
+    if (!r.failed.empty()) out += "<p>The day was not played: " + escape_html(r.failed) + "</p>";
     if (r.was_interrupted)
-        out += "<p>Interrupted after " + format("%.1f s", r.length) + ": what follows is of that part.</p>";
-    if (v.is_void) out += "<p>Void: " + html_escaped(v.void_reason) + ".</p>";
-    const Worst op = worst(v.operations, operation_names(s)), tenant = worst(v.tenants, tenant_names(s));
-    out += "<div class='tiles'>" + tile(format("%.4f", v.total.ratio()), "billed service, whole") +
-           tile(format("%.4f", v.worst_window), "worst 10 s, from " + format("%.0f s", v.worst_window_from)) +
-           tile(format("%.4f", op.part), "worst operation: " + op.name) +
-           tile(format("%.4f", tenant.part), "worst tenant: " + tenant.name) +
-           tile(std::to_string(v.violations.size()), "broken rules") +
-           tile(std::to_string(v.requests), "invocations") + "</div>";
+        out += "<p>Interrupted after " + format_number("%.1f s", r.length) +
+               ": what follows is of that part.</p>";
+    if (v.is_void) out += "<p>Void: " + escape_html(v.void_reason) + ".</p>";
+    const WorstService op = find_worst(v.operations, operation_names(s)),
+                       tenant = find_worst(v.tenants, tenant_names(s));
+    out += "<div class='tiles'>" +
+           tile_html(format_number("%.4f", v.total.ratio()), "billed service, whole") +
+           tile_html(format_number("%.4f", v.worst_window),
+                     "worst 10 s, from " + format_number("%.0f s", v.worst_window_from)) +
+           tile_html(format_number("%.4f", op.part), "worst operation: " + op.name) +
+           tile_html(format_number("%.4f", tenant.part), "worst tenant: " + tenant.name) +
+           tile_html(std::to_string(v.violations.size()), "broken rules") +
+           tile_html(std::to_string(v.requests), "invocations") + "</div>";
     out += service_chart(plan, r) + load_chart(plan, r) + origin_chart(plan, r) + latency_chart(plan, r) +
            cost_chart(plan, r);
     out += "<h2>Broken rules</h2>";
@@ -494,28 +503,31 @@
         for (std::size_t i = 0; i < std::min(kMaxViolationsShown, v.set_aside.size()); ++i)
             out += violation_html(v.set_aside[i]);
     }
-    out += "<h2>Troubles</h2><table>" + row({"", "at", "what"}, "th");
+    out += "<h2>Troubles</h2><table>" + row_html({"", "at", "what"}, "th");
     int number = 0;
-    for (const auto& [at, text] : r.marks) out += row({std::to_string(++number), format("%.2f s", at), text});
-    out += "</table><h2>Operations</h2><table>" +
-           row({"operation", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "objective ms"},
-               "th");
+    for (const auto& [at, text] : r.marks)
+        out += row_html({std::to_string(++number), format_number("%.2f s", at), text});
+    out += "</table><h2>Operations</h2><table>" + row_html({"operation", "asked", "service", "p50 ms",
+                                                            "p90 ms", "p99 ms", "p99.9 ms", "objective ms"},
+                                                           "th");
     for (std::size_t i = 0; i < s.operations.size(); ++i) {
         const audit::ServiceTotals account =
             i < v.operations.size() ? v.operations[i] : audit::ServiceTotals{};
         const LatencyHistogram h = i < r.latencies.size() ? r.latencies[i] : LatencyHistogram{};
-        out += row({s.operations[i].name, format("%.0f", account.offered), format("%.4f", account.ratio()),
-                    ms(h.quantile(0.5)), ms(h.quantile(0.9)), ms(h.quantile(0.99)), ms(h.quantile(0.999)),
-                    ms(s.operations[i].promised.latency_objective)});
+        out += row_html({s.operations[i].name, format_number("%.0f", account.offered),
+                         format_number("%.4f", account.ratio()), milliseconds(h.quantile(0.5)),
+                         milliseconds(h.quantile(0.9)), milliseconds(h.quantile(0.99)),
+                         milliseconds(h.quantile(0.999)),
+                         milliseconds(s.operations[i].promised.latency_objective)});
     }
-    out += "</table><h2>Tenants</h2><table>" + row({"tenant", "asked", "service"}, "th");
+    out += "</table><h2>Tenants</h2><table>" + row_html({"tenant", "asked", "service"}, "th");
     for (std::size_t i = 0; i < v.tenants.size(); ++i) {
-        out += row(
-            {s.tenants[i].name, format("%.0f", v.tenants[i].offered), format("%.4f", v.tenants[i].ratio())});
+        out += row_html({s.tenants[i].name, format_number("%.0f", v.tenants[i].offered),
+                         format_number("%.4f", v.tenants[i].ratio())});
     }
-    out += "</table><h2>All counts</h2><pre>" + html_escaped(summary_text(plan, r)) + "</pre>";
-    out += "<p class='soft'>" + html_escaped(head.version) + "; daemon " + html_escaped(head.program) +
-           "; seed " + std::to_string(plan.seed) + "; play it again: <code>" + html_escaped(head.command) +
+    out += "</table><h2>All counts</h2><pre>" + escape_html(summary_text(plan, r)) + "</pre>";
+    out += "<p class='soft'>" + escape_html(head.version) + "; daemon " + escape_html(head.program) +
+           "; seed " + std::to_string(plan.seed) + "; play it again: <code>" + escape_html(head.command) +
            "</code></p>";
     return out + "</body></html>\n";
 }
--- a/src/testkit/run_faults.cpp
+++ b/src/testkit/run_faults.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void ScenarioRun::strike(const Trouble& t, FakeCacheServer& s) {
+void ScenarioRun::inject_server_fault(const Trouble& t, FakeCacheServer& s) {
     const int number = s.number();
     const double until = environment_.now() + t.lasts;
     switch (t.kind) {
@@ -42,10 +42,10 @@
         case TroubleKind::crash:
         case TroubleKind::cold_return: {
             s.stop();
-            const bool at_once = t.kind == TroubleKind::cold_return;
-            if (!at_once) discovery_->list(number, s.address(), EndpointState::removed, s.started());
-            const double away = at_once ? 0.05 : t.lasts > 0 ? t.lasts : kDefaultServerDowntime;
-            environment_.at(environment_.now() + away, [this, &s, number] {
+            const bool is_cold_return = t.kind == TroubleKind::cold_return;
+            if (!is_cold_return) discovery_->list(number, s.address(), EndpointState::removed, s.started());
+            const double downtime = is_cold_return ? 0.05 : t.lasts > 0 ? t.lasts : kDefaultServerDowntime;
+            environment_.at(environment_.now() + downtime, [this, &s, number] {
                 s.start_cold();
                 if (s.running()) discovery_->list(number, s.address(), EndpointState::ready, s.started());
             });
@@ -75,23 +75,24 @@
 
 // Each turn of a rotating reload lists the operations in another order, and one more that nobody uses.
 void ScenarioRun::reload_node(const Trouble& t, int turn) {
-    if (ended_ || turn >= t.repeats) return;
+    if (has_ended_ || turn >= t.repeats) return;
     Node& n = nodes_[index(t.node)];
-    Scenario changed = scenario_;
+    Scenario changed_scenario = scenario_;
     if (t.rotates_operations && turn % 2 == 0) {
-        std::rotate(changed.operations.begin(), changed.operations.begin() + 1, changed.operations.end());
-        changed.operations.push_back(changed.operations.front());
-        changed.operations.back().name = "unused-" + std::to_string(turn);
+        std::rotate(changed_scenario.operations.begin(), changed_scenario.operations.begin() + 1,
+                    changed_scenario.operations.end());
+        changed_scenario.operations.push_back(changed_scenario.operations.front());
+        changed_scenario.operations.back().name = "unused-" + std::to_string(turn);
     }
-    n.daemon->configure(station_json(changed, t.node, n.listen, discovery_->agent(t.node),
-                                     discovery_->whole_list(t.node), 77, n.talk));
+    n.daemon->configure(node_config_json(changed_scenario, t.node, n.listen, discovery_->agent(t.node),
+                                         discovery_->whole_list(t.node), 77, n.gossip));
     n.daemon->signal(SIGHUP);
     environment_.at(environment_.now() + kReloadInterval, [this, &t, turn] { reload_node(t, turn + 1); });
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): see ROADMAP
 void ScenarioRun::inject_fault(const Trouble& t) {
-    if (ended_) return;
+    if (has_ended_) return;
     const double until = environment_.now() + t.lasts;
     std::string text = trouble_words()[static_cast<std::size_t>(t.kind)];
     for (const std::string& name : t.who) text += " " + name;
@@ -103,7 +104,7 @@
         case TroubleKind::drain:
         case TroubleKind::remove:
         case TroubleKind::spoilt:
-            for (const std::string& name : t.who) strike(t, *server(name));
+            for (const std::string& name : t.who) inject_server_fault(t, *find_server(name));
             break;
         case TroubleKind::void_copies:
             for (const auto& c : caches_) c->drop_part(t.part, plan_.seed);
@@ -124,9 +125,9 @@
             environment_.at(until, [this] { discovery_->stale(false); });
             break;
         case TroubleKind::discovery_restart: {
-            std::set<int> left_out;
-            for (const std::string& name : t.who) left_out.insert(server(name)->number());
-            discovery_->restart(left_out);
+            std::set<int> omitted_servers;
+            for (const std::string& name : t.who) omitted_servers.insert(find_server(name)->number());
+            discovery_->restart(omitted_servers);
             if (t.lasts > 0) environment_.at(until, [this] { discovery_->readmit(); });
             break;
         }
@@ -155,9 +156,9 @@
             for (const int node : affected_nodes(t)) {
                 text += " " + std::to_string(node);
                 if (t.kind == TroubleKind::freeze) {
-                    freeze(node, t.lasts);
+                    pause_node(node, t.lasts);
                 } else if (t.kind == TroubleKind::starved) {
-                    starve(node, t.part < 1 ? t.part : kDefaultStarvedRatio, until);
+                    starve_node(node, t.part < 1 ? t.part : kDefaultStarvedRatio, until);
                 } else {
                     discovery_->hold(node, true);
                     environment_.at(until, [this, node] { discovery_->hold(node, false); });
@@ -180,18 +181,18 @@
         case TroubleKind::reload_bad: {
             Node& n = nodes_[index(t.node)];
             text += " " + std::to_string(t.node);
-            const std::string good = configuration(t.node, 77);
-            n.daemon->configure(good.substr(0, good.size() / 2));
+            const std::string valid_config = configuration(t.node, 77);
+            n.daemon->configure(valid_config.substr(0, valid_config.size() / 2));
             n.daemon->signal(SIGHUP);
             environment_.at(environment_.now() + kBrokenFileDuration,
-                            [&n, good] { n.daemon->configure(good); });
+                            [&n, valid_config] { n.daemon->configure(valid_config); });
             break;
         }
         case TroubleKind::tricklers:
-            clients_->trickle(t.node, t.count, until);
+            clients_->add_slow_writers(t.node, t.count, until);
             break;
         case TroubleKind::non_readers:
-            clients_->never_read(t.node, t.count, until);
+            clients_->add_non_readers(t.node, t.count, until);
             break;
         case TroubleKind::hot_key:
         case TroubleKind::scan:
@@ -199,10 +200,10 @@
         case TroubleKind::count:
             break;  // drawn into the schedule
     }
-    mark(text);
+    add_mark(text);
     if (t.lasts > 0) {
         environment_.at(until, [this, text] {
-            if (!ended_) mark("end of " + text);
+            if (!has_ended_) add_mark("end of " + text);
         });
     }
 }
--- a/src/testkit/run_monitor.cpp
+++ b/src/testkit/run_monitor.cpp
@@ -13,7 +13,7 @@
 
 using audit::index;
 
-constexpr double kSelfCheckInterval = 0.005;   // seconds between the checks for delays of the event loop
+constexpr double kLoopCheckInterval = 0.005;   // seconds between the checks for delays of the event loop
 constexpr double kDaemonCheckInterval = 0.05;  // seconds
 constexpr double kViewInterval = 0.25;         // seconds between the reads of the fleet views
 constexpr double kViewTimeout = 1.0;           // seconds
@@ -21,37 +21,37 @@
 }  // namespace
 
 // The loop's own lateness: whatever a stand-in or a client saw in such a time is dated late.
-void ScenarioRun::check_own_delay(double expected) {
+void ScenarioRun::check_loop_delay(double expected) {
     const double now = environment_.now();
     auditor_.on_watcher_delay(now, now - expected);
-    if (ended_) return;
-    environment_.at(now + kSelfCheckInterval,
-                    [this, next = now + kSelfCheckInterval] { check_own_delay(next); });
+    if (has_ended_) return;
+    environment_.at(now + kLoopCheckInterval,
+                    [this, next = now + kLoopCheckInterval] { check_loop_delay(next); });
 }
 
 // A daemon that waits for a core is late by no fault of its own. It also learns here of one that has ended.
 void ScenarioRun::check_daemons() {
-    if (ended_) return;
+    if (has_ended_) return;
     const double now = environment_.now();
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         Node& n = nodes_[i];
         if (n.daemon->pid() == 0) continue;
-        if (!n.daemon->running() && !n.daemon->expected_to_end) {
+        if (!n.daemon->running() && !n.daemon->is_expected_to_end) {
             ++result_.crashes;
-            mark("node " + std::to_string(i) + " CRASHED, exit code " +
-                 std::to_string(n.daemon->exit_code()));
-            n.ready = false;
-            n.daemon->expected_to_end = true;
+            add_mark("node " + std::to_string(i) + " CRASHED, exit code " +
+                     std::to_string(n.daemon->exit_code()));
+            n.is_ready = false;
+            n.daemon->is_expected_to_end = true;
             n.count_ended_process();
             environment_.at(now + kDefaultNodeDowntime, [this, i] {
-                if (!ended_) start_node(static_cast<int>(i));
+                if (!has_ended_) start_node(static_cast<int>(i));
             });
             continue;
         }
         const ProcessUsage f = n.daemon->figures();
-        if (f.waited > n.waited_before) auditor_.on_watcher_delay(now, f.waited - n.waited_before);
-        n.waited_before = std::max(n.waited_before, f.waited);
-        n.cpu_before = std::max(n.cpu_before, f.cpu);
+        if (f.waited > n.last_wait_time) auditor_.on_watcher_delay(now, f.waited - n.last_wait_time);
+        n.last_wait_time = std::max(n.last_wait_time, f.waited);
+        n.last_cpu_time = std::max(n.last_cpu_time, f.cpu);
         result_.daemon_rss_mb = std::max(result_.daemon_rss_mb, f.rss_most_mb);
         result_.daemon_descriptors = std::max(result_.daemon_descriptors, f.descriptors);
     }
@@ -68,16 +68,16 @@
     for (std::size_t i = 0; i <= caches_.size(); ++i) {
         const std::uint64_t all = i < caches_.size() ? caches_[i]->counts().forwards
                                                      : origin_->counts().reads + origin_->counts().writes;
-        s.forwards[i].push_back(static_cast<double>(all - forwards_before_[i]));
-        forwards_before_[i] = all;
+        s.forwards[i].push_back(static_cast<double>(all - last_attempt_counts_[i]));
+        last_attempt_counts_[i] = all;
     }
-    s.list_calls.push_back(static_cast<double>(discovery_->counts().calls - list_calls_before_));
-    list_calls_before_ = discovery_->counts().calls;
+    s.list_calls.push_back(static_cast<double>(discovery_->counts().calls - last_list_call_count_));
+    last_list_call_count_ = discovery_->counts().calls;
     s.origin_asked.push_back(origin_->asked());
     s.origin_capacity.push_back(origin_->halted() ? 0 : origin_->capacity());
     double cpu = 0, rss = 0;
     for (const Node& n : nodes_) {
-        cpu += n.cpu_before + n.cpu_gone;
+        cpu += n.last_cpu_time + n.ended_cpu_time;
         rss = std::max(rss, n.daemon->figures().rss_mb);
     }
     const double before = result_.daemon_cpu;
@@ -87,42 +87,42 @@
     if (plan_.progress) {
         char line[160];
         std::snprintf(line, sizeof line,
-                      "%4.0f s of %.0f  asked %llu  succeeded %llu  open %d  origin %.0f%%", run_time(now),
-                      scenario_.length, static_cast<unsigned long long>(clients_->asked()),
-                      static_cast<unsigned long long>(clients_->succeeded()), clients_->open(),
+                      "%4.0f s of %.0f  asked %llu  succeeded %llu  open %d  origin %.0f%%", to_run_time(now),
+                      scenario_.length, static_cast<unsigned long long>(clients_->request_count()),
+                      static_cast<unsigned long long>(clients_->succeeded()), clients_->open_request_count(),
                       100 * origin_->asked() / std::max(1e-9, origin_->capacity()));
-        plan_.progress(run_time(now), line);
+        plan_.progress(to_run_time(now), line);
     }
-    if (!ended_) environment_.at(now + 1, [this] { record_second(); });
+    if (!has_ended_) environment_.at(now + 1, [this] { record_second(); });
 }
 
-void ScenarioRun::read_views() {
-    if (ended_) return;
-    for (int n = 0; n < scenario_.nodes; ++n) read_view(n);
-    environment_.at(environment_.now() + kViewInterval, [this] { read_views(); });
+void ScenarioRun::query_fleet_views() {
+    if (has_ended_) return;
+    for (int n = 0; n < scenario_.nodes; ++n) query_fleet_view(n);
+    environment_.at(environment_.now() + kViewInterval, [this] { query_fleet_views(); });
 }
 
-void ScenarioRun::read_view(int node) {
-    const std::string& address = nodes_[index(node)].talk.management;
+void ScenarioRun::query_fleet_view(int node) {
+    const std::string& address = nodes_[index(node)].gossip.management;
     const std::size_t colon = address.find(':');
     const Tcp::endpoint where(boost::asio::ip::make_address(address.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(address.substr(colon + 1))));
-    const double asked = environment_.now();
-    const auto conn =
-        Connection::to(io_, where, clock_,
-                       {[](Connection& c) { c.write("GET /control/fleet HTTP/1.1\r\nHost: node\r\n\r\n"); },
-                        nullptr, [this, node, asked](Connection& c) { parse_view(node, asked, c.input()); }});
-    environment_.at(asked + kViewTimeout, [conn] { conn->close(); });
+    const double requested_at = environment_.now();
+    const auto conn = Connection::to(
+        io_, where, clock_,
+        {[](Connection& c) { c.write("GET /control/fleet HTTP/1.1\r\nHost: node\r\n\r\n"); }, nullptr,
+         [this, node, requested_at](Connection& c) { parse_fleet_view(node, requested_at, c.input()); }});
+    environment_.at(requested_at + kViewTimeout, [conn] { conn->close(); });
 }
 
-void ScenarioRun::parse_view(int node, double asked, std::string_view said) {
-    const std::size_t body = said.find("\r\n\r\n");
-    if (body == std::string_view::npos || !said.starts_with("HTTP/1.1 200")) return;
+void ScenarioRun::parse_fleet_view(int node, double requested_at, std::string_view response) {
+    const std::size_t body = response.find("\r\n\r\n");
+    if (body == std::string_view::npos || !response.starts_with("HTTP/1.1 200")) return;
     rapidjson::Document d;
-    d.Parse(said.data() + body + 4, said.size() - body - 4);
+    d.Parse(response.data() + body + 4, response.size() - body - 4);
     if (d.HasParseError() || !d.IsObject()) return;
     FleetView v;
-    v.time = run_time(asked);
+    v.time = to_run_time(requested_at);
     v.node = node;
     v.doubts_itself = d["doubts_itself"].GetBool();
     for (const auto& p : d["peers"].GetArray()) {
@@ -141,7 +141,7 @@
         v.limits[l["limit"].GetString()] = {l["part"].GetDouble(), l["need"].GetDouble(),
                                             strict ? l["declined"].GetDouble() : 0};
     }
-    v.oldest_word = d["words"]["oldest_s"].GetDouble();
+    v.oldest_report_age = d["words"]["oldest_s"].GetDouble();
     v.sent_bytes = d["datagrams"]["sent_bytes"].GetDouble();
     v.unsound = d["datagrams"]["unsound"].GetDouble();
     v.strangers = d["datagrams"]["strangers"].GetDouble();
--- a/src/testkit/run_nodes.cpp
+++ b/src/testkit/run_nodes.cpp
@@ -29,56 +29,59 @@
     Node& n = nodes_[index(node)];
     // A free port may be assigned to another node that has not started yet, whose response would then pass
     // for this one's.
-    const auto taken = [&](const Node& other) {
+    const auto is_taken = [&](const Node& other) {
         const std::string address = environment_.host + ":" + std::to_string(port);
-        return &other != &n && (other.listen == address || other.talk.management == address);
+        return &other != &n && (other.listen == address || other.gossip.management == address);
     };
-    while (std::any_of(nodes_.begin(), nodes_.end(), taken)) port = free_port(io_, environment_.host);
+    while (std::any_of(nodes_.begin(), nodes_.end(), is_taken)) port = free_port(io_, environment_.host);
     n.listen = environment_.host + ":" + std::to_string(port);
-    clients_->node_at(node, {boost::asio::ip::make_address(environment_.host), port});
+    clients_->set_node_address(node, {boost::asio::ip::make_address(environment_.host), port});
 }
 
 // Distinct from all addresses already assigned, as a free port is not reserved until its node starts.
 void ScenarioRun::assign_admin_address(int node) {
     if (!scenario_.talk) return;
     std::string address;
-    const auto taken = [&](const Node& n) { return n.listen == address || n.talk.management == address; };
+    const auto is_taken = [&](const Node& n) {
+        return n.listen == address || n.gossip.management == address;
+    };
     do {
         address = environment_.host + ":" + std::to_string(free_port(io_, environment_.host));
-    } while (std::any_of(nodes_.begin(), nodes_.end(), taken));
-    nodes_[index(node)].talk.management = address;
+    } while (std::any_of(nodes_.begin(), nodes_.end(), is_taken));
+    nodes_[index(node)].gossip.management = address;
 }
 
 std::string ScenarioRun::configuration(int node, std::uint64_t seed) const {
     const Node& n = nodes_[index(node)];
-    const bool is_stale = scenario_.stale_files && !n.first_list.empty();
-    return station_json(scenario_, node, n.listen, discovery_->agent(node),
-                        is_stale ? n.first_list : discovery_->whole_list(node), seed, n.talk);
+    const bool uses_stale_list = scenario_.stale_files && !n.first_endpoint_list.empty();
+    return node_config_json(scenario_, node, n.listen, discovery_->agent(node),
+                            uses_stale_list ? n.first_endpoint_list : discovery_->whole_list(node), seed,
+                            n.gossip);
 }
 
 void ScenarioRun::start_node(int node) {
     Node& n = nodes_[index(node)];
-    n.ready = n.is_restarting = false;
-    ++n.starts;
-    if (!has_started_) n.first_list = discovery_->whole_list(node);
+    n.is_ready = n.is_restarting = false;
+    ++n.start_count;
+    if (!has_started_) n.first_endpoint_list = discovery_->whole_list(node);
     const std::uint64_t seed =
-        key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.starts);
+        key_of_rank(plan_.seed * 1000 + static_cast<std::uint64_t>(node) * 100 + n.start_count);
     n.daemon->configure(configuration(node, seed));
     auditor_.on_node_started(environment_.now(), node);
-    n.daemon->expected_to_end = false;
+    n.daemon->is_expected_to_end = false;
     n.daemon->start();
     if (has_started_) discovery_->on_node_started(node);
     probe_readiness(node, environment_.now() + kReadyTimeout);
 }
 
-void ScenarioRun::probe_readiness(int node, double until) {
+void ScenarioRun::probe_readiness(int node, double deadline) {
     Node& n = nodes_[index(node)];
-    if (ended_) return;
+    if (has_ended_) return;
     if (!n.daemon->running()) {
-        if (n.daemon->expected_to_end) return;
+        if (n.daemon->is_expected_to_end) return;
         if (has_started_) return;  // check_daemons() says so
         // Between the look for a free port and the daemon's own start somebody else may have taken it.
-        if (n.daemon->exit_code() == kBindFailedExitCode && n.starts < kMaxStarts) {
+        if (n.daemon->exit_code() == kBindFailedExitCode && n.start_count < kMaxStarts) {
             assign_address(node, free_port(io_, environment_.host));
             assign_admin_address(node);
             return start_node(node);
@@ -86,73 +89,74 @@
         return fail("the daemon ended at its start with exit code " + std::to_string(n.daemon->exit_code()) +
                     "; see " + n.daemon->log_path());
     }
-    if (environment_.now() > until) return fail("the daemon does not answer; see " + n.daemon->log_path());
+    if (environment_.now() > deadline) return fail("the daemon does not answer; see " + n.daemon->log_path());
     const std::size_t colon = n.listen.find(':');
     const Tcp::endpoint where(boost::asio::ip::make_address(n.listen.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(n.listen.substr(colon + 1))));
     // Whoever listens there may be somebody else, who never answers.
-    const auto asked_again = std::make_shared<bool>(false);
-    const auto again = [this, node, until, asked_again] {
-        if (std::exchange(*asked_again, true)) return;
-        environment_.at(environment_.now() + 0.02, [this, node, until] { probe_readiness(node, until); });
+    const auto is_rescheduled = std::make_shared<bool>(false);
+    const auto reschedule = [this, node, deadline, is_rescheduled] {
+        if (std::exchange(*is_rescheduled, true)) return;
+        environment_.at(environment_.now() + 0.02,
+                        [this, node, deadline] { probe_readiness(node, deadline); });
     };
     const auto conn = Connection::to(io_, where, clock_,
                                      {[](Connection& c) { c.write("mn\r\n"); },
-                                      [this, node, asked_again](Connection& c) {
+                                      [this, node, is_rescheduled](Connection& c) {
                                           if (!c.input().starts_with("MN")) return;
-                                          *asked_again = true;
+                                          *is_rescheduled = true;
                                           c.close();
                                           on_node_ready(node);
                                       },
-                                      [again](Connection&) { again(); }});
-    environment_.at(environment_.now() + kReadyProbeTimeout, [conn, again] {
+                                      [reschedule](Connection&) { reschedule(); }});
+    environment_.at(environment_.now() + kReadyProbeTimeout, [conn, reschedule] {
         conn->close();
-        again();
+        reschedule();
     });
 }
 
 void ScenarioRun::on_node_ready(int node) {
     Node& n = nodes_[index(node)];
-    if (n.ready || ended_) return;
-    n.ready = true;
-    clients_->front_uses(node, true);
-    if (has_started_) return mark("node " + std::to_string(node) + " serves again");
-    if (!std::all_of(nodes_.begin(), nodes_.end(), [](const Node& one) { return one.ready; })) return;
+    if (n.is_ready || has_ended_) return;
+    n.is_ready = true;
+    clients_->set_node_in_use(node, true);
+    if (has_started_) return add_mark("node " + std::to_string(node) + " serves again");
+    if (!std::all_of(nodes_.begin(), nodes_.end(), [](const Node& one) { return one.is_ready; })) return;
     has_started_ = true;
     // Only now is it known when the day begins, and the day's times are the clock's from here on.
     started_at_ = environment_.now() + kStartDelay;
     auditor_.start_run(started_at_);
     for (PlannedRequest& p : schedule_) p.at += started_at_;
-    begin();
+    start_load();
 }
 
 void ScenarioRun::terminate_node(int node) {
     Node& n = nodes_[index(node)];
     // One that has only just started ends by the signal, since it does not listen for it yet.
-    if (!n.ready) return mark("node " + std::to_string(node) + " does not serve yet, or ends already");
+    if (!n.is_ready) return add_mark("node " + std::to_string(node) + " does not serve yet, or ends already");
     n.is_restarting = true;
-    n.ready = false;
-    n.daemon->expected_to_end = true;
+    n.is_ready = false;
+    n.daemon->is_expected_to_end = true;
     if (scenario_.signal_series) n.daemon->signal(SIGHUP);
     n.daemon->signal(SIGTERM);
     if (scenario_.signal_series) n.daemon->signal(SIGHUP);
-    double longest = 0;
+    double max_timeout = 0;
     for (const OperationPlan& o : scenario_.operations)
-        longest = std::max(longest, o.promised.client_timeout);
-    const double kill_at = environment_.now() + std::min(longest, kMaxAwaitedTimeout) + kShutdownGrace;
+        max_timeout = std::max(max_timeout, o.promised.client_timeout);
+    const double kill_at = environment_.now() + std::min(max_timeout, kMaxAwaitedTimeout) + kShutdownGrace;
     environment_.at(environment_.now() + kLoadBalancerDelay,
-                    [this, node] { clients_->front_uses(node, false); });
+                    [this, node] { clients_->set_node_in_use(node, false); });
     await_shutdown(node, kill_at);
 }
 
 void ScenarioRun::await_shutdown(int node, double kill_at) {
     Node& n = nodes_[index(node)];
-    if (ended_) return;
+    if (has_ended_) return;
     if (n.daemon->running()) {
         if (environment_.now() >= kill_at) {
             // It was told long enough ago: what it still holds now is lost, and by its own fault.
             n.daemon->kill();
-            mark("node " + std::to_string(node) + " had to be killed after SIGTERM");
+            add_mark("node " + std::to_string(node) + " had to be killed after SIGTERM");
         } else {
             environment_.at(environment_.now() + 0.02,
                             [this, node, kill_at] { await_shutdown(node, kill_at); });
@@ -161,7 +165,8 @@
     }
     n.count_ended_process();
     if (n.daemon->exit_code() != 0 && n.daemon->exit_code() != 128 + SIGKILL) ++result_.crashes;
-    mark("node " + std::to_string(node) + " has ended, exit code " + std::to_string(n.daemon->exit_code()));
+    add_mark("node " + std::to_string(node) + " has ended, exit code " +
+             std::to_string(n.daemon->exit_code()));
     start_node(node);
 }
 
@@ -175,7 +180,7 @@
     if (scenario_.talk_connections > 0) file << "connections = " << scenario_.talk_connections << "\n";
 }
 
-void ScenarioRun::kill_node(int node, double away) {
+void ScenarioRun::kill_node(int node, double downtime) {
     Node& n = nodes_[index(node)];
     if (n.is_restarting) {
         // Killed while it ends: whoever waits for its end starts it again.
@@ -183,43 +188,43 @@
         return n.daemon->kill();
     }
     n.is_restarting = true;
-    n.daemon->expected_to_end = true;
+    n.daemon->is_expected_to_end = true;
     // The judge hears of it first: what breaks from here on is the kill's doing.
     auditor_.on_node_killed(environment_.now(), node);
     n.daemon->kill();
     n.count_ended_process();
     environment_.at(environment_.now() + scenario_.clients.front_notices, [this, node] {
-        if (!nodes_[index(node)].ready) clients_->front_uses(node, false);
+        if (!nodes_[index(node)].is_ready) clients_->set_node_in_use(node, false);
     });
-    n.ready = false;
-    environment_.at(environment_.now() + away, [this, node] {
-        if (!ended_) start_node(node);
+    n.is_ready = false;
+    environment_.at(environment_.now() + downtime, [this, node] {
+        if (!has_ended_) start_node(node);
     });
 }
 
 // Stopped as a machine that pages or is moved: its sockets stand, and nothing is read from them.
-void ScenarioRun::freeze(int node, double lasts) {
-    const double until = environment_.now() + lasts;
+void ScenarioRun::pause_node(int node, double duration) {
+    const double until = environment_.now() + duration;
     auditor_.on_node_paused(until + kPauseRecovery, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
     environment_.at(environment_.now() + scenario_.clients.front_notices, [this, node, until] {
-        if (environment_.now() < until) clients_->front_uses(node, false);
+        if (environment_.now() < until) clients_->set_node_in_use(node, false);
     });
     environment_.at(until, [this, node] {
         nodes_[index(node)].daemon->signal(SIGCONT);
-        if (!ended_) clients_->front_uses(node, true);
+        if (!has_ended_) clients_->set_node_in_use(node, true);
     });
 }
 
 // Stopped and let on by turns, as on a crowded core.
-void ScenarioRun::starve(int node, double part, double until) {
-    if (ended_ || environment_.now() >= until) return;
+void ScenarioRun::starve_node(int node, double paused_ratio, double until) {
+    if (has_ended_ || environment_.now() >= until) return;
     auditor_.on_node_paused(until + kPauseRecovery, node);
     nodes_[index(node)].daemon->signal(SIGSTOP);
-    environment_.at(environment_.now() + part * kStarvationPeriod,
+    environment_.at(environment_.now() + paused_ratio * kStarvationPeriod,
                     [this, node] { nodes_[index(node)].daemon->signal(SIGCONT); });
     environment_.at(environment_.now() + kStarvationPeriod,
-                    [this, node, part, until] { starve(node, part, until); });
+                    [this, node, paused_ratio, until] { starve_node(node, paused_ratio, until); });
 }
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/scenario_run.h
+++ b/src/testkit/scenario_run.h
@@ -26,35 +26,35 @@
 class ScenarioRun {
   public:
     explicit ScenarioRun(const DayPlan& plan);
-    DayResult play();
+    DayResult run();
 
   private:
     struct Node {
         std::unique_ptr<DaemonProcess> daemon;
         std::string listen;
-        GossipAddresses talk;
-        std::uint64_t starts = 0;
-        std::string first_list;  // as at its first start
-        bool ready = false;
+        GossipAddresses gossip;
+        std::uint64_t start_count = 0;
+        std::string first_endpoint_list;  // as at its first start
+        bool is_ready = false;
         bool is_restarting = false;  // told to end or killed, and not started again yet
-        double waited_before = 0, cpu_before = 0, cpu_gone = 0;
+        double last_wait_time = 0, last_cpu_time = 0, ended_cpu_time = 0;
         // Keeps the ended process's CPU time in the total.
         void count_ended_process() {
-            cpu_gone += cpu_before;
-            cpu_before = waited_before = 0;
+            ended_cpu_time += last_cpu_time;
+            last_cpu_time = last_wait_time = 0;
         }
     };
 
     // Life cycle, rehearsal.cpp.
-    void begin();
+    void start_load();
     void check_finished();
     void fail(const std::string& why);
     void start_mannered_clients();
-    FakeCacheServer* server(const std::string& name);
-    bool interrupted() const { return plan_.interrupted && plan_.interrupted(); }
-    void mark(const std::string& text) { result_.marks.emplace_back(clock_.now() - started_at_, text); }
+    FakeCacheServer* find_server(const std::string& name);
+    bool is_interrupted() const { return plan_.interrupted && plan_.interrupted(); }
+    void add_mark(const std::string& text) { result_.marks.emplace_back(clock_.now() - started_at_, text); }
     // Seconds since the start of the run; the clock itself starts earlier.
-    double run_time(double clock_time) const { return clock_time - started_at_; }
+    double to_run_time(double clock_time) const { return clock_time - started_at_; }
 
     // Daemons, run_nodes.cpp.
     void assign_address(int node, unsigned short port);
@@ -66,25 +66,25 @@
     }
     void write_operator_file(int node, double origin) const;
     void start_node(int node);
-    void probe_readiness(int node, double until);
+    void probe_readiness(int node, double deadline);
     void on_node_ready(int node);
     void terminate_node(int node);
     void await_shutdown(int node, double kill_at);
-    void kill_node(int node, double away);
-    void freeze(int node, double lasts);
-    void starve(int node, double part, double until);
+    void kill_node(int node, double downtime);
+    void pause_node(int node, double duration);
+    void starve_node(int node, double paused_ratio, double until);
 
     // Faults, run_faults.cpp.
     void inject_fault(const Trouble& trouble);
-    void strike(const Trouble& trouble, FakeCacheServer& server);
+    void inject_server_fault(const Trouble& trouble, FakeCacheServer& server);
 
     // Measurements, run_monitor.cpp.
-    void check_own_delay(double expected);
+    void check_loop_delay(double expected);
     void check_daemons();
     void record_second();
-    void read_views();
-    void read_view(int node);
-    void parse_view(int node, double asked, std::string_view said);
+    void query_fleet_views();
+    void query_fleet_view(int node);
+    void parse_fleet_view(int node, double requested_at, std::string_view response);
 
     const DayPlan& plan_;
     const Scenario& scenario_;
@@ -101,9 +101,9 @@
     std::unique_ptr<ManneredClients> mannered_clients_;
     std::vector<Node> nodes_;
     double started_at_ = 0;
-    bool has_started_ = false, ended_ = false;
-    std::vector<std::uint64_t> forwards_before_;
-    std::uint64_t list_calls_before_ = 0;
+    bool has_started_ = false, has_ended_ = false;
+    std::vector<std::uint64_t> last_attempt_counts_;
+    std::uint64_t last_list_call_count_ = 0;
     DayResult result_;
 };
 
--- a/src/testkit/soak.cpp
+++ b/src/testkit/soak.cpp
@@ -11,73 +11,73 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kDayLength = 11.0;
-constexpr double kFirstFault = 1.0;  // s after the day's start
-constexpr double kLastFault = 8.5;   // no fault begins later, so that each has time to show
-constexpr double kQuietStart = 5.0;  // of days on which trouble begins after a quiet time
-constexpr double kQuietProbability = 0.2;
+constexpr double kRunLength = 11.0;
+constexpr double kFirstFault = 1.0;      // s after the day's start
+constexpr double kLastFault = 8.5;       // no fault begins later, so that each has time to show
+constexpr double kLateFirstFault = 5.0;  // of days on which trouble begins after a quiet time
+constexpr double kLateFirstFaultProbability = 0.2;
 constexpr double kNodeStartup = 1.0;  // s from the start of a process to the day's, about
 constexpr int kMemoryMegabytes = 96;
 constexpr int kDescriptors = 256;
 constexpr int kTightDescriptors = 72;  // so few let clients pipeline little, and hold each other back
-constexpr double kTightProbability = 0.4;
+constexpr double kTightDescriptorsProbability = 0.4;
 constexpr int kClientsPerNode = 3;
-constexpr int kCrowdPerNode = 15;
+constexpr int kCrowdedClientsPerNode = 15;
 // Fleets of the usual size of a soak's day, and of 800 and 3,200 servers.
 constexpr int kLargerFleet = 800;
 constexpr int kLargestFleet = 3200;
 constexpr double kLargerProbability = 0.2;
 constexpr double kLargestProbability = 0.3;
-constexpr double kReleaseProbability =
+constexpr double kMassFaultProbability =
     0.5;  // of a large fleet's fault that strikes servers: a part of them all
-constexpr double kReleaseMost = 0.3;
+constexpr double kMaxMassFaultRatio = 0.3;
 constexpr double kShortDeadlineProbability = 0.3;
 constexpr double kSlowListProbability = 0.4;
-constexpr double kCrowdProbability = 0.15;
+constexpr double kCrowdedProbability = 0.15;
 constexpr std::uint64_t kConditionsSeed = 0x636f6e64ULL;  // apart from the draws of faults
 constexpr std::size_t kMaxFailures = 12;
 
 // All chance of one day. Boost's generator draws the same numbers on every machine.
-class Chance {
+class Random {
   public:
-    explicit Chance(std::uint64_t seed) : engine_(seed * 6364136223846793005ULL + 1442695040888963407ULL) {}
+    explicit Random(std::uint64_t seed) : engine_(seed * 6364136223846793005ULL + 1442695040888963407ULL) {}
     double unit() { return static_cast<double>(engine_() >> 11) / 9007199254740992.0; }
-    double between(double least, double most) { return least + (most - least) * unit(); }
-    int whole(int least, int most) { return least + static_cast<int>(unit() * (most - least + 1)); }
-    bool is(double probability) { return unit() < probability; }
+    double uniform(double least, double most) { return least + (most - least) * unit(); }
+    int uniform_int(int least, int most) { return least + static_cast<int>(unit() * (most - least + 1)); }
+    bool bernoulli(double probability) { return unit() < probability; }
 
   private:
     boost::random::mt19937_64 engine_;
 };
 
-OperationPlan read_operation(Chance& chance) {
+OperationPlan read_operation(Random& rng) {
     OperationPlan read;
     read.name = "read";
     read.share = 8;
     read.work = 2e-3;
     read.origin_work = 6e-3;
-    read.value_bytes = chance.is(0.3) ? 90 * 1000 : 200;  // over 64 KiB it is streamed
-    read.promised.client_timeout = chance.between(0.5, 1.5);
+    read.value_bytes = rng.bernoulli(0.3) ? 90 * 1000 : 200;  // over 64 KiB it is streamed
+    read.promised.client_timeout = rng.uniform(0.5, 1.5);
     read.promised.latency_objective = read.promised.client_timeout / 2;
     read.promised.late_value_ratio = 0.2;
     return read;
 }
 
-OperationPlan keyed_write(Chance& chance) {
+OperationPlan keyed_write(Random& rng) {
     OperationPlan submit;
     submit.name = "submit";
     submit.write = true;
     submit.share = 1.5;
     submit.origin_work = 6e-3;
     submit.promised.idempotency = Idempotency::idempotency_key;
-    submit.promised.deduplication_window = chance.between(0.9, 3);
-    submit.promised.client_timeout = chance.between(0.8, 1.9);
+    submit.promised.deduplication_window = rng.uniform(0.9, 3);
+    submit.promised.client_timeout = rng.uniform(0.8, 1.9);
     submit.promised.latency_objective = submit.promised.client_timeout / 2;
     return submit;
 }
 
-OperationPlan single_write(Chance& chance) {
-    OperationPlan once = keyed_write(chance);
+OperationPlan single_write(Random& rng) {
+    OperationPlan once = keyed_write(rng);
     once.name = "once";
     once.share = 0.5;
     once.promised.idempotency = Idempotency::none;
@@ -85,33 +85,33 @@
     return once;
 }
 
-Scenario draw_fleet(Chance& chance, int nodes) {
+Scenario draw_fleet(Random& rng, int nodes) {
     Scenario s;
     s.name = "soak";
-    s.length = kDayLength;
+    s.length = kRunLength;
     s.count_from = 0.5;
     s.nodes = nodes;
     s.zones.clear();
-    const int zones = chance.whole(1, 3);
+    const int zones = rng.uniform_int(1, 3);
     for (int z = 0; z < zones; ++z) s.zones.push_back("room-" + std::string(1, static_cast<char>('a' + z)));
     ServerKind box;
-    box.count = chance.whole(6, 10);
+    box.count = rng.uniform_int(6, 10);
     box.slots = 4;
-    box.connections = chance.is(0.3) ? 40 : 400;
+    box.connections = rng.bernoulli(0.3) ? 40 : 400;
     box.warm_after = 3;
     s.kinds = {box};
     s.warm_within = 4;
     s.fall_time = 1.0;
     s.origin.slots = 12;
-    s.origin.reset_ratio = chance.is(0.4) ? 0.08 : 0;
-    s.discovery_asked = chance.is(0.3);
+    s.origin.reset_ratio = rng.bernoulli(0.4) ? 0.08 : 0;
+    s.discovery_asked = rng.bernoulli(0.3);
     s.ask_every = 4;
-    s.discovery_lag = chance.between(0.05, 0.6);
+    s.discovery_lag = rng.uniform(0.05, 0.6);
     s.node_memory_mb = kMemoryMegabytes;
-    s.node_descriptors = chance.is(kTightProbability) ? kTightDescriptors : kDescriptors;
-    s.connect_timeout = chance.is(0.5) ? 0.25 : 0.6;
-    s.connection_idle = chance.is(0.5) ? 1.5 : 15;
-    s.operations = {read_operation(chance), keyed_write(chance), single_write(chance)};
+    s.node_descriptors = rng.bernoulli(kTightDescriptorsProbability) ? kTightDescriptors : kDescriptors;
+    s.connect_timeout = rng.bernoulli(0.5) ? 0.25 : 0.6;
+    s.connection_idle = rng.bernoulli(0.5) ? 1.5 : 15;
+    s.operations = {read_operation(rng), keyed_write(rng), single_write(rng)};
     s.clients.rate = 8.0 * nodes;
     s.clients.leave = 0.06;
     s.clients.front_notices = 0.6;
@@ -121,25 +121,25 @@
 }
 
 // How large the fleet is, how short deadlines are, and the manners of signals, files and lists.
-void draw_conditions(Chance& chance, Scenario& s) {
-    const double size = chance.unit();
+void draw_conditions(Random& rng, Scenario& s) {
+    const double size = rng.unit();
     const bool is_largest = size < kLargestProbability;
     if (is_largest || size < kLargestProbability + kLargerProbability) {
         s.kinds.front().count = is_largest ? kLargestFleet : kLargerFleet;
         s.keys.filled = false;  // thousands of stores of copies would be the watcher's memory
     }
-    s.stale_files = chance.is(0.6);
-    s.signal_series = chance.is(0.5);
-    if (chance.is(kSlowListProbability)) s.list_rate = chance.between(200e3, 1500e3);
-    if (!chance.is(kShortDeadlineProbability)) return;
+    s.stale_files = rng.bernoulli(0.6);
+    s.signal_series = rng.bernoulli(0.5);
+    if (rng.bernoulli(kSlowListProbability)) s.list_rate = rng.uniform(200e3, 1500e3);
+    if (!rng.bernoulli(kShortDeadlineProbability)) return;
     for (OperationPlan& operation : s.operations) {
-        operation.promised.client_timeout = chance.between(0.15, 0.35);
+        operation.promised.client_timeout = rng.uniform(0.15, 0.35);
         operation.promised.latency_objective = operation.promised.client_timeout / 2;
     }
 }
 
 // One of the faults that strike servers, discovery, the links or the nodes.
-Trouble draw_fault(Chance& chance, const Scenario& s, double at) {
+Trouble draw_fault(Random& rng, const Scenario& s, double at) {
     static constexpr TroubleKind kKinds[] = {TroubleKind::silent,          TroubleKind::slow,
                                              TroubleKind::cold_return,     TroubleKind::crash,
                                              TroubleKind::drain,           TroubleKind::remove,
@@ -154,46 +154,47 @@
                                              TroubleKind::void_copies};
     constexpr int kCount = static_cast<int>(std::size(kKinds));
     Trouble t;
-    t.kind = kKinds[chance.whole(0, kCount - 1)];
+    t.kind = kKinds[rng.uniform_int(0, kCount - 1)];
     t.at = at;
-    t.lasts = chance.between(0.2, 3.0);
-    t.factor = chance.between(5, 60);
-    t.part = chance.between(0.1, 0.6);
-    t.count = chance.whole(2, 8);
-    t.node = chance.whole(0, s.nodes - 1);
-    const int struck = chance.whole(1, std::max(1, s.nodes / 3));
-    for (int n = 0; n < s.nodes && static_cast<int>(t.nodes.size()) < struck; ++n) {
-        if (chance.is(0.4)) t.nodes.push_back(n);
+    t.lasts = rng.uniform(0.2, 3.0);
+    t.factor = rng.uniform(5, 60);
+    t.part = rng.uniform(0.1, 0.6);
+    t.count = rng.uniform_int(2, 8);
+    t.node = rng.uniform_int(0, s.nodes - 1);
+    const int max_nodes = rng.uniform_int(1, std::max(1, s.nodes / 3));
+    for (int n = 0; n < s.nodes && static_cast<int>(t.nodes.size()) < max_nodes; ++n) {
+        if (rng.bernoulli(0.4)) t.nodes.push_back(n);
     }
     if (t.nodes.empty()) t.nodes = {t.node};
     const int servers = static_cast<int>(s.server_names().size()) - 1;
-    const bool is_release = servers >= kLargerFleet && chance.is(kReleaseProbability);
-    const int most = static_cast<int>(kReleaseMost * servers);
-    for (int i = 0, count = is_release ? chance.whole(most / 4, most) : chance.whole(1, 2); i < count; ++i) {
-        const std::string name = s.server_names()[static_cast<std::size_t>(chance.whole(0, servers - 1))];
+    const bool is_mass_fault = servers >= kLargerFleet && rng.bernoulli(kMassFaultProbability);
+    const int most = static_cast<int>(kMaxMassFaultRatio * servers);
+    for (int i = 0, count = is_mass_fault ? rng.uniform_int(most / 4, most) : rng.uniform_int(1, 2);
+         i < count; ++i) {
+        const std::string name = s.server_names()[static_cast<std::size_t>(rng.uniform_int(0, servers - 1))];
         if (std::find(t.who.begin(), t.who.end(), name) == t.who.end()) t.who.push_back(name);
     }
-    t.from = {s.zones[static_cast<std::size_t>(chance.whole(0, static_cast<int>(s.zones.size()) - 1))]};
-    t.one_way = chance.is(0.4);
+    t.from = {s.zones[static_cast<std::size_t>(rng.uniform_int(0, static_cast<int>(s.zones.size()) - 1))]};
+    t.one_way = rng.bernoulli(0.4);
     // A cut needs a relay for each node at each server, more than a machine has ports for.
     if (t.kind == TroubleKind::cut && servers >= kLargerFleet) t.kind = TroubleKind::list_late;
-    if (t.kind == TroubleKind::freeze && chance.is(0.6)) t.lasts = chance.between(0.02, 0.15);
+    if (t.kind == TroubleKind::freeze && rng.bernoulli(0.6)) t.lasts = rng.uniform(0.02, 0.15);
     if (t.kind == TroubleKind::reload) {
-        t.repeats = chance.whole(1, 4);
-        t.rotates_operations = chance.is(0.6);
+        t.repeats = rng.uniform_int(1, 4);
+        t.rotates_operations = rng.bernoulli(0.6);
     }
-    if (t.kind == TroubleKind::node_kill) t.lasts = chance.between(0.1, 1.0);
+    if (t.kind == TroubleKind::node_kill) t.lasts = rng.uniform(0.1, 1.0);
     return t;
 }
 
 // Bursts of two or three faults that overlap in time.
-void draw_faults(Chance& chance, Scenario& s) {
-    double at = chance.is(kQuietProbability) ? kQuietStart : chance.between(kFirstFault, 2.0);
+void draw_faults(Random& rng, Scenario& s) {
+    double at = rng.bernoulli(kLateFirstFaultProbability) ? kLateFirstFault : rng.uniform(kFirstFault, 2.0);
     while (at < kLastFault) {
-        const int together = chance.whole(2, 3);
-        for (int i = 0; i < together; ++i)
-            s.troubles.push_back(draw_fault(chance, s, at + chance.between(0, 0.4)));
-        at += chance.between(1.2, 3.0);
+        const int burst_size = rng.uniform_int(2, 3);
+        for (int i = 0; i < burst_size; ++i)
+            s.troubles.push_back(draw_fault(rng, s, at + rng.uniform(0, 0.4)));
+        at += rng.uniform(1.2, 3.0);
     }
 }
 
@@ -203,20 +204,21 @@
     return text;
 }
 
-std::string window(Chance& chance, double probability) {
-    const double from = kNodeStartup + chance.between(0, 8);
-    return decimal(from) + ":" + decimal(from + chance.between(0.1, 1.5)) + ":" + decimal(probability);
+std::string shim_window(Random& rng, double probability) {
+    const double from = kNodeStartup + rng.uniform(0, 8);
+    return decimal(from) + ":" + decimal(from + rng.uniform(0.1, 1.5)) + ":" + decimal(probability);
 }
 
 // Each node's shim strikes on its own; about half of the nodes have one.
-std::vector<std::string> draw_environment(Chance& chance, std::uint64_t seed, int node,
+std::vector<std::string> draw_environment(Random& rng, std::uint64_t seed, int node,
                                           const SoakOptions& options) {
-    const bool steps_clock = chance.is(0.35), fails_calls = chance.is(0.35), fails_disk = chance.is(0.35);
+    const bool steps_clock = rng.bernoulli(0.35), fails_calls = rng.bernoulli(0.35),
+               fails_disk = rng.bernoulli(0.35);
     static constexpr double kSteps[] = {3600, -3600, 4, -4, 90};
-    const double step = kSteps[chance.whole(0, 4)];
-    const std::string clock = decimal(kNodeStartup + chance.between(0, 8)) + ":" + decimal(step);
-    const std::string calls = window(chance, chance.between(0.01, 0.08));
-    const std::string disk = window(chance, chance.between(0.2, 1.0));
+    const double step = kSteps[rng.uniform_int(0, 4)];
+    const std::string clock = decimal(kNodeStartup + rng.uniform(0, 8)) + ":" + decimal(step);
+    const std::string calls = shim_window(rng, rng.uniform(0.01, 0.08));
+    const std::string disk = shim_window(rng, rng.uniform(0.2, 1.0));
     if (!options.with_shim || options.shim.empty()) return {};
     std::vector<std::string> environment{
         "LD_PRELOAD=" + options.shim,
@@ -236,7 +238,7 @@
 }
 
 // What the daemons themselves counted as broken, and how they ended.
-void read_logs(const DayPlan& plan, std::vector<std::string>& failures) {
+void collect_guard_failures(const DayPlan& plan, std::vector<std::string>& failures) {
     for (int node = 0; node < plan.scenario.nodes; ++node) {
         std::ifstream log(plan.folder + "/n" + std::to_string(node) + ".log");
         for (std::string line; std::getline(log, line);) {
@@ -246,7 +248,7 @@
     }
 }
 
-void judge(const DayPlan& plan, const DayResult& day, SoakResult& result) {
+void collect_failures(const DayPlan& plan, const DayResult& day, SoakResult& result) {
     if (!day.failed.empty()) result.failures.push_back("not played: " + day.failed);
     for (const audit::Violation& v : day.verdict.violations) {
         if (result.failures.size() < kMaxFailures)
@@ -264,7 +266,7 @@
     if (day.daemon_rss_mb > plan.scenario.node_memory_mb)
         result.failures.push_back("a daemon held " + decimal(day.daemon_rss_mb) + " MB of " +
                                   std::to_string(plan.scenario.node_memory_mb));
-    read_logs(plan, result.failures);
+    collect_guard_failures(plan, result.failures);
     result.is_void = day.verdict.is_void && result.failures.empty();
     result.void_reason = day.verdict.void_reason;
     result.requests = day.verdict.requests;
@@ -275,16 +277,16 @@
 }  // namespace
 
 SoakDay draw_soak_day(std::uint64_t seed, const SoakOptions& options) {
-    Chance chance(seed);
+    Random rng(seed);
     SoakDay day;
-    day.scenario = draw_fleet(chance, options.nodes);
-    Chance conditions(seed ^ kConditionsSeed);
+    day.scenario = draw_fleet(rng, options.nodes);
+    Random conditions(seed ^ kConditionsSeed);
     draw_conditions(conditions, day.scenario);
-    draw_faults(chance, day.scenario);
+    draw_faults(rng, day.scenario);
     for (int node = 0; node < options.nodes; ++node)
-        day.node_environment.push_back(draw_environment(chance, seed, node, options));
-    const bool is_crowded = conditions.is(kCrowdProbability);
-    day.mannered_clients = (is_crowded ? kCrowdPerNode : kClientsPerNode) * options.nodes;
+        day.node_environment.push_back(draw_environment(rng, seed, node, options));
+    const bool is_crowded = conditions.bernoulli(kCrowdedProbability);
+    day.mannered_clients = (is_crowded ? kCrowdedClientsPerNode : kClientsPerNode) * options.nodes;
     return day;
 }
 
@@ -292,14 +294,14 @@
     SoakDay day = draw_soak_day(seed, options);
     SoakResult result;
     result.seed = seed;
-    std::vector<Trouble> kept;
+    std::vector<Trouble> kept_faults;
     for (std::size_t i = 0; i < day.scenario.troubles.size(); ++i) {
         const auto& dropped = options.dropped_faults;
         result.faults.push_back(fault_text(i, day.scenario.troubles[i]));
         if (std::find(dropped.begin(), dropped.end(), static_cast<int>(i)) == dropped.end())
-            kept.push_back(day.scenario.troubles[i]);
+            kept_faults.push_back(day.scenario.troubles[i]);
     }
-    day.scenario.troubles = std::move(kept);
+    day.scenario.troubles = std::move(kept_faults);
     DayPlan plan;
     plan.scenario = day.scenario;
     plan.seed = seed;
@@ -309,19 +311,19 @@
     plan.mannered_clients = day.mannered_clients;
     plan.state_folders = true;
     plan.environment = [&day](int node) { return day.node_environment[static_cast<std::size_t>(node)]; };
-    judge(plan, play_day(plan), result);
+    collect_failures(plan, play_day(plan), result);
     return result;
 }
 
-SoakOptions shrink_soak(std::uint64_t seed, const SoakOptions& options, int plays) {
+SoakOptions shrink_soak(std::uint64_t seed, const SoakOptions& options, int max_runs) {
     SoakOptions smallest = options;
     const std::size_t faults = draw_soak_day(seed, options).scenario.troubles.size();
     const auto still_fails = [&](const SoakOptions& tried) {
         std::filesystem::remove_all(tried.folder);
         std::filesystem::create_directories(tried.folder);
-        return plays-- > 0 && play_soak(seed, tried).has_failed();
+        return max_runs-- > 0 && play_soak(seed, tried).has_failed();
     };
-    for (std::size_t i = 0; i < faults && plays > 0; ++i) {
+    for (std::size_t i = 0; i < faults && max_runs > 0; ++i) {
         SoakOptions tried = smallest;
         tried.dropped_faults.push_back(static_cast<int>(i));
         if (still_fails(tried)) smallest = tried;
--- a/src/testkit/soak.h
+++ b/src/testkit/soak.h
@@ -52,6 +52,6 @@
 
 /// Plays a failing seed again with faults left out one by one, and keeps out those without which it still
 /// fails. Returns the options of the smallest failing day; at most `plays` plays.
-SoakOptions shrink_soak(std::uint64_t seed, const SoakOptions& options, int plays);
+SoakOptions shrink_soak(std::uint64_t seed, const SoakOptions& options, int max_runs);
 
 }  // namespace brookrelay::testkit
