--- a/src/testkit/daemon_process.cpp
+++ b/src/testkit/daemon_process.cpp
@@ -49,18 +49,19 @@
     return out.str();
 }
 
-constexpr int kInheritedListenerFd = 5;
-constexpr int kExecPipeFd = 3;  // in the child, until it becomes the program
-constexpr int kMinTemporaryFd = 64;
+constexpr int kInheritedListenerFd = 5;  // the value of GW_ACCEPT_FD
+constexpr int kExecPipeFd = 3;           // in the child, closed by the exec
+constexpr int kMinTemporaryFd = 64;      // above all descriptors that the child sets up
 
-// In the child: everything up to the exec. Nothing is allocated, since the parent may have threads.
+// Sets up the child between fork and exec: descriptors, signals, process group and core. Allocates no memory,
+// because the parent may have threads.
 void prepare_child_for_exec(const DaemonProcess::Place& place, const std::string& log, pid_t parent,
                             int exec_pipe) {
     const int temporary_exec_pipe = fcntl(exec_pipe, F_DUPFD_CLOEXEC, kMinTemporaryFd);
-    // However the rehearsal ends, its daemons end with it.
+    // The daemon is killed when its parent ends, however that ends.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(127);
-    setpgid(0, 0);  // Ctrl-C is the rehearsal's to hear
+    setpgid(0, 0);  // Ctrl-C reaches the test kit only
     if (place.cpu >= 0) {
         cpu_set_t set;
         CPU_ZERO(&set);
@@ -100,7 +101,7 @@
 void DaemonProcess::start() {
     const std::string config = "GW_CONFIG=" + config_path();
     const std::string log = log_path();
-    // Made before the fork: in a child of many threads nothing may be allocated.
+    // Built before the fork: the child of a multithreaded process must not allocate memory.
     std::vector<char*> environment;
     for (char** at = environ; *at != nullptr; ++at) {
         const std::string_view entry(*at);
@@ -117,10 +118,10 @@
     std::vector<char*> arguments{place_.program.data()};
     for (std::string& argument : place_.arguments) arguments.push_back(argument.data());
     arguments.push_back(nullptr);
-    // Until it has become the program, the child holds this process's descriptors, and a signal would not be
-    // the program's to handle: the pipe ends when it has.
+    // Until the exec, the child holds this process's descriptors, and a signal does not reach the program's
+    // handlers. The exec closes the pipe, and start() waits for that.
     int exec_pipe[2] = {-1, -1};
-    if (pipe2(exec_pipe, O_CLOEXEC) != 0) throw std::runtime_error("cannot start a process");
+    if (pipe2(exec_pipe, O_CLOEXEC) != 0) throw std::runtime_error("cannot start the daemon's process");
     const pid_t parent = getpid();
     pid_ = fork();
     if (pid_ != 0) {
@@ -128,7 +129,7 @@
         char unused = 0;
         while (pid_ > 0 && read(exec_pipe[0], &unused, 1) < 0 && errno == EINTR) continue;
         close(exec_pipe[0]);
-        if (pid_ < 0) throw std::runtime_error("cannot start a process");
+        if (pid_ < 0) throw std::runtime_error("cannot start the daemon's process");
         return;
     }
     prepare_child_for_exec(place_, log, parent, exec_pipe[1]);
@@ -162,7 +163,7 @@
     ProcessUsage f;
     if (pid_ <= 0) return f;
     const std::string proc = "/proc/" + std::to_string(pid_);
-    // The first two of its numbers: nanoseconds on a core, and waiting for one.
+    // The first two numbers of schedstat: nanoseconds run on a core, and nanoseconds waited for one.
     std::istringstream schedule(read_file(proc + "/schedstat"));
     double ran = 0, waited = 0;
     schedule >> ran >> waited;
--- a/src/testkit/daemon_process.h
+++ b/src/testkit/daemon_process.h
@@ -1,5 +1,6 @@
-// A daemon under test: its configuration, its process, its log and its resource usage. The process dies with
-// this one, however that ends. Any program that serves by GW_CONFIG will do.
+// A daemon under test: its configuration, its process, its log and its resource usage. The daemon is killed
+// when this process ends, however it ends. The program may be any that reads its configuration from
+// GW_CONFIG.
 #pragma once
 
 #include <sys/types.h>
@@ -23,16 +24,16 @@
 
 class DaemonProcess {
   public:
+    // How and where the daemon is started.
     struct Place {
         std::string program;
-        std::string folder;  // for its configuration and its log
-        std::string name;
-        int cpu = -1;  // the core to which it is pinned; -1: any
-        int listener =
-            -1;  // a listening socket that it inherits as descriptor 5, named in GW_ACCEPT_FD; -1: none
-        std::string tmp = {};                       // its TMPDIR; empty: as this process has it
-        std::vector<std::string> arguments = {};    // none: serve by GW_CONFIG
-        std::vector<std::string> environment = {};  // NAME=VALUE, added to the inherited ones
+        std::string folder;  // of its configuration and its log
+        std::string name;    // of the configuration and log files, without extension
+        int cpu = -1;        // the core to which the process is pinned; -1: none
+        int listener = -1;   // a listening socket inherited as descriptor 5, passed in GW_ACCEPT_FD; -1: none
+        std::string tmp = {};                       // its TMPDIR; empty: that of this process
+        std::vector<std::string> arguments = {};    // of the program; none: it serves with GW_CONFIG
+        std::vector<std::string> environment = {};  // NAME=VALUE, in addition to the inherited variables
     };
     explicit DaemonProcess(Place place) : place_(std::move(place)) {}
     ~DaemonProcess();
@@ -42,11 +43,11 @@
     void configure(const std::string& json) const;
     void start();
     void signal(int number) const;
-    bool running();                               // false also if it has ended by itself; keeps its exit code
-    void kill();                                  // and waits for its end
-    int exit_code() const { return exit_code_; }  // 128 + the signal if one ended it
-    bool is_expected_to_end = false;
-    ProcessUsage figures() const;
+    bool running();                               // reaps a process that has ended and keeps its exit code
+    void kill();                                  // sends SIGKILL and waits for the end
+    int exit_code() const { return exit_code_; }  // 128 + the signal number after an end by a signal
+    bool is_expected_to_end = false;              // its end is no crash
+    ProcessUsage figures() const;                 // all zero if the process does not run
     const Place& place() const { return place_; }
     std::string log_path() const { return place_.folder + "/" + place_.name + ".log"; }
     std::string config_path() const { return place_.folder + "/" + place_.name + ".json"; }
@@ -58,13 +59,14 @@
     int exit_code_ = 0;
 };
 
-// Gossip and admin addresses of a node, and those of its peers; empty: none.
+// Gossip and management addresses of a node, and the gossip addresses of its peers; empty: none.
 struct GossipAddresses {
     std::string listen, management;
     std::vector<std::string> peers;
 };
 
-// The node configuration file (JSON) of one node of a scenario's fleet.
+// Returns the configuration file (JSON) of one node of a scenario's fleet. `endpoint_list` is the JSON object
+// of the known endpoint list.
 std::string node_config_json(const Scenario& scenario, int node, const std::string& listen,
                              const std::string& discovery, const std::string& endpoint_list,
                              std::uint64_t seed, const GossipAddresses& gossip = {});
--- a/src/testkit/experiment.cpp
+++ b/src/testkit/experiment.cpp
@@ -25,7 +25,7 @@
 namespace {
 
 std::string short_name(const std::string& program) {
-    // The last two parts of a path tell builds apart; the last alone is the same for all of them.
+    // The two folders above the program distinguish builds, whose programs have the same name.
     const std::filesystem::path path(program);
     const std::string parent = path.parent_path().filename().string();
     const std::string grand = path.parent_path().parent_path().filename().string();
@@ -44,7 +44,8 @@
     return buffer;
 }
 
-// Where one number alone was swept, the settings stand along the axis by their value; else there is none.
+// Returns the x positions of the settings if a single numeric value was swept, in rising order; else an empty
+// list.
 std::vector<double> axis_positions(const ExperimentPlan& plan, const std::vector<std::string>& settings) {
     std::size_t swept = 0;
     for (const Sweep& s : plan.sweeps) swept += s.values.size() > 1 ? 1 : 0;
@@ -136,7 +137,8 @@
         settings = std::move(longer);
     }
     std::vector<Cell> cells;
-    // Seed by seed, and the daemons next to one another: a machine that slows down slows them all.
+    // Seed by seed, with the daemons of a setting in succession, so that a slowdown of the machine affects
+    // all.
     for (const std::uint64_t seed : plan.seeds) {
         for (const auto& setting : settings) {
             for (std::size_t d = 0; d < plan.daemons.size(); ++d) {
@@ -191,7 +193,7 @@
             std::filesystem::create_directories(cell.folder);
             const pid_t parent = getpid();
             const pid_t child = fork();
-            if (child < 0) throw std::runtime_error("cannot start a process");
+            if (child < 0) throw std::runtime_error("cannot start a child process");
             if (child == 0) {
                 prctl(PR_SET_PDEATHSIG, SIGTERM);
                 int code = 2;
@@ -205,7 +207,7 @@
             }
             running.emplace(child, next++);
         }
-        if (running.empty()) break;  // interrupted before the next
+        if (running.empty()) break;  // interrupted before the next run was started
         int status = 0;
         const pid_t ended = waitpid(-1, &status, WNOHANG);
         if (ended <= 0) {
@@ -284,7 +286,7 @@
     out += "days             " + std::to_string(r.cells.size()) + ":";
     for (const auto& [word, count] : verdicts) out += " " + std::to_string(count) + " " + word;
     out += r.was_interrupted ? " (interrupted)\n" : "\n";
-    // Each setting and daemon: the mean over its seeds, and the range.
+    // For each setting and daemon: the mean and the range over the seeds.
     std::vector<std::pair<std::string, std::size_t>> groups;
     for (const Cell& c : r.cells) {
         const std::pair<std::string, std::size_t> g{c.setting, c.daemon};
@@ -344,7 +346,7 @@
         "border-bottom:1px solid "
         "#eee}pre{background:#f6f6f6;padding:8px;overflow-x:auto}</style></head><body><h1>" +
         escape_html(std::filesystem::path(plan.scenario).stem().string()) + ": experiment</h1>";
-    // One chart a measure: the settings, or the seeds where nothing was swept, along the axis.
+    // One chart for each measure, with the settings on the x axis, or the seeds if nothing was swept.
     std::vector<std::string> settings;
     for (const Cell& c : r.cells) {
         if (std::find(settings.begin(), settings.end(), c.setting) == settings.end())
--- a/src/testkit/experiment.h
+++ b/src/testkit/experiment.h
@@ -1,5 +1,6 @@
-// Experiments: many runs of one scenario over seeds, swept values and daemons, interleaved so that drift of
-// the machine affects all alike, each in a child process; and the statistics of paired differences.
+// Experiments: many runs of one scenario over seeds, swept values and daemons, each in a child process. The
+// runs are interleaved, so that drift of the machine affects all daemons alike. Also the statistics of paired
+// differences.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +10,25 @@
 
 namespace brookrelay::testkit {
 
+// The values of one scenario setting over which an experiment varies.
 struct Sweep {
     std::string path;
     std::vector<std::string> values;
 };
-// "PATH=V1,V2" with the commas inside brackets and quotes left alone; one value: nothing is swept.
+// Parses "PATH=V1,V2"; commas inside brackets and quotes do not separate values. A single value sets the
+// setting without a sweep. Throws std::invalid_argument.
 Sweep read_sweep(const std::string& text);
-// "3", "1..5" or "1,4,9"; throws std::invalid_argument.
+// Parses "3", "1..5" or "1,4,9". Throws std::invalid_argument.
 std::vector<std::uint64_t> read_seeds(const std::string& text);
 
+// The results of one run that are compared.
 struct Measures {
     bool played = false;
     std::string verdict;
     double whole = 0, worst_ten = 0, worst_operation = 0, worst_tenant = 0, p99_ms = 0, cpu_us = 0;
     double origin_reads = 0, late = 0;
 };
+// The name, the unit and the field of one result.
 struct Measure {
     const char* name;
     const char* unit;
@@ -31,10 +36,11 @@
 };
 const std::vector<Measure>& all_measures();
 
+// One run of an experiment.
 struct Cell {
     std::size_t daemon = 0;
-    std::vector<std::string> sets;  // PATH=VALUE
-    std::string setting;            // the same, for people
+    std::vector<std::string> sets;  // PATH=VALUE, all settings of the run
+    std::string setting;            // the swept settings as text
     std::uint64_t seed = 0;
     std::string folder;
     Measures measures;
@@ -51,13 +57,15 @@
     std::function<void(std::size_t done, std::size_t all, const Cell&)> progress;
 };
 
-struct Paired {  // of one measure, in one setting: a daemon less the first one, seed by seed
+// The differences of one measure in one setting between a daemon and the first one, paired by seed.
+struct Paired {
     std::string setting;
     std::size_t daemon = 1;
     std::string measure, unit;
     std::vector<double> first, other;
-    double mean = 0, deviation = 0, half_width = 0;  // of the differences; the half width of 95% confidence
-    bool told_apart() const;                         // 0 is outside
+    double mean = 0, deviation = 0,
+           half_width = 0;    // of the differences; half width of the 95% confidence interval
+    bool told_apart() const;  // whether 0 is outside the confidence interval
 };
 
 struct ExperimentResult {
@@ -66,14 +74,15 @@
     bool was_interrupted = false;
 };
 
-std::vector<Cell> cells_of(const ExperimentPlan& plan);  // in the order in which they are played
-// Plays each cell by `day`, in a child process; it returns what play and write of one day gave.
+std::vector<Cell> cells_of(const ExperimentPlan& plan);  // in the order of execution
+// Executes each run by calling `day` in a child process, whose exit code `day` returns. `day` must write
+// report.json into the folder of the run.
 ExperimentResult play_experiment(const ExperimentPlan& plan, const std::function<int(const Cell&)>& day);
 std::vector<Paired> paired(const std::vector<Cell>& cells, std::size_t daemons);
 Measures read_measures(const std::string& report_json_path);
 
 std::string experiment_text(const ExperimentPlan& plan, const ExperimentResult& result);
-// experiment.csv and experiment.html in the plan's folder.
+// Writes experiment.csv and experiment.html into the plan's folder.
 void write_experiment(const ExperimentPlan& plan, const ExperimentResult& result);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/fault_schedule.cpp
+++ b/src/testkit/fault_schedule.cpp
@@ -12,19 +12,21 @@
 namespace brookrelay::testkit {
 namespace {
 
-// Boost's, not the standard library's: its distributions draw the same numbers on every machine.
+// Boost.Random is used since its distributions draw the same numbers on every platform, unlike those of the
+// standard library.
 using Engine = boost::random::mt19937_64;
 
-constexpr std::uint64_t kFirstScanRank = 1ULL << 40;  // keys nobody else asks for
-constexpr std::uint64_t kFirstHotRank = 1ULL << 41;
+constexpr std::uint64_t kFirstScanRank = 1ULL << 40;  // the first rank of the keys that only scans request
+constexpr std::uint64_t kFirstHotRank = 1ULL << 41;   // the first rank of the hot keys of faults
 
-std::uint64_t mix_bits(std::uint64_t x) {  // splitmix64's last step: different ranks give different keys
+std::uint64_t mix_bits(std::uint64_t x) {  // the output function of splitmix64, which is a bijection
     x += 0x9e3779b97f4a7c15ULL;
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31);
 }
 
+// Zipf's distribution over ranks from 0.
 class Zipf {
   public:
     Zipf(std::uint64_t count, double skew) : cumulative_weights_(count) {
@@ -44,7 +46,7 @@
     std::vector<double> cumulative_weights_;
 };
 
-// Arrivals of one stream: a rate at each time, and how the rest of an arrival is drawn.
+// A Poisson stream of arrivals with a rate that varies over time; `fill` draws the rest of an arrival.
 struct ArrivalStream {
     double from = 0, until = 0, max_rate = 0;
     std::function<double(double)> rate;
@@ -55,7 +57,8 @@
     if (stream.max_rate <= 0) return;
     boost::random::uniform_01<double> unit;
     boost::random::exponential_distribution<double> interval(stream.max_rate);
-    // Thinning: arrivals at the highest rate, of which each stays by the rate at its time.
+    // Thinning: arrivals are drawn at the highest rate, and each is kept with the probability that the rate
+    // at its time gives. Dropped arrivals use up the same draws.
     for (double t = stream.from + interval(engine); t < stream.until; t += interval(engine)) {
         const bool is_kept = unit(engine) * stream.max_rate < stream.rate(t);
         PlannedRequest p;
@@ -92,7 +95,7 @@
         p.leaves = unit(e) < s.clients.leave ? static_cast<float>(unit(e)) : -1.0F;
         p.node_selector = static_cast<float>(unit(e));
         p.random_bits = static_cast<std::uint32_t>(e());
-        // Key of a hot spell, if one is on: drawn here, so that the spell moves arrivals and adds none.
+        // During a hot_key fault a part of the arrivals is moved to the hot key; the fault adds no arrivals.
         const double draw = unit(e);
         for (std::size_t i = 0; i < s.troubles.size(); ++i) {
             const Trouble& t = s.troubles[i];
@@ -109,7 +112,7 @@
     const auto rate = [&](double t) { return s.clients.rate * at(s.clients.curve, t, 1); };
 
     std::vector<PlannedRequest> all;
-    // Each stream has a generator of its own, so that a trouble that adds arrivals changes no others.
+    // Each stream has a generator of its own, so that a fault that adds arrivals changes no other stream.
     Engine base_engine(seed * 1000003);
     draw_arrivals({0, s.length, s.clients.rate * max_multiplier, rate, fill_common}, base_engine, all);
     for (std::size_t i = 0; i < s.troubles.size(); ++i) {
--- a/src/testkit/fleet_views.cpp
+++ b/src/testkit/fleet_views.cpp
@@ -30,7 +30,8 @@
 
 double forwards_to(const DayResult& day, int zone, int zones, int second) {
     double all = 0;
-    const auto& servers = day.series.forwards;  // dealt over the zones in turn; the last is the origin
+    const auto& servers =
+        day.series.forwards;  // the servers are assigned to the zones in turn; the last one is the origin
     for (auto c = static_cast<std::size_t>(zone); c + 1 < servers.size();
          c += static_cast<std::size_t>(zones))
         all += servers[c][static_cast<std::size_t>(second)];
--- a/src/testkit/fleet_views.h
+++ b/src/testkit/fleet_views.h
@@ -1,4 +1,4 @@
-// Queries on the fleet views that nodes reported in a run, over all nodes and over time.
+// Queries on the fleet views that nodes reported during a run, over nodes and over time.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,18 @@
 using Which = std::function<bool(int node)>;
 using Says = std::function<bool(const FleetView& view)>;
 
-// The first time from `from` on at which the newest word of each of `which` is so; -1: never.
+// Returns the first time from `from` on at which the newest view of each node of `which` that has reported
+// satisfies `so`; -1: never.
 double when_all(const DayResult& day, double from, const Which& which, const Says& so);
-// Whether each word of theirs in [from, until] is so; without any it is not.
+// Returns whether every view of the nodes of `which` in [from, until] satisfies `so`; false if there is none.
 bool always(const DayResult& day, const Which& which, const Says& so, double from = 0, double until = 1e9);
-// To the cache servers of a zone, of `zones`, in a second of the day: by all nodes, as the servers counted.
+// Returns the attempts of all nodes to the cache servers of a zone in one second of the run, as counted by
+// the servers. `zones` is the number of zones.
 double forwards_to(const DayResult& day, int zone, int zones, int second);
-// Of its capacity, the most that the origin was asked in a second in which it stood.
+// Returns the highest load of the origin in a second in which it was running, as a ratio of its capacity.
 double origin_peak(const DayResult& day);
-// A line for each zone that its own nodes left: when, and when they used it in full again.
+// Returns one line for each zone that all of its own nodes left: when they left it, and when they used it in
+// full again.
 std::string zone_failover_text(const Scenario& scenario, const DayResult& day);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/histogram.h
+++ b/src/testkit/histogram.h
@@ -1,4 +1,4 @@
-// Latency histogram with logarithmic bins: quantiles to within about 3% in a few kilobytes. No I/O.
+// A latency histogram with logarithmic bins: quantiles have an error of about 3%, in a few kilobytes. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -25,10 +25,10 @@
     std::uint64_t count() const { return count_; }
     double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
     double most() const { return max_; }
-    // The upper bound of the given quantile, 0 to 1; 0 if the histogram is empty.
+    // Returns an upper bound of the quantile `part`, from 0 to 1; 0 if the histogram is empty.
     double quantile(double part) const {
         const double target_count = part * static_cast<double>(count_);
-        double cumulative_count = bins_.at(-1);  // under the first bin
+        double cumulative_count = bins_.at(-1);  // the underflow bin
         if (count_ > 0 && cumulative_count >= target_count) return kMinSeconds;
         for (int i = 0; i < kBins; ++i) {
             cumulative_count += bins_.at(i);
@@ -37,7 +37,7 @@
         }
         return max_;
     }
-    // Time and count of each bin that is not empty.
+    // Returns the center, in seconds, and the count of each bin that is not empty.
     std::vector<std::pair<double, double>> bins() const {
         std::vector<std::pair<double, double>> all;
         for (int i = 0; i < kBins; ++i) {
@@ -47,8 +47,8 @@
     }
 
   private:
-    static constexpr int kBins = 600;  // each 2.7% wider than the one before
-    static constexpr double kMinSeconds = 10e-6, kMaxSeconds = 100;
+    static constexpr int kBins = 600;                                // each 2.7% wider than the one before it
+    static constexpr double kMinSeconds = 10e-6, kMaxSeconds = 100;  // range of the bins
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
     decltype(boost::histogram::make_histogram(Axis(1, 1, 2))) bins_;
     std::uint64_t count_ = 0;
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -20,10 +20,10 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kReadyTimeout = 15;
-constexpr std::uint32_t kRunId = 0x10ad;
+constexpr double kReadyTimeout = 15;      // seconds from the start until the daemon responds
+constexpr std::uint32_t kRunId = 0x10ad;  // part of the request ids
 
-// A loop in a thread of its own.
+// An event loop that runs in its own thread.
 class EventLoopThread {
   public:
     EventLoopThread() : guard_(boost::asio::make_work_guard(io)), thread_([this] { io.run(); }) {}
@@ -40,7 +40,7 @@
     std::thread thread_;
 };
 
-// Answers every read with a value, at once.
+// A cache server that answers every read with the same value at once.
 class InstantCacheServer {
   public:
     InstantCacheServer(Io& io, const Clock& clock, const std::string& host, int bytes)
@@ -76,7 +76,7 @@
     Listener listener_;
 };
 
-// Some of the clients, on one loop.
+// A part of the clients, on one event loop.
 class LoadGenerator {
   public:
     LoadGenerator(const LoadPlan& plan, const Clock& clock, Tcp::endpoint node, int clients, int first_id,
@@ -101,7 +101,7 @@
   private:
     struct Client {
         Connection::Ptr conn;
-        double due_at = -1;  // of what is out; -1: nothing is
+        double due_at = -1;  // scheduled time of the open request; -1: none
         std::string id;
     };
 
@@ -211,7 +211,7 @@
     std::vector<std::unique_ptr<EventLoopThread>> loops;
     loops.reserve(static_cast<std::size_t>(plan.threads));
     for (int i = 0; i < plan.threads; ++i) loops.push_back(std::make_unique<EventLoopThread>());
-    // Made before their loops see a connection, and gone only after those have stopped.
+    // Created before their loops accept connections, and destroyed only after the loops have stopped.
     std::vector<std::unique_ptr<InstantCacheServer>> caches;
     std::string endpoints;
     for (int i = 0; i < plan.caches; ++i) {
@@ -221,7 +221,8 @@
                      R"(","dial":")" + caches.back()->address() +
                      R"(","site":"room-a","class":"box","block":0,"health":"SERVING"})";
     }
-    // Discovery has nothing to say: it listens, and that is all.
+    // Discovery accepts connections and never responds: the daemon uses the endpoint list of its
+    // configuration.
     Io io;
     Tcp::acceptor discovery(io, {boost::asio::ip::make_address(host), 0});
     const std::string discovery_at = host + ":" + std::to_string(discovery.local_endpoint().port());
@@ -235,7 +236,7 @@
     daemon.start();
     while (!is_ready(io, node)) {
         if (!daemon.running() || clock.now() > kReadyTimeout) {
-            result.failed = "the daemon does not serve; see " + daemon.log_path();
+            result.failed = "the daemon does not respond; see " + daemon.log_path();
             break;
         }
         sleep_for(0.02);
@@ -266,7 +267,8 @@
             result.throttled += a->throttled;
             result.other += a->other;
         }
-        if (!daemon.running()) result.failed = "the daemon ended; see " + daemon.log_path();
+        if (!daemon.running())
+            result.failed = "the daemon ended during the measurement; see " + daemon.log_path();
     }
     daemon.kill();
     for (auto& loop : loops) loop->stop();
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr double kTimeoutMargin =
-    0.03;  // s beyond what the judge allows, so that it sees a late answer as one
-constexpr double kMinTimeout = 0.05;
-constexpr double kDeduplicationMargin = 0.15;  // s of a mark's time that a client leaves for the way
+    0.03;  // s beyond what the auditor allows, so that it sees a late response as late
+constexpr double kMinTimeout = 0.05;  // s; an attempt with less time left is not made
+constexpr double kDeduplicationMargin =
+    0.15;  // s of a deduplication window that a client reserves for the transit of a retry
 constexpr std::size_t kMaxIdlePerNode = 64;
-constexpr double kSlowWriteInterval = 1.0;  // s between bytes
-constexpr double kUnreadRequestInterval = 0.02;
+constexpr double kSlowWriteInterval = 1.0;       // s between bytes
+constexpr double kUnreadRequestInterval = 0.02;  // s between requests of a non-reader
 
 }  // namespace
 
@@ -23,9 +24,9 @@
     int node = 0;
     Connection::Ptr conn;
     bool is_busy = false;
-    bool is_fresh = true;     // has carried no whole exchange yet
-    bool was_resent = false;  // what is on it crossed the end of another connection
-    int request_id = -1;      // the last one asked on it
+    bool is_fresh = true;     // no exchange has been completed on it yet
+    bool was_resent = false;  // its request was already sent on a connection that the node closed
+    int request_id = -1;      // the last request sent on it
     User user;
     double timeout = 0;
 };
@@ -39,7 +40,7 @@
       arrivals_(environment.io),
       latencies_(environment.scenario.operations.size()) {}
 
-// A line and its connection hold one another for as long as the connection may bring news.
+// A ClientConnection and its Connection hold references to one another, which are released here.
 LoadClients::~LoadClients() {
     for (const Node& n : nodes_) {
         for (const std::shared_ptr<ClientConnection>& client : n.all) client->conn.reset();
@@ -96,7 +97,7 @@
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
         if (nodes_[n].is_in_use) usable.push_back(static_cast<int>(n));
     }
-    // Where a tenant's clients come to some nodes alone, the others are for when none of these is there.
+    // A tenant that is assigned to some nodes uses other nodes only while none of these gets requests.
     if (user.plan->tenant >= 0) {
         const TenantPlan& t = environment_.scenario.tenants[static_cast<std::size_t>(user.plan->tenant)];
         const bool has_moved = t.moves > 0 && environment_.now() >= started_at_ + t.moves;
@@ -122,7 +123,7 @@
     double wait = op.client_timeout * static_cast<double>(user.plan->timeout_ratio);
     wait = std::min(wait, user.first_sent_at + op.client_timeout - now);
     if (op.idempotency == Idempotency::idempotency_key && user.retry_count > 0) {
-        // Beyond its mark's time a repeat would be a second write; that is the client's to see to.
+        // After the deduplication window a retry would be a second write, which the client has to prevent.
         wait = std::min(wait, user.first_sent_at + op.deduplication_window - kDeduplicationMargin - now);
     }
     if (wait < kMinTimeout) return;
@@ -217,7 +218,7 @@
         const double retry_after = answer.advice;
         conn.take(taken);
         environment_.auditor.on_response(now, client->request_id, reply, attempt_id);
-        if (!client->is_busy) continue;  // an answer nobody waits for: the judge has it
+        if (!client->is_busy) continue;  // an unsolicited response, which is reported to the auditor only
         const User user = client->user;
         client->is_fresh = false;
         release(client);
@@ -259,8 +260,8 @@
     if (!was_busy) return discard(client);
     if (!client->is_fresh && !client->was_resent && client->conn->input().empty() &&
         !environment_.auditor.has_attempts(client->request_id)) {
-        // The node closed this idle connection just when the command was on its way: asked once more, as it
-        // is.
+        // The node closed this idle connection while the command was in transit: the unchanged request is
+        // sent once more.
         std::erase(nodes_[static_cast<std::size_t>(client->node)].idle, client);
         client->was_resent = true;
         return dial(client->node, client);
@@ -312,9 +313,10 @@
     });
 }
 
-// ---- who only hinders -----------------------------------------------------------------------------------
+// ---- misbehaving clients ---------------------------------------------------------------------------------
 
-// One connection that says a byte of a command a second and never ends it; let go, it comes again.
+// A client that writes one byte of a command per second and never completes it. It connects again when the
+// node closes the connection.
 struct LoadClients::SlowWriter : std::enable_shared_from_this<SlowWriter> {
     SlowWriter(TestEnvironment& w, Tcp::endpoint to, double end)
         : environment(w), where(std::move(to)), until(end) {}
@@ -340,7 +342,7 @@
     std::size_t written = 0;
 };
 
-// One connection that asks again and again and reads nothing of what comes.
+// A client that sends requests continuously and never reads a response.
 struct LoadClients::NonReader : std::enable_shared_from_this<NonReader> {
     NonReader(LoadClients& c, int at_node, int op, double end)
         : clients(c), node(at_node), operation(op), until(end) {}
--- a/src/testkit/load_clients.h
+++ b/src/testkit/load_clients.h
@@ -1,6 +1,6 @@
-// The clients of a scenario run and the load balancer between them and the nodes: they send the planned
-// requests over kept connections, with timeouts, retries as each operation permits them, and early closes.
-// What a client observes is reported to the auditor.
+// The clients of a scenario run, and the load balancer between them and the nodes. The clients send the
+// planned requests over persistent connections, with timeouts, with retries as each operation permits them,
+// and with connections closed early. What a client observes is reported to the auditor.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -22,21 +22,22 @@
                 std::uint64_t seed);
     ~LoadClients();
 
-    // The load balancer's view of a node: its address, and whether it gets requests.
+    // Set the load balancer's view of a node: its address, and whether it gets requests.
     void set_node_address(int node, const Tcp::endpoint& where);
     void set_node_in_use(int node, bool yes);
     void start(double start_time);  // time of the run's start, by the environment's clock
     bool is_finished() const {
         return next_planned_ >= schedule_.size() && open_requests_ == 0 && pending_retries_ == 0;
     }
-    void stop();  // sends no further requests
+    void stop();  // no further requests are sent
 
-    // For other clients of the run: numbers that no request or user of these has, and where to connect.
+    // For other clients of the run: unused numbers of a request and a user, and the nodes that get requests.
     int take_request_id() { return next_request_id_++; }
     int take_user_id() { return next_user_id_++; }
     std::vector<std::pair<int, Tcp::endpoint>> nodes_in_use() const;
 
-    // Faults: slow writers and slow readers, whose requests are not counted.
+    // Inject faults until the given time: `count` clients that write a byte at a time, and clients that send
+    // requests without reading the responses. Neither counts towards the service.
     void add_slow_writers(int node, int count, double until);
     void add_non_readers(int node, int count, double until);
 
@@ -48,6 +49,7 @@
     std::uint64_t succeeded() const { return succeeded_; }
 
   private:
+    // A user makes one planned request and its retries.
     struct User {
         const PlannedRequest* plan = nullptr;
         int number = 0;
@@ -55,7 +57,7 @@
         double first_sent_at = 0;
         std::uint64_t idempotency_key = 0;
     };
-    struct ClientConnection;  // one client connection
+    struct ClientConnection;  // carries one request at a time
     struct SlowWriter;
     struct NonReader;
     struct Node {
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -36,7 +36,7 @@
     t.over_quota_value_ratio = s.beyond_share_part;
     t.origin_limit = s.talk ? s.talk_origin : 0;
     t.cold_limit = s.talk ? s.talk_cold : 0;
-    for (const Trouble& one : s.troubles) {  // while a change goes round the larger one holds
+    for (const Trouble& one : s.troubles) {  // while a changed limit spreads, the larger one applies
         if (one.kind == TroubleKind::limits) t.origin_limit = std::max(t.origin_limit, one.origin);
     }
     t.duration = s.length;
@@ -54,7 +54,7 @@
       nodes_(index(plan.scenario.nodes)) {
     std::random_device entropy;
     environment_.day =
-        entropy();  // ids of days that run side by side must not meet; nothing that counts hangs on it
+        entropy();  // makes the request ids of concurrent runs distinct; no result depends on it
     const int servers = static_cast<int>(scenario_.server_names().size()) - 1;
     for (int i = 0; i < servers; ++i) {
         caches_.push_back(
@@ -66,7 +66,7 @@
         discovery_->put(i, caches_[index(i)]->address(), EndpointState::ready, -1);
     discovery_->put(servers, origin_->address(), EndpointState::ready, -1);
     environment_.fill = [this](int to, std::uint64_t key, std::uint32_t version) {
-        // A write since then has dropped the copies; an older answer must not bring one back.
+        // A write in the meantime has dropped the copies; an older response must not restore one.
         if (version == environment_.version(key)) caches_[index(to)]->store(key, version);
     };
     environment_.drop_copies = [this](std::uint64_t key) {
@@ -129,7 +129,8 @@
     mannered_clients_->start(plan_.mannered_clients, pick, started_at_ + scenario_.length);
 }
 
-// The day is over once whoever asked has been answered, or has waited as long as anyone waits.
+// Ends the run once every request has been answered or given up, at the latest two client timeouts and one
+// second after the scenario's length.
 void ScenarioRun::check_finished() {
     double max_timeout = 0;
     for (const OperationPlan& o : scenario_.operations)
@@ -162,7 +163,7 @@
         if (scenario_.talk) {
             write_operator_file(n, scenario_.talk_origin);
             place.arguments = {"serve", "--operator", operator_path(n)};
-            place.tmp = plan_.folder;  // what operators take out by hand stays out over a restart
+            place.tmp = plan_.folder;  // keeps servers that operators removed by hand removed after a restart
             nodes_[index(n)].gossip = {network_->peer_listen(n), {}, network_->peers()};
             assign_admin_address(n);
         }
@@ -173,7 +174,7 @@
             n, n == 0 && plan_.first_port != 0 ? plan_.first_port : free_port(io_, environment_.host));
         start_node(n);
     }
-    // The loop wakes at least this often to hear of an interruption.
+    // The event loop polls for an interruption every 50 ms.
     std::function<void()> check_interruption = [&] {
         if (is_interrupted()) {
             result_.was_interrupted = true;
--- a/src/testkit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -1,6 +1,6 @@
 // One scenario run on loopback sockets: starts the fake servers and the daemons, sends the client load,
-// injects the faults at their times, watches its own delays, and passes the observations to the auditor. No
-// process and no port outlives the run, however it ends.
+// injects the faults at their times, measures the delays of its own event loop, and passes the observations
+// to the auditor. No process and no port outlives the run, however it ends.
 #pragma once
 
 #include <cstdint>
@@ -19,66 +19,71 @@
 struct DayPlan {
     Scenario scenario;
     std::uint64_t seed = 1;
-    std::string program;            // the daemon under rehearsal
-    std::string folder;             // for its configuration and logs; must exist
-    unsigned short first_port = 0;  // the first that node 0 is told to listen on; 0: any that is free
-    std::function<void(double now, const std::string& line)> progress;  // about once a second; may be empty
-    std::function<bool()> interrupted;                                  // may be empty
-    std::function<std::vector<std::string>(int node)> environment;  // NAME=VALUE for its daemon; may be empty
-    int mannered_clients = 0;    // beside the planned load: see mannered_clients.h
-    bool state_folders = false;  // daemons keep a state folder below `folder`
-    // May be empty; as the day begins: where nodes that talk listen for peers, and for operators.
+    std::string program;            // the daemon under test
+    std::string folder;             // for configurations, logs and reports; must exist
+    unsigned short first_port = 0;  // the port of node 0, or where it is taken a free one; 0: any free port
+    std::function<void(double now, const std::string& line)>
+        progress;                       // called about once a second; may be empty
+    std::function<bool()> interrupted;  // ends the run early when true; may be empty
+    std::function<std::vector<std::string>(int node)>
+        environment;             // NAME=VALUE for the daemon of a node; may be empty
+    int mannered_clients = 0;    // in addition to the planned load; see mannered_clients.h
+    bool state_folders = false;  // daemons keep their state below `folder`
+    // Called at the start of the run with the gossip and management addresses of all nodes, which are empty
+    // in scenarios without gossip. May be empty.
     std::function<void(const std::vector<std::string>& peer_listens,
                        const std::vector<std::string>& managements)>
         begun;
 };
 
-// What was seen, second by second, for pictures.
+// The observations of each second of a run, for charts.
 struct Series {
     std::vector<std::string> servers;
     std::vector<std::vector<double>> forwards;          // [server][second]
-    std::vector<std::vector<int>> connections;          // [cache server][second], the most open at a time
-    std::vector<double> list_calls;                     // [second], at discovery, of all nodes
-    std::vector<double> origin_asked, origin_capacity;  // work a second
-    std::vector<double> cpu;                            // of all daemons, seconds a second
-    std::vector<double> rss_mb;                         // of the largest
+    std::vector<std::vector<int>> connections;          // [cache server][second], most open at the same time
+    std::vector<double> list_calls;                     // [second], requests of all nodes to discovery
+    std::vector<double> origin_asked, origin_capacity;  // seconds of work per second
+    std::vector<double> cpu;                            // of all daemons, seconds per second
+    std::vector<double> rss_mb;                         // of the daemon that has most
 };
 
-// What one node said of the fleet at its operators' address, on days on which nodes talk.
+// The response of one node to GET /control/fleet, in scenarios with gossip.
 struct FleetView {
     double time = 0;
     int node = 0;
     bool doubts_itself = false;
-    std::vector<std::string> found;   // servers whose finding counts there
-    std::vector<std::string> states;  // of all nodes: fresh, late, gone
-    std::vector<std::uint32_t> starts;
-    std::vector<std::string> zones;  // state of each, and the part of its keys that may go there
-    std::vector<double> parts;
+    std::vector<std::string> found;     // servers with a verdict that is in force at this node
+    std::vector<std::string> states;    // of each node: fresh, late or gone
+    std::vector<std::uint32_t> starts;  // incarnation of each node
+    std::vector<std::string> zones;     // state of each zone
+    std::vector<double> parts;          // weight of each zone: the ratio of its keys that may be sent there
     struct Limit {
-        double part = 0, need = 0, declined = 0;  // of the whole, and forwards so far
+        // Ratio of the quota that the node holds, its demand, and the attempts that it refused so far.
+        double part = 0, need = 0, declined = 0;
     };
-    std::map<std::string, Limit> limits;  // of the whole fleet's, what is this node's
+    std::map<std::string, Limit> limits;  // this node's part of each quota of the fleet, by the quota's name
     double oldest_report_age = 0, sent_bytes = 0, unsound = 0, strangers = 0;
 };
 
 struct DayResult {
     audit::Verdict verdict;
     bool was_interrupted = false;
-    std::string failed;        // the day could not be played: why
-    double length = 0;         // of what was played
-    std::uint64_t digest = 0;  // of schedule and troubles
+    std::string failed;        // why the run could not be completed; empty: it was
+    double length = 0;         // seconds of the run, less than planned if it was interrupted
+    std::uint64_t digest = 0;  // of the request schedule and the faults
     std::size_t planned = 0;
     Series series;
-    std::vector<std::pair<double, std::string>> marks;  // troubles as they were brought about
-    std::vector<LatencyHistogram> latencies;            // an operation
+    std::vector<std::pair<double, std::string>> marks;  // faults and events of the daemons, with their times
+    std::vector<LatencyHistogram> latencies;            // by operation
     std::uint64_t hits = 0, misses = 0, server_busy = 0, origin_reads = 0, origin_writes = 0, origin_busy = 0,
                   origin_halts = 0, connections = 0, refused_connections = 0, lists_turned_away = 0;
     std::vector<FleetView> views;
-    std::uint64_t peer_bytes = 0, peer_datagrams = 0;  // that nodes sent one another
+    std::uint64_t peer_bytes = 0, peer_datagrams = 0;  // gossip between the nodes
     double daemon_cpu = 0, daemon_rss_mb = 0;
-    int daemon_descriptors = 0;           // the most that one held
-    int crashes = 0;                      // daemons that ended by themselves
-    std::vector<std::string> complaints;  // of mannered clients
+    int daemon_descriptors = 0;  // the most that one daemon held
+    int crashes = 0;             // daemons that ended unexpectedly
+    std::vector<std::string>
+        complaints;  // half-sent commands that nodes did not end in time, as seen by mannered clients
 };
 
 DayResult play_day(const DayPlan& plan);
--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -106,7 +106,7 @@
     return names;
 }
 
-// ---- pictures -------------------------------------------------------------------------------------------
+// ---- charts ---------------------------------------------------------------------------------------------
 
 Chart make_time_chart(const DayPlan& plan, const DayResult& r, const std::string& title,
                       const std::string& y) {
@@ -115,7 +115,7 @@
     c.x_label = "seconds of the day";
     c.y_label = y;
     c.x_max = plan.scenario.length;
-    // The ends of troubles are marked in the list alone: a line for each would hide the curves.
+    // The ends of faults are in the list of faults only, because a line for each would hide the curves.
     int number = 0;
     for (const auto& [at, text] : r.marks) {
         ++number;
--- a/src/testkit/report.h
+++ b/src/testkit/report.h
@@ -1,5 +1,5 @@
-// The reports of a run: a summary for the terminal, report.json with a versioned schema, and a self-contained
-// report.html.
+// The reports of a run: a summary for the terminal, report.json with a versioned schema, and report.html,
+// which needs no other files.
 #pragma once
 
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace brookrelay::testkit {
 
-constexpr int kReportSchema = 1;
+constexpr int kReportSchema = 1;  // version of report.json
 
 struct ReportHead {
     std::string version;  // of the test kit
     std::string program;  // the daemon
-    std::string command;  // to repeat the run
+    std::string command;  // that repeats the run
 };
 
-// "kept", "broken", "void" or "not played".
+// Returns "kept", "broken", "void" or "not played".
 std::string verdict_word(const DayResult& result);
 std::string summary_text(const DayPlan& plan, const DayResult& result);
 std::string report_json(const ReportHead& head, const DayPlan& plan, const DayResult& result);
--- a/src/testkit/run_faults.cpp
+++ b/src/testkit/run_faults.cpp
@@ -11,11 +11,11 @@
 
 using audit::index;
 
-constexpr double kDefaultRemovalDelay = 2.0;    // seconds from draining to removed
-constexpr double kDefaultServerDowntime = 2.0;  // seconds
+constexpr double kDefaultRemovalDelay = 2.0;    // seconds from draining to removal
+constexpr double kDefaultServerDowntime = 2.0;  // seconds until a crashed server starts again
 constexpr double kBrokenFileDuration = 1.0;     // seconds for which a broken configuration file is in place
 constexpr double kReloadInterval = 0.06;        // seconds between reloads in quick succession
-constexpr double kDefaultStarvedRatio = 0.8;    // part of the time for which a starved node is stopped
+constexpr double kDefaultStarvedRatio = 0.8;    // ratio of the time for which a starved node is stopped
 
 std::vector<int> affected_nodes(const Trouble& t) {
     return t.nodes.empty() ? std::vector<int>{t.node} : t.nodes;
@@ -64,7 +64,8 @@
             environment_.at(
                 environment_.now() + (t.lasts > 0 ? t.lasts : kDefaultRemovalDelay), [this, &s, number] {
                     discovery_->list(number, s.address(), EndpointState::removed, s.started());
-                    // Work that is out there is ended first; a well-kept server goes only then.
+                    // The server finishes the attempts that are open before it stops, as in an orderly
+                    // removal.
                     environment_.at(environment_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
                 });
             break;
@@ -73,7 +74,8 @@
     }
 }
 
-// Each turn of a rotating reload lists the operations in another order, and one more that nobody uses.
+// Writes the configuration and sends SIGHUP, `repeats` times in all. Every other reload of a fault that
+// rotates operations lists them in another order and adds one that no request uses.
 void ScenarioRun::reload_node(const Trouble& t, int turn) {
     if (has_ended_ || turn >= t.repeats) return;
     Node& n = nodes_[index(t.node)];
@@ -198,7 +200,7 @@
         case TroubleKind::scan:
         case TroubleKind::over_share:
         case TroubleKind::count:
-            break;  // drawn into the schedule
+            break;  // part of the request schedule
     }
     add_mark(text);
     if (t.lasts > 0) {
--- a/src/testkit/run_monitor.cpp
+++ b/src/testkit/run_monitor.cpp
@@ -1,5 +1,5 @@
-// What a scenario run measures at intervals: its own delays, the daemons, the series of the report and the
-// fleet views of the nodes.
+// The periodic measurements of a scenario run: delays of its event loop, resource usage of the daemons, the
+// time series of the report and the fleet views of the nodes.
 #include <rapidjson/document.h>
 
 #include <algorithm>
@@ -14,13 +14,14 @@
 using audit::index;
 
 constexpr double kLoopCheckInterval = 0.005;   // seconds between the checks for delays of the event loop
-constexpr double kDaemonCheckInterval = 0.05;  // seconds
-constexpr double kViewInterval = 0.25;         // seconds between the reads of the fleet views
-constexpr double kViewTimeout = 1.0;           // seconds
+constexpr double kDaemonCheckInterval = 0.05;  // seconds between the checks of the daemons
+constexpr double kViewInterval = 0.25;         // seconds between the queries of the fleet views
+constexpr double kViewTimeout = 1.0;           // seconds for the response to one query
 
 }  // namespace
 
-// The loop's own lateness: whatever a stand-in or a client saw in such a time is dated late.
+// Reports the delay of this event loop to the auditor: during a delay, the events that fake servers and
+// clients observe get timestamps that are too late.
 void ScenarioRun::check_loop_delay(double expected) {
     const double now = environment_.now();
     auditor_.on_watcher_delay(now, now - expected);
@@ -29,7 +30,8 @@
                     [this, next = now + kLoopCheckInterval] { check_loop_delay(next); });
 }
 
-// A daemon that waits for a core is late by no fault of its own. It also learns here of one that has ended.
+// Reports the time that daemons waited for a core to the auditor, since a response that is late for that
+// reason is no fault of the daemon. Also detects daemons that ended unexpectedly and starts them again.
 void ScenarioRun::check_daemons() {
     if (has_ended_) return;
     const double now = environment_.now();
--- a/src/testkit/run_nodes.cpp
+++ b/src/testkit/run_nodes.cpp
@@ -12,23 +12,26 @@
 
 using audit::index;
 
-constexpr double kReadyTimeout = 15;        // seconds from the start of a daemon to its first response
+constexpr double kReadyTimeout = 15;  // seconds from the start of a daemon to its first response, at most
 constexpr double kReadyProbeTimeout = 0.5;  // seconds for the response to one readiness probe
-constexpr int kBindFailedExitCode = 1;      // of a daemon whose port is taken
-constexpr std::uint64_t kMaxStarts = 4;     // of a node before the run, on ports that were taken
-constexpr double kLoadBalancerDelay = 0.3;  // seconds from SIGTERM until a node gets no new connections
-constexpr double kShutdownGrace = 0.7;  // seconds beyond the longest client timeout, from SIGTERM to SIGKILL
-constexpr double kMaxAwaitedTimeout = 3.0;  // seconds; longer client timeouts are not awaited
-constexpr double kPauseRecovery = 0.2;  // seconds after a pause in which what the node held may still be late
-constexpr double kStarvationPeriod = 1.0;  // seconds
+constexpr int kBindFailedExitCode = 1;      // of a daemon whose port is in use
+constexpr std::uint64_t kMaxStarts =
+    4;  // of a node before the run, each on another port after a bind failure
+constexpr double kLoadBalancerDelay = 0.3;  // seconds from SIGTERM until a node gets no new requests
+constexpr double kShutdownGrace =
+    0.7;  // seconds from SIGTERM to SIGKILL, in addition to the longest client timeout
+constexpr double kMaxAwaitedTimeout = 3.0;  // seconds; longer client timeouts do not delay SIGKILL further
+constexpr double kPauseRecovery =
+    0.2;  // seconds after a pause in which responses of the node may still be late
+constexpr double kStarvationPeriod = 1.0;  // seconds; in each period a starved node is paused once
 constexpr double kStartDelay = 0.5;        // seconds from the readiness of all nodes to the start of the run
 
 }  // namespace
 
 void ScenarioRun::assign_address(int node, unsigned short port) {
     Node& n = nodes_[index(node)];
-    // A free port may be assigned to another node that has not started yet, whose response would then pass
-    // for this one's.
+    // A free port may already be assigned to another node that has not started yet, whose response to the
+    // readiness probe would then be taken for this node's.
     const auto is_taken = [&](const Node& other) {
         const std::string address = environment_.host + ":" + std::to_string(port);
         return &other != &n && (other.listen == address || other.gossip.management == address);
@@ -38,7 +41,8 @@
     clients_->set_node_address(node, {boost::asio::ip::make_address(environment_.host), port});
 }
 
-// Distinct from all addresses already assigned, as a free port is not reserved until its node starts.
+// Assigns an address that differs from all addresses already assigned, because a free port is not reserved
+// until its node starts.
 void ScenarioRun::assign_admin_address(int node) {
     if (!scenario_.talk) return;
     std::string address;
@@ -79,21 +83,22 @@
     if (has_ended_) return;
     if (!n.daemon->running()) {
         if (n.daemon->is_expected_to_end) return;
-        if (has_started_) return;  // check_daemons() says so
-        // Between the look for a free port and the daemon's own start somebody else may have taken it.
+        if (has_started_) return;  // check_daemons() reports it
+        // Another process may have bound the port after it was found free and before the daemon started.
         if (n.daemon->exit_code() == kBindFailedExitCode && n.start_count < kMaxStarts) {
             assign_address(node, free_port(io_, environment_.host));
             assign_admin_address(node);
             return start_node(node);
         }
-        return fail("the daemon ended at its start with exit code " + std::to_string(n.daemon->exit_code()) +
-                    "; see " + n.daemon->log_path());
+        return fail("the daemon ended during startup with exit code " +
+                    std::to_string(n.daemon->exit_code()) + "; see " + n.daemon->log_path());
     }
-    if (environment_.now() > deadline) return fail("the daemon does not answer; see " + n.daemon->log_path());
+    if (environment_.now() > deadline)
+        return fail("the daemon does not respond; see " + n.daemon->log_path());
     const std::size_t colon = n.listen.find(':');
     const Tcp::endpoint where(boost::asio::ip::make_address(n.listen.substr(0, colon)),
                               static_cast<unsigned short>(std::stoul(n.listen.substr(colon + 1))));
-    // Whoever listens there may be somebody else, who never answers.
+    // Another process may be listening on the port and never respond, so that the probe has a timeout.
     const auto is_rescheduled = std::make_shared<bool>(false);
     const auto reschedule = [this, node, deadline, is_rescheduled] {
         if (std::exchange(*is_rescheduled, true)) return;
@@ -123,7 +128,8 @@
     if (has_started_) return add_mark("node " + std::to_string(node) + " serves again");
     if (!std::all_of(nodes_.begin(), nodes_.end(), [](const Node& one) { return one.is_ready; })) return;
     has_started_ = true;
-    // Only now is it known when the day begins, and the day's times are the clock's from here on.
+    // The start time of the run is known only now; the planned times, until here relative to the start,
+    // become times of the clock.
     started_at_ = environment_.now() + kStartDelay;
     auditor_.start_run(started_at_);
     for (PlannedRequest& p : schedule_) p.at += started_at_;
@@ -132,7 +138,7 @@
 
 void ScenarioRun::terminate_node(int node) {
     Node& n = nodes_[index(node)];
-    // One that has only just started ends by the signal, since it does not listen for it yet.
+    // A node that has only just started has no handler for SIGTERM yet and would be ended by the signal.
     if (!n.is_ready) return add_mark("node " + std::to_string(node) + " does not serve yet, or ends already");
     n.is_restarting = true;
     n.is_ready = false;
@@ -154,7 +160,8 @@
     if (has_ended_) return;
     if (n.daemon->running()) {
         if (environment_.now() >= kill_at) {
-            // It was told long enough ago: what it still holds now is lost, and by its own fault.
+            // The node had enough time since SIGTERM: requests that it still holds are lost, and count as its
+            // fault.
             n.daemon->kill();
             add_mark("node " + std::to_string(node) + " had to be killed after SIGTERM");
         } else {
@@ -183,13 +190,13 @@
 void ScenarioRun::kill_node(int node, double downtime) {
     Node& n = nodes_[index(node)];
     if (n.is_restarting) {
-        // Killed while it ends: whoever waits for its end starts it again.
+        // The node is killed during its shutdown: await_shutdown() starts it again.
         auditor_.on_node_killed(environment_.now(), node);
         return n.daemon->kill();
     }
     n.is_restarting = true;
     n.daemon->is_expected_to_end = true;
-    // The judge hears of it first: what breaks from here on is the kill's doing.
+    // The auditor is told before the kill, so that it attributes the failures that follow to the kill.
     auditor_.on_node_killed(environment_.now(), node);
     n.daemon->kill();
     n.count_ended_process();
@@ -202,7 +209,8 @@
     });
 }
 
-// Stopped as a machine that pages or is moved: its sockets stand, and nothing is read from them.
+// Stops the process with SIGSTOP, as on a machine that swaps or is migrated: its sockets stay open, and
+// nothing is read from them.
 void ScenarioRun::pause_node(int node, double duration) {
     const double until = environment_.now() + duration;
     auditor_.on_node_paused(until + kPauseRecovery, node);
@@ -216,7 +224,7 @@
     });
 }
 
-// Stopped and let on by turns, as on a crowded core.
+// Stops and continues the process alternately, as on an overloaded core, until the given time.
 void ScenarioRun::starve_node(int node, double paused_ratio, double until) {
     if (has_ended_ || environment_.now() >= until) return;
     auditor_.on_node_paused(until + kPauseRecovery, node);
--- a/src/testkit/scenario_run.h
+++ b/src/testkit/scenario_run.h
@@ -1,6 +1,6 @@
-// The state of one scenario run and its steps. Implementation of rehearsal.h: its life cycle is in
-// rehearsal.cpp, the control of the daemons in run_nodes.cpp, fault injection in run_faults.cpp, and what is
-// measured every so often in run_monitor.cpp.
+// The state and the steps of one scenario run, the implementation of rehearsal.h. The life cycle of the run
+// is in rehearsal.cpp, the control of the daemons in run_nodes.cpp, fault injection in run_faults.cpp, and
+// the periodic measurements in run_monitor.cpp.
 #pragma once
 
 #include <cstdint>
@@ -20,9 +20,10 @@
 
 namespace brookrelay::testkit {
 
-inline constexpr double kDefaultNodeDowntime = 1.0;  // seconds until a killed or crashed node starts again
+inline constexpr double kDefaultNodeDowntime =
+    1.0;  // seconds until a killed or crashed node is started again
 
-// One run. play() may be called once; the plan must outlive it.
+// One run of a scenario. run() may be called once; the plan must outlive the object.
 class ScenarioRun {
   public:
     explicit ScenarioRun(const DayPlan& plan);
@@ -34,11 +35,11 @@
         std::string listen;
         GossipAddresses gossip;
         std::uint64_t start_count = 0;
-        std::string first_endpoint_list;  // as at its first start
+        std::string first_endpoint_list;  // the full endpoint list at the first start of the node
         bool is_ready = false;
-        bool is_restarting = false;  // told to end or killed, and not started again yet
+        bool is_restarting = false;  // has been sent SIGTERM or SIGKILL and is not started again yet
         double last_wait_time = 0, last_cpu_time = 0, ended_cpu_time = 0;
-        // Keeps the ended process's CPU time in the total.
+        // Adds the CPU time of an ended process to the node's total and resets the readings of the process.
         void count_ended_process() {
             ended_cpu_time += last_cpu_time;
             last_cpu_time = last_wait_time = 0;
@@ -53,7 +54,7 @@
     FakeCacheServer* find_server(const std::string& name);
     bool is_interrupted() const { return plan_.interrupted && plan_.interrupted(); }
     void add_mark(const std::string& text) { result_.marks.emplace_back(clock_.now() - started_at_, text); }
-    // Seconds since the start of the run; the clock itself starts earlier.
+    // Converts a time of the clock, which starts before the run, to seconds since the start of the run.
     double to_run_time(double clock_time) const { return clock_time - started_at_; }
 
     // Daemons, run_nodes.cpp.
@@ -96,7 +97,7 @@
     std::vector<std::unique_ptr<FakeCacheServer>> caches_;
     std::unique_ptr<FakeOriginServer> origin_;
     std::unique_ptr<FakeDiscoveryServer> discovery_;
-    std::unique_ptr<NetworkFaultProxy> network_;  // in runs with gossip or network cuts
+    std::unique_ptr<NetworkFaultProxy> network_;  // null in runs without gossip and network cuts
     std::unique_ptr<LoadClients> clients_;
     std::unique_ptr<ManneredClients> mannered_clients_;
     std::vector<Node> nodes_;
--- a/src/testkit/soak.cpp
+++ b/src/testkit/soak.cpp
@@ -11,33 +11,33 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kRunLength = 11.0;
-constexpr double kFirstFault = 1.0;      // s after the day's start
-constexpr double kLastFault = 8.5;       // no fault begins later, so that each has time to show
-constexpr double kLateFirstFault = 5.0;  // of days on which trouble begins after a quiet time
+constexpr double kRunLength = 11.0;  // s
+constexpr double kFirstFault = 1.0;  // s after the start of the run
+constexpr double kLastFault =
+    8.5;  // s; no fault begins in a later burst, so that each has time to take effect
+constexpr double kLateFirstFault = 5.0;  // s, in runs whose faults begin only after a time without any
 constexpr double kLateFirstFaultProbability = 0.2;
-constexpr double kNodeStartup = 1.0;  // s from the start of a process to the day's, about
+constexpr double kNodeStartup = 1.0;  // approximate s from the start of a process to the start of the run
 constexpr int kMemoryMegabytes = 96;
 constexpr int kDescriptors = 256;
-constexpr int kTightDescriptors = 72;  // so few let clients pipeline little, and hold each other back
+constexpr int kTightDescriptors = 72;  // so few that clients can pipeline little and hold each other back
 constexpr double kTightDescriptorsProbability = 0.4;
 constexpr int kClientsPerNode = 3;
 constexpr int kCrowdedClientsPerNode = 15;
-// Fleets of the usual size of a soak's day, and of 800 and 3,200 servers.
-constexpr int kLargerFleet = 800;
-constexpr int kLargestFleet = 3200;
+constexpr int kLargerFleet = 800;    // cache servers; the usual run has 6 to 10
+constexpr int kLargestFleet = 3200;  // cache servers
 constexpr double kLargerProbability = 0.2;
 constexpr double kLargestProbability = 0.3;
 constexpr double kMassFaultProbability =
-    0.5;  // of a large fleet's fault that strikes servers: a part of them all
-constexpr double kMaxMassFaultRatio = 0.3;
+    0.5;  // that a server fault of a large fleet affects many servers at once
+constexpr double kMaxMassFaultRatio = 0.3;  // of all servers
 constexpr double kShortDeadlineProbability = 0.3;
 constexpr double kSlowListProbability = 0.4;
 constexpr double kCrowdedProbability = 0.15;
-constexpr std::uint64_t kConditionsSeed = 0x636f6e64ULL;  // apart from the draws of faults
+constexpr std::uint64_t kConditionsSeed = 0x636f6e64ULL;  // separates these draws from those of the faults
 constexpr std::size_t kMaxFailures = 12;
 
-// All chance of one day. Boost's generator draws the same numbers on every machine.
+// The random draws of one run. Boost's generator draws the same numbers on every platform.
 class Random {
   public:
     explicit Random(std::uint64_t seed) : engine_(seed * 6364136223846793005ULL + 1442695040888963407ULL) {}
@@ -56,7 +56,7 @@
     read.share = 8;
     read.work = 2e-3;
     read.origin_work = 6e-3;
-    read.value_bytes = rng.bernoulli(0.3) ? 90 * 1000 : 200;  // over 64 KiB it is streamed
+    read.value_bytes = rng.bernoulli(0.3) ? 90 * 1000 : 200;  // a value over 64 KiB is streamed
     read.promised.client_timeout = rng.uniform(0.5, 1.5);
     read.promised.latency_objective = read.promised.client_timeout / 2;
     read.promised.late_value_ratio = 0.2;
@@ -120,13 +120,13 @@
     return s;
 }
 
-// How large the fleet is, how short deadlines are, and the manners of signals, files and lists.
+// Draws the size of the fleet, short deadlines, and the conditions of signals, files and endpoint lists.
 void draw_conditions(Random& rng, Scenario& s) {
     const double size = rng.unit();
     const bool is_largest = size < kLargestProbability;
     if (is_largest || size < kLargestProbability + kLargerProbability) {
         s.kinds.front().count = is_largest ? kLargestFleet : kLargerFleet;
-        s.keys.filled = false;  // thousands of stores of copies would be the watcher's memory
+        s.keys.filled = false;  // thousands of filled caches would take too much memory in this process
     }
     s.stale_files = rng.bernoulli(0.6);
     s.signal_series = rng.bernoulli(0.5);
@@ -138,7 +138,7 @@
     }
 }
 
-// One of the faults that strike servers, discovery, the links or the nodes.
+// Draws one fault of servers, the origin, discovery, the network, clients or nodes.
 Trouble draw_fault(Random& rng, const Scenario& s, double at) {
     static constexpr TroubleKind kKinds[] = {TroubleKind::silent,          TroubleKind::slow,
                                              TroubleKind::cold_return,     TroubleKind::crash,
@@ -176,7 +176,7 @@
     }
     t.from = {s.zones[static_cast<std::size_t>(rng.uniform_int(0, static_cast<int>(s.zones.size()) - 1))]};
     t.one_way = rng.bernoulli(0.4);
-    // A cut needs a relay for each node at each server, more than a machine has ports for.
+    // A cut needs a relay for each pair of node and server, for which a large fleet has too few ports.
     if (t.kind == TroubleKind::cut && servers >= kLargerFleet) t.kind = TroubleKind::list_late;
     if (t.kind == TroubleKind::freeze && rng.bernoulli(0.6)) t.lasts = rng.uniform(0.02, 0.15);
     if (t.kind == TroubleKind::reload) {
@@ -187,7 +187,7 @@
     return t;
 }
 
-// Bursts of two or three faults that overlap in time.
+// Draws bursts of two or three faults that begin within 0.4 s, so that most of them overlap in time.
 void draw_faults(Random& rng, Scenario& s) {
     double at = rng.bernoulli(kLateFirstFaultProbability) ? kLateFirstFault : rng.uniform(kFirstFault, 2.0);
     while (at < kLastFault) {
@@ -209,7 +209,7 @@
     return decimal(from) + ":" + decimal(from + rng.uniform(0.1, 1.5)) + ":" + decimal(probability);
 }
 
-// Each node's shim strikes on its own; about half of the nodes have one.
+// Draws the shim faults of one node, independently of other nodes. The draws do not depend on the options.
 std::vector<std::string> draw_environment(Random& rng, std::uint64_t seed, int node,
                                           const SoakOptions& options) {
     const bool steps_clock = rng.bernoulli(0.35), fails_calls = rng.bernoulli(0.35),
@@ -237,7 +237,7 @@
     return text;
 }
 
-// What the daemons themselves counted as broken, and how they ended.
+// Collects the violations that the guards of the daemons logged.
 void collect_guard_failures(const DayPlan& plan, std::vector<std::string>& failures) {
     for (int node = 0; node < plan.scenario.nodes; ++node) {
         std::ifstream log(plan.folder + "/n" + std::to_string(node) + ".log");
@@ -259,12 +259,14 @@
         if (result.failures.size() < kMaxFailures) result.failures.push_back("client: " + complaint);
     }
     if (day.crashes > 0)
-        result.failures.push_back(std::to_string(day.crashes) + " daemons ended by themselves");
+        result.failures.push_back(std::to_string(day.crashes) + " daemons ended unexpectedly");
     if (day.daemon_descriptors > plan.scenario.node_descriptors)
-        result.failures.push_back("a daemon held " + std::to_string(day.daemon_descriptors) +
-                                  " descriptors of " + std::to_string(plan.scenario.node_descriptors));
+        result.failures.push_back("a daemon had " + std::to_string(day.daemon_descriptors) +
+                                  " open descriptors; the limit is " +
+                                  std::to_string(plan.scenario.node_descriptors));
     if (day.daemon_rss_mb > plan.scenario.node_memory_mb)
-        result.failures.push_back("a daemon held " + decimal(day.daemon_rss_mb) + " MB of " +
+        result.failures.push_back("a daemon held " + decimal(day.daemon_rss_mb) +
+                                  " MB of memory; the limit in MB is " +
                                   std::to_string(plan.scenario.node_memory_mb));
     collect_guard_failures(plan, result.failures);
     result.is_void = day.verdict.is_void && result.failures.empty();
--- a/src/testkit/svg.cpp
+++ b/src/testkit/svg.cpp
@@ -18,7 +18,7 @@
     return buffer;
 }
 
-// The nearest round step that makes about `wanted` of a span.
+// Returns the smallest round step that divides a span into at most `target_steps` steps.
 double round_step(double span, int target_steps) {
     const double raw = span / target_steps;
     const double power = std::pow(10.0, std::floor(std::log10(raw)));
@@ -56,7 +56,7 @@
     }
     if (c.x_min != 0 || c.x_max != 0) x_min = c.x_min, x_max = c.x_max;
     if (!(x_max > x_min)) x_min = std::isfinite(x_min) ? x_min : 0, x_max = x_min + 1;
-    if (c.log_x && x_min <= 0) x_min = x_max / 10;  // nothing to show: an axis all the same
+    if (c.log_x && x_min <= 0) x_min = x_max / 10;  // there are no points, but the axis is still drawn
     f.x0 = x_min;
     f.x1 = x_max;
     f.y1 = c.y_max > 0 ? c.y_max : y_max > 0 ? y_max * 1.05 : 1;
@@ -152,7 +152,8 @@
         ++number;
         if (x < f.x0 || x > f.x1) continue;
         out += svg_line(f.x(x), kTop, f.x(x), kHeight - kBottom, "stroke:#b5651d;stroke-dasharray:2 3");
-        // Close marks are set on rows, so that their numbers can be read.
+        // Consecutive marks have their numbers in different rows, so that the numbers of close marks are
+        // legible.
         out += svg_label(f.x(x) + 2, kTop + 8 + 9 * ((number - 1) % 3), "start", std::to_string(number),
                          "class='mark'");
     }
