--- a/src/testkit/experiment.cpp
+++ b/src/testkit/experiment.cpp
@@ -117,8 +117,8 @@
                                           {"service, worst 10 s", "", &Measures::worst_ten},
                                           {"service, worst operation", "", &Measures::worst_operation},
                                           {"service, worst tenant", "", &Measures::worst_tenant},
-                                          {"worst p99", "ms", &Measures::p99_ms},
-                                          {"processor an invocation", "us", &Measures::cpu_us},
+                                          {"worst p99", "ms", &Measures::max_p99_ms},
+                                          {"processor an invocation", "us", &Measures::cpu_us_per_request},
                                           {"origin reads", "", &Measures::origin_reads}};
     return all;
 }
@@ -173,15 +173,17 @@
     m.worst_ten = service["worst_ten"].GetDouble();
     m.worst_operation = service["worst_operation"].GetDouble();
     m.worst_tenant = service["worst_tenant"].GetDouble();
-    for (const auto& l : d["latency_ms"].GetArray()) m.p99_ms = std::max(m.p99_ms, l["p99"].GetDouble());
-    m.cpu_us = d["daemons"]["cpu_us_an_invocation"].GetDouble();
+    for (const auto& l : d["latency_ms"].GetArray())
+        m.max_p99_ms = std::max(m.max_p99_ms, l["p99"].GetDouble());
+    m.cpu_us_per_request = d["daemons"]["cpu_us_an_invocation"].GetDouble();
     m.origin_reads = d["counts"]["origin_reads"].GetDouble();
-    m.late = d["kit_late"]["part_of_day"].GetDouble();
+    m.kit_delay_ratio = d["kit_late"]["part_of_day"].GetDouble();
     return m;
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
-ExperimentResult play_experiment(const ExperimentPlan& plan, const std::function<int(const Cell&)>& day) {
+ExperimentResult play_experiment(const ExperimentPlan& plan,
+                                 const std::function<int(const Cell&)>& run_cell) {
     ExperimentResult result;
     result.cells = cells_of(plan);
     std::map<pid_t, std::size_t> running;
@@ -198,7 +200,7 @@
                 prctl(PR_SET_PDEATHSIG, SIGTERM);
                 int code = 2;
                 try {
-                    if (getppid() == parent) code = day(cell);
+                    if (getppid() == parent) code = run_cell(cell);
                 } catch (const std::exception& bad) {
                     std::fprintf(stderr, "%s: %s\n", cell.folder.c_str(), bad.what());
                 }
--- a/src/testkit/experiment.h
+++ b/src/testkit/experiment.h
@@ -25,8 +25,9 @@
 struct Measures {
     bool played = false;
     std::string verdict;
-    double whole = 0, worst_ten = 0, worst_operation = 0, worst_tenant = 0, p99_ms = 0, cpu_us = 0;
-    double origin_reads = 0, late = 0;
+    double whole = 0, worst_ten = 0, worst_operation = 0, worst_tenant = 0, max_p99_ms = 0,
+           cpu_us_per_request = 0;
+    double origin_reads = 0, kit_delay_ratio = 0;
 };
 // The name, the unit and the field of one result.
 struct Measure {
@@ -75,9 +76,9 @@
 };
 
 std::vector<Cell> cells_of(const ExperimentPlan& plan);  // in the order of execution
-// Executes each run by calling `day` in a child process, whose exit code `day` returns. `day` must write
+// Executes each run by calling `run_cell` in a child process, whose exit code it returns; it must write
 // report.json into the folder of the run.
-ExperimentResult play_experiment(const ExperimentPlan& plan, const std::function<int(const Cell&)>& day);
+ExperimentResult play_experiment(const ExperimentPlan& plan, const std::function<int(const Cell&)>& run_cell);
 std::vector<Paired> paired(const std::vector<Cell>& cells, std::size_t daemons);
 Measures read_measures(const std::string& report_json_path);
 
--- a/src/testkit/fault_schedule.cpp
+++ b/src/testkit/fault_schedule.cpp
@@ -92,7 +92,7 @@
         p.key = key_of_rank((zipf.rank(unit(e)) + rank_shift) % s.keys.count);
         p.timeout_ratio = static_cast<float>(s.clients.patience_least +
                                              (s.clients.patience_most - s.clients.patience_least) * unit(e));
-        p.leaves = unit(e) < s.clients.leave ? static_cast<float>(unit(e)) : -1.0F;
+        p.close_ratio = unit(e) < s.clients.leave ? static_cast<float>(unit(e)) : -1.0F;
         p.node_selector = static_cast<float>(unit(e));
         p.random_bits = static_cast<std::uint32_t>(e());
         // During a hot_key fault a part of the arrivals is moved to the hot key; the fault adds no arrivals.
@@ -167,7 +167,7 @@
         add(bits(p.at));
         add(p.key);
         add(static_cast<std::uint64_t>(p.operation) << 32 | static_cast<std::uint32_t>(p.tenant));
-        add(bits(static_cast<double>(p.timeout_ratio)) ^ bits(static_cast<double>(p.leaves)));
+        add(bits(static_cast<double>(p.timeout_ratio)) ^ bits(static_cast<double>(p.close_ratio)));
     }
     for (const Trouble& t : troubles) {
         add(static_cast<std::uint64_t>(t.kind));
--- a/src/testkit/fleet_views.cpp
+++ b/src/testkit/fleet_views.cpp
@@ -6,9 +6,9 @@
 
 namespace brookrelay::testkit {
 
-double when_all(const DayResult& day, double from, const Which& which, const Says& so) {
+double when_all(const DayResult& run, double from, const Which& which, const Says& so) {
     std::map<int, bool> newest;
-    for (const FleetView& v : day.views) {
+    for (const FleetView& v : run.views) {
         if (!which(v.node)) continue;
         newest[v.node] = so(v);
         if (v.time >= from &&
@@ -18,9 +18,9 @@
     return -1;
 }
 
-bool always(const DayResult& day, const Which& which, const Says& so, double from, double until) {
+bool always(const DayResult& run, const Which& which, const Says& so, double from, double until) {
     bool any = false;
-    for (const FleetView& v : day.views) {
+    for (const FleetView& v : run.views) {
         if (!which(v.node) || v.time < from || v.time > until) continue;
         if (!so(v)) return false;
         any = true;
@@ -28,26 +28,26 @@
     return any;
 }
 
-double forwards_to(const DayResult& day, int zone, int zones, int second) {
+double forwards_to(const DayResult& run, int zone, int zones, int second) {
     double all = 0;
     const auto& servers =
-        day.series.forwards;  // the servers are assigned to the zones in turn; the last one is the origin
+        run.series.forwards;  // the servers are assigned to the zones in turn; the last one is the origin
     for (auto c = static_cast<std::size_t>(zone); c + 1 < servers.size();
          c += static_cast<std::size_t>(zones))
         all += servers[c][static_cast<std::size_t>(second)];
     return all;
 }
 
-double origin_peak(const DayResult& day) {
+double origin_peak(const DayResult& run) {
     double most = 0;
-    for (std::size_t t = 0; t < day.series.origin_asked.size(); ++t) {
-        if (day.series.origin_capacity[t] > 0)
-            most = std::max(most, day.series.origin_asked[t] / day.series.origin_capacity[t]);
+    for (std::size_t t = 0; t < run.series.origin_load.size(); ++t) {
+        if (run.series.origin_capacity[t] > 0)
+            most = std::max(most, run.series.origin_load[t] / run.series.origin_capacity[t]);
     }
     return most;
 }
 
-std::string zone_failover_text(const Scenario& s, const DayResult& day) {
+std::string zone_failover_text(const Scenario& s, const DayResult& run) {
     std::string text;
     const int zones = static_cast<int>(s.zones.size());
     for (int z = 0; z < zones; ++z) {
@@ -55,12 +55,12 @@
         const auto part = [z](const FleetView& v) {
             return v.parts.size() > static_cast<std::size_t>(z) ? v.parts[static_cast<std::size_t>(z)] : 1;
         };
-        const double all_left_at = when_all(day, 0, own, [&](const FleetView& v) { return part(v) <= 0; });
+        const double all_left_at = when_all(run, 0, own, [&](const FleetView& v) { return part(v) <= 0; });
         if (all_left_at < 0) continue;
-        const auto first = std::find_if(day.views.begin(), day.views.end(),
+        const auto first = std::find_if(run.views.begin(), run.views.end(),
                                         [&](const FleetView& v) { return own(v.node) && part(v) <= 0; });
         const double recovered_at =
-            when_all(day, all_left_at, own, [&](const FleetView& v) { return part(v) >= 1; });
+            when_all(run, all_left_at, own, [&](const FleetView& v) { return part(v) >= 1; });
         char line[160];
         std::snprintf(line, sizeof line,
                       "zone             %s left by its nodes from %.1f s on, by all at %.1f s, ",
--- a/src/testkit/fleet_views.h
+++ b/src/testkit/fleet_views.h
@@ -13,16 +13,16 @@
 
 // Returns the first time from `from` on at which the newest view of each node of `which` that has reported
 // satisfies `so`; -1: never.
-double when_all(const DayResult& day, double from, const Which& which, const Says& so);
+double when_all(const DayResult& run, double from, const Which& which, const Says& so);
 // Returns whether every view of the nodes of `which` in [from, until] satisfies `so`; false if there is none.
-bool always(const DayResult& day, const Which& which, const Says& so, double from = 0, double until = 1e9);
+bool always(const DayResult& run, const Which& which, const Says& so, double from = 0, double until = 1e9);
 // Returns the attempts of all nodes to the cache servers of a zone in one second of the run, as counted by
 // the servers. `zones` is the number of zones.
-double forwards_to(const DayResult& day, int zone, int zones, int second);
+double forwards_to(const DayResult& run, int zone, int zones, int second);
 // Returns the highest load of the origin in a second in which it was running, as a ratio of its capacity.
-double origin_peak(const DayResult& day);
+double origin_peak(const DayResult& run);
 // Returns one line for each zone that all of its own nodes left: when they left it, and when they used it in
 // full again.
-std::string zone_failover_text(const Scenario& scenario, const DayResult& day);
+std::string zone_failover_text(const Scenario& scenario, const DayResult& run);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -9,11 +9,12 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kTimeoutMargin =
-    0.03;  // s beyond what the auditor allows, so that it sees a late response as late
+// Seconds for which a client waits beyond what the auditor allows, so that the auditor sees a late response
+// as late.
+constexpr double kTimeoutMargin = 0.03;
 constexpr double kMinTimeout = 0.05;  // s; an attempt with less time left is not made
-constexpr double kDeduplicationMargin =
-    0.15;  // s of a deduplication window that a client reserves for the transit of a retry
+// Seconds of a deduplication window that a client reserves for the transit of a retry.
+constexpr double kDeduplicationMargin = 0.15;
 constexpr std::size_t kMaxIdlePerNode = 64;
 constexpr double kSlowWriteInterval = 1.0;       // s between bytes
 constexpr double kUnreadRequestInterval = 0.02;  // s between requests of a non-reader
@@ -160,8 +161,8 @@
     const int request_id = client->request_id;
     const double patience = wait + environment_.scenario.answer_grace + 0.05 + kTimeoutMargin;
     environment_.at(now + patience, [this, client, request_id] { on_timeout(client, request_id); });
-    if (user.plan->leaves >= 0 && user.retry_count == 0) {
-        environment_.at(now + wait * static_cast<double>(user.plan->leaves), [this, client, request_id] {
+    if (user.plan->close_ratio >= 0 && user.retry_count == 0) {
+        environment_.at(now + wait * static_cast<double>(user.plan->close_ratio), [this, client, request_id] {
             if (!client->is_busy || client->request_id != request_id) return;
             environment_.auditor.on_client_closed(environment_.now(), request_id);
             client->conn->close();
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -167,7 +167,7 @@
             nodes_[index(n)].gossip = {network_->peer_listen(n), {}, network_->peers()};
             assign_admin_address(n);
         }
-        if (plan_.state_folders) place.tmp = plan_.folder;
+        if (plan_.keeps_state) place.tmp = plan_.folder;
         if (plan_.environment) place.environment = plan_.environment(n);
         nodes_[index(n)].daemon = std::make_unique<DaemonProcess>(std::move(place));
         assign_address(
@@ -208,8 +208,8 @@
         result_.refused_connections += c->counts().refused;
     }
     if (network_ != nullptr) {
-        result_.peer_bytes = network_->counts().bytes;
-        result_.peer_datagrams = network_->counts().datagrams;
+        result_.gossip_bytes = network_->counts().bytes;
+        result_.gossip_datagrams = network_->counts().datagrams;
     }
     result_.lists_turned_away = discovery_->counts().turned_away;
     result_.origin_reads = origin_->counts().reads;
--- a/src/testkit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -22,13 +22,13 @@
     std::string program;            // the daemon under test
     std::string folder;             // for configurations, logs and reports; must exist
     unsigned short first_port = 0;  // the port of node 0, or where it is taken a free one; 0: any free port
-    std::function<void(double now, const std::string& line)>
-        progress;                       // called about once a second; may be empty
+    // Called about once a second with a line of progress. May be empty.
+    std::function<void(double now, const std::string& line)> progress;
     std::function<bool()> interrupted;  // ends the run early when true; may be empty
-    std::function<std::vector<std::string>(int node)>
-        environment;             // NAME=VALUE for the daemon of a node; may be empty
-    int mannered_clients = 0;    // in addition to the planned load; see mannered_clients.h
-    bool state_folders = false;  // daemons keep their state below `folder`
+    // Returns additional environment variables, NAME=VALUE, for the daemon of a node. May be empty.
+    std::function<std::vector<std::string>(int node)> environment;
+    int mannered_clients = 0;  // in addition to the planned load; see mannered_clients.h
+    bool keeps_state = false;  // daemons keep their state below `folder`
     // Called at the start of the run with the gossip and management addresses of all nodes, which are empty
     // in scenarios without gossip. May be empty.
     std::function<void(const std::vector<std::string>& peer_listens,
@@ -39,12 +39,12 @@
 // The observations of each second of a run, for charts.
 struct Series {
     std::vector<std::string> servers;
-    std::vector<std::vector<double>> forwards;          // [server][second]
-    std::vector<std::vector<int>> connections;          // [cache server][second], most open at the same time
-    std::vector<double> list_calls;                     // [second], requests of all nodes to discovery
-    std::vector<double> origin_asked, origin_capacity;  // seconds of work per second
-    std::vector<double> cpu;                            // of all daemons, seconds per second
-    std::vector<double> rss_mb;                         // of the daemon that has most
+    std::vector<std::vector<double>> forwards;         // [server][second]
+    std::vector<std::vector<int>> connections;         // [cache server][second], most open at the same time
+    std::vector<double> list_calls;                    // [second], requests of all nodes to discovery
+    std::vector<double> origin_load, origin_capacity;  // seconds of work per second
+    std::vector<double> cpu;                           // of all daemons, seconds per second
+    std::vector<double> rss_mb;                        // of the daemon that has most
 };
 
 // The response of one node to GET /control/fleet, in scenarios with gossip.
@@ -78,12 +78,12 @@
     std::uint64_t hits = 0, misses = 0, server_busy = 0, origin_reads = 0, origin_writes = 0, origin_busy = 0,
                   origin_halts = 0, connections = 0, refused_connections = 0, lists_turned_away = 0;
     std::vector<FleetView> views;
-    std::uint64_t peer_bytes = 0, peer_datagrams = 0;  // gossip between the nodes
-    double daemon_cpu = 0, daemon_rss_mb = 0;
+    std::uint64_t gossip_bytes = 0, gossip_datagrams = 0;  // gossip between the nodes
+    double daemon_cpu_seconds = 0, daemon_rss_mb = 0;
     int daemon_descriptors = 0;  // the most that one daemon held
     int crashes = 0;             // daemons that ended unexpectedly
-    std::vector<std::string>
-        complaints;  // half-sent commands that nodes did not end in time, as seen by mannered clients
+    // Partial commands that nodes did not end in time, as observed by the mannered clients.
+    std::vector<std::string> complaints;
 };
 
 DayResult play_day(const DayPlan& plan);
--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -178,9 +178,9 @@
     ChartCurve asked{"asked", "", {}}, capacity{"capacity", "#588157", {}},
         limit{"limit", "#b08900", {}, 1.2, true, true, {}},
         stop{"stops from here", "#9b2226", {}, 1.2, true, true, {}};
-    for (std::size_t i = 0; i < r.series.origin_asked.size(); ++i) {
+    for (std::size_t i = 0; i < r.series.origin_load.size(); ++i) {
         const double t = static_cast<double>(i) + 0.5;
-        asked.points.emplace_back(t, r.series.origin_asked[i]);
+        asked.points.emplace_back(t, r.series.origin_load[i]);
         capacity.points.emplace_back(t, r.series.origin_capacity[i]);
         limit.points.emplace_back(t, r.series.origin_capacity[i] * plan.scenario.origin.limit_marked);
         stop.points.emplace_back(t, r.series.origin_capacity[i] * plan.scenario.origin.fall_multiple);
@@ -307,12 +307,13 @@
                  " p99 " + milliseconds(h.quantile(0.99)) + " p99.9 " + milliseconds(h.quantile(0.999));
     }
     add_line(times);
-    add_line(
-        "daemons          " +
-        format_number("%.1f us", v.requests > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.requests) : 0) +
-        " of processor an invocation, " + format_number("%.1f MB", r.daemon_rss_mb) +
-        " at the most; the kit was late " + format_number("%.1f ms", 1e3 * v.max_watcher_delay) +
-        " at the worst, " + percent(v.watcher_delay_ratio) + " of the day");
+    add_line("daemons          " +
+             format_number("%.1f us", v.requests > 0
+                                          ? 1e6 * r.daemon_cpu_seconds / static_cast<double>(v.requests)
+                                          : 0) +
+             " of processor an invocation, " + format_number("%.1f MB", r.daemon_rss_mb) +
+             " at the most; the kit was late " + format_number("%.1f ms", 1e3 * v.max_watcher_delay) +
+             " at the worst, " + percent(v.watcher_delay_ratio) + " of the day");
     out += zone_failover_text(s, r);
     for (std::size_t i = 0; i < std::min(v.violations.size(), std::size_t{3}); ++i) {
         const audit::Violation& f = v.violations[i];
@@ -415,9 +416,9 @@
     json.EndArray();
     json.Key("daemons");
     json.StartObject();
-    put(json, "cpu", r.daemon_cpu);
+    put(json, "cpu", r.daemon_cpu_seconds);
     put(json, "cpu_us_an_invocation",
-        v.requests > 0 ? 1e6 * r.daemon_cpu / static_cast<double>(v.requests) : 0.0);
+        v.requests > 0 ? 1e6 * r.daemon_cpu_seconds / static_cast<double>(v.requests) : 0.0);
     put(json, "rss_mb_most", r.daemon_rss_mb);
     put(json, "descriptors_most", static_cast<std::uint64_t>(r.daemon_descriptors));
     json.EndObject();
@@ -444,7 +445,7 @@
     for (const audit::ServiceTotals& a : v.seconds) asked.push_back(a.offered), earned.push_back(a.earned);
     put_numbers(json, "asked", asked);
     put_numbers(json, "earned", earned);
-    put_numbers(json, "origin_asked", r.series.origin_asked);
+    put_numbers(json, "origin_asked", r.series.origin_load);
     put_numbers(json, "origin_capacity", r.series.origin_capacity);
     put_numbers(json, "cpu", r.series.cpu);
     put_numbers(json, "rss_mb", r.series.rss_mb);
--- a/src/testkit/run_monitor.cpp
+++ b/src/testkit/run_monitor.cpp
@@ -75,17 +75,17 @@
     }
     s.list_calls.push_back(static_cast<double>(discovery_->counts().calls - last_list_call_count_));
     last_list_call_count_ = discovery_->counts().calls;
-    s.origin_asked.push_back(origin_->asked());
+    s.origin_load.push_back(origin_->asked());
     s.origin_capacity.push_back(origin_->halted() ? 0 : origin_->capacity());
     double cpu = 0, rss = 0;
     for (const Node& n : nodes_) {
         cpu += n.last_cpu_time + n.ended_cpu_time;
         rss = std::max(rss, n.daemon->figures().rss_mb);
     }
-    const double before = result_.daemon_cpu;
+    const double before = result_.daemon_cpu_seconds;
     s.cpu.push_back(std::max(0.0, cpu - before));
     s.rss_mb.push_back(rss);
-    result_.daemon_cpu = cpu;
+    result_.daemon_cpu_seconds = cpu;
     if (plan_.progress) {
         char line[160];
         std::snprintf(line, sizeof line,
--- a/src/testkit/run_nodes.cpp
+++ b/src/testkit/run_nodes.cpp
@@ -15,14 +15,14 @@
 constexpr double kReadyTimeout = 15;  // seconds from the start of a daemon to its first response, at most
 constexpr double kReadyProbeTimeout = 0.5;  // seconds for the response to one readiness probe
 constexpr int kBindFailedExitCode = 1;      // of a daemon whose port is in use
-constexpr std::uint64_t kMaxStarts =
-    4;  // of a node before the run, each on another port after a bind failure
+// Starts of a node before the run, each on another port after a bind failure.
+constexpr std::uint64_t kMaxStarts = 4;
 constexpr double kLoadBalancerDelay = 0.3;  // seconds from SIGTERM until a node gets no new requests
-constexpr double kShutdownGrace =
-    0.7;  // seconds from SIGTERM to SIGKILL, in addition to the longest client timeout
+// Seconds from SIGTERM to SIGKILL, in addition to the longest client timeout.
+constexpr double kShutdownGrace = 0.7;
 constexpr double kMaxAwaitedTimeout = 3.0;  // seconds; longer client timeouts do not delay SIGKILL further
-constexpr double kPauseRecovery =
-    0.2;  // seconds after a pause in which responses of the node may still be late
+// Seconds after a pause in which responses of the node may still be late.
+constexpr double kPauseRecovery = 0.2;
 constexpr double kStarvationPeriod = 1.0;  // seconds; in each period a starved node is paused once
 constexpr double kStartDelay = 0.5;        // seconds from the readiness of all nodes to the start of the run
 
--- a/src/testkit/scenario_run.h
+++ b/src/testkit/scenario_run.h
@@ -20,8 +20,8 @@
 
 namespace brookrelay::testkit {
 
-inline constexpr double kDefaultNodeDowntime =
-    1.0;  // seconds until a killed or crashed node is started again
+// Seconds until a killed or crashed node is started again, unless the fault says otherwise.
+inline constexpr double kDefaultNodeDowntime = 1.0;
 
 // One run of a scenario. run() may be called once; the plan must outlive the object.
 class ScenarioRun {
--- a/src/testkit/soak.cpp
+++ b/src/testkit/soak.cpp
@@ -13,8 +13,8 @@
 
 constexpr double kRunLength = 11.0;  // s
 constexpr double kFirstFault = 1.0;  // s after the start of the run
-constexpr double kLastFault =
-    8.5;  // s; no fault begins in a later burst, so that each has time to take effect
+// Seconds after the start of the run. No burst of faults begins later, so that each has time to take effect.
+constexpr double kLastFault = 8.5;
 constexpr double kLateFirstFault = 5.0;  // s, in runs whose faults begin only after a time without any
 constexpr double kLateFirstFaultProbability = 0.2;
 constexpr double kNodeStartup = 1.0;  // approximate s from the start of a process to the start of the run
@@ -28,8 +28,8 @@
 constexpr int kLargestFleet = 3200;  // cache servers
 constexpr double kLargerProbability = 0.2;
 constexpr double kLargestProbability = 0.3;
-constexpr double kMassFaultProbability =
-    0.5;  // that a server fault of a large fleet affects many servers at once
+// Probability that a server fault of a large fleet affects many servers at once.
+constexpr double kMassFaultProbability = 0.5;
 constexpr double kMaxMassFaultRatio = 0.3;  // of all servers
 constexpr double kShortDeadlineProbability = 0.3;
 constexpr double kSlowListProbability = 0.4;
@@ -248,92 +248,94 @@
     }
 }
 
-void collect_failures(const DayPlan& plan, const DayResult& day, SoakResult& result) {
-    if (!day.failed.empty()) result.failures.push_back("not played: " + day.failed);
-    for (const audit::Violation& v : day.verdict.violations) {
+void collect_failures(const DayPlan& plan, const DayResult& run, SoakResult& result) {
+    if (!run.failed.empty()) result.failures.push_back("not played: " + run.failed);
+    for (const audit::Violation& v : run.verdict.violations) {
         if (result.failures.size() < kMaxFailures)
             result.failures.push_back("rule " + std::to_string(v.rule) + " at " + decimal(v.at) +
                                       " s: " + v.what);
     }
-    for (const std::string& complaint : day.complaints) {
+    for (const std::string& complaint : run.complaints) {
         if (result.failures.size() < kMaxFailures) result.failures.push_back("client: " + complaint);
     }
-    if (day.crashes > 0)
-        result.failures.push_back(std::to_string(day.crashes) + " daemons ended unexpectedly");
-    if (day.daemon_descriptors > plan.scenario.node_descriptors)
-        result.failures.push_back("a daemon had " + std::to_string(day.daemon_descriptors) +
+    if (run.crashes > 0)
+        result.failures.push_back(std::to_string(run.crashes) + " daemons ended unexpectedly");
+    if (run.daemon_descriptors > plan.scenario.node_descriptors)
+        result.failures.push_back("a daemon had " + std::to_string(run.daemon_descriptors) +
                                   " open descriptors; the limit is " +
                                   std::to_string(plan.scenario.node_descriptors));
-    if (day.daemon_rss_mb > plan.scenario.node_memory_mb)
-        result.failures.push_back("a daemon held " + decimal(day.daemon_rss_mb) +
+    if (run.daemon_rss_mb > plan.scenario.node_memory_mb)
+        result.failures.push_back("a daemon held " + decimal(run.daemon_rss_mb) +
                                   " MB of memory; the limit in MB is " +
                                   std::to_string(plan.scenario.node_memory_mb));
     collect_guard_failures(plan, result.failures);
-    result.is_void = day.verdict.is_void && result.failures.empty();
-    result.void_reason = day.verdict.void_reason;
-    result.requests = day.verdict.requests;
-    result.attempts = day.verdict.attempts;
-    result.served_ratio = day.verdict.total.ratio();
+    result.is_void = run.verdict.is_void && result.failures.empty();
+    result.void_reason = run.verdict.void_reason;
+    result.requests = run.verdict.requests;
+    result.attempts = run.verdict.attempts;
+    result.served_ratio = run.verdict.total.ratio();
 }
 
 }  // namespace
 
-SoakDay draw_soak_day(std::uint64_t seed, const SoakOptions& options) {
+SoakPlan draw_soak_plan(std::uint64_t seed, const SoakOptions& options) {
     Random rng(seed);
-    SoakDay day;
-    day.scenario = draw_fleet(rng, options.nodes);
+    SoakPlan soak_plan;
+    soak_plan.scenario = draw_fleet(rng, options.nodes);
     Random conditions(seed ^ kConditionsSeed);
-    draw_conditions(conditions, day.scenario);
-    draw_faults(rng, day.scenario);
+    draw_conditions(conditions, soak_plan.scenario);
+    draw_faults(rng, soak_plan.scenario);
     for (int node = 0; node < options.nodes; ++node)
-        day.node_environment.push_back(draw_environment(rng, seed, node, options));
+        soak_plan.node_environment.push_back(draw_environment(rng, seed, node, options));
     const bool is_crowded = conditions.bernoulli(kCrowdedProbability);
-    day.mannered_clients = (is_crowded ? kCrowdedClientsPerNode : kClientsPerNode) * options.nodes;
-    return day;
+    soak_plan.mannered_clients = (is_crowded ? kCrowdedClientsPerNode : kClientsPerNode) * options.nodes;
+    return soak_plan;
 }
 
 SoakResult play_soak(std::uint64_t seed, const SoakOptions& options) {
-    SoakDay day = draw_soak_day(seed, options);
+    SoakPlan soak_plan = draw_soak_plan(seed, options);
     SoakResult result;
     result.seed = seed;
     std::vector<Trouble> kept_faults;
-    for (std::size_t i = 0; i < day.scenario.troubles.size(); ++i) {
+    for (std::size_t i = 0; i < soak_plan.scenario.troubles.size(); ++i) {
         const auto& dropped = options.dropped_faults;
-        result.faults.push_back(fault_text(i, day.scenario.troubles[i]));
+        result.faults.push_back(fault_text(i, soak_plan.scenario.troubles[i]));
         if (std::find(dropped.begin(), dropped.end(), static_cast<int>(i)) == dropped.end())
-            kept_faults.push_back(day.scenario.troubles[i]);
+            kept_faults.push_back(soak_plan.scenario.troubles[i]);
     }
-    day.scenario.troubles = std::move(kept_faults);
+    soak_plan.scenario.troubles = std::move(kept_faults);
     DayPlan plan;
-    plan.scenario = day.scenario;
+    plan.scenario = soak_plan.scenario;
     plan.seed = seed;
     plan.program = options.program;
     plan.folder = options.folder;
     plan.interrupted = options.interrupted;
-    plan.mannered_clients = day.mannered_clients;
-    plan.state_folders = true;
-    plan.environment = [&day](int node) { return day.node_environment[static_cast<std::size_t>(node)]; };
+    plan.mannered_clients = soak_plan.mannered_clients;
+    plan.keeps_state = true;
+    plan.environment = [&soak_plan](int node) {
+        return soak_plan.node_environment[static_cast<std::size_t>(node)];
+    };
     collect_failures(plan, play_day(plan), result);
     return result;
 }
 
 SoakOptions shrink_soak(std::uint64_t seed, const SoakOptions& options, int max_runs) {
     SoakOptions smallest = options;
-    const std::size_t faults = draw_soak_day(seed, options).scenario.troubles.size();
-    const auto still_fails = [&](const SoakOptions& tried) {
-        std::filesystem::remove_all(tried.folder);
-        std::filesystem::create_directories(tried.folder);
-        return max_runs-- > 0 && play_soak(seed, tried).has_failed();
+    const std::size_t faults = draw_soak_plan(seed, options).scenario.troubles.size();
+    const auto still_fails = [&](const SoakOptions& candidate) {
+        std::filesystem::remove_all(candidate.folder);
+        std::filesystem::create_directories(candidate.folder);
+        return max_runs-- > 0 && play_soak(seed, candidate).has_failed();
     };
     for (std::size_t i = 0; i < faults && max_runs > 0; ++i) {
-        SoakOptions tried = smallest;
-        tried.dropped_faults.push_back(static_cast<int>(i));
-        if (still_fails(tried)) smallest = tried;
+        SoakOptions candidate = smallest;
+        candidate.dropped_faults.push_back(static_cast<int>(i));
+        if (still_fails(candidate)) smallest = candidate;
     }
     if (smallest.with_shim) {
-        SoakOptions tried = smallest;
-        tried.with_shim = false;
-        if (still_fails(tried)) smallest = tried;
+        SoakOptions candidate = smallest;
+        candidate.with_shim = false;
+        if (still_fails(candidate)) smallest = candidate;
     }
     return smallest;
 }
--- a/src/testkit/soak.h
+++ b/src/testkit/soak.h
@@ -30,14 +30,14 @@
 
 /// The plan of a soak run: the scenario with its faults, and the environment of each node, which controls its
 /// shim.
-struct SoakDay {
+struct SoakPlan {
     Scenario scenario;
     std::vector<std::vector<std::string>> node_environment;  // NAME=VALUE, by node
     int mannered_clients = 0;
 };
 
 /// Draws the plan of a seed. No I/O.
-SoakDay draw_soak_day(std::uint64_t seed, const SoakOptions& options);
+SoakPlan draw_soak_plan(std::uint64_t seed, const SoakOptions& options);
 
 struct SoakResult {
     std::uint64_t seed = 0;
