--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -26,14 +26,14 @@
                                       "nothing cold pushed over",
                                       "limits of the whole fleet kept"};
 
-std::string format_number(const char* format, double a) {
+std::string format(const char* pattern, double a) {
     char buffer[64];
-    std::snprintf(buffer, sizeof buffer, format, a);
+    std::snprintf(buffer, sizeof buffer, pattern, a);
     return buffer;
 }
 
-std::string percent(double part) { return format_number("%.1f%%", 100 * part); }
-std::string milliseconds(double seconds) { return format_number("%.1f", 1e3 * seconds); }
+std::string percent(double part) { return format("%.1f%%", 100 * part); }
+std::string ms(double seconds) { return format("%.1f", 1e3 * seconds); }
 
 void put(Json& json, const char* key, double value) {
     json.Key(key);
@@ -225,14 +225,14 @@
 
 std::string violation_html(const audit::Violation& f) {
     std::string out = "<details><summary><b>rule " + std::to_string(f.rule) + "</b> at " +
-                      format_number("%.3f s", f.at) +
+                      format("%.3f s", f.at) +
                       (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " +
                       escape_html(f.what) + "</summary><pre>";
     for (const std::string& line : f.trace) out += escape_html(line) + "\n";
     return out + "</pre></details>";
 }
 
-std::string row_html(std::initializer_list<std::string> cells, const char* tag = "td") {
+std::string row(std::initializer_list<std::string> cells, const char* tag = "td") {
     std::string out = "<tr>";
     for (const std::string& c : cells)
         out += std::string("<") + tag + ">" + escape_html(c) + "</" + tag + ">";
@@ -255,7 +255,7 @@
     "#ddd;border-radius:6px;padding:8px 14px}"
     ".tile b{display:block;font-size:21px}";
 
-std::string tile_html(const std::string& value, const std::string& name) {
+std::string tile(const std::string& value, const std::string& name) {
     return "<div class='tile'><b>" + escape_html(value) + "</b><span class='soft'>" + escape_html(name) +
            "</span></div>";
 }
@@ -286,10 +286,10 @@
     if (r.crashes > 0) add_line("  daemons ended by themselves " + std::to_string(r.crashes) + " times");
     const WorstService op = find_worst(v.operations, operation_names(s)),
                        tenant = find_worst(v.tenants, tenant_names(s));
-    add_line("billed service   " + format_number("%.4f", v.total.ratio()) + " whole,  " +
-             format_number("%.4f", v.worst_window) + " worst 10 s (from " +
-             format_number("%.0f s", v.worst_window_from) + "),  " + format_number("%.4f ", op.part) +
-             op.name + ",  " + format_number("%.4f ", tenant.part) + tenant.name);
+    add_line("billed service   " + format("%.4f", v.total.ratio()) + " whole,  " +
+             format("%.4f", v.worst_window) + " worst 10 s (from " + format("%.0f s", v.worst_window_from) +
+             "),  " + format("%.4f ", op.part) + op.name + ",  " + format("%.4f ", tenant.part) +
+             tenant.name);
     add_line("invocations      " + std::to_string(v.requests) + " of " + std::to_string(v.users) +
              " users: " + std::to_string(v.succeeded) + " succeeded, " + std::to_string(v.rejected) +
              " throttled, " + std::to_string(v.failed) + " errored, " + std::to_string(v.truncated) +
@@ -303,21 +303,20 @@
     std::string times = "latency (ms)     ";
     for (std::size_t i = 0; i < r.latencies.size(); ++i) {
         const LatencyHistogram& h = r.latencies[i];
-        times += (i == 0 ? "" : ",  ") + s.operations[i].name + " p50 " + milliseconds(h.quantile(0.5)) +
-                 " p99 " + milliseconds(h.quantile(0.99)) + " p99.9 " + milliseconds(h.quantile(0.999));
+        times += (i == 0 ? "" : ",  ") + s.operations[i].name + " p50 " + ms(h.quantile(0.5)) + " p99 " +
+                 ms(h.quantile(0.99)) + " p99.9 " + ms(h.quantile(0.999));
     }
     add_line(times);
-    add_line("daemons          " +
-             format_number("%.1f us", v.requests > 0
-                                          ? 1e6 * r.daemon_cpu_seconds / static_cast<double>(v.requests)
-                                          : 0) +
-             " of processor an invocation, " + format_number("%.1f MB", r.daemon_rss_mb) +
-             " at the most; the kit was late " + format_number("%.1f ms", 1e3 * v.max_watcher_delay) +
-             " at the worst, " + percent(v.watcher_delay_ratio) + " of the day");
+    add_line(
+        "daemons          " +
+        format("%.1f us", v.requests > 0 ? 1e6 * r.daemon_cpu_seconds / static_cast<double>(v.requests) : 0) +
+        " of processor an invocation, " + format("%.1f MB", r.daemon_rss_mb) +
+        " at the most; the kit was late " + format("%.1f ms", 1e3 * v.max_watcher_delay) + " at the worst, " +
+        percent(v.watcher_delay_ratio) + " of the day");
     out += zone_failover_text(s, r);
     for (std::size_t i = 0; i < std::min(v.violations.size(), std::size_t{3}); ++i) {
         const audit::Violation& f = v.violations[i];
-        add_line("broken: rule " + std::to_string(f.rule) + " at " + format_number("%.3f s", f.at) +
+        add_line("broken: rule " + std::to_string(f.rule) + " at " + format("%.3f s", f.at) +
                  (f.request >= 0 ? ", invocation " + std::to_string(f.request) : "") + ": " + f.what);
         for (const std::string& line : f.trace) add_line("    " + line);
     }
@@ -476,19 +475,16 @@
     out += "<p class='soft'>" + escape_html(s.about) + "</p>";
     if (!r.failed.empty()) out += "<p>The day was not played: " + escape_html(r.failed) + "</p>";
     if (r.was_interrupted)
-        out += "<p>Interrupted after " + format_number("%.1f s", r.length) +
-               ": what follows is of that part.</p>";
+        out += "<p>Interrupted after " + format("%.1f s", r.length) + ": what follows is of that part.</p>";
     if (v.is_void) out += "<p>Void: " + escape_html(v.void_reason) + ".</p>";
     const WorstService op = find_worst(v.operations, operation_names(s)),
                        tenant = find_worst(v.tenants, tenant_names(s));
-    out += "<div class='tiles'>" +
-           tile_html(format_number("%.4f", v.total.ratio()), "billed service, whole") +
-           tile_html(format_number("%.4f", v.worst_window),
-                     "worst 10 s, from " + format_number("%.0f s", v.worst_window_from)) +
-           tile_html(format_number("%.4f", op.part), "worst operation: " + op.name) +
-           tile_html(format_number("%.4f", tenant.part), "worst tenant: " + tenant.name) +
-           tile_html(std::to_string(v.violations.size()), "broken rules") +
-           tile_html(std::to_string(v.requests), "invocations") + "</div>";
+    out += "<div class='tiles'>" + tile(format("%.4f", v.total.ratio()), "billed service, whole") +
+           tile(format("%.4f", v.worst_window), "worst 10 s, from " + format("%.0f s", v.worst_window_from)) +
+           tile(format("%.4f", op.part), "worst operation: " + op.name) +
+           tile(format("%.4f", tenant.part), "worst tenant: " + tenant.name) +
+           tile(std::to_string(v.violations.size()), "broken rules") +
+           tile(std::to_string(v.requests), "invocations") + "</div>";
     out += service_chart(plan, r) + load_chart(plan, r) + origin_chart(plan, r) + latency_chart(plan, r) +
            cost_chart(plan, r);
     out += "<h2>Broken rules</h2>";
@@ -504,27 +500,24 @@
         for (std::size_t i = 0; i < std::min(kMaxViolationsShown, v.set_aside.size()); ++i)
             out += violation_html(v.set_aside[i]);
     }
-    out += "<h2>Troubles</h2><table>" + row_html({"", "at", "what"}, "th");
+    out += "<h2>Troubles</h2><table>" + row({"", "at", "what"}, "th");
     int number = 0;
-    for (const auto& [at, text] : r.marks)
-        out += row_html({std::to_string(++number), format_number("%.2f s", at), text});
-    out += "</table><h2>Operations</h2><table>" + row_html({"operation", "asked", "service", "p50 ms",
-                                                            "p90 ms", "p99 ms", "p99.9 ms", "objective ms"},
-                                                           "th");
+    for (const auto& [at, text] : r.marks) out += row({std::to_string(++number), format("%.2f s", at), text});
+    out += "</table><h2>Operations</h2><table>" +
+           row({"operation", "asked", "service", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "objective ms"},
+               "th");
     for (std::size_t i = 0; i < s.operations.size(); ++i) {
         const audit::ServiceTotals account =
             i < v.operations.size() ? v.operations[i] : audit::ServiceTotals{};
         const LatencyHistogram h = i < r.latencies.size() ? r.latencies[i] : LatencyHistogram{};
-        out += row_html({s.operations[i].name, format_number("%.0f", account.offered),
-                         format_number("%.4f", account.ratio()), milliseconds(h.quantile(0.5)),
-                         milliseconds(h.quantile(0.9)), milliseconds(h.quantile(0.99)),
-                         milliseconds(h.quantile(0.999)),
-                         milliseconds(s.operations[i].promised.latency_objective)});
+        out += row({s.operations[i].name, format("%.0f", account.offered), format("%.4f", account.ratio()),
+                    ms(h.quantile(0.5)), ms(h.quantile(0.9)), ms(h.quantile(0.99)), ms(h.quantile(0.999)),
+                    ms(s.operations[i].promised.latency_objective)});
     }
-    out += "</table><h2>Tenants</h2><table>" + row_html({"tenant", "asked", "service"}, "th");
+    out += "</table><h2>Tenants</h2><table>" + row({"tenant", "asked", "service"}, "th");
     for (std::size_t i = 0; i < v.tenants.size(); ++i) {
-        out += row_html({s.tenants[i].name, format_number("%.0f", v.tenants[i].offered),
-                         format_number("%.4f", v.tenants[i].ratio())});
+        out += row(
+            {s.tenants[i].name, format("%.0f", v.tenants[i].offered), format("%.4f", v.tenants[i].ratio())});
     }
     out += "</table><h2>All counts</h2><pre>" + escape_html(summary_text(plan, r)) + "</pre>";
     out += "<p class='soft'>" + escape_html(head.version) + "; daemon " + escape_html(head.program) +
