--- a/src/testkit/client_reply.h
+++ b/src/testkit/client_reply.h
@@ -1,5 +1,5 @@
-// What a client makes of one response of a node: the kind that the auditor is told, and the attempt that made
-// it.
+// Classifies one response of a node as a client sees it: the kind reported to the auditor, and the attempt
+// that produced it.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,12 @@
 
 struct ClientReply {
     audit::Reply kind = audit::Reply::failed;
-    int attempt = -1;   // that made the value or the receipt; -1: it names none of this request
-    double advice = 0;  // of a rejection: seconds after which to come again
+    int attempt =
+        -1;  // that produced the value or receipt; -1: the response names no attempt of this request
+    double advice = 0;  // retry-after of a rejection, in seconds
 };
 
-// `request` and `key` are those of the command that the response answers.
+// Classifies a response to the command with this `request` number and `key`.
 ClientReply classify_reply(const Heard& heard, std::uint32_t day, int request, std::uint64_t key);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/connection.cpp
+++ b/src/testkit/connection.cpp
@@ -9,10 +9,12 @@
 
 namespace brookrelay::testkit {
 namespace {
-constexpr int kBacklog = 1024;
-constexpr std::size_t kUnreadMost =
-    4 << 20;                 // bytes that make no message: nobody here sends or is sent so much
-constexpr int kFillers = 4;  // dials that fill a queue of none
+constexpr int kBacklog = 1024;  // connections in the accept queue
+// Bytes that may be received without forming a message before the connection is closed. No message of the
+// test protocols is as long.
+constexpr std::size_t kUnreadMost = 4 << 20;
+// Connection attempts that fill an accept queue of length 0.
+constexpr int kFillers = 4;
 }  // namespace
 
 Connection::Ptr Connection::accepted(Tcp::socket socket, const Clock& clock, Handlers handlers) {
@@ -82,14 +84,14 @@
 
 void Connection::flush() {
     if (!up_ || closed_ || !going_.empty() || out_.empty()) return;
-    // What fits goes at once; a handler is only needed for what does not.
+    // Writes what fits into the socket buffer at once; only the rest needs an asynchronous write.
     Code bad;
     socket_.non_blocking(true, bad);
     const std::size_t sent = socket_.write_some(boost::asio::buffer(out_), bad);
     if (!bad && sent == out_.size()) return out_.clear();
     if (bad && bad != boost::asio::error::would_block && bad != boost::asio::error::try_again) {
         out_.clear();
-        return;  // the reader hears of it
+        return;  // the pending read reports the error
     }
     out_.erase(0, sent);
     going_.swap(out_);
@@ -174,19 +176,19 @@
     if (acceptor_ == nullptr || hushed_) return;
     hushed_ = true;
     acceptor_->cancel();
-    // With no queue, and that full, the kernel answers a new dial with nothing.
+    // With an accept queue of length 0 that is full, the kernel does not answer a new SYN.
     acceptor_->listen(0);
     for (int i = 0; i < kFillers; ++i) {
         Tcp::socket& filler = fillers_.emplace_back(io_);
         filler.open(where_.protocol());
         filler.native_non_blocking(true);
-        // Not the library's connect(), which waits for the end even so.
+        // Asio's connect() waits for the result even on a non-blocking socket, so the system call is used.
         (void)::connect(filler.native_handle(), where_.data(), static_cast<socklen_t>(where_.size()));
     }
 }
 
 std::string own_loopback() {
-    // 22 bits of the process's id in 127.64.0.0/10, so that two rehearsals cannot meet.
+    // Maps 22 bits of the process id into 127.64.0.0/10, so that concurrent runs use different addresses.
     const auto pid = static_cast<unsigned>(getpid());
     return "127." + std::to_string(64 + (pid >> 16) % 64) + "." + std::to_string(pid >> 8 & 0xff) + "." +
            std::to_string(pid & 0xff);
--- a/src/testkit/connection.h
+++ b/src/testkit/connection.h
@@ -1,6 +1,6 @@
 // A TCP connection of a fake server or client, and a listener that can be closed or made unresponsive, on
-// Boost.Asio. A connection owns its socket and buffers; its owner is notified of the end once, whether by
-// close(), reset() or the peer. No protocol.
+// Boost.Asio. A connection owns its socket and buffers and notifies its owner once when the peer closes it or
+// it fails; close() and reset() do not notify. It knows no application protocol.
 #pragma once
 
 #include <array>
@@ -20,7 +20,8 @@
 using Tcp = boost::asio::ip::tcp;
 using Code = boost::system::error_code;
 
-// Seconds since the construction of the one clock that all parts of a run share.
+// Converts between seconds since the clock's construction and steady_clock; all parts of a run share one
+// instance.
 class Clock {
   public:
     Clock() : start_(std::chrono::steady_clock::now()) {}
@@ -74,23 +75,23 @@
     std::string in_, out_, going_;
     std::size_t taken_ = 0;
     double first_byte_at_ = 0;
-    // Handlers that are running. The handlers may own the owner of this connection, so they are released at
-    // its end, but not while one of them runs.
+    // Number of handler calls in progress. Handlers may hold the owner of this connection alive, so they are
+    // released when the connection ends, but not while one of them runs.
     int calling_ = 0;
     bool up_ = false, closed_ = false, paused_ = false, reading_ = false;
     std::array<char, 16384> room_{};
 };
 
-// Listens on a port of the host that it keeps for its lifetime, also while it is shut.
+// Listens on one port of a host. It reopens on the same port after shut() or hush().
 class Listener {
   public:
     using Accepted = std::function<void(Tcp::socket)>;
     Listener(Io& io, const std::string& host, Accepted accepted, unsigned short port = 0);
     const Tcp::endpoint& endpoint() const { return where_; }
     std::string address() const;
-    void open();  // accepts again after shut() or hush(), on the same port
-    void shut();  // connections are refused
-    // New connections are neither established nor refused, as with an unreachable machine.
+    void open();  // accepts connections again after shut() or hush(), on the same port
+    void shut();  // refuses new connections
+    // Lets new connections neither be established nor refused, as if the machine were unreachable.
     void hush();
 
   private:
@@ -104,9 +105,9 @@
     bool hushed_ = false;
 };
 
-// A loopback address that no other process's scenario run uses.
+// Returns a loopback address derived from the process id, so that concurrent runs do not share one.
 std::string own_loopback();
-// A currently free port of the host, for a process that takes its port from the configuration.
+// Returns a currently free port of the host, for a process that takes its port from the configuration.
 unsigned short free_port(Io& io, const std::string& host);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/fake_cache_server.cpp
+++ b/src/testkit/fake_cache_server.cpp
@@ -7,11 +7,11 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kMissPart = 0.3;   // of the work, for saying that a key is not there
-constexpr double kBusyPart = 0.02;  // of the work, for turning a command away
-constexpr double kLook = 0.1;       // s between looks at the push
-// After a silence the kernel still delivers, by retransmission, what was written to a connection that it had
-// not let into its queue. When that was written cannot be seen here.
+constexpr double kMissPart = 0.3;   // part of an operation's work that a miss costs
+constexpr double kBusyPart = 0.02;  // part of an operation's work that a busy response costs
+constexpr double kLook = 0.1;       // s between overload checks
+// For this long after a silence the kernel may still deliver, by retransmission, data written to a connection
+// that was not in the accept queue during the silence. The server cannot see when such data was written.
 constexpr double kLateDelivery = 2.5;  // s
 
 }  // namespace
@@ -51,7 +51,7 @@
         ++counts_.refused;
         Code ignored;
         socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
-        return;  // it goes out of scope, and with it the connection
+        return;  // the socket goes out of scope, which resets the connection
     }
     const std::uint64_t id = ++last_peer_;
     ++counts_.connections;
@@ -69,8 +69,8 @@
     for (const auto& [forward, text] : found->second.answers) {
         const auto job = jobs_.find(forward);
         if (job == jobs_.end() || job->second.write) continue;
-        // Nobody waits for this read any more, so one that has not begun is not begun. A write goes on: what
-        // its sender gave up may still happen.
+        // A queued read of a closed connection is dropped. A write stays queued: a write that its sender has
+        // given up may still take effect.
         bench_.forget(forward);
     }
     peers_.erase(found);
@@ -131,7 +131,7 @@
         ++counts_.busy;
         jobs_.erase(forward);
         environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::busy);
-        // Turning one away is work too, if little: it counts for the push.
+        // A busy response costs some work too, which counts towards overload.
         meter_.offered(now, work * kBusyPart);
         return answer(peer, forward, "SERVER_ERROR busy\r\n");
     }
@@ -146,7 +146,7 @@
     const double now = environment_.now();
     const OperationPlan& op = environment_.scenario.operations[static_cast<std::size_t>(job.operation)];
     if (job.write) {
-        // Only where caches take writes for the origin; elsewhere none comes here.
+        // Writes arrive here only in scenarios in which caches take writes for the origin.
         if (op.promised.idempotency == Idempotency::idempotency_key && job.mark != 0 &&
             marks_.seen(now, job.mark, op.promised.deduplication_window)) {
             environment_.auditor.on_duplicate_dropped(now, forward);
@@ -183,7 +183,7 @@
     if (found == peers_.end()) return;
     Peer& p = found->second;
     for (auto& [waiting, said] : p.answers) {
-        // NOLINTNEXTLINE(bugprone-use-after-move): one answer is waited for under this number
+        // NOLINTNEXTLINE(bugprone-use-after-move): one response is pending under this number
         if (waiting == forward) said = std::move(text);
     }
     while (!p.answers.empty() && !p.answers.front().second.empty()) {
@@ -225,7 +225,7 @@
     environment_.at(now + kLook, [this] { look(); });
 }
 
-// ---- troubles -------------------------------------------------------------------------------------------
+// ---- faults ---------------------------------------------------------------------------------------------
 
 void FakeCacheServer::reset_all() {
     std::map<std::uint64_t, Peer> gone;
@@ -241,7 +241,7 @@
     if (silent_ == on || !running_) return;
     silent_ = on;
     if (on) {
-        // What runs inside goes on, but nothing of it gets out: as of a machine behind a cut wire.
+        // Pending work is discarded and no response is sent, as if the network to the machine were cut.
         bench_.clear();
         jobs_.clear();
         timer_.cancel();
@@ -269,7 +269,7 @@
 
 void FakeCacheServer::start_cold() {
     if (running_) stop();
-    if (fallen_) return;  // what was pushed over stays down
+    if (fallen_) return;  // a server that failed from overload stays down
     store_.clear();
     marks_.clear();
     meter_.clear();
--- a/src/testkit/fake_cache_server.h
+++ b/src/testkit/fake_cache_server.h
@@ -1,5 +1,6 @@
-// A cache server by the protocol specification: slots, a queue, a bounded store, a cold start, limited
-// connections and deduplication, with fault injection. It reports to the auditor what it observes.
+// A fake cache server that follows the protocol specification: slots, a queue, a bounded store, a cold start,
+// a connection limit and deduplication, with fault injection. It reports each attempt that it sees to the
+// auditor.
 #pragma once
 
 #include <deque>
@@ -19,7 +20,7 @@
 
     std::string address() const { return listener_.address(); }
     int number() const { return number_; }
-    double started() const { return started_; }  // -1: before the run
+    double started() const { return started_; }  // time of the last cold start; -1: before the run
     bool fallen() const { return fallen_; }
     bool running() const { return running_; }
 
@@ -28,8 +29,8 @@
     void drop_part(double part, std::uint64_t chance);
 
     // Faults.
-    void silence(bool on);  // no output and no new connections; connections are reset at its end
-    void stop();            // as if the process were dead: connections are reset, new ones refused
+    void silence(bool on);  // no output and no new connections; resets all connections when it ends
+    void stop();            // as if the process had died: resets connections and refuses new ones
     void start_cold();      // restarts with an empty store
     void slow(double factor) { factor_ = factor; }
     void spoil(double part) { spoilt_ = part; }
@@ -48,8 +49,8 @@
     struct Peer {
         Connection::Ptr conn;
         std::deque<std::pair<int, std::string>>
-            answers;           // by attempt, in the order of the commands; empty: pending
-        double handshake = 0;  // work of connecting, charged to the first command
+            answers;           // attempt and its response, in command order; an empty response is pending
+        double handshake = 0;  // work of the connection setup, charged to the first command
     };
     struct Job {
         std::uint64_t peer = 0;
@@ -88,7 +89,7 @@
     int most_peers_ = 0;
     std::unordered_map<int, Job> jobs_;
     double started_ = -1;
-    double silent_until_ = -1e9;  // when it last began to speak again
+    double silent_until_ = -1e9;  // when the last silence ended
     bool running_ = true, silent_ = false, fallen_ = false, cold_ = false;
     double factor_ = 1, spoilt_ = 0;
     std::uint64_t spoil_draw_ = 0;
--- a/src/testkit/fake_coordinator.cpp
+++ b/src/testkit/fake_coordinator.cpp
@@ -10,10 +10,10 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr double kTimeoutLeast = 0.1, kTimeoutMost = 40;  // s that a session may ask for
+constexpr double kTimeoutLeast = 0.1, kTimeoutMost = 40;  // bounds of a session timeout, s
 constexpr std::int32_t kWatchXid = -1, kPingXid = -2, kAuthXid = -4;
-constexpr std::int32_t kConnected = 3;  // the state that an event bears
-constexpr std::size_t kNodesMost = 100000;
+constexpr std::int32_t kConnected = 3;      // the session state in each watch event
+constexpr std::size_t kNodesMost = 100000;  // nodes in the tree; create fails beyond it
 
 std::int64_t ms(double seconds) { return static_cast<std::int64_t>(seconds * 1e3); }
 
@@ -104,7 +104,7 @@
 CoordinatorError FakeCoordinator::create(double now, std::int64_t session, const std::string& wished,
                                          const std::string& data, bool ephemeral, bool sequential,
                                          std::string* made) {
-    // A sequential one may end in a slash: its name is the number alone.
+    // The path of a sequential node may end in a slash; its name is then the number alone.
     if (!is_path(sequential ? wished + "0" : wished) || wished == "/") return CoordinatorError::bad_arguments;
     const std::string above = parent_of(wished);
     const auto parent = nodes_.find(above);
@@ -179,7 +179,8 @@
 
 // ---- watches --------------------------------------------------------------------------------------------
 
-// Each fires once, and before any answer that shows what it tells of: so the protocol promises.
+// Sends the event to each watcher and removes the watches. The protocol requires that a watch fires once, and
+// before any response that shows the change.
 void FakeCoordinator::fire(Watches& watches, const std::string& path, CoordinatorEvent event) {
     const auto found = watches.find(path);
     if (found == watches.end()) return;
@@ -208,7 +209,7 @@
     return all;
 }
 
-// ---- the wire -------------------------------------------------------------------------------------------
+// ---- protocol -------------------------------------------------------------------------------------------
 
 void FakeCoordinator::received(double now, std::uint64_t connection, std::string_view payload) {
     tick(now);
@@ -225,7 +226,7 @@
     const std::int32_t timeout = in.number();
     const std::int64_t wished = in.long_number();
     const std::string password = in.text();
-    // A client that has seen more than this one must ask another: it would go back in time here.
+    // A client that has seen a later transaction than this server is refused: it would read older data here.
     if (!in.sound() || protocol != 0 || timeout < 0 || seen > order_) return out_.hang_up(connection);
     std::int64_t session = wished;
     const auto known = sessions_.find(wished);
@@ -233,14 +234,15 @@
     if (wished == 0) session = open_session(now, timeout / 1e3);
     JuteWriter out;
     if (wished != 0 && !resumes) {
-        // Expired: a time-out and an id of none say so, and the connection ends.
+        // The session has expired: the response has a timeout and a session id of 0, and the connection is
+        // closed.
         out.number(0).number(0).long_number(0).text(std::string(16, '\0')).flag(false);
         out_.send(connection, out.frame());
         return out_.hang_up(connection);
     }
     Session& s = sessions_[session];
     if (s.connection != 0 && s.connection != connection) {
-        // Moved: the old connection is of no use any more.
+        // The session has moved to this connection; the old one is closed.
         const std::uint64_t old = s.connection;
         ended(old);
         out_.hang_up(old);
@@ -322,7 +324,8 @@
             const std::int64_t seen = in.long_number();
             const std::vector<std::string> data = in.texts(), exist = in.texts(), child = in.texts();
             if (!in.sound()) break;
-            // What has happened since is told at once; the rest is watched from here on.
+            // Changes after the last transaction that the client has seen are sent at once; for unchanged
+            // paths the watch is set again.
             const auto event = [&](const std::string& path, CoordinatorEvent what) {
                 JuteWriter news;
                 news.number(kWatchXid).long_number(-1).number(0);
@@ -363,7 +366,7 @@
         default:
             error = CoordinatorError::unimplemented;
     }
-    if (!in.sound()) return out_.hang_up(connection);  // nothing after it can be trusted either
+    if (!in.sound()) return out_.hang_up(connection);  // later bytes cannot be parsed either
     JuteWriter head;
     head.number(type == CoordinatorCall::ping ? kPingXid : type == CoordinatorCall::auth ? kAuthXid : xid);
     head.long_number(order_).number(static_cast<std::int32_t>(error));
--- a/src/testkit/fake_coordinator.h
+++ b/src/testkit/fake_coordinator.h
@@ -1,6 +1,6 @@
-// A coordination service by its published protocol, without sockets or clocks: a tree of nodes, sessions with
-// timeouts, ephemeral and sequential nodes, and one-shot watches. It consumes the payloads of frames and
-// calls back with frames to send; the connections belong to FakeCoordinatorServer.
+// A coordination service that follows the published protocol, without sockets or clocks: a tree of nodes,
+// sessions with timeouts, ephemeral and sequential nodes, and one-shot watches. It consumes the payloads of
+// frames and calls back with frames to send; FakeCoordinatorServer owns the connections.
 #pragma once
 
 #include <cstdint>
@@ -54,7 +54,7 @@
     void tick(double now);                 // expires sessions
     double next_at() const;                // time of the next expiry; infinity: none
 
-    // Without a client: for tests and for the registrations of a run's servers.
+    // Direct access without a client connection, for tests and for the registrations of a run's servers.
     std::int64_t open_session(double now, double timeout);
     void touch(double now, std::int64_t session);
     void expire(std::int64_t session);
@@ -68,7 +68,7 @@
     bool exists(const std::string& path) const { return nodes_.contains(path); }
     std::size_t sessions() const { return sessions_.size(); }
     std::size_t watches() const;
-    std::int64_t order() const { return order_; }  // the last transaction's id
+    std::int64_t order() const { return order_; }  // id of the last transaction
 
   private:
     struct Node {
@@ -76,9 +76,9 @@
         std::int64_t created = 0, modified = 0, children_modified = 0;
         double created_at = 0, modified_at = 0;
         std::int32_t version = 0, children_version = 0;
-        std::int64_t owner = 0;  // the session, of an ephemeral node
+        std::int64_t owner = 0;  // session of an ephemeral node; 0: the node is persistent
         std::set<std::string> children;
-        std::uint32_t next_number = 0;  // for sequential children
+        std::uint32_t next_number = 0;  // suffix of the next sequential child
     };
     struct Session {
         double timeout = 0, until = 0;
@@ -86,7 +86,7 @@
         std::uint64_t connection = 0;  // 0: not connected
         std::set<std::string> owns;
     };
-    using Watches = std::map<std::string, std::set<std::uint64_t>>;  // path: connections
+    using Watches = std::map<std::string, std::set<std::uint64_t>>;  // connections by watched path
 
     void connect(double now, std::uint64_t connection, std::string_view payload);
     void call(double now, std::uint64_t connection, std::int64_t session, std::string_view payload);
@@ -99,7 +99,7 @@
     Out out_;
     std::map<std::string, Node> nodes_;
     std::map<std::int64_t, Session> sessions_;
-    std::map<std::uint64_t, std::int64_t> session_of_;  // of a connection
+    std::map<std::uint64_t, std::int64_t> session_of_;  // session by connection
     Watches data_watches_, exist_watches_, child_watches_;
     std::int64_t order_ = 0;
     std::int64_t last_session_ = 0x1000;
--- a/src/testkit/fake_coordinator_server.h
+++ b/src/testkit/fake_coordinator_server.h
@@ -1,4 +1,4 @@
-// The fake coordinator on a TCP port, with fault injection. It owns the connections and the timer of the
+// Serves FakeCoordinator on a TCP port, with fault injection. It owns the connections and the timer for
 // session timeouts.
 #pragma once
 
@@ -16,7 +16,7 @@
     FakeCoordinatorServer(Io& io, const Clock& clock, const std::string& host);
     std::string address() const { return listener_.address(); }
     FakeCoordinator& service() { return service_; }
-    void changed() { arm(); }  // after a session was opened or touched from here
+    void changed() { arm(); }  // call after a session was opened or touched through service()
     std::size_t connections() const { return conns_.size(); }
 
     // Faults.
--- a/src/testkit/fake_discovery_server.cpp
+++ b/src/testkit/fake_discovery_server.cpp
@@ -14,16 +14,17 @@
 namespace {
 
 constexpr std::int64_t kRestartedAt = 1;  // the version with which a restarted discovery begins
-constexpr double kWaitMost = 60;
-constexpr std::size_t kLargeFleet = 400;
-constexpr double kTellInterval = 0.05;  // s
+constexpr double kWaitMost = 60;          // s; longest long poll
+constexpr std::size_t kLargeFleet = 400;  // servers from which on changes are sent in batches
+constexpr double kTellInterval = 0.05;    // s over which changes of a large fleet are batched
+// Bytes of a response written at a time if the scenario limits the list rate.
 constexpr std::size_t kPieceBytes = std::size_t{16} * 1024;
 
 const char* word(EndpointState s) {
     return s == EndpointState::ready ? "SERVING" : s == EndpointState::draining ? "DRAINING" : "DELETED";
 }
 
-// `index` and `wait` of a target.
+// Reads an integer query parameter (`index` or `wait`) of a request target. Returns false if it is absent.
 bool parameter(std::string_view target, std::string_view name, std::int64_t& value) {
     const std::size_t at = target.find(std::string(name) + "=");
     if (at == std::string_view::npos) return false;
@@ -54,7 +55,7 @@
     entries_.size() < kLargeFleet ? tell_all() : tell_soon();
 }
 
-// A release of a large fleet changes hundreds of entries at a time; they are told together.
+// Sends changes to the nodes in batches. A release of a large fleet changes hundreds of entries at a time.
 void FakeDiscoveryServer::tell_soon() {
     if (std::exchange(tells_soon_, true)) return;
     environment_.at(environment_.now() + kTellInterval, [this] {
@@ -140,7 +141,7 @@
 void FakeDiscoveryServer::input(int node, Connection& conn) {
     Request request;
     if (down_ || agents_[static_cast<std::size_t>(node)]->held)
-        return;  // it is heard when the outage is over
+        return;  // the request is read when the fault ends
     const std::size_t taken = read_request(conn.input(), request);
     if (taken == 0) return;
     const std::string target(request.target);
@@ -184,7 +185,7 @@
     }
 }
 
-// The entries count as told once the last piece is written.
+// Reports the entries to the auditor once the last piece of the response is written.
 void FakeDiscoveryServer::answer(int node, Connection& conn, std::int64_t index) {
     const bool whole = index < 0 || index > version_;
     struct Told {
@@ -200,7 +201,7 @@
         const bool absent = left_out_.contains(server) || (e.standing == EndpointState::removed && whole) ||
                             e.address.empty();
         if (whole) {
-            // Who is not in a whole list has left.
+            // A server that is not in a whole list counts as removed.
             told.push_back({server, absent ? EndpointState::removed : e.standing, !absent && e.started >= 0});
             continue;
         }
--- a/src/testkit/fake_discovery_server.h
+++ b/src/testkit/fake_discovery_server.h
@@ -1,6 +1,6 @@
-// Discovery by the protocol specification: one versioned endpoint list, served by an agent for each node with
-// a lag, with fault injection (outages, stale lists, restarts with other versions). It notifies the auditor
-// of each entry when it is written to a node.
+// A fake discovery service that follows the protocol specification: one versioned endpoint list, served with
+// a lag by one agent for each node, with fault injection (outages, stale lists, restarts with other
+// versions). It notifies the auditor of each entry when the entry is written to a node.
 #pragma once
 
 #include <functional>
@@ -17,15 +17,17 @@
   public:
     FakeDiscoveryServer(TestEnvironment& environment, int nodes);
 
-    // Sets the entry of a server: put() at once, before the run starts; list() after the lag.
+    // Sets the entry of a server: put() at once, for use before the run starts; list() after the discovery
+    // lag.
     void put(int server, const std::string& address, EndpointState standing, double started);
     void list(int server, const std::string& address, EndpointState standing, double started);
     std::string agent(int node) const { return agents_[static_cast<std::size_t>(node)]->listener.address(); }
-    // The current list in its wire format, as given to a node that starts.
+    // Returns the current list in its wire format, as given to a node that starts.
     std::string whole_list(int node) const;
-    // Where lists are pushed, what a node's agent holds counts as told to a process that starts.
+    // Unless the scenario lets nodes ask for the list, the entries that a node's agent holds are reported to
+    // the auditor as known to a node that starts.
     void on_node_started(int node);
-    // The address at which a node reaches a server; empty: the server's own.
+    // Returns the address at which a node reaches a server. If unset, it is the server's own address.
     std::function<std::string(int node, int server, const std::string& address)> dial;
     std::int64_t version() const { return version_; }
     struct Counts {
@@ -35,9 +37,9 @@
 
     // Faults.
     void down(bool on);                    // no responses; connections stay open
-    void stale(bool on);                   // updates are held back until it ends
-    void hold(int node, bool on);          // updates are held back from this node's agent until it ends
-    void restart(std::set<int> left_out);  // versions start again, without these servers
+    void stale(bool on);                   // holds updates back until the fault ends
+    void hold(int node, bool on);          // holds updates back from this node's agent until the fault ends
+    void restart(std::set<int> left_out);  // starts versions again, without these servers in the list
     void readmit();                        // lists the servers left out by restart() again
 
   private:
@@ -71,14 +73,14 @@
                         const std::function<void()>& done);
 
     TestEnvironment& environment_;
-    std::vector<Entry> entries_;  // as the agents know it
+    std::vector<Entry> entries_;  // as the agents know them, by server
     std::vector<std::string> names_;
     std::vector<std::unique_ptr<Agent>> agents_;
     std::int64_t version_ = 1;
-    const double wall_at_start_;  // read once: a start time must be the same in every message
+    const double wall_at_start_;  // read once, so that a server's start time is the same in every message
     bool tells_soon_ = false;
-    // The whole list as it was made last. Nodes that reach servers by addresses of their own have each their
-    // own, and it is made anew.
+    // The whole list as last built, for reuse while the version stays. It is rebuilt for each call if `dial`
+    // is set, as lists then differ by node, and while servers are left out.
     mutable std::string whole_list_;
     mutable std::int64_t whole_list_version_ = -1;
     std::uint64_t watches_ = 0;
--- a/src/testkit/fake_origin_server.cpp
+++ b/src/testkit/fake_origin_server.cpp
@@ -6,7 +6,7 @@
 
 namespace brookrelay::testkit {
 namespace {
-constexpr double kLook = 0.1;  // s between looks at the push
+constexpr double kLook = 0.1;  // s between overload checks
 }
 
 FakeOriginServer::FakeOriginServer(TestEnvironment& environment, int number)
@@ -37,7 +37,8 @@
     if (found == peers_.end()) return;
     for (const auto& [forward, text] : found->second.answers) {
         const auto job = jobs_.find(forward);
-        // A read that nobody waits for is not begun; a write may still happen, given up or not.
+        // A queued read of a closed connection is dropped. A write stays queued: a write that its sender has
+        // given up may still take effect.
         if (job != jobs_.end() && !job->second.write) bench_.forget(forward);
     }
     peers_.erase(found);
@@ -84,7 +85,7 @@
         environment_.auditor.on_attempt_finished(now, forward, audit::Outcome::failed);
         return answer(peer, forward, http_response(400, "no such request"));
     }
-    if (halted()) return;  // it hears, and says nothing
+    if (halted()) return;  // requests are received but not answered
     jobs_.emplace(forward, job);
     if (!bench_.enter(now, forward, work)) {
         ++counts_.busy;
@@ -135,7 +136,7 @@
         environment_.scenario.origin.reset_ratio * 9007199254740992.0)
         return p.conn->reset();
     for (auto& [waiting, said] : p.answers) {
-        // NOLINTNEXTLINE(bugprone-use-after-move): one answer is waited for under this number
+        // NOLINTNEXTLINE(bugprone-use-after-move): one response is pending under this number
         if (waiting == forward) said = std::move(text);
     }
     while (!p.answers.empty() && !p.answers.front().second.empty()) {
--- a/src/testkit/fake_origin_server.h
+++ b/src/testkit/fake_origin_server.h
@@ -1,6 +1,6 @@
-// The slow origin (activation master) by the protocol specification: HTTP/1.1 with a capacity, a queue,
-// deduplication, and a halt when it is overloaded. It owns the versions of the values: a write that ran
-// invalidates all copies, a read that ran is stored where it had missed.
+// A fake origin server that follows the protocol specification: HTTP/1.1 with a limited capacity, a queue,
+// deduplication, and a halt on overload. It increments the versions of the values: an executed write
+// invalidates all cached copies, and an executed read fills the caches at which its request had missed.
 #pragma once
 
 #include <deque>
@@ -22,14 +22,14 @@
 
     // Faults.
     void slow(double factor) { factor_ = factor; }
-    void halt(double seconds);  // gives no response for so long; pending requests are lost
+    void halt(double seconds);  // sends no response for this long and drops pending requests
 
     struct Counts {
         std::uint64_t reads = 0, writes = 0, busy = 0, halts = 0;
     };
     const Counts& counts() const { return counts_; }
     double capacity() const;  // current, in work per second
-    double asked() const;     // demanded work per second, over the last half second
+    double asked() const;     // offered work per second, over the last half second
     bool halted() const { return environment_.now() < halted_until_; }
 
   private:
--- a/src/testkit/greedy_peer.h
+++ b/src/testkit/greedy_peer.h
@@ -1,5 +1,5 @@
-// A misbehaving peer: in place of a node that has ended it claims to be alive, and answers each lease request
-// with the whole quota. It owns its socket and its thread.
+// A misbehaving gossip peer. It takes the address of a node that has ended, announces that it is alive, and
+// grants the whole quota in answer to each lease request. It owns its socket and its thread.
 #pragma once
 
 #include <array>
@@ -26,7 +26,7 @@
         ends_ = true;
         if (thread_.joinable()) thread_.join();
     }
-    // Binds the gossip address of that node, whose process must have ended.
+    // Starts the peer on the node's gossip address. The node's process must have ended.
     void start(const std::string& address) {
         thread_ = std::thread([this, address] { run(address); });
     }
@@ -68,7 +68,7 @@
             }
             said.lease_grants.clear();
             for (const auto& [to, life] : lives) {
-                if (turn % 10 == 0) say(to);  // so that it counts as alive
+                if (turn % 10 == 0) say(to);  // heartbeat every 250 ms, so that the node counts as alive
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         }
--- a/src/testkit/mannered_clients.cpp
+++ b/src/testkit/mannered_clients.cpp
@@ -25,16 +25,16 @@
     count
 };
 
-constexpr double kBadClientLimit = 3.0;  // s that a command which stops may stay before it is ended
-constexpr double kSlack = 0.15;
-constexpr std::size_t kLongValue = std::size_t{150} * 1000;
-constexpr double kPipelinedWait = 4.5;                    // s; longer than a silent client is kept
-constexpr double kMannerLimit = 6.5;                      // s; then a client goes on with another manner
-constexpr double kHastyLeast = 0.005, kHastyMost = 0.06;  // s that a hasty client waits
+constexpr double kBadClientLimit = 3.0;  // s within which a node must end a stopped command
+constexpr double kSlack = 0.15;          // s of tolerance on kBadClientLimit
+constexpr std::size_t kLongValue = std::size_t{150} * 1000;  // bytes
+constexpr double kPipelinedWait = 4.5;                       // s; longer than a node keeps a silent client
+constexpr double kMannerLimit = 6.5;  // s; longest time that a client spends on one behaviour
+constexpr double kHastyLeast = 0.005, kHastyMost = 0.06;  // bounds of a hasty client's deadline, s
 
 }  // namespace
 
-// One client: a connection, the requests on it in their order, and the manner that it plays just now.
+// One client: its connection, the requests pending on it in order, and its current behaviour.
 class ManneredClients::Client : public std::enable_shared_from_this<Client> {
   public:
     explicit Client(ManneredClients& crowd) : crowd_(crowd) {}
@@ -46,7 +46,7 @@
         int request = 0;
         std::uint64_t key = 0;
         audit::RequestInfo info = {};
-        bool is_whole = true;  // its last byte is written, from which on it counts as a request
+        bool is_whole = true;  // the last byte is written; only then is it a request for the auditor
     };
     TestEnvironment& environment() { return crowd_.environment_; }
     void after(double seconds, std::function<void()> action);
@@ -70,9 +70,9 @@
     int node_ = 0;
     std::deque<Asked> asked_;
     Manner manner_ = Manner::pipelines;
-    std::uint64_t turn_ = 0;   // distinguishes the timers of one manner from those of the next
-    bool is_fresh_ = true;     // nothing was answered on this connection
-    bool is_halting_ = false;  // half a command is written and its end never comes
+    std::uint64_t turn_ = 0;   // invalidates the timers of earlier behaviours
+    bool is_fresh_ = true;     // no response was received on this connection
+    bool is_halting_ = false;  // half a command is written and the rest is never sent
     double stopped_at_ = 0;
 };
 
@@ -111,7 +111,7 @@
         {if_current(&Client::play), if_current(&Client::on_input), if_current(&Client::on_ended)});
 }
 
-// By this client: its end is then no event.
+// Closes the connection without on_ended() being called.
 void ManneredClients::Client::close_connection() {
     const Connection::Ptr closed = std::move(connection_);
     connection_ = nullptr;
@@ -174,7 +174,7 @@
         case Manner::pipelines: {
             std::string all;
             const int commands = crowd_.draw_int(2, 12);
-            // All with the same deadline: the time for which one waits behind others does not count.
+            // All commands have the same deadline, as the time that one waits behind others does not count.
             for (int i = 0; i < commands; ++i) all += command(kPipelinedWait, crowd_.draw() < 0.2, 50);
             connection_->write(all);
             break;
@@ -216,7 +216,7 @@
         case Manner::count:
             break;
     }
-    // Whatever is not over by then is the auditor's business; this client goes on.
+    // A request that is still pending then is left to the auditor; the client goes on to its next behaviour.
     after(kMannerLimit, [this] { give_up_manner(); });
 }
 
@@ -252,7 +252,7 @@
         const double now = environment().now();
         is_fresh_ = false;
         if (asked_.empty()) {
-            // The error line for what was never a whole command.
+            // An error line for a command that was never complete.
             if (is_halting_ && now - stopped_at_ > kBadClientLimit + kSlack && !was_paused())
                 crowd_.complaints_.push_back({"node " + std::to_string(node_) +
                                                   " ended a stopped command after " +
@@ -272,8 +272,8 @@
         connection_->take(taken);
     }
     if (!asked_.empty() || is_halting_ || connection_->is_closed()) return;
-    // A client that rests stays until the node ends it, or it asks again: just when a close may be on its
-    // way.
+    // An idle client stays connected until the node closes the connection or the client sends again, which
+    // may cross a close that is under way.
     finish_manner(manner_ == Manner::rests ? 0.05 + 2.5 * crowd_.draw() : 0.02);
 }
 
@@ -293,8 +293,9 @@
         } else if (cut && i == 0) {
             environment().auditor.on_response(now, request, audit::Reply::truncated, -1);
         } else if (!is_fresh_ && !environment().auditor.has_attempts(request)) {
-            environment().auditor.on_client_closed(now,
-                                                   request);  // it crossed the end of a resting connection
+            environment().auditor.on_client_closed(
+                now,
+                request);  // the request crossed the close of an idle connection
         } else {
             environment().auditor.on_connection_closed(now, request);
         }
--- a/src/testkit/mannered_clients.h
+++ b/src/testkit/mannered_clients.h
@@ -1,7 +1,8 @@
-// Clients of a soak that a fleet meets in production: they pipeline, write in pieces, stop inside a command
-// and stay, rest until they are closed, leave while they wait, read late, write long values, or have very
-// little time left. Each plays one manner after another on connections of its own until the end of the run.
-// All that they ask is registered with the auditor; that a stopped command is ended in time is checked here.
+// Clients of a soak with the unusual behaviours of production clients: they pipeline, write a command in
+// pieces, stop inside a command and keep the connection, idle until the node closes the connection,
+// disconnect while they wait, read late, write long values, or send very short deadlines. Each client picks
+// one behaviour after another on its own connections until the end of the run. All their requests are
+// registered with the auditor. This class itself checks that a node ends a stopped command in time.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -17,7 +18,7 @@
 
 class ManneredClients {
   public:
-    /// Numbers of requests and users are taken from the load's clients, so that they don't meet.
+    /// Draws request and user numbers from the sequence of the load clients, so that both sets are disjoint.
     struct Numbering {
         std::function<int()> next_request;
         std::function<int()> next_user;
@@ -28,12 +29,13 @@
     ManneredClients(const ManneredClients&) = delete;
     ManneredClients& operator=(const ManneredClients&) = delete;
 
-    /// Starts `count` clients; `pick` says where a new connection goes, or nullopt if no node takes any.
+    /// Starts `count` clients. `pick` returns the node and endpoint for a new connection, or nullopt if no
+    /// node accepts any.
     using PickNode = std::function<std::optional<std::pair<int, Tcp::endpoint>>()>;
     void start(int count, PickNode pick, double until);
     void stop();
-    /// What no rule of the auditor's covers: half commands that were not ended in time, less the time for
-    /// which the watcher was late itself. Asked for at the end of the run.
+    /// Returns the violations that no rule of the auditor covers: half commands that a node did not end in
+    /// time. The delay of the watcher itself is subtracted first. Call it at the end of the run.
     std::vector<std::string> complaints() const;
 
   private:
@@ -51,8 +53,8 @@
     std::vector<std::shared_ptr<Client>> clients_;
     struct Complaint {
         std::string text;
-        double stopped_at = 0;  // when the client's command stopped
-        double seen_at = 0;
+        double stopped_at = 0;  // when the client stopped inside its command
+        double seen_at = 0;     // when the node's reaction, or its absence, was observed
     };
     std::vector<Complaint> complaints_;
 };
--- a/src/testkit/network_fault_proxy.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -11,14 +11,15 @@
     return where.address().to_string() + ":" + std::to_string(where.port());
 }
 
-// A port that is free for datagrams now.
+// Returns an endpoint of the host with a currently free UDP port.
 NetworkFaultProxy::Udp::endpoint free_place(Io& io, const std::string& host) {
     const NetworkFaultProxy::Udp::socket probe(
         io, NetworkFaultProxy::Udp::endpoint(boost::asio::ip::make_address(host), 0));
     return probe.local_endpoint();
 }
 
-// An address of the relays' own: they are many, and must not take a port that a node has been told.
+// Returns a separate loopback address for the relays. They use many ports, which must not collide with a port
+// that is configured for a node.
 std::string beside(const std::string& host) {
     const std::size_t from = host.find('.') + 1, until = host.find('.', from);
     return "127." + std::to_string(std::stoi(host.substr(from, until - from)) + 64) + host.substr(until);
@@ -45,7 +46,7 @@
     return all;
 }
 
-// ---- who is meant ---------------------------------------------------------------------------------------
+// ---- fault endpoints ------------------------------------------------------------------------------------
 
 NetworkFaultProxy::Side NetworkFaultProxy::side(const std::vector<std::string>& names) const {
     const Scenario& s = environment_.scenario;
@@ -62,7 +63,7 @@
                 side.nodes.insert(n);
         }
         for (int i = 0; zone != s.zones.end() && i < servers; ++i) {
-            const int stands = i == servers - 1 ? 0 : i % zones;  // the origin stands in the first zone
+            const int stands = i == servers - 1 ? 0 : i % zones;  // the origin is in the first zone
             if (stands == zone - s.zones.begin()) side.servers.insert(i);
         }
     }
@@ -84,7 +85,7 @@
     f.delay = t.delay;
     f.from = side(t.from);
     f.to = side(t.to);
-    if (t.to.empty()) {  // everybody else
+    if (t.to.empty()) {  // all other nodes and servers
         for (int n = 0; n < environment_.scenario.nodes; ++n) {
             if (!f.from.nodes.contains(n)) f.to.nodes.insert(n);
         }
@@ -105,14 +106,14 @@
 
 void NetworkFaultProxy::receive(int node) {
     Relay& r = *relays_[index(node)];
-    r.socket.async_receive_from(boost::asio::buffer(r.room), r.from,
-                                [this, node, &r](const Code& bad, std::size_t size) {
-                                    if (bad == boost::asio::error::operation_aborted) return;
-                                    const auto sender = senders_.find(r.from);
-                                    if (!bad && sender != senders_.end())
-                                        pass(sender->second, node, std::string(r.room.data(), size));
-                                    receive(node);  // an error here is a peer's port that nobody listens at
-                                });
+    r.socket.async_receive_from(
+        boost::asio::buffer(r.room), r.from, [this, node, &r](const Code& bad, std::size_t size) {
+            if (bad == boost::asio::error::operation_aborted) return;
+            const auto sender = senders_.find(r.from);
+            if (!bad && sender != senders_.end())
+                pass(sender->second, node, std::string(r.room.data(), size));
+            receive(node);  // an error here means that no process listens on a peer's port
+        });
 }
 
 void NetworkFaultProxy::pass(int from, int to, std::string bytes) {
@@ -206,8 +207,8 @@
     if (w.back_cut) pair->far->pause();
 }
 
-// A cut way is silent: what is written to it goes nowhere, nothing comes up, and once it is mended all is
-// reset.
+// Applies the current cuts to the paths between nodes and servers. A cut path forwards nothing and
+// establishes no connections; when the cut ends, its connections are reset.
 void NetworkFaultProxy::settle_ways() {
     const int nodes = environment_.scenario.nodes;
     for (auto& [key, way] : ways_) {
--- a/src/testkit/network_fault_proxy.h
+++ b/src/testkit/network_fault_proxy.h
@@ -1,6 +1,6 @@
-// Relays the traffic between nodes, and on request between nodes and servers, and injects network faults into
-// it. Each node is reached by its peers at a relay address; a datagram is forwarded from the relay address of
-// its sender, so that nodes know one another by relay addresses alone.
+// Relays the traffic between nodes, and optionally between nodes and servers, and injects network faults into
+// it. Peers reach a node at its relay address, and a datagram is forwarded from the relay address of its
+// sender, so nodes know one another by relay addresses alone.
 #pragma once
 
 #include <array>
@@ -23,10 +23,11 @@
 
     NetworkFaultProxy(TestEnvironment& environment, std::uint64_t seed, bool servers_too);
 
-    // The address on which a node has to listen for its peers, and the peer addresses to configure.
+    // Return the address on which a node listens for its peers, and the peer addresses to configure.
     std::string peer_listen(int node) const;
     std::vector<std::string> peers() const;
-    // The address at which a node reaches a server: a relay if servers are proxied too, else its own.
+    // Returns the address at which a node reaches a server: a relay if servers are proxied too, else
+    // `address`.
     std::string dial(int node, int server, const std::string& address);
     // Injects a network fault until the given time.
     void strike(const Trouble& trouble, double until);
@@ -45,21 +46,21 @@
         Side from, to;
         bool one_way = false;
         double part = 1, delay = 0;
-        // Whether it affects traffic from a to b; servers are numbered after the nodes.
+        // Returns whether the fault affects traffic from a to b. Servers are numbered after the nodes.
         bool strikes(int a, int b, int nodes) const;
     };
-    struct Relay {  // for one node's datagrams
+    struct Relay {  // relays the datagrams to and from one node
         explicit Relay(Io& io, const std::string& host)
             : socket(io, Udp::endpoint(boost::asio::ip::make_address(host), 0)) {}
         Udp::socket socket;
-        Udp::endpoint node;  // where it listens
-        Udp::endpoint from;
+        Udp::endpoint node;  // where the node listens
+        Udp::endpoint from;  // sender of the datagram in `room`
         std::array<char, 2048> room{};
     };
     struct Pair {  // one proxied connection
         Connection::Ptr near, far;
     };
-    struct Way {  // from one node to one server
+    struct Way {  // the proxied path from one node to one server
         int node = 0, server = 0;
         std::string real;
         std::unique_ptr<Listener> listener;
--- a/src/testkit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -36,8 +36,10 @@
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in a = address_of(own_loopback(), 0);
     socklen_t length = sizeof a;
-    need(bind(fd, reinterpret_cast<sockaddr*>(&a), length) == 0, "cannot bind");
-    need(getsockname(fd, reinterpret_cast<sockaddr*>(&a), &length) == 0, "cannot name a socket");
+    need(bind(fd, reinterpret_cast<sockaddr*>(&a), length) == 0,
+         "cannot bind a test socket to the loopback address");
+    need(getsockname(fd, reinterpret_cast<sockaddr*>(&a), &length) == 0,
+         "cannot read the port of a bound test socket");
     port = ntohs(a.sin_port);
     return fd;
 }
@@ -70,7 +72,8 @@
 
 void Line::end_sending() const { shutdown(fd_, SHUT_WR); }
 
-// The descriptor stays taken until the line goes, so that no other can come by its number.
+// Closes the connection with a TCP reset. The descriptor is replaced by an unconnected socket and stays open
+// until the line is destroyed, so that its number is not reused meanwhile.
 void Line::reset() {
     const linger at_once{1, 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
@@ -81,7 +84,7 @@
 
 bool Line::more() {
     pollfd p{fd_, POLLIN, 0};
-    need(poll(&p, 1, kPatienceMs) == 1, "what was waited for never came");
+    need(poll(&p, 1, kPatienceMs) == 1, "no data from the peer within 20 s (kPatienceMs)");
     char room[65536];
     const ssize_t n = recv(fd_, room, sizeof room, 0);
     if (n > 0) in_.append(room, static_cast<std::size_t>(n));
@@ -89,7 +92,7 @@
 }
 
 ScriptedPeer::ScriptedPeer(bool http) : http_(http), listener_(bound_socket(port)) {
-    need(listen(listener_, kBacklog) == 0, "cannot listen");
+    need(listen(listener_, kBacklog) == 0, "cannot listen on the port of a scripted peer");
     acceptor_ = std::thread([this] { accept_all(); });
 }
 
@@ -117,12 +120,12 @@
     ending_ = true;
     (void)Line(own_loopback(), port).up();
     acceptor_.join();
-    need(listen(listener_, 0) == 0, "cannot listen");
+    need(listen(listener_, 0) == 0, "cannot listen on the port of a scripted peer");
 }
 
 void ScriptedPeer::resume() {
     ending_ = false;
-    need(listen(listener_, kBacklog) == 0, "cannot listen");
+    need(listen(listener_, kBacklog) == 0, "cannot listen on the port of a scripted peer");
     acceptor_ = std::thread([this] { accept_all(); });
 }
 
--- a/src/testkit/scripted_peer.h
+++ b/src/testkit/scripted_peer.h
@@ -12,7 +12,7 @@
 
 namespace brookrelay::testkit {
 
-constexpr int kPatienceMs = 20000;  // receive timeout, reached only by a failing test
+constexpr int kPatienceMs = 20000;  // receive timeout; only a failing test reaches it
 
 // A blocking socket with a read buffer.
 class Line {
@@ -25,7 +25,7 @@
 
     bool up() const { return up_; }
     void send(const std::string& text) const;
-    std::string until(const std::string& end);  // up to and including `end`, or to the close by the peer
+    std::string until(const std::string& end);  // reads through `end`, or until the peer closes
     std::string bytes(std::size_t n);
     bool closed_by_peer() { return in_.empty() && !more() && in_.empty(); }
     void shut() const;
@@ -39,8 +39,8 @@
     std::string in_;
 };
 
-// The response to one message: sends a text, may wait and send the rest, then pieces one after another, and
-// may then close.
+// The response to one message: sends `text`, calls `wait`, sends `rest` and then each of `pieces`, and may
+// then close or reset the connection.
 struct Act {
     std::string text;
     bool close = false;
@@ -54,7 +54,7 @@
 class ScriptedPeer {
   public:
     using Script = std::function<Act(const std::string& message)>;
-    explicit ScriptedPeer(bool http);  // else messages are memcache text commands
+    explicit ScriptedPeer(bool http);  // false: messages are memcache text commands
     ~ScriptedPeer();
     ScriptedPeer(const ScriptedPeer&) = delete;
     ScriptedPeer& operator=(const ScriptedPeer&) = delete;
@@ -62,8 +62,8 @@
     void plays(Script script);
     void takes_at_most(int bytes);                             // receive buffer of new connections
     void reads_bodies_after(std::function<double()> seconds);  // delay before each body is read
-    void stall();   // accepts no more, with room for one connection in the queue,
-    void resume();  // until now
+    void stall();   // stops accepting and shrinks the accept queue to one connection
+    void resume();  // accepts again after stall()
     std::vector<std::string> heard();
     std::string address() const;
 
--- a/src/testkit/server_model.cpp
+++ b/src/testkit/server_model.cpp
@@ -34,7 +34,7 @@
     if (running_.empty() || running_.top().first > now) return std::nullopt;
     const auto [end, job] = running_.top();
     running_.pop();
-    // The next piece begins when this one ended, however late that is looked at.
+    // The next job starts at the time when this one ended, however late the caller asks.
     fill(end);
     return job;
 }
@@ -60,7 +60,7 @@
 double OverloadDetector::rate(double now) const {
     const auto number = static_cast<std::int64_t>(std::floor(now / kBucket));
     double sum = 0;
-    // The bucket that is not full yet is left out: at its begin it would hide a push.
+    // The current bucket is left out: while it is incomplete it would lower the rate and hide an overload.
     for (const Bucket& b : buckets_) {
         if (b.number < number && b.number > number - kBuckets) sum += b.work;
     }
@@ -135,8 +135,8 @@
     }
     const auto [at, is_new] = marks_.try_emplace(mark, now + window);
     if (!is_new) return true;
-    // Windows differ by operation, so a long one may hold later, shorter ones here a little beyond their
-    // time.
+    // Windows differ by operation and entries expire in order of arrival, so a long window may keep shorter
+    // ones after it beyond their end.
     order_.emplace_back(now + window, mark);
     return false;
 }
--- a/src/testkit/server_model.h
+++ b/src/testkit/server_model.h
@@ -1,6 +1,6 @@
-// What a stand-in server is made of, without sockets or clocks: slots and a queue for work, a bounded store
-// that forgets the longest unused, a capacity that rises after a cold start, the meter of whoever pushes it
-// over, and the marks by which repeats are known. Times are told, in seconds. It never judges a rule.
+// The parts of a fake server, without sockets or clocks: slots with a work queue, a bounded store with LRU
+// eviction, a capacity that rises after a cold start, an overload detector, and a deduplication window. The
+// caller passes all times, in seconds. The auditor, not this model, checks the rules.
 #pragma once
 
 #include <array>
@@ -19,18 +19,19 @@
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
-// Pieces of work on so many slots, first come, first served. A piece takes work / pace seconds by the pace at
-// its begin: a server that becomes slow is slow from the next piece on.
+// Executes jobs on a number of slots in FIFO order. A job takes work / pace seconds, with the pace at its
+// start: a change of pace affects the jobs that start later.
 class WorkQueue {
   public:
-    using Pace = std::function<double(double now)>;  // work a second a slot; 0: it stands still for now
+    using Pace =
+        std::function<double(double now)>;  // work per second and slot; 0: a job that starts now never ends
     WorkQueue(int slots, int queue, Pace pace) : slots_(slots), queue_(queue), pace_(std::move(pace)) {}
 
-    bool enter(double now, int job, double work);  // false: full, turned away
-    void forget(int job);                          // waits no more; one that runs goes on
+    bool enter(double now, int job, double work);  // false: rejected, the queue is full
+    void forget(int job);                          // drops a queued job; a running one continues
     double next_end() const { return running_.empty() ? kNever : running_.top().first; }
-    std::optional<int> pop_ended(double now);  // call until there is none
-    std::vector<int> clear();                  // all its jobs, undone
+    std::optional<int> pop_ended(double now);  // one finished job; call until it returns nullopt
+    std::vector<int> clear();                  // removes and returns all unfinished jobs
     int open() const { return static_cast<int>(running_.size() + waiting_.size() - forgotten_.size()); }
 
   private:
@@ -43,23 +44,23 @@
     std::unordered_set<int> forgotten_;
 };
 
-// The part of its capacity that a server has some time after its start.
+// The part of its full capacity that a server has at an age after a cold start. It rises linearly.
 struct ColdCurve {
-    double from = 1;        // right after a cold start
-    double warm_after = 0;  // seconds
+    double from = 1;        // part right after a cold start
+    double warm_after = 0;  // seconds until the full capacity
     double part(double age) const {
         if (age >= warm_after || warm_after <= 0) return 1;
         return from + (1 - from) * (age < 0 ? 0 : age / warm_after);
     }
 };
 
-// Whether more than a multiple of the capacity has been asked for, without a break, for some time.
+// Detects that the offered work exceeds a multiple of the capacity without a break for some time.
 class OverloadDetector {
   public:
     void offered(double now, double work);
-    // Looks at the last half second; call it several times a second.
+    // Evaluates the last half second. Call it several times a second.
     bool over(double now, double capacity, double multiple, double time);
-    double rate(double now) const;  // work a second, over the last half second
+    double rate(double now) const;  // offered work per second, over the last half second
     void clear();
 
   private:
@@ -73,14 +74,14 @@
     double over_since_ = -1;
 };
 
-// Copies by key, so many; the one that was asked for longest ago goes first.
+// Holds a bounded number of copies by key and evicts the least recently used one.
 class Store {
   public:
     explicit Store(std::size_t most) : most_(most) {}
     std::optional<std::uint32_t> get(std::uint64_t key);  // the copy's version
     void put(std::uint64_t key, std::uint32_t version);
     void drop(std::uint64_t key);
-    // Drops those of which `goes` says so.
+    // Drops the keys for which `goes` returns true.
     void drop_if(const std::function<bool(std::uint64_t)>& goes);
     void clear();
     std::size_t size() const { return order_.size(); }
@@ -88,21 +89,21 @@
   private:
     using Entry = std::pair<std::uint64_t, std::uint32_t>;
     std::size_t most_;
-    std::list<Entry> order_;  // the last used in front
+    std::list<Entry> order_;  // most recently used first
     std::unordered_map<std::uint64_t, std::list<Entry>::iterator> at_;
 };
 
-// The marks of writes, each known for some time.
+// Remembers the idempotency keys (marks) of writes, each for its deduplication window.
 class DeduplicationWindow {
   public:
-    // True: it is known, and was first seen within its window. Else it is known from now on.
+    // Returns whether the mark was first seen within its window. If not, it is remembered from now on.
     bool seen(double now, std::uint64_t mark, double window);
     void clear() { marks_.clear(), order_.clear(); }
     std::size_t size() const { return marks_.size(); }
 
   private:
-    std::unordered_map<std::uint64_t, double> marks_;  // until when
-    std::list<std::pair<double, std::uint64_t>> order_;
+    std::unordered_map<std::uint64_t, double> marks_;    // end of the window by mark
+    std::list<std::pair<double, std::uint64_t>> order_;  // end of the window and mark, in order of arrival
 };
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/shim/fault_shim.cpp
+++ b/src/testkit/shim/fault_shim.cpp
@@ -1,13 +1,14 @@
-// Preloaded into a daemon under test: steps its wall clock, lets system calls fail as Linux documents it, and
-// lets writes to its state folder fail. What happens when is told by the environment, in seconds since the
-// process began; outside of these times every call goes through unchanged.
+// A library that is preloaded into a daemon under test. It steps the wall clock, makes system calls fail with
+// the errors that Linux documents for them, and makes writes to the state folder fail. Environment variables
+// give the times of the faults, in seconds since the start of the process; at other times every call passes
+// unchanged.
 //
-//   FAULT_SHIM_SEED   a number; two processes with the same seed draw the same faults
+//   FAULT_SHIM_SEED   a number; processes with the same seed draw the same sequence
 //   FAULT_SHIM_CLOCK  AT:BY,...     the wall clock is stepped by BY seconds at AT
 //   FAULT_SHIM_CALLS  FROM:TO:P,... between FROM and TO a network call fails with probability P
 //   FAULT_SHIM_DISK   FROM:TO:P,... and so does a write, sync or rename in a folder named .../brookrelay-...
 //
-// The monotonic clock is not touched. The daemon is single-threaded, so is this.
+// The monotonic clock is not changed. The daemon is single-threaded, so the shim has no locks.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -48,7 +49,7 @@
     return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-// Calls `take` with up to three numbers of each entry of a list such as 1:2:0.5,3:4:0.1.
+// Calls `take` with the up to three numbers of each entry of a list such as 1:2:0.5,3:4:0.1.
 template <typename Take>
 void read_entries(const char* variable, Take take) {
     const char* at = std::getenv(variable);
@@ -61,7 +62,7 @@
     }
 }
 
-// The faults of this process, read once.
+// The faults configured for this process, read once from the environment.
 class Plan {
   public:
     Plan() : started_at_(monotonic()) {
@@ -111,7 +112,7 @@
     return -1;
 }
 
-std::set<int>& connected_sockets() {  // those that this process has connected
+std::set<int>& connected_sockets() {  // descriptors on which this process has called connect
     static std::set<int> sockets;
     return sockets;
 }
@@ -204,7 +205,7 @@
     static const auto real_call = real(&write, "write");
     if (size > 0 && plan().disk_fails() && is_state_file(fd)) {
         if (plan().draw() < 0.5) return fail(plan().one_of({ENOSPC, EIO}));
-        size = static_cast<size_t>(plan().draw() * static_cast<double>(size));  // cut at a byte
+        size = static_cast<size_t>(plan().draw() * static_cast<double>(size));  // a partial write
         if (size == 0) return fail(ENOSPC);
     }
     return real_call(fd, buffer, size);
--- a/src/testkit/wire.cpp
+++ b/src/testkit/wire.cpp
@@ -9,8 +9,8 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr std::size_t kLineMost = 8192;
-constexpr std::size_t kValueMost = 1 << 20;
+constexpr std::size_t kLineMost = 8192;      // bytes of a command line
+constexpr std::size_t kValueMost = 1 << 20;  // bytes of a value or body
 
 std::string_view next_word(std::string_view& rest) {
     const std::size_t begin = rest.find_first_not_of(' ');
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -1,6 +1,6 @@
 // Parsers and writers of the protocols for fake servers and clients. They are written from the protocol
-// specification and independent of the daemon's own parsers, so that an error there is not repeated here. A
-// reader returns the number of bytes of one complete message, 0 if it is incomplete. No I/O.
+// specification and independently of the daemon's own parsers, so that an error there is not repeated here. A
+// reader returns the number of bytes of one complete message, or 0 if the message is incomplete. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,11 +10,11 @@
 
 namespace brookrelay::testkit {
 
-// The properties after `P`.
+// The property list of a command, after `P`.
 struct Properties {
     std::string_view operation, tenant;
-    std::uint64_t mark = 0;  // `k`; 0: there is none
-    double wait = 0;         // `d`, seconds
+    std::uint64_t mark = 0;  // `k`, the idempotency key; 0: none
+    double wait = 0;         // `d`, the client's deadline, in seconds
 };
 Properties read_properties(std::string_view text);
 
@@ -25,7 +25,7 @@
     std::uint64_t key = 0;
     Properties properties;
 };
-// The views point into `in`.
+// Reads one command. The views in `out` point into `in`.
 std::size_t read_command(std::string_view in, Command& out);
 
 struct Request {
@@ -34,7 +34,7 @@
 };
 std::size_t read_request(std::string_view in, Request& out);
 
-// A response to a client: the first line, and a value if one follows.
+// A response to a client: the first line, and the value if one follows.
 struct Heard {
     enum class Kind { value, receipt, busy, other };
     Kind kind = Kind::other;
@@ -42,13 +42,14 @@
     double advice = 0;
 };
 std::size_t read_heard(std::string_view in, Heard& out);
-// Whether the input begins with the head of a value over 64 KiB, of which the first bytes are timed.
+// Returns whether the input begins with the first line of a value over 64 KiB. For such values the start of
+// the response is recorded.
 bool has_begun_long_value(std::string_view in);
 
 std::string id_text(std::uint32_t day, int inv);                   // unique over concurrent runs
 bool read_id(std::string_view text, std::uint32_t day, int& inv);  // false: not an id of this run
 std::string key_text(std::uint64_t key);
-// A value that names the attempt, key and version that produced it; at least so many bytes.
+// Returns a value that names the attempt, key and version that produced it, padded to at least `bytes` bytes.
 std::string value_text(int forward, std::uint64_t key, std::uint32_t version, std::size_t bytes);
 struct Value {
     int forward = -1;
