--- a/src/testkit/client_reply.cpp
+++ b/src/testkit/client_reply.cpp
@@ -6,17 +6,20 @@
 
 ClientReply classify_reply(const Heard& heard, std::uint32_t day, int request, std::uint64_t key) {
     ClientReply reply;
-    int named = -1;
-    const bool ours = !heard.id.empty() && read_id(heard.id, day, named) && named == request;
+    int parsed_request = -1;
+    const bool is_for_request =
+        !heard.id.empty() && read_id(heard.id, day, parsed_request) && parsed_request == request;
     Value value;
     switch (heard.kind) {
         case Heard::Kind::value:
             reply.kind = audit::Reply::succeeded;
-            if (ours && read_value(heard.body, value) && value.key == key) reply.attempt = value.forward;
+            if (is_for_request && read_value(heard.body, value) && value.key == key)
+                reply.attempt = value.attempt;
             break;
         case Heard::Kind::receipt:
             reply.kind = audit::Reply::succeeded;
-            if (ours && read_value(std::string(heard.body) + ";v0;k0;", value)) reply.attempt = value.forward;
+            if (is_for_request && read_value(std::string(heard.body) + ";v0;k0;", value))
+                reply.attempt = value.attempt;
             break;
         case Heard::Kind::busy:
             reply.kind = audit::Reply::rejected;
--- a/src/testkit/fake_cache_server.h
+++ b/src/testkit/fake_cache_server.h
@@ -21,19 +21,19 @@
     std::string address() const { return listener_.address(); }
     int number() const { return number_; }
     double started() const { return started_; }  // time of the last cold start; -1: before the run
-    bool fallen() const { return fallen_; }
+    bool fallen() const { return has_failed_from_overload_; }
     bool running() const { return running_; }
 
     void store(std::uint64_t key, std::uint32_t version) { store_.put(key, version); }
     void drop(std::uint64_t key) { store_.drop(key); }
-    void drop_part(double part, std::uint64_t chance);
+    void drop_part(double ratio, std::uint64_t seed);
 
     // Faults.
     void silence(bool on);  // no output and no new connections; resets all connections when it ends
     void stop();            // as if the process had died: resets connections and refuses new ones
     void start_cold();      // restarts with an empty store
-    void slow(double factor) { factor_ = factor; }
-    void spoil(double part) { spoilt_ = part; }
+    void slow(double factor) { slowdown_ = factor; }
+    void spoil(double ratio) { corruption_ratio_ = ratio; }
 
     // For reports.
     struct Counts {
@@ -43,56 +43,56 @@
     double capacity() const;  // current, in work per second
     int open_connections() const { return static_cast<int>(peers_.size()); }
     int most_connections();  // maximum since the last call
-    int open_work() const { return bench_.open(); }
+    int open_work() const { return work_queue_.open_jobs(); }
 
   private:
     struct Peer {
         Connection::Ptr conn;
         std::deque<std::pair<int, std::string>>
-            answers;           // attempt and its response, in command order; an empty response is pending
+            responses;         // attempt and its response, in command order; an empty response is pending
         double handshake = 0;  // work of the connection setup, charged to the first command
     };
     struct Job {
         std::uint64_t peer = 0;
-        int inv = -1;
+        int request_number = -1;
         std::uint64_t key = 0;
         int operation = 0;
         bool write = false;
         std::string id;
-        std::uint64_t mark = 0;
+        std::uint64_t idempotency_key = 0;
     };
 
-    double pace(double now) const;
-    double part(double now) const;
+    double work_rate(double now) const;
+    double capacity_ratio(double now) const;
     void accept(Tcp::socket socket);
     void input(std::uint64_t peer);
-    void begin(std::uint64_t peer, Peer& p, const Command& command, double first_byte);
-    void finish(int forward);
-    void answer(std::uint64_t peer, int forward, std::string text);
-    void peer_gone(std::uint64_t peer);
-    void arm();
-    void look();
+    void start_attempt(std::uint64_t peer, Peer& p, const Command& command, double first_byte);
+    void finish_job(int attempt);
+    void send_response(std::uint64_t peer, int attempt, std::string text);
+    void on_peer_closed(std::uint64_t peer);
+    void arm_timer();
+    void check_overload();
     void reset_all();
-    bool reads_promptly(double now) const;
+    bool is_reading_promptly(double now) const;
 
     TestEnvironment& environment_;
     const int number_;
     const ServerKind kind_;
-    WorkQueue bench_;
+    WorkQueue work_queue_;
     Store store_;
-    DeduplicationWindow marks_;
-    OverloadDetector meter_;
+    DeduplicationWindow deduplication_window_;
+    OverloadDetector overload_detector_;
     boost::asio::steady_timer timer_;
-    double armed_for_ = kNever;
+    double timer_expiry_ = kNever;
     std::map<std::uint64_t, Peer> peers_;
     std::uint64_t last_peer_ = 0;
-    int most_peers_ = 0;
+    int max_peers_ = 0;
     std::unordered_map<int, Job> jobs_;
     double started_ = -1;
-    double silent_until_ = -1e9;  // when the last silence ended
-    bool running_ = true, silent_ = false, fallen_ = false, cold_ = false;
-    double factor_ = 1, spoilt_ = 0;
-    std::uint64_t spoil_draw_ = 0;
+    double silence_ended_at_ = -1e9;  // when the last silence ended
+    bool running_ = true, silent_ = false, has_failed_from_overload_ = false, cold_ = false;
+    double slowdown_ = 1, corruption_ratio_ = 0;
+    std::uint64_t corruption_random_ = 0;
     Counts counts_;
     Listener listener_;
 };
--- a/src/testkit/fake_coordinator_server.cpp
+++ b/src/testkit/fake_coordinator_server.cpp
@@ -69,7 +69,7 @@
 void FakeCoordinatorServer::silence(bool on) {
     if (silent_ == on) return;
     silent_ = on;
-    if (on) return listener_.hush();
+    if (on) return listener_.make_unresponsive();
     listener_.open();
     const auto conns = conns_;
     for (const auto& [id, conn] : conns) input(id);
@@ -77,7 +77,7 @@
 
 void FakeCoordinatorServer::unreachable(bool on) {
     if (!on) return listener_.open();
-    listener_.shut();
+    listener_.close();
     for (const auto& [id, conn] : std::exchange(conns_, {})) {
         conn->reset();
         service_.ended(id);
--- a/src/testkit/fake_origin_server.h
+++ b/src/testkit/fake_origin_server.h
@@ -21,7 +21,7 @@
     std::string address() const { return listener_.address(); }
 
     // Faults.
-    void slow(double factor) { factor_ = factor; }
+    void slow(double factor) { slowdown_ = factor; }
     void halt(double seconds);  // sends no response for this long and drops pending requests
 
     struct Counts {
@@ -35,40 +35,40 @@
   private:
     struct Peer {
         Connection::Ptr conn;
-        std::deque<std::pair<int, std::string>> answers;
+        std::deque<std::pair<int, std::string>> responses;
     };
     struct Job {
         std::uint64_t peer = 0;
-        int inv = -1;
+        int request_number = -1;
         std::uint64_t key = 0;
         int operation = 0;
         bool write = false;
-        std::uint64_t mark = 0;
+        std::uint64_t idempotency_key = 0;
     };
 
     void accept(Tcp::socket socket);
     void input(std::uint64_t peer);
-    void begin(std::uint64_t peer, Peer& p, const Request& request, double first_byte);
-    void finish(int forward);
-    void answer(std::uint64_t peer, int forward, std::string text);
-    void peer_gone(std::uint64_t peer);
-    void arm();
-    void look();
+    void start_attempt(std::uint64_t peer, Peer& p, const Request& request, double first_byte);
+    void finish_job(int attempt);
+    void send_response(std::uint64_t peer, int attempt, std::string text);
+    void on_peer_closed(std::uint64_t peer);
+    void arm_timer();
+    void check_overload();
 
     TestEnvironment& environment_;
     const int number_;
-    WorkQueue bench_;
-    DeduplicationWindow marks_;
-    OverloadDetector meter_;
+    WorkQueue work_queue_;
+    DeduplicationWindow deduplication_window_;
+    OverloadDetector overload_detector_;
     boost::asio::steady_timer timer_;
-    double armed_for_ = kNever;
+    double timer_expiry_ = kNever;
     std::map<std::uint64_t, Peer> peers_;
     std::uint64_t last_peer_ = 0;
     std::unordered_map<int, Job> jobs_;
-    double factor_ = 1;
+    double slowdown_ = 1;
     double halted_until_ = -1;
     Counts counts_;
-    std::uint64_t reset_draw_ = 0;
+    std::uint64_t reset_random_ = 0;
     Listener listener_;
 };
 
--- a/src/testkit/network_fault_proxy.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -223,7 +223,7 @@
         w.out_cut = out;
         w.back_cut = back;
         if (out || back) {
-            w.listener->hush();
+            w.listener->make_unresponsive();
             for (const auto& p : w.pairs) {
                 if (out) p->near->pause();
                 if (back) p->far->pause();
--- a/src/testkit/wire.cpp
+++ b/src/testkit/wire.cpp
@@ -9,8 +9,8 @@
 namespace brookrelay::testkit {
 namespace {
 
-constexpr std::size_t kLineMost = 8192;      // bytes of a command line
-constexpr std::size_t kValueMost = 1 << 20;  // bytes of a value or body
+constexpr std::size_t kMaxLineBytes = 8192;      // bytes of a command line
+constexpr std::size_t kMaxValueBytes = 1 << 20;  // bytes of a value or body
 
 std::string_view next_word(std::string_view& rest) {
     const std::size_t begin = rest.find_first_not_of(' ');
@@ -22,7 +22,7 @@
     return word;
 }
 
-bool same_letters(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
         return std::tolower(static_cast<unsigned char>(x)) == std::tolower(static_cast<unsigned char>(y));
     });
@@ -34,23 +34,24 @@
     Properties p;
     while (!text.empty()) {
         const std::size_t comma = std::min(text.find(','), text.size());
-        const std::string_view one = text.substr(0, comma);
+        const std::string_view property = text.substr(0, comma);
         text.remove_prefix(std::min(comma + 1, text.size()));
-        const std::size_t equals = one.find('=');
+        const std::size_t equals = property.find('=');
         if (equals == std::string_view::npos) continue;
-        const std::string_view name = one.substr(0, equals), value = one.substr(equals + 1);
+        const std::string_view name = property.substr(0, equals), value = property.substr(equals + 1);
         if (name == "c") p.operation = value;
         if (name == "t") p.tenant = value;
-        if (name == "k") (void)parse_number(value, p.mark, 16);
-        std::uint64_t wait = 0;
-        if (name == "d" && parse_number(value, wait)) p.wait = static_cast<double>(wait) / 1e3;
+        if (name == "k") (void)parse_number(value, p.idempotency_key, 16);
+        std::uint64_t milliseconds = 0;
+        if (name == "d" && parse_number(value, milliseconds))
+            p.deadline = static_cast<double>(milliseconds) / 1e3;
     }
     return p;
 }
 
 std::size_t read_command(std::string_view in, Command& out) {
     const std::size_t end = in.find("\r\n");
-    if (end == std::string_view::npos) return in.size() > kLineMost ? in.size() : 0;
+    if (end == std::string_view::npos) return in.size() > kMaxLineBytes ? in.size() : 0;
     std::string_view rest = in.substr(0, end);
     out = {};
     const std::string_view verb = next_word(rest);
@@ -65,14 +66,14 @@
     if (verb != "mg" && verb != "ms") return end + 2;
     out.key_text = next_word(rest);
     if (!parse_number(out.key_text, out.key, 16)) out.key = std::hash<std::string_view>{}(out.key_text);
-    std::size_t length = 0, taken = end + 2;
+    std::size_t length = 0, consumed = end + 2;
     if (verb == "ms") {
-        if (!parse_number(next_word(rest), length) || length > kValueMost) return taken;
-        if (in.size() < taken + length + 2) return 0;
-        out.value = in.substr(taken, length);
-        taken += length + 2;
+        if (!parse_number(next_word(rest), length) || length > kMaxValueBytes) return consumed;
+        if (in.size() < consumed + length + 2) return 0;
+        out.value = in.substr(consumed, length);
+        consumed += length + 2;
     } else if (next_word(rest) != "v") {
-        return taken;
+        return consumed;
     }
     bool listed = false;
     for (std::string_view word = next_word(rest); !word.empty(); word = next_word(rest)) {
@@ -82,19 +83,19 @@
         listed = true;
     }
     if (!out.id.empty() && listed) out.kind = verb == "mg" ? Command::Kind::read : Command::Kind::write;
-    return taken;
+    return consumed;
 }
 
 std::size_t read_request(std::string_view in, Request& out) {
     const std::size_t end = in.find("\r\n\r\n");
-    if (end == std::string_view::npos) return in.size() > 4 * kLineMost ? in.size() : 0;
+    if (end == std::string_view::npos) return in.size() > 4 * kMaxLineBytes ? in.size() : 0;
     out = {};
     std::string_view head = in.substr(0, end);
     const std::size_t first_end = std::min(head.find("\r\n"), head.size());
     std::string_view first = head.substr(0, first_end);
     out.method = next_word(first);
     out.target = next_word(first);
-    out.sound = next_word(first) == "HTTP/1.1" && !out.target.empty();
+    out.is_valid = next_word(first) == "HTTP/1.1" && !out.target.empty();
     head.remove_prefix(std::min(first_end + 2, head.size()));
     std::size_t length = 0;
     while (!head.empty()) {
@@ -103,18 +104,19 @@
         head.remove_prefix(std::min(line_end + 2, head.size()));
         const std::size_t colon = line.find(':');
         if (colon == std::string_view::npos) {
-            out.sound = false;
+            out.is_valid = false;
             continue;
         }
         const std::string_view name = line.substr(0, colon);
         std::string_view value = line.substr(colon + 1);
         while (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-        if (same_letters(name, "content-length") && (!parse_number(value, length) || length > kValueMost)) {
-            out.sound = false;
+        if (equals_ignoring_case(name, "content-length") &&
+            (!parse_number(value, length) || length > kMaxValueBytes)) {
+            out.is_valid = false;
             length = 0;
         }
-        if (same_letters(name, "x-trace-id")) out.id = value;
-        if (same_letters(name, "x-props")) out.properties = value;
+        if (equals_ignoring_case(name, "x-trace-id")) out.id = value;
+        if (equals_ignoring_case(name, "x-props")) out.properties = value;
     }
     if (in.size() < end + 4 + length) return 0;
     out.body = in.substr(end + 4, length);
@@ -130,7 +132,7 @@
     const std::string_view verb = next_word(rest);
     if (verb == "VA") {
         std::size_t length = 0;
-        if (!parse_number(next_word(rest), length) || length > kValueMost) return end + 2;
+        if (!parse_number(next_word(rest), length) || length > kMaxValueBytes) return end + 2;
         if (in.size() < end + 2 + length + 2) return 0;
         out.body = in.substr(end + 2, length);
         out.kind = Heard::Kind::value;
@@ -163,30 +165,30 @@
     return next_word(line) == "VA" && parse_number(next_word(line), length) && length > kLongValue;
 }
 
-std::string id_text(std::uint32_t day, int inv) {
-    char room[24];
-    std::snprintf(room, sizeof room, "%08x%08x", day, static_cast<unsigned>(inv));
-    return room;
+std::string id_text(std::uint32_t day, int request_number) {
+    char buffer[24];
+    std::snprintf(buffer, sizeof buffer, "%08x%08x", day, static_cast<unsigned>(request_number));
+    return buffer;
 }
 
-bool read_id(std::string_view text, std::uint32_t day, int& inv) {
+bool read_id(std::string_view text, std::uint32_t day, int& request_number) {
     std::uint64_t whole = 0;
     if (text.size() != 16 || !parse_number(text, whole, 16) || whole >> 32 != day) return false;
-    inv = static_cast<int>(whole & 0xffffffffU);
+    request_number = static_cast<int>(whole & 0xffffffffU);
     return true;
 }
 
 std::string key_text(std::uint64_t key) {
-    char room[24];
-    std::snprintf(room, sizeof room, "%016llx", static_cast<unsigned long long>(key));
-    return room;
+    char buffer[24];
+    std::snprintf(buffer, sizeof buffer, "%016llx", static_cast<unsigned long long>(key));
+    return buffer;
 }
 
-std::string value_text(int forward, std::uint64_t key, std::uint32_t version, std::size_t bytes) {
-    char room[80];
-    std::snprintf(room, sizeof room, "f%d;v%u;k%016llx;", forward, version,
+std::string value_text(int attempt, std::uint64_t key, std::uint32_t version, std::size_t bytes) {
+    char buffer[80];
+    std::snprintf(buffer, sizeof buffer, "f%d;v%u;k%016llx;", attempt, version,
                   static_cast<unsigned long long>(key));
-    std::string value = room;
+    std::string value = buffer;
     if (value.size() < bytes) value.append(bytes - value.size(), '.');
     return value;
 }
@@ -195,11 +197,11 @@
     const auto field = [&](char name, auto& number, int base) {
         const std::size_t end = text.find(';');
         if (end == std::string_view::npos || end < 2 || text.front() != name) return false;
-        const bool sound = parse_number(text.substr(1, end - 1), number, base);
+        const bool is_valid = parse_number(text.substr(1, end - 1), number, base);
         text.remove_prefix(end + 1);
-        return sound;
+        return is_valid;
     };
-    return field('f', out.forward, 10) && field('v', out.version, 10) && field('k', out.key, 16);
+    return field('f', out.attempt, 10) && field('v', out.version, 10) && field('k', out.key, 16);
 }
 
 std::string http_response(int status, std::string_view body, std::string_view header) {
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -13,8 +13,8 @@
 // The property list of a command, after `P`.
 struct Properties {
     std::string_view operation, tenant;
-    std::uint64_t mark = 0;  // `k`, the idempotency key; 0: none
-    double wait = 0;         // `d`, the client's deadline, in seconds
+    std::uint64_t idempotency_key = 0;  // `k`, the idempotency key; 0: none
+    double deadline = 0;                // `d`, the client's deadline, in seconds
 };
 Properties read_properties(std::string_view text);
 
@@ -29,7 +29,7 @@
 std::size_t read_command(std::string_view in, Command& out);
 
 struct Request {
-    bool sound = false;
+    bool is_valid = false;
     std::string_view method, target, id, properties, body;
 };
 std::size_t read_request(std::string_view in, Request& out);
@@ -46,13 +46,13 @@
 // the response is recorded.
 bool has_begun_long_value(std::string_view in);
 
-std::string id_text(std::uint32_t day, int inv);                   // unique over concurrent runs
-bool read_id(std::string_view text, std::uint32_t day, int& inv);  // false: not an id of this run
+std::string id_text(std::uint32_t day, int request_number);                   // unique over concurrent runs
+bool read_id(std::string_view text, std::uint32_t day, int& request_number);  // false: not an id of this run
 std::string key_text(std::uint64_t key);
 // Returns a value that names the attempt, key and version that produced it, padded to at least `bytes` bytes.
-std::string value_text(int forward, std::uint64_t key, std::uint32_t version, std::size_t bytes);
+std::string value_text(int attempt, std::uint64_t key, std::uint32_t version, std::size_t bytes);
 struct Value {
-    int forward = -1;
+    int attempt = -1;
     std::uint64_t key = 0;
     std::uint32_t version = 0;
 };
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -33,19 +33,19 @@
 
 TEST(WorkQueue, ServesInOrderOnItsSlots) {
     WorkQueue bench(2, 2, [](double) { return 2.0; });
-    EXPECT_TRUE(bench.enter(0, 1, 4));  // until 2
-    EXPECT_TRUE(bench.enter(0, 2, 2));  // until 1
-    EXPECT_TRUE(bench.enter(0, 3, 2));  // from 1 until 2
-    EXPECT_TRUE(bench.enter(0, 4, 2));
-    EXPECT_FALSE(bench.enter(0, 5, 2));  // the queue is full
-    bench.forget(3);
-    EXPECT_EQ(bench.open(), 3);
-    EXPECT_EQ(bench.pop_ended(0.5), std::nullopt);
-    EXPECT_EQ(bench.pop_ended(5), 2);
+    EXPECT_TRUE(bench.enqueue(0, 1, 4));  // until 2
+    EXPECT_TRUE(bench.enqueue(0, 2, 2));  // until 1
+    EXPECT_TRUE(bench.enqueue(0, 3, 2));  // from 1 until 2
+    EXPECT_TRUE(bench.enqueue(0, 4, 2));
+    EXPECT_FALSE(bench.enqueue(0, 5, 2));  // the queue is full
+    bench.drop_queued(3);
+    EXPECT_EQ(bench.open_jobs(), 3);
+    EXPECT_EQ(bench.pop_finished(0.5), std::nullopt);
+    EXPECT_EQ(bench.pop_finished(5), 2);
     // The fourth began when the second ended, not when that was looked at.
-    EXPECT_EQ(bench.next_end(), 2);
+    EXPECT_EQ(bench.next_finish_time(), 2);
     EXPECT_EQ(bench.clear().size(), 2U);
-    EXPECT_EQ(bench.open(), 0);
+    EXPECT_EQ(bench.open_jobs(), 0);
 }
 
 TEST(OverloadDetector, TellsAPushFromABurst) {
@@ -62,8 +62,8 @@
         bool over = false;
         for (int i = 0; i < 100; ++i) {
             const double now = 0.1 * i + 0.05;
-            if (now < c.until) meter.offered(now, 0.1 * c.rate);
-            over = over || meter.over(now, 1, 4, 2);
+            if (now < c.until) meter.add_work(now, 0.1 * c.rate);
+            over = over || meter.is_overloaded(now, 1, 4, 2);
         }
         EXPECT_EQ(over, c.over);
     }
@@ -83,10 +83,10 @@
 
 TEST(DeduplicationWindow, KnowsAMarkForItsTime) {
     DeduplicationWindow marks;
-    EXPECT_FALSE(marks.seen(0, 9, 2));
-    EXPECT_TRUE(marks.seen(1.9, 9, 2));
-    EXPECT_FALSE(marks.seen(2.1, 9, 2));
-    for (int i = 0; i < 1000; ++i) (void)marks.seen(10 + i, 100 + static_cast<std::uint64_t>(i), 2);
+    EXPECT_FALSE(marks.check_and_add(0, 9, 2));
+    EXPECT_TRUE(marks.check_and_add(1.9, 9, 2));
+    EXPECT_FALSE(marks.check_and_add(2.1, 9, 2));
+    for (int i = 0; i < 1000; ++i) (void)marks.check_and_add(10 + i, 100 + static_cast<std::uint64_t>(i), 2);
     EXPECT_LT(marks.size(), 5U);
 }
 
@@ -107,8 +107,8 @@
     EXPECT_EQ(c.key, 0xffU);
     EXPECT_EQ(c.id, "abc");
     EXPECT_EQ(c.properties.operation, "read");
-    EXPECT_EQ(c.properties.mark, 0x1fU);
-    EXPECT_DOUBLE_EQ(c.properties.wait, 0.25);
+    EXPECT_EQ(c.properties.idempotency_key, 0x1fU);
+    EXPECT_DOUBLE_EQ(c.properties.deadline, 0.25);
     const std::string write = "ms 1 3 Oa Pc=w\r\nxyz\r\n";
     for (std::size_t n = 0; n < write.size(); ++n) EXPECT_EQ(read_command(write.substr(0, n), c), 0U) << n;
     EXPECT_EQ(read_command(write, c), write.size());
@@ -120,12 +120,12 @@
     }
     Value v;
     EXPECT_TRUE(read_value(value_text(12, 0xabc, 3, 100), v));
-    EXPECT_EQ(v.forward, 12);
+    EXPECT_EQ(v.attempt, 12);
     EXPECT_EQ(v.key, 0xabcU);
-    int inv = 0;
-    EXPECT_TRUE(read_id(id_text(7, 41), 7, inv));
-    EXPECT_EQ(inv, 41);
-    EXPECT_FALSE(read_id(id_text(8, 41), 7, inv));
+    int request_number = 0;
+    EXPECT_TRUE(read_id(id_text(7, 41), 7, request_number));
+    EXPECT_EQ(request_number, 41);
+    EXPECT_FALSE(read_id(id_text(8, 41), 7, request_number));
 }
 
 // ---- experiments ----------------------------------------------------------------------------------------
