--- a/src/testkit/fake_coordinator.h
+++ b/src/testkit/fake_coordinator.h
@@ -60,7 +60,7 @@
     void expire(std::int64_t session);
     CoordinatorError create(double now, std::int64_t session, const std::string& path,
                             const std::string& data, bool ephemeral, bool sequential,
-                            std::string* made = nullptr);
+                            std::string* created_path = nullptr);
     CoordinatorError remove(const std::string& path, std::int32_t version = -1);
     CoordinatorError set(double now, const std::string& path, const std::string& data,
                          std::int32_t version = -1);
@@ -68,7 +68,7 @@
     bool exists(const std::string& path) const { return nodes_.contains(path); }
     std::size_t sessions() const { return sessions_.size(); }
     std::size_t watches() const;
-    std::int64_t order() const { return order_; }  // id of the last transaction
+    std::int64_t order() const { return last_transaction_; }  // id of the last transaction
 
   private:
     struct Node {
@@ -81,17 +81,17 @@
         std::uint32_t next_number = 0;  // suffix of the next sequential child
     };
     struct Session {
-        double timeout = 0, until = 0;
+        double timeout = 0, expires_at = 0;
         std::string password;
         std::uint64_t connection = 0;  // 0: not connected
-        std::set<std::string> owns;
+        std::set<std::string> ephemeral_nodes;
     };
     using Watches = std::map<std::string, std::set<std::uint64_t>>;  // connections by watched path
 
-    void connect(double now, std::uint64_t connection, std::string_view payload);
-    void call(double now, std::uint64_t connection, std::int64_t session, std::string_view payload);
-    void fire(Watches& watches, const std::string& path, CoordinatorEvent event);
-    void forget_watches(std::uint64_t connection);
+    void handle_connect(double now, std::uint64_t connection, std::string_view payload);
+    void handle_call(double now, std::uint64_t connection, std::int64_t session, std::string_view payload);
+    void fire_watches(Watches& watches, const std::string& path, CoordinatorEvent event);
+    void remove_watches(std::uint64_t connection);
     static std::string parent_of(const std::string& path);
     static bool is_path(const std::string& path);
     std::string stat_of(const Node& node) const;
@@ -101,7 +101,7 @@
     std::map<std::int64_t, Session> sessions_;
     std::map<std::uint64_t, std::int64_t> session_of_;  // session by connection
     Watches data_watches_, exist_watches_, child_watches_;
-    std::int64_t order_ = 0;
+    std::int64_t last_transaction_ = 0;
     std::int64_t last_session_ = 0x1000;
 };
 
--- a/src/testkit/fake_coordinator_server.h
+++ b/src/testkit/fake_coordinator_server.h
@@ -16,8 +16,8 @@
     FakeCoordinatorServer(Io& io, const Clock& clock, const std::string& host);
     std::string address() const { return listener_.address(); }
     FakeCoordinator& service() { return service_; }
-    void changed() { arm(); }  // call after a session was opened or touched through service()
-    std::size_t connections() const { return conns_.size(); }
+    void changed() { arm_timer(); }  // call after a session was opened or touched through service()
+    std::size_t connections() const { return connections_.size(); }
 
     // Faults.
     void silence(bool on);      // reads and writes nothing; new connections are not established
@@ -27,13 +27,13 @@
   private:
     void accept(Tcp::socket socket);
     void input(std::uint64_t id);
-    void arm();
+    void arm_timer();
 
     Io& io_;
     const Clock& clock_;
-    std::map<std::uint64_t, Connection::Ptr> conns_;
-    std::uint64_t last_ = 0;
-    bool silent_ = false;
+    std::map<std::uint64_t, Connection::Ptr> connections_;
+    std::uint64_t last_id_ = 0;
+    bool is_silent_ = false;
     FakeCoordinator service_;
     boost::asio::steady_timer timer_;
     Listener listener_;
--- a/src/testkit/fake_discovery_server.h
+++ b/src/testkit/fake_discovery_server.h
@@ -19,8 +19,8 @@
 
     // Sets the entry of a server: put() at once, for use before the run starts; list() after the discovery
     // lag.
-    void put(int server, const std::string& address, EndpointState standing, double started);
-    void list(int server, const std::string& address, EndpointState standing, double started);
+    void put(int server, const std::string& address, EndpointState state, double started);
+    void list(int server, const std::string& address, EndpointState state, double started);
     std::string agent(int node) const { return agents_[static_cast<std::size_t>(node)]->listener.address(); }
     // Returns the current list in its wire format, as given to a node that starts.
     std::string whole_list(int node) const;
@@ -45,12 +45,12 @@
   private:
     struct Entry {
         std::string address;
-        EndpointState standing = EndpointState::ready;
+        EndpointState state = EndpointState::ready;
         double started = -1;
         std::int64_t changed = 0;  // version of its last change
     };
     struct Watch {
-        Connection::Ptr conn;
+        Connection::Ptr connection;
         std::int64_t index = 0;
         std::uint64_t number = 0;
     };
@@ -58,37 +58,38 @@
         Agent(TestEnvironment& environment, int node, FakeDiscoveryServer& owner);
         std::unique_ptr<Watch> watch;
         std::set<Connection::Ptr> conns;
-        bool held = false;
+        bool is_held = false;
         Listener listener;
     };
 
-    bool has_room();
+    bool admit_call();
     void accept(int node, Tcp::socket socket);
-    void input(int node, Connection& conn);
-    void tell_all();
-    void tell_soon();
-    void answer(int node, Connection& conn, std::int64_t index);
+    void input(int node, Connection& connection);
+    void send_updates();
+    void schedule_updates();
+    void respond(int node, Connection& connection, std::int64_t index);
     std::string entry_text(int node, std::size_t server) const;
-    void send_in_pieces(const Connection::Ptr& conn, const std::string& text, std::size_t from,
-                        const std::function<void()>& done);
+    void send_in_chunks(const Connection::Ptr& connection, const std::string& text, std::size_t offset,
+                        const std::function<void()>& on_sent);
 
     TestEnvironment& environment_;
     std::vector<Entry> entries_;  // as the agents know them, by server
     std::vector<std::string> names_;
     std::vector<std::unique_ptr<Agent>> agents_;
     std::int64_t version_ = 1;
-    const double wall_at_start_;  // read once, so that a server's start time is the same in every message
-    bool tells_soon_ = false;
+    // Read once, so that a server's start time is the same in every message.
+    const double wall_clock_at_start_;
+    bool updates_are_scheduled_ = false;
     // The whole list as last built, for reuse while the version stays. It is rebuilt for each call if `dial`
     // is set, as lists then differ by node, and while servers are left out.
     mutable std::string whole_list_;
     mutable std::int64_t whole_list_version_ = -1;
-    std::uint64_t watches_ = 0;
-    bool down_ = false, stale_ = false;
+    std::uint64_t last_watch_number_ = 0;
+    bool is_down_ = false, is_stale_ = false;
     std::set<int> left_out_;
-    std::vector<std::function<void()>> kept_back_;
+    std::vector<std::function<void()>> held_updates_;
     Counts counts_;
-    double second_ = -1, in_second_ = 0;  // calls answered in the current second
+    double current_second_ = -1, calls_in_second_ = 0;  // calls answered in the current second
 };
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/greedy_peer.h
+++ b/src/testkit/greedy_peer.h
@@ -23,7 +23,7 @@
   public:
     explicit GreedyPeer(int node) : node_(node) {}
     ~GreedyPeer() {
-        ends_ = true;
+        is_stopping_ = true;
         if (thread_.joinable()) thread_.join();
     }
     // Starts the peer on the node's gossip address. The node's process must have ended.
@@ -41,40 +41,42 @@
         socket.bind({boost::asio::ip::make_address(address.substr(0, colon)),
                      static_cast<unsigned short>(std::stoul(address.substr(colon + 1)))});
         socket.non_blocking(true);
-        std::map<Udp::endpoint, std::uint32_t> lives;
-        gossip::Datagram said;
-        said.node = node_;
-        said.stamp = {static_cast<std::uint32_t>(std::time(nullptr)) + 100, 0};
-        const auto say = [&](const Udp::endpoint& to) {
-            said.stamp.sequence += 8;
-            said.receiver_incarnation = lives[to];
+        std::map<Udp::endpoint, std::uint32_t> incarnations;
+        gossip::Datagram reply;
+        reply.node = node_;
+        reply.stamp = {static_cast<std::uint32_t>(std::time(nullptr)) + 100, 0};
+        const auto send_reply = [&](const Udp::endpoint& to) {
+            reply.stamp.sequence += 8;
+            reply.receiver_incarnation = incarnations[to];
             boost::system::error_code ignored;
-            socket.send_to(boost::asio::buffer(gossip::encode(said)), to, 0, ignored);
+            socket.send_to(boost::asio::buffer(gossip::encode(reply)), to, 0, ignored);
         };
-        for (int turn = 0; !ends_; ++turn) {
-            std::array<char, 512> room{};
+        for (int round = 0; !is_stopping_; ++round) {
+            std::array<char, 512> buffer{};
             Udp::endpoint from;
-            boost::system::error_code none;
+            boost::system::error_code error;
             for (std::size_t n = 0;
-                 (n = socket.receive_from(boost::asio::buffer(room), from, 0, none)) > 0 && !none;) {
-                gossip::Datagram heard;
-                if (!gossip::decode({room.data(), n}, heard)) continue;
-                lives[from] = heard.stamp.incarnation;
-                said.lease_grants.clear();
-                for (const gossip::LeaseRequest& w : heard.lease_requests)
-                    said.lease_grants.push_back({w.quota, gossip::kTotalUnits, heard.stamp.sequence});
-                claims_ += !said.lease_grants.empty();
-                if (!said.lease_grants.empty()) say(from);
+                 (n = socket.receive_from(boost::asio::buffer(buffer), from, 0, error)) > 0 && !error;) {
+                gossip::Datagram received;
+                if (!gossip::decode({buffer.data(), n}, received)) continue;
+                incarnations[from] = received.stamp.incarnation;
+                reply.lease_grants.clear();
+                for (const gossip::LeaseRequest& request : received.lease_requests)
+                    reply.lease_grants.push_back(
+                        {request.quota, gossip::kTotalUnits, received.stamp.sequence});
+                claims_ += !reply.lease_grants.empty();
+                if (!reply.lease_grants.empty()) send_reply(from);
             }
-            said.lease_grants.clear();
-            for (const auto& [to, life] : lives) {
-                if (turn % 10 == 0) say(to);  // heartbeat every 250 ms, so that the node counts as alive
+            reply.lease_grants.clear();
+            for (const auto& [to, incarnation] : incarnations) {
+                if (round % 10 == 0)
+                    send_reply(to);  // heartbeat every 250 ms, so that the node counts as alive
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(25));
         }
     }
     const int node_;
-    std::atomic<bool> ends_ = false;
+    std::atomic<bool> is_stopping_ = false;
     std::atomic<int> claims_ = 0;
     std::thread thread_;
 };
--- a/src/testkit/mannered_clients.cpp
+++ b/src/testkit/mannered_clients.cpp
@@ -12,95 +12,96 @@
 namespace brookrelay::testkit {
 namespace {
 
-enum class Manner {
+enum class Behaviour {
     pipelines,
-    in_pieces,
-    half_command,
-    half_value,
-    rests,
-    leaves,
+    writes_in_pieces,
+    stops_in_command,
+    stops_in_value,
+    idles,
+    disconnects,
     reads_late,
-    long_write,
-    hasty,
+    writes_long_value,
+    short_deadline,
     count
 };
 
-constexpr double kBadClientLimit = 3.0;  // s within which a node must end a stopped command
-constexpr double kSlack = 0.15;          // s of tolerance on kBadClientLimit
-constexpr std::size_t kLongValue = std::size_t{150} * 1000;  // bytes
-constexpr double kPipelinedWait = 4.5;                       // s; longer than a node keeps a silent client
-constexpr double kMannerLimit = 6.5;  // s; longest time that a client spends on one behaviour
-constexpr double kHastyLeast = 0.005, kHastyMost = 0.06;  // bounds of a hasty client's deadline, s
+constexpr double kStoppedCommandLimit = 3.0;       // s within which a node must end a stopped command
+constexpr double kStoppedCommandTolerance = 0.15;  // s of tolerance on kStoppedCommandLimit
+constexpr std::size_t kLongValueBytes = std::size_t{150} * 1000;  // bytes
+constexpr double kPipelinedDeadline = 4.5;  // s; longer than a node keeps a silent client
+constexpr double kBehaviourLimit = 6.5;     // s; longest time that a client spends on one behaviour
+// Bounds, in s, of the deadline that a client with short deadlines sends.
+constexpr double kMinShortDeadline = 0.005, kMaxShortDeadline = 0.06;
 
 }  // namespace
 
 // One client: its connection, the requests pending on it in order, and its current behaviour.
 class ManneredClients::Client : public std::enable_shared_from_this<Client> {
   public:
-    explicit Client(ManneredClients& crowd) : crowd_(crowd) {}
+    explicit Client(ManneredClients& owner) : owner_(owner) {}
     void step();
     void end();
 
   private:
-    struct Asked {
+    struct PendingRequest {
         int request = 0;
         std::uint64_t key = 0;
         audit::RequestInfo info = {};
         bool is_whole = true;  // the last byte is written; only then is it a request for the auditor
     };
-    TestEnvironment& environment() { return crowd_.environment_; }
+    TestEnvironment& environment() { return owner_.environment_; }
     void after(double seconds, std::function<void()> action);
     void connect();
     void close_connection();
-    void play();
-    std::string command(double wait, bool write, std::size_t bytes, bool is_whole = true);
+    void start_behaviour();
+    std::string command(double timeout, bool write, std::size_t bytes, bool is_whole = true);
     void register_last();
     void write_in_pieces(const std::string& text, int pieces, double gap);
-    void halt_inside_command(bool inside_value);
-    void give_up_manner();
+    void stop_inside_command(bool inside_value);
+    void end_behaviour_at_limit();
     void on_input();
     void on_ended();
-    void drop_asked();
+    void close_pending_requests();
     bool was_paused() { return environment().auditor.was_paused(stopped_at_, node_); }
-    void finish_manner(double pause);
+    void finish_behaviour(double pause);
     int operation(bool write);
 
-    ManneredClients& crowd_;
+    ManneredClients& owner_;
     Connection::Ptr connection_;
     int node_ = 0;
-    std::deque<Asked> asked_;
-    Manner manner_ = Manner::pipelines;
-    std::uint64_t turn_ = 0;   // invalidates the timers of earlier behaviours
-    bool is_fresh_ = true;     // no response was received on this connection
-    bool is_halting_ = false;  // half a command is written and the rest is never sent
+    std::deque<PendingRequest> pending_requests_;
+    Behaviour behaviour_ = Behaviour::pipelines;
+    std::uint64_t timer_generation_ = 0;  // invalidates the timers of earlier behaviours
+    bool has_no_response_ = true;         // no response was received on this connection
+    bool is_stopped_in_command_ = false;  // half a command is written and the rest is never sent
     double stopped_at_ = 0;
 };
 
 void ManneredClients::Client::after(double seconds, std::function<void()> action) {
     environment().at(environment().now() + seconds,
-                     [self = shared_from_this(), turn = turn_, act = std::move(action)] {
-                         if (self->turn_ == turn && !self->crowd_.stopped_) act();
+                     [self = shared_from_this(), generation = timer_generation_, act = std::move(action)] {
+                         if (self->timer_generation_ == generation && !self->owner_.stopped_) act();
                      });
 }
 
 void ManneredClients::Client::step() {
-    if (crowd_.stopped_ || environment().now() >= crowd_.until_) return;
-    ++turn_;
-    manner_ = static_cast<Manner>(crowd_.draw_int(0, static_cast<int>(Manner::count) - 1));
-    if (connection_ == nullptr || connection_->is_closed() || crowd_.draw() < 0.3) {
+    if (owner_.stopped_ || environment().now() >= owner_.until_) return;
+    ++timer_generation_;
+    behaviour_ = static_cast<Behaviour>(owner_.draw_int(0, static_cast<int>(Behaviour::count) - 1));
+    if (connection_ == nullptr || connection_->is_closed() || owner_.draw() < 0.3) {
         connect();
     } else {
-        play();
+        start_behaviour();
     }
 }
 
 void ManneredClients::Client::connect() {
     close_connection();
-    const auto where = crowd_.pick_();
+    const auto where = owner_.pick_();
     if (!where) return after(0.1, [this] { step(); });
     node_ = where->first;
-    is_fresh_ = true;
-    is_halting_ = false;
+    has_no_response_ = true;
+    is_stopped_in_command_ = false;
     const auto if_current = [self = shared_from_this()](void (Client::*handle)()) {
         return [self, handle](Connection& c) {
             if (self->connection_.get() == &c) (self.get()->*handle)();
@@ -108,7 +109,7 @@
     };
     connection_ = Connection::to(
         environment().io, where->second, environment().clock,
-        {if_current(&Client::play), if_current(&Client::on_input), if_current(&Client::on_ended)});
+        {if_current(&Client::start_behaviour), if_current(&Client::on_input), if_current(&Client::on_ended)});
 }
 
 // Closes the connection without on_ended() being called.
@@ -124,21 +125,21 @@
     for (std::size_t i = 0; i < operations.size(); ++i) {
         if (operations[i].write == write) fitting.push_back(static_cast<int>(i));
     }
-    return fitting[static_cast<std::size_t>(crowd_.draw_int(0, static_cast<int>(fitting.size()) - 1))];
+    return fitting[static_cast<std::size_t>(owner_.draw_int(0, static_cast<int>(fitting.size()) - 1))];
 }
 
 // Registers a request and returns its command.
-std::string ManneredClients::Client::command(double wait, bool write, std::size_t bytes, bool is_whole) {
+std::string ManneredClients::Client::command(double timeout, bool write, std::size_t bytes, bool is_whole) {
     const int number = operation(write);
     const OperationPlan& op = environment().scenario.operations[static_cast<std::size_t>(number)];
     audit::RequestInfo info;
     info.operation = number;
     info.node = node_;
-    info.user = crowd_.numbering_.next_user();
-    info.key = key_of_rank(static_cast<std::uint64_t>(crowd_.draw_int(0, 400)));
-    info.timeout = wait > 0 ? wait : op.promised.client_timeout;
-    const int request = crowd_.numbering_.next_request();
-    asked_.push_back({request, info.key, info, is_whole});
+    info.user = owner_.numbering_.next_user();
+    info.key = key_of_rank(static_cast<std::uint64_t>(owner_.draw_int(0, 400)));
+    info.timeout = timeout > 0 ? timeout : op.promised.client_timeout;
+    const int request = owner_.numbering_.next_request();
+    pending_requests_.push_back({request, info.key, info, is_whole});
     if (is_whole) environment().auditor.on_request(environment().now(), request, info);
     std::string properties = "Pc=" + op.name + ",d=" + std::to_string(std::llround(info.timeout * 1e3));
     if (op.promised.idempotency == Idempotency::idempotency_key)
@@ -150,9 +151,10 @@
 }
 
 void ManneredClients::Client::register_last() {
-    if (asked_.empty() || asked_.back().is_whole) return;
-    asked_.back().is_whole = true;
-    environment().auditor.on_request(environment().now(), asked_.back().request, asked_.back().info);
+    if (pending_requests_.empty() || pending_requests_.back().is_whole) return;
+    pending_requests_.back().is_whole = true;
+    environment().auditor.on_request(environment().now(), pending_requests_.back().request,
+                                     pending_requests_.back().info);
 }
 
 void ManneredClients::Client::write_in_pieces(const std::string& text, int pieces, double gap) {
@@ -169,130 +171,133 @@
     }
 }
 
-void ManneredClients::Client::play() {
-    switch (manner_) {
-        case Manner::pipelines: {
+void ManneredClients::Client::start_behaviour() {
+    switch (behaviour_) {
+        case Behaviour::pipelines: {
             std::string all;
-            const int commands = crowd_.draw_int(2, 12);
+            const int commands = owner_.draw_int(2, 12);
             // All commands have the same deadline, as the time that one waits behind others does not count.
-            for (int i = 0; i < commands; ++i) all += command(kPipelinedWait, crowd_.draw() < 0.2, 50);
+            for (int i = 0; i < commands; ++i) all += command(kPipelinedDeadline, owner_.draw() < 0.2, 50);
             connection_->write(all);
             break;
         }
-        case Manner::in_pieces: {
-            const double gap = 0.005 + 0.04 * crowd_.draw();
-            const int pieces = crowd_.draw_int(2, 6);
-            write_in_pieces(command(1.5, crowd_.draw() < 0.5, 600, false), pieces, gap);
+        case Behaviour::writes_in_pieces: {
+            const double gap = 0.005 + 0.04 * owner_.draw();
+            const int pieces = owner_.draw_int(2, 6);
+            write_in_pieces(command(1.5, owner_.draw() < 0.5, 600, false), pieces, gap);
             break;
         }
-        case Manner::half_command:
-            halt_inside_command(false);
+        case Behaviour::stops_in_command:
+            stop_inside_command(false);
             break;
-        case Manner::half_value:
-            halt_inside_command(true);
+        case Behaviour::stops_in_value:
+            stop_inside_command(true);
             break;
-        case Manner::rests:
+        case Behaviour::idles:
             connection_->write(command(0, false, 0));
             break;
-        case Manner::leaves:
-            connection_->write(command(0, crowd_.draw() < 0.5, crowd_.draw() < 0.3 ? kLongValue : 60));
-            after(0.001 + 0.2 * crowd_.draw(), [this] {
-                drop_asked();
+        case Behaviour::disconnects:
+            connection_->write(command(0, owner_.draw() < 0.5, owner_.draw() < 0.3 ? kLongValueBytes : 60));
+            after(0.001 + 0.2 * owner_.draw(), [this] {
+                close_pending_requests();
                 close_connection();
-                finish_manner(0.05);
+                finish_behaviour(0.05);
             });
             break;
-        case Manner::reads_late:
+        case Behaviour::reads_late:
             connection_->pause();
             connection_->write(command(1.9, false, 0));
-            after(0.2 + 0.5 * crowd_.draw(), [this] { connection_->resume(); });
+            after(0.2 + 0.5 * owner_.draw(), [this] { connection_->resume(); });
             break;
-        case Manner::long_write:
-            write_in_pieces(command(1.9, true, kLongValue, false), crowd_.draw_int(1, 5), 0.03);
+        case Behaviour::writes_long_value:
+            write_in_pieces(command(1.9, true, kLongValueBytes, false), owner_.draw_int(1, 5), 0.03);
             break;
-        case Manner::hasty:
-            connection_->write(command(kHastyLeast + (kHastyMost - kHastyLeast) * crowd_.draw(), false, 0));
+        case Behaviour::short_deadline:
+            connection_->write(command(
+                kMinShortDeadline + (kMaxShortDeadline - kMinShortDeadline) * owner_.draw(), false, 0));
             break;
-        case Manner::count:
+        case Behaviour::count:
             break;
     }
     // A request that is still pending then is left to the auditor; the client goes on to its next behaviour.
-    after(kMannerLimit, [this] { give_up_manner(); });
+    after(kBehaviourLimit, [this] { end_behaviour_at_limit(); });
 }
 
-void ManneredClients::Client::halt_inside_command(bool inside_value) {
+void ManneredClients::Client::stop_inside_command(bool inside_value) {
     const std::string& write = environment().scenario.operations.back().name;
     std::string text = inside_value ? "ms 00000000000000aa 100000 Ohalf Pc=" + write + ",d=1000,k=aa\r\n" +
                                           std::string(2000, 'x')
                                     : "mg 00000000000000aa v Oha";
-    if (crowd_.draw() < 0.4) text = command(0, false, 0) + text;
+    if (owner_.draw() < 0.4) text = command(0, false, 0) + text;
     connection_->write(text);
-    is_halting_ = true;
+    is_stopped_in_command_ = true;
     stopped_at_ = environment().now();
 }
 
-void ManneredClients::Client::give_up_manner() {
-    if (is_halting_ && !connection_->is_closed() && !was_paused())
-        crowd_.complaints_.push_back(
+void ManneredClients::Client::end_behaviour_at_limit() {
+    if (is_stopped_in_command_ && !connection_->is_closed() && !was_paused())
+        owner_.violations_.push_back(
             {"node " + std::to_string(node_) + " keeps a client whose command stopped for more than 6 s",
              stopped_at_, environment().now()});
-    drop_asked();
+    close_pending_requests();
     close_connection();
-    finish_manner(0.1);
+    finish_behaviour(0.1);
 }
 
 void ManneredClients::Client::on_input() {
     while (connection_ != nullptr && !connection_->is_closed()) {
-        Heard heard;
-        const std::size_t taken = read_heard(connection_->input(), heard);
-        if (taken == 0 && !asked_.empty() && asked_.front().is_whole &&
+        Heard response;
+        const std::size_t consumed = read_heard(connection_->input(), response);
+        if (consumed == 0 && !pending_requests_.empty() && pending_requests_.front().is_whole &&
             has_begun_long_value(connection_->input()))
-            environment().auditor.on_response_begun(environment().now(), asked_.front().request);
-        if (taken == 0) return;
+            environment().auditor.on_response_begun(environment().now(), pending_requests_.front().request);
+        if (consumed == 0) return;
         const double now = environment().now();
-        is_fresh_ = false;
-        if (asked_.empty()) {
+        has_no_response_ = false;
+        if (pending_requests_.empty()) {
             // An error line for a command that was never complete.
-            if (is_halting_ && now - stopped_at_ > kBadClientLimit + kSlack && !was_paused())
-                crowd_.complaints_.push_back({"node " + std::to_string(node_) +
+            if (is_stopped_in_command_ &&
+                now - stopped_at_ > kStoppedCommandLimit + kStoppedCommandTolerance && !was_paused())
+                owner_.violations_.push_back({"node " + std::to_string(node_) +
                                                   " ended a stopped command after " +
                                                   std::to_string(now - stopped_at_) + " s",
                                               stopped_at_, now});
-            connection_->take(taken);
+            connection_->take(consumed);
             continue;
         }
-        const Asked front = asked_.front();
-        asked_.pop_front();
+        const PendingRequest front = pending_requests_.front();
+        pending_requests_.pop_front();
         if (!front.is_whole) {  // an error line in the middle of a command
-            connection_->take(taken);
+            connection_->take(consumed);
             continue;
         }
-        const ClientReply reply = classify_reply(heard, environment().day, front.request, front.key);
+        const ClientReply reply = classify_reply(response, environment().day, front.request, front.key);
         environment().auditor.on_response(now, front.request, reply.kind, reply.attempt);
-        connection_->take(taken);
+        connection_->take(consumed);
     }
-    if (!asked_.empty() || is_halting_ || connection_->is_closed()) return;
+    if (!pending_requests_.empty() || is_stopped_in_command_ || connection_->is_closed()) return;
     // An idle client stays connected until the node closes the connection or the client sends again, which
     // may cross a close that is under way.
-    finish_manner(manner_ == Manner::rests ? 0.05 + 2.5 * crowd_.draw() : 0.02);
+    finish_behaviour(behaviour_ == Behaviour::idles ? 0.05 + 2.5 * owner_.draw() : 0.02);
 }
 
 void ManneredClients::Client::on_ended() {
     const double now = environment().now();
-    if (is_halting_ && now - stopped_at_ > kBadClientLimit + kSlack && !was_paused())
-        crowd_.complaints_.push_back({"node " + std::to_string(node_) + " closed a stopped command after " +
+    if (is_stopped_in_command_ && now - stopped_at_ > kStoppedCommandLimit + kStoppedCommandTolerance &&
+        !was_paused())
+        owner_.violations_.push_back({"node " + std::to_string(node_) + " closed a stopped command after " +
                                           std::to_string(now - stopped_at_) + " s",
                                       stopped_at_, now});
     const bool was_up = connection_->is_up();
-    const bool cut = connection_->input().starts_with("VA ");
-    for (std::size_t i = 0; i < asked_.size(); ++i) {
-        const int request = asked_[i].request;
-        if (!asked_[i].is_whole) continue;
+    const bool is_cut = connection_->input().starts_with("VA ");
+    for (std::size_t i = 0; i < pending_requests_.size(); ++i) {
+        const int request = pending_requests_[i].request;
+        if (!pending_requests_[i].is_whole) continue;
         if (!was_up) {
             environment().auditor.on_unreachable(now, request);
-        } else if (cut && i == 0) {
+        } else if (is_cut && i == 0) {
             environment().auditor.on_response(now, request, audit::Reply::truncated, -1);
-        } else if (!is_fresh_ && !environment().auditor.has_attempts(request)) {
+        } else if (!has_no_response_ && !environment().auditor.has_attempts(request)) {
             environment().auditor.on_client_closed(
                 now,
                 request);  // the request crossed the close of an idle connection
@@ -300,31 +305,31 @@
             environment().auditor.on_connection_closed(now, request);
         }
     }
-    asked_.clear();
-    finish_manner(0.05);
+    pending_requests_.clear();
+    finish_behaviour(0.05);
 }
 
-void ManneredClients::Client::drop_asked() {
-    for (const Asked& a : asked_) {
+void ManneredClients::Client::close_pending_requests() {
+    for (const PendingRequest& a : pending_requests_) {
         if (a.is_whole) environment().auditor.on_client_closed(environment().now(), a.request);
     }
-    asked_.clear();
+    pending_requests_.clear();
 }
 
-void ManneredClients::Client::finish_manner(double pause) {
-    ++turn_;
-    is_halting_ = false;
+void ManneredClients::Client::finish_behaviour(double pause) {
+    ++timer_generation_;
+    is_stopped_in_command_ = false;
     after(pause, [this] { step(); });
 }
 
 void ManneredClients::Client::end() {
-    ++turn_;
-    drop_asked();
+    ++timer_generation_;
+    close_pending_requests();
     close_connection();
 }
 
 ManneredClients::ManneredClients(TestEnvironment& environment, Numbering numbering, std::uint64_t seed)
-    : environment_(environment), numbering_(std::move(numbering)), chance_(seed * 104729 + 7) {}
+    : environment_(environment), numbering_(std::move(numbering)), random_(seed * 104729 + 7) {}
 
 ManneredClients::~ManneredClients() { stop(); }
 
@@ -344,11 +349,12 @@
 
 std::vector<std::string> ManneredClients::complaints() const {
     std::vector<std::string> texts;
-    for (const Complaint& complaint : complaints_) {
-        const double late =
-            environment_.auditor.watcher_delay_between(complaint.stopped_at, complaint.seen_at);
-        if (complaint.seen_at - complaint.stopped_at - late > kBadClientLimit + kSlack)
-            texts.push_back(complaint.text);
+    for (const Violation& violation : violations_) {
+        const double watcher_delay =
+            environment_.auditor.watcher_delay_between(violation.stopped_at, violation.seen_at);
+        if (violation.seen_at - violation.stopped_at - watcher_delay >
+            kStoppedCommandLimit + kStoppedCommandTolerance)
+            texts.push_back(violation.text);
     }
     return texts;
 }
--- a/src/testkit/mannered_clients.h
+++ b/src/testkit/mannered_clients.h
@@ -41,22 +41,22 @@
   private:
     class Client;
     friend class Client;
-    double draw() { return static_cast<double>(chance_() >> 11) / 9007199254740992.0; }
-    int draw_int(int least, int most) { return least + static_cast<int>(draw() * (most - least + 1)); }
+    double draw() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
+    int draw_int(int min, int max) { return min + static_cast<int>(draw() * (max - min + 1)); }
 
     TestEnvironment& environment_;
     Numbering numbering_;
-    boost::random::mt19937_64 chance_;
+    boost::random::mt19937_64 random_;
     PickNode pick_;
     double until_ = 0;
     bool stopped_ = false;
     std::vector<std::shared_ptr<Client>> clients_;
-    struct Complaint {
+    struct Violation {
         std::string text;
         double stopped_at = 0;  // when the client stopped inside its command
         double seen_at = 0;     // when the node's reaction, or its absence, was observed
     };
-    std::vector<Complaint> complaints_;
+    std::vector<Violation> violations_;
 };
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/network_fault_proxy.h
+++ b/src/testkit/network_fault_proxy.h
@@ -21,7 +21,7 @@
   public:
     using Udp = boost::asio::ip::udp;
 
-    NetworkFaultProxy(TestEnvironment& environment, std::uint64_t seed, bool servers_too);
+    NetworkFaultProxy(TestEnvironment& environment, std::uint64_t seed, bool proxies_servers);
 
     // Return the address on which a node listens for its peers, and the peer addresses to configure.
     std::string peer_listen(int node) const;
@@ -38,16 +38,16 @@
     const Counts& counts() const { return counts_; }
 
   private:
-    struct Side {
+    struct EndpointSet {
         std::set<int> nodes, servers;
     };
     struct Fault {
         TroubleKind kind = TroubleKind::cut;
-        Side from, to;
+        EndpointSet from, to;
         bool one_way = false;
         double part = 1, delay = 0;
         // Returns whether the fault affects traffic from a to b. Servers are numbered after the nodes.
-        bool strikes(int a, int b, int nodes) const;
+        bool affects(int a, int b, int nodes) const;
     };
     struct Relay {  // relays the datagrams to and from one node
         explicit Relay(Io& io, const std::string& host)
@@ -55,34 +55,34 @@
         Udp::socket socket;
         Udp::endpoint node;  // where the node listens
         Udp::endpoint from;  // sender of the datagram in `room`
-        std::array<char, 2048> room{};
+        std::array<char, 2048> buffer{};
     };
-    struct Pair {  // one proxied connection
-        Connection::Ptr near, far;
+    struct ProxiedConnection {  // one proxied connection
+        Connection::Ptr node_side, server_side;
     };
-    struct Way {  // the proxied path from one node to one server
+    struct ServerPath {  // the proxied path from one node to one server
         int node = 0, server = 0;
-        std::string real;
+        std::string server_address;
         std::unique_ptr<Listener> listener;
-        std::list<std::shared_ptr<Pair>> pairs;
-        bool out_cut = false, back_cut = false;
+        std::list<std::shared_ptr<ProxiedConnection>> pairs;
+        bool to_server_is_cut = false, from_server_is_cut = false;
     };
 
-    Side side(const std::vector<std::string>& names) const;
+    EndpointSet resolve_endpoints(const std::vector<std::string>& names) const;
     void receive(int node);
-    void pass(int from, int to, std::string bytes);
-    void put(int from, int to, const std::string& bytes);
-    void accept(Way& way, Tcp::socket socket);
-    void settle_ways();
-    bool chance(double part) { return static_cast<double>(chance_() >> 11) < part * 9007199254740992.0; }
+    void forward_datagram(int from, int to, std::string bytes);
+    void send_datagram(int from, int to, const std::string& bytes);
+    void accept(ServerPath& path, Tcp::socket socket);
+    void apply_cuts();
+    bool draw_chance(double part) { return static_cast<double>(random_() >> 11) < part * 9007199254740992.0; }
 
     TestEnvironment& environment_;
     const std::string host_;
-    boost::random::mt19937_64 chance_;
-    const bool servers_too_;
+    boost::random::mt19937_64 random_;
+    const bool proxies_servers_;
     std::vector<std::unique_ptr<Relay>> relays_;
     std::map<Udp::endpoint, int> senders_;
-    std::map<std::pair<int, int>, std::unique_ptr<Way>> ways_;
+    std::map<std::pair<int, int>, std::unique_ptr<ServerPath>> server_paths_;
     std::list<Fault> faults_;
     Counts counts_;
 };
--- a/src/testkit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -19,34 +19,34 @@
 constexpr int kBacklog = 64;
 
 sockaddr_in address_of(const std::string& host, int port) {
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_port = htons(static_cast<std::uint16_t>(port));
-    inet_pton(AF_INET, host.c_str(), &a.sin_addr);
-    return a;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    inet_pton(AF_INET, host.c_str(), &address.sin_addr);
+    return address;
 }
 
-void need(bool well, const char* what) {
-    if (!well) throw std::runtime_error(what);
+void require(bool condition, const char* message) {
+    if (!condition) throw std::runtime_error(message);
 }
 
 }  // namespace
 
 int bound_socket(int& port) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    sockaddr_in a = address_of(own_loopback(), 0);
-    socklen_t length = sizeof a;
-    need(bind(fd, reinterpret_cast<sockaddr*>(&a), length) == 0,
-         "cannot bind a test socket to the loopback address");
-    need(getsockname(fd, reinterpret_cast<sockaddr*>(&a), &length) == 0,
-         "cannot read the port of a bound test socket");
-    port = ntohs(a.sin_port);
+    sockaddr_in address = address_of(own_loopback(), 0);
+    socklen_t length = sizeof address;
+    require(bind(fd, reinterpret_cast<sockaddr*>(&address), length) == 0,
+            "cannot bind a test socket to the loopback address");
+    require(getsockname(fd, reinterpret_cast<sockaddr*>(&address), &length) == 0,
+            "cannot read the port of a bound test socket");
+    port = ntohs(address.sin_port);
     return fd;
 }
 
 Line::Line(const std::string& host, int port) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    const sockaddr_in a = address_of(host, port);
-    up_ = connect(fd_, reinterpret_cast<const sockaddr*>(&a), sizeof a) == 0;
+    const sockaddr_in address = address_of(host, port);
+    is_up_ = connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
 }
 
 Line::~Line() { close(fd_); }
@@ -55,20 +55,20 @@
 
 std::string Line::until(const std::string& end) {
     std::size_t at = 0;
-    while ((at = in_.find(end)) == std::string::npos) {
-        if (!more()) return std::exchange(in_, {});
+    while ((at = input_.find(end)) == std::string::npos) {
+        if (!receive_more()) return std::exchange(input_, {});
     }
     return bytes(at + end.size());
 }
 
 std::string Line::bytes(std::size_t n) {
-    while (in_.size() < n && more()) continue;
-    std::string out = in_.substr(0, n);
-    in_.erase(0, n);
+    while (input_.size() < n && receive_more()) continue;
+    std::string out = input_.substr(0, n);
+    input_.erase(0, n);
     return out;
 }
 
-void Line::shut() const { shutdown(fd_, SHUT_RDWR); }
+void Line::shut_down() const { shutdown(fd_, SHUT_RDWR); }
 
 void Line::end_sending() const { shutdown(fd_, SHUT_WR); }
 
@@ -77,30 +77,30 @@
 void Line::reset() {
     const linger at_once{1, 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-    const int none = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    dup3(none, fd_, O_CLOEXEC);
-    close(none);
+    const int replacement = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    dup3(replacement, fd_, O_CLOEXEC);
+    close(replacement);
 }
 
-bool Line::more() {
+bool Line::receive_more() {
     pollfd p{fd_, POLLIN, 0};
-    need(poll(&p, 1, kPatienceMs) == 1, "no data from the peer within 20 s (kPatienceMs)");
-    char room[65536];
-    const ssize_t n = recv(fd_, room, sizeof room, 0);
-    if (n > 0) in_.append(room, static_cast<std::size_t>(n));
+    require(poll(&p, 1, kPatienceMs) == 1, "no data from the peer within 20 s (kPatienceMs)");
+    char buffer[65536];
+    const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
+    if (n > 0) input_.append(buffer, static_cast<std::size_t>(n));
     return n > 0;
 }
 
-ScriptedPeer::ScriptedPeer(bool http) : http_(http), listener_(bound_socket(port)) {
-    need(listen(listener_, kBacklog) == 0, "cannot listen on the port of a scripted peer");
+ScriptedPeer::ScriptedPeer(bool http) : is_http_(http), listener_(bound_socket(port)) {
+    require(listen(listener_, kBacklog) == 0, "cannot listen on the port of a scripted peer");
     acceptor_ = std::thread([this] { accept_all(); });
 }
 
 ScriptedPeer::~ScriptedPeer() {
-    ending_ = true;
+    is_stopping_ = true;
     shutdown(listener_, SHUT_RDWR);
     if (acceptor_.joinable()) acceptor_.join();
-    for (Line& l : lines_) l.shut();
+    for (Line& l : lines_) l.shut_down();
     for (std::thread& t : threads_) t.join();
     close(listener_);
 }
@@ -114,24 +114,24 @@
     setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
 }
 
-void ScriptedPeer::reads_bodies_after(std::function<double()> seconds) { body_waits_ = std::move(seconds); }
+void ScriptedPeer::reads_bodies_after(std::function<double()> seconds) { body_delay_ = std::move(seconds); }
 
 void ScriptedPeer::stall() {
-    ending_ = true;
+    is_stopping_ = true;
     (void)Line(own_loopback(), port).up();
     acceptor_.join();
-    need(listen(listener_, 0) == 0, "cannot listen on the port of a scripted peer");
+    require(listen(listener_, 0) == 0, "cannot listen on the port of a scripted peer");
 }
 
 void ScriptedPeer::resume() {
-    ending_ = false;
-    need(listen(listener_, kBacklog) == 0, "cannot listen on the port of a scripted peer");
+    is_stopping_ = false;
+    require(listen(listener_, kBacklog) == 0, "cannot listen on the port of a scripted peer");
     acceptor_ = std::thread([this] { accept_all(); });
 }
 
 std::vector<std::string> ScriptedPeer::heard() {
     const std::lock_guard lock(mutex_);
-    return heard_;
+    return received_;
 }
 
 std::string ScriptedPeer::address() const { return own_loopback() + ":" + std::to_string(port); }
@@ -139,7 +139,7 @@
 void ScriptedPeer::accept_all() {
     while (true) {
         const int fd = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
-        if (fd < 0 || ending_) {
+        if (fd < 0 || is_stopping_) {
             if (fd >= 0) close(fd);
             return;
         }
@@ -150,13 +150,13 @@
 }
 
 std::string ScriptedPeer::message(Line& line) const {
-    std::string text = line.until(http_ ? "\r\n\r\n" : "\r\n");
+    std::string text = line.until(is_http_ ? "\r\n\r\n" : "\r\n");
     std::size_t body = 0;
-    if (http_) {
+    if (is_http_) {
         const std::size_t at = text.find("Content-Length: ");
         if (at != std::string::npos) body = std::stoul(text.substr(at + 16));
-        if (body > 0 && body_waits_)
-            std::this_thread::sleep_for(std::chrono::duration<double>(body_waits_()));
+        if (body > 0 && body_delay_)
+            std::this_thread::sleep_for(std::chrono::duration<double>(body_delay_()));
     } else if (text.starts_with("ms ")) {
         body = std::stoul(text.substr(text.find(' ', 3) + 1)) + 2;
     }
@@ -170,21 +170,21 @@
         Script script;
         {
             const std::lock_guard lock(mutex_);
-            heard_.push_back(text);
+            received_.push_back(text);
             script = script_;
         }
-        const Act act = script(text);
-        if (!act.text.empty()) line.send(act.text);
-        if (act.wait) act.wait();
-        if (!act.rest.empty()) line.send(act.rest);
-        for (std::size_t i = 0; i < act.pieces.size() && !ending_; ++i) {
-            std::this_thread::sleep_for(std::chrono::milliseconds(act.piece_interval_ms));
-            line.send(act.pieces[i]);
+        const Act response = script(text);
+        if (!response.text.empty()) line.send(response.text);
+        if (response.wait) response.wait();
+        if (!response.rest.empty()) line.send(response.rest);
+        for (std::size_t i = 0; i < response.pieces.size() && !is_stopping_; ++i) {
+            std::this_thread::sleep_for(std::chrono::milliseconds(response.piece_interval_ms));
+            line.send(response.pieces[i]);
         }
-        if (act.reset) line.reset();
-        if (act.close || act.reset) break;
+        if (response.reset) line.reset();
+        if (response.close || response.reset) break;
     }
-    line.shut();
+    line.shut_down();
     ++ended;
 }
 
--- a/src/testkit/scripted_peer.h
+++ b/src/testkit/scripted_peer.h
@@ -23,20 +23,20 @@
     Line(const Line&) = delete;
     Line& operator=(const Line&) = delete;
 
-    bool up() const { return up_; }
+    bool up() const { return is_up_; }
     void send(const std::string& text) const;
     std::string until(const std::string& end);  // reads through `end`, or until the peer closes
     std::string bytes(std::size_t n);
-    bool closed_by_peer() { return in_.empty() && !more() && in_.empty(); }
-    void shut() const;
+    bool closed_by_peer() { return input_.empty() && !receive_more() && input_.empty(); }
+    void shut_down() const;
     void reset();
     void end_sending() const;
 
   private:
-    bool more();
+    bool receive_more();
     int fd_;
-    bool up_ = true;
-    std::string in_;
+    bool is_up_ = true;
+    std::string input_;
 };
 
 // The response to one message: sends `text`, calls `wait`, sends `rest` and then each of `pieces`, and may
@@ -76,16 +76,16 @@
     std::string message(Line& line) const;
     void serve(Line& line);
 
-    const bool http_;
+    const bool is_http_;
     int listener_;
     std::thread acceptor_;
     std::mutex mutex_;
-    std::function<double()> body_waits_;
+    std::function<double()> body_delay_;
     Script script_ = [](const std::string&) { return Act{}; };
-    std::vector<std::string> heard_;
+    std::vector<std::string> received_;
     std::list<Line> lines_;
     std::vector<std::thread> threads_;
-    std::atomic<bool> ending_{false};
+    std::atomic<bool> is_stopping_{false};
 };
 
 // Binds a free port of own_loopback() without listening on it; returns the socket.
--- a/src/testkit/shim/fault_shim.cpp
+++ b/src/testkit/shim/fault_shim.cpp
@@ -38,12 +38,12 @@
 };
 
 template <typename Function>
-Function real(Function, const char* name) {
+Function next_symbol(Function, const char* name) {
     return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
 double monotonic() {
-    static const auto real_gettime = real(&clock_gettime, "clock_gettime");
+    static const auto real_gettime = next_symbol(&clock_gettime, "clock_gettime");
     timespec now{};
     real_gettime(CLOCK_MONOTONIC, &now);
     return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) / 1e9;
@@ -63,33 +63,38 @@
 }
 
 // The faults configured for this process, read once from the environment.
-class Plan {
+class FaultPlan {
   public:
-    Plan() : started_at_(monotonic()) {
-        if (const char* seed = std::getenv("FAULT_SHIM_SEED")) state_ += std::strtoull(seed, nullptr, 10);
-        read_entries("FAULT_SHIM_CLOCK", [this](const double* n) { steps_.push_back({n[0], n[1]}); });
-        read_entries("FAULT_SHIM_CALLS", [this](const double* n) { calls_.push_back({n[0], n[1], n[2]}); });
-        read_entries("FAULT_SHIM_DISK", [this](const double* n) { disk_.push_back({n[0], n[1], n[2]}); });
+    FaultPlan() : started_at_(monotonic()) {
+        if (const char* seed = std::getenv("FAULT_SHIM_SEED"))
+            random_state_ += std::strtoull(seed, nullptr, 10);
+        read_entries("FAULT_SHIM_CLOCK", [this](const double* n) { clock_steps_.push_back({n[0], n[1]}); });
+        read_entries("FAULT_SHIM_CALLS", [this](const double* n) {
+            call_faults_.push_back({n[0], n[1], n[2]});
+        });
+        read_entries("FAULT_SHIM_DISK", [this](const double* n) {
+            disk_faults_.push_back({n[0], n[1], n[2]});
+        });
     }
     double wall_step() const {
         double step = 0;
-        for (const ClockStep& s : steps_) step += monotonic() - started_at_ >= s.at ? s.by : 0;
+        for (const ClockStep& s : clock_steps_) step += monotonic() - started_at_ >= s.at ? s.by : 0;
         return step;
     }
-    bool call_fails() { return strikes(calls_); }
-    bool disk_fails() { return strikes(disk_); }
-    int one_of(std::initializer_list<int> errors) {
+    bool call_fails() { return draw_fault(call_faults_); }
+    bool disk_fails() { return draw_fault(disk_faults_); }
+    int pick_error(std::initializer_list<int> errors) {
         return errors.begin()[static_cast<std::size_t>(draw() * static_cast<double>(errors.size()))];
     }
     double draw() {  // splitmix64
-        std::uint64_t x = state_ += 0x9e3779b97f4a7c15ULL;
+        std::uint64_t x = random_state_ += 0x9e3779b97f4a7c15ULL;
         x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
         x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
         return static_cast<double>((x ^ (x >> 31)) >> 11) / 9007199254740992.0;
     }
 
   private:
-    bool strikes(const std::vector<Window>& windows) {
+    bool draw_fault(const std::vector<Window>& windows) {
         if (windows.empty()) return false;
         const double now = monotonic() - started_at_;
         return std::any_of(windows.begin(), windows.end(), [&](const Window& w) {
@@ -97,14 +102,14 @@
         });
     }
     double started_at_;
-    std::uint64_t state_ = 1;
-    std::vector<ClockStep> steps_;
-    std::vector<Window> calls_, disk_;
+    std::uint64_t random_state_ = 1;
+    std::vector<ClockStep> clock_steps_;
+    std::vector<Window> call_faults_, disk_faults_;
 };
 
-Plan& plan() {
-    static Plan the_plan;
-    return the_plan;
+FaultPlan& fault_plan() {
+    static FaultPlan instance;
+    return instance;
 }
 
 int fail(int error) {
@@ -128,109 +133,111 @@
     return in_state_folder(path);
 }
 
-bool socket_call_fails() { return plan().call_fails(); }
+bool socket_call_fails() { return fault_plan().call_fails(); }
 
 }  // namespace
 
 extern "C" {
 
 int clock_gettime(clockid_t id, timespec* at) noexcept {
-    static const auto real_call = real(&clock_gettime, "clock_gettime");
+    static const auto real_call = next_symbol(&clock_gettime, "clock_gettime");
     const int result = real_call(id, at);
     if (result == 0 && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE))
-        at->tv_sec += static_cast<time_t>(plan().wall_step());
+        at->tv_sec += static_cast<time_t>(fault_plan().wall_step());
     return result;
 }
 
 int gettimeofday(timeval* __restrict at, void* __restrict zone) noexcept {
-    static const auto real_call = real(&gettimeofday, "gettimeofday");
+    static const auto real_call = next_symbol(&gettimeofday, "gettimeofday");
     const int result = real_call(at, zone);
-    if (result == 0) at->tv_sec += static_cast<time_t>(plan().wall_step());
+    if (result == 0) at->tv_sec += static_cast<time_t>(fault_plan().wall_step());
     return result;
 }
 
 int accept(int fd, sockaddr* __restrict address, socklen_t* __restrict size) {
-    static const auto real_call = real(&accept, "accept");
-    if (socket_call_fails()) return fail(plan().one_of({ECONNABORTED, ENFILE, ENOBUFS, EINTR}));
+    static const auto real_call = next_symbol(&accept, "accept");
+    if (socket_call_fails()) return fail(fault_plan().pick_error({ECONNABORTED, ENFILE, ENOBUFS, EINTR}));
     return real_call(fd, address, size);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-    static const auto real_call = real(&socket, "socket");
-    if (socket_call_fails()) return fail(plan().one_of({ENFILE, ENOBUFS}));
+    static const auto real_call = next_symbol(&socket, "socket");
+    if (socket_call_fails()) return fail(fault_plan().pick_error({ENFILE, ENOBUFS}));
     return real_call(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
-    static const auto real_call = real(&connect, "connect");
-    if (socket_call_fails()) return fail(plan().one_of({EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR}));
+    static const auto real_call = next_symbol(&connect, "connect");
+    if (socket_call_fails())
+        return fail(fault_plan().pick_error({EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EINTR}));
     connected_sockets().insert(fd);
     return real_call(fd, address, size);
 }
 
 ssize_t recv(int fd, void* buffer, size_t size, int flags) {
-    static const auto real_call = real(&recv, "recv");
+    static const auto real_call = next_symbol(&recv, "recv");
     if (socket_call_fails()) {
-        const double kind = plan().draw();
+        const double kind = fault_plan().draw();
         if (kind < 0.4) return fail(EINTR);
         if (kind < 0.5 && connected_sockets().contains(fd))
-            return fail(plan().one_of({ETIMEDOUT, EHOSTUNREACH}));
+            return fail(fault_plan().pick_error({ETIMEDOUT, EHOSTUNREACH}));
         size = std::max<size_t>(1, size / 4096);  // a short read
     }
     return real_call(fd, buffer, size, flags);
 }
 
 ssize_t send(int fd, const void* buffer, size_t size, int flags) {
-    static const auto real_call = real(&send, "send");
+    static const auto real_call = next_symbol(&send, "send");
     if (socket_call_fails()) {
-        if (plan().draw() < 0.3) return fail(EINTR);
+        if (fault_plan().draw() < 0.3) return fail(EINTR);
         size = std::max<size_t>(1, size / 2);  // a short write
     }
     return real_call(fd, buffer, size, flags);
 }
 
 int poll(pollfd* fds, nfds_t count, int timeout) {
-    static const auto real_call = real(&poll, "poll");
-    if (plan().call_fails()) return fail(EINTR);
+    static const auto real_call = next_symbol(&poll, "poll");
+    if (fault_plan().call_fails()) return fail(EINTR);
     return real_call(fds, count, timeout);
 }
 
 int close(int fd) {
-    static const auto real_call = real(&close, "close");
+    static const auto real_call = next_symbol(&close, "close");
     connected_sockets().erase(fd);
     return real_call(fd);
 }
 
 ssize_t write(int fd, const void* buffer, size_t size) {
-    static const auto real_call = real(&write, "write");
-    if (size > 0 && plan().disk_fails() && is_state_file(fd)) {
-        if (plan().draw() < 0.5) return fail(plan().one_of({ENOSPC, EIO}));
-        size = static_cast<size_t>(plan().draw() * static_cast<double>(size));  // a partial write
+    static const auto real_call = next_symbol(&write, "write");
+    if (size > 0 && fault_plan().disk_fails() && is_state_file(fd)) {
+        if (fault_plan().draw() < 0.5) return fail(fault_plan().pick_error({ENOSPC, EIO}));
+        size = static_cast<size_t>(fault_plan().draw() * static_cast<double>(size));  // a partial write
         if (size == 0) return fail(ENOSPC);
     }
     return real_call(fd, buffer, size);
 }
 
 int fsync(int fd) {
-    static const auto real_call = real(&fsync, "fsync");
-    if (plan().disk_fails() && is_state_file(fd)) return fail(EIO);
+    static const auto real_call = next_symbol(&fsync, "fsync");
+    if (fault_plan().disk_fails() && is_state_file(fd)) return fail(EIO);
     return real_call(fd);
 }
 
 int rename(const char* from, const char* to) noexcept {
-    static const auto real_call = real(&rename, "rename");
-    if (plan().disk_fails() && in_state_folder(from)) return fail(plan().one_of({ENOSPC, EIO}));
+    static const auto real_call = next_symbol(&rename, "rename");
+    if (fault_plan().disk_fails() && in_state_folder(from))
+        return fail(fault_plan().pick_error({ENOSPC, EIO}));
     return real_call(from, to);
 }
 
 int open(const char* path, int flags, ...) {
-    static const auto real_call = real(&open, "open");
-    va_list rest;
-    va_start(rest, flags);
-    const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(rest, mode_t) : 0;
-    va_end(rest);
-    if ((flags & (O_WRONLY | O_RDWR)) != 0 && in_state_folder(path) && plan().disk_fails())
-        return fail(plan().one_of({ENOSPC, EIO}));
+    static const auto real_call = next_symbol(&open, "open");
+    va_list arguments;
+    va_start(arguments, flags);
+    const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(arguments, mode_t) : 0;
+    va_end(arguments);
+    if ((flags & (O_WRONLY | O_RDWR)) != 0 && in_state_folder(path) && fault_plan().disk_fails())
+        return fail(fault_plan().pick_error({ENOSPC, EIO}));
     return real_call(path, flags, mode);
 }
 
