--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -1,6 +1,6 @@
-// The kit's parts without sockets, and days played on sockets: each trouble reaches the daemon, each way of
-// being bad is caught, and whatever happens nothing is left behind. Days are short and seeded; what they are
-// judged by are counts and rules, never how fast the machine is.
+// Tests of the test kit: its parts without sockets, and scenario runs over sockets. Each injected fault must
+// reach the daemon, each faulty daemon must be reported, and no run may leave a process behind. Runs are
+// short and seeded; the checks use counts and rules, not the speed of the machine.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -32,23 +32,23 @@
 // ---- parts ----------------------------------------------------------------------------------------------
 
 TEST(WorkQueue, ServesInOrderOnItsSlots) {
-    WorkQueue bench(2, 2, [](double) { return 2.0; });
-    EXPECT_TRUE(bench.enqueue(0, 1, 4));  // until 2
-    EXPECT_TRUE(bench.enqueue(0, 2, 2));  // until 1
-    EXPECT_TRUE(bench.enqueue(0, 3, 2));  // from 1 until 2
-    EXPECT_TRUE(bench.enqueue(0, 4, 2));
-    EXPECT_FALSE(bench.enqueue(0, 5, 2));  // the queue is full
-    bench.drop_queued(3);
-    EXPECT_EQ(bench.open_jobs(), 3);
-    EXPECT_EQ(bench.pop_finished(0.5), std::nullopt);
-    EXPECT_EQ(bench.pop_finished(5), 2);
-    // The fourth began when the second ended, not when that was looked at.
-    EXPECT_EQ(bench.next_finish_time(), 2);
-    EXPECT_EQ(bench.clear().size(), 2U);
-    EXPECT_EQ(bench.open_jobs(), 0);
+    WorkQueue queue(2, 2, [](double) { return 2.0; });
+    EXPECT_TRUE(queue.enqueue(0, 1, 4));  // until 2
+    EXPECT_TRUE(queue.enqueue(0, 2, 2));  // until 1
+    EXPECT_TRUE(queue.enqueue(0, 3, 2));  // from 1 until 2
+    EXPECT_TRUE(queue.enqueue(0, 4, 2));
+    EXPECT_FALSE(queue.enqueue(0, 5, 2));  // the queue is full
+    queue.drop_queued(3);
+    EXPECT_EQ(queue.open_jobs(), 3);
+    EXPECT_EQ(queue.pop_finished(0.5), std::nullopt);
+    EXPECT_EQ(queue.pop_finished(5), 2);
+    // The fourth job starts when the second ends, not when pop_finished() is called.
+    EXPECT_EQ(queue.next_finish_time(), 2);
+    EXPECT_EQ(queue.clear().size(), 2U);
+    EXPECT_EQ(queue.open_jobs(), 0);
 }
 
-TEST(OverloadDetector, TellsAPushFromABurst) {
+TEST(OverloadDetector, DistinguishesSustainedOverloadFromABurst) {
     const struct {
         const char* name;
         double rate, until;
@@ -58,18 +58,18 @@
                  {"just under the multiple", 3.9, 9, false}};
     for (const auto& c : cases) {
         SCOPED_TRACE(c.name);
-        OverloadDetector meter;
+        OverloadDetector detector;
         bool over = false;
         for (int i = 0; i < 100; ++i) {
             const double now = 0.1 * i + 0.05;
-            if (now < c.until) meter.add_work(now, 0.1 * c.rate);
-            over = over || meter.is_overloaded(now, 1, 4, 2);
+            if (now < c.until) detector.add_work(now, 0.1 * c.rate);
+            over = over || detector.is_overloaded(now, 1, 4, 2);
         }
         EXPECT_EQ(over, c.over);
     }
 }
 
-TEST(Store, ForgetsTheLongestUnused) {
+TEST(Store, EvictsTheLeastRecentlyUsed) {
     Store store(2);
     store.put(1, 0);
     store.put(2, 0);
@@ -81,16 +81,16 @@
     EXPECT_EQ(store.size(), 1U);
 }
 
-TEST(DeduplicationWindow, KnowsAMarkForItsTime) {
-    DeduplicationWindow marks;
-    EXPECT_FALSE(marks.check_and_add(0, 9, 2));
-    EXPECT_TRUE(marks.check_and_add(1.9, 9, 2));
-    EXPECT_FALSE(marks.check_and_add(2.1, 9, 2));
-    for (int i = 0; i < 1000; ++i) (void)marks.check_and_add(10 + i, 100 + static_cast<std::uint64_t>(i), 2);
-    EXPECT_LT(marks.size(), 5U);
+TEST(DeduplicationWindow, RemembersAKeyForItsWindow) {
+    DeduplicationWindow window;
+    EXPECT_FALSE(window.check_and_add(0, 9, 2));
+    EXPECT_TRUE(window.check_and_add(1.9, 9, 2));
+    EXPECT_FALSE(window.check_and_add(2.1, 9, 2));
+    for (int i = 0; i < 1000; ++i) (void)window.check_and_add(10 + i, 100 + static_cast<std::uint64_t>(i), 2);
+    EXPECT_LT(window.size(), 5U);
 }
 
-TEST(LatencyHistogram, KeepsQuantilesToAFewInAHundred) {
+TEST(LatencyHistogram, ComputesQuantilesWithinAFewPercent) {
     LatencyHistogram h;
     for (int i = 1; i <= 10000; ++i) h.add(i * 1e-5);
     EXPECT_NEAR(h.quantile(0.5), 0.05, 0.002);
@@ -99,7 +99,7 @@
     EXPECT_EQ(LatencyHistogram{}.quantile(0.99), 0);
 }
 
-TEST(Wire, ReadsWhatTheProtocolSays) {
+TEST(Wire, ParsesTheProtocol) {
     Command c;
     const std::string read = "mg 00ff v Oabc Pc=read,t=x,d=250,k=1f,r=1\r\n";
     EXPECT_EQ(read_command(read, c), read.size());
@@ -141,7 +141,7 @@
     }
 }
 
-TEST(Experiment, PlaysDaemonsNextToOneAnotherAndPairsThem) {
+TEST(Experiment, PairsRunsOfTwoDaemonsBySeed) {
     ExperimentPlan plan;
     plan.daemons = {"a", "b"};
     plan.seeds = {4, 5, 6};
@@ -154,7 +154,7 @@
     EXPECT_EQ(cells[0].sets, (std::vector<std::string>{"x=1", "fixed=7"}));
     for (Cell& c : cells) {
         c.measures.played = true;
-        // Seeds differ far more than the daemons; only pairs can tell those apart.
+        // Seeds differ far more than the daemons, so only a paired comparison shows the difference.
         c.measures.whole = 0.1 * static_cast<double>(c.seed) + (c.daemon == 1 ? 0.01 : 0) +
                            (c.daemon == 1 && c.seed == 5 ? 0.001 : 0);
     }
@@ -164,13 +164,13 @@
     EXPECT_NEAR(pairs[0].half_width, 4.303 * 0.000577 / std::sqrt(3.0), 1e-5);
     EXPECT_TRUE(pairs[0].told_apart());
     EXPECT_FALSE(pairs[1].told_apart());
-    // A pair of which one day was not played is none.
+    // A pair is dropped if one of its runs was not played.
     cells[0].measures.played = false;
     EXPECT_EQ(paired(cells, 2)[0].first.size(), 2U);
 }
 
-// What a day that ended before it began leaves must be drawn as well.
-TEST(Report, DrawsADayOfNothing) {
+// A run that ended before it began has no samples; its report must still be rendered.
+TEST(Report, RendersARunWithoutData) {
     DayPlan plan;
     plan.scenario.name = "nothing";
     plan.scenario.operations.resize(1);
@@ -181,25 +181,25 @@
     EXPECT_NE(report_html({}, plan, result).find("no daemon"), std::string::npos);
 }
 
-// ---- days -----------------------------------------------------------------------------------------------
+// ---- runs -----------------------------------------------------------------------------------------------
 
-Scenario small_day(double length = 3) {
+Scenario small_scenario(double length = 3) {
     Scenario s;
     s.name = "small";
     s.length = length;
     s.count_from = 0;
     s.nodes = 1;
-    ServerKind box;
-    box.count = 3;
-    box.keys = 2000;
-    s.kinds = {box};
-    const auto operation = [](const char* name, Idempotency repeat, bool write, double share) {
+    ServerKind server_kind;
+    server_kind.count = 3;
+    server_kind.keys = 2000;
+    s.kinds = {server_kind};
+    const auto operation = [](const char* name, Idempotency idempotency, bool write, double share) {
         OperationPlan o;
         o.name = name;
         o.write = write;
         o.share = share;
-        o.promised.idempotency = repeat;
-        o.promised.deduplication_window = repeat == Idempotency::idempotency_key ? 3 : 0;
+        o.promised.idempotency = idempotency;
+        o.promised.deduplication_window = idempotency == Idempotency::idempotency_key ? 3 : 0;
         o.promised.client_timeout = 1;
         o.promised.latency_objective = 0.4;
         return o;
@@ -213,24 +213,24 @@
     return s;
 }
 
-std::string folder_for(const std::string& name) {
+std::string create_run_folder(const std::string& name) {
     const std::string folder = testing::TempDir() + "rehearsal-" + std::to_string(getpid()) + "-" + name;
     std::filesystem::create_directories(folder);
     return folder;
 }
 
-struct Played {
+struct ScenarioRun {
     DayPlan plan;
     DayResult result;
     std::string log;
 };
 
-Played play(const Scenario& s, const std::string& program = BROOKRELAY_PROGRAM,
-            std::function<bool()> interrupted = nullptr) {
-    Played p;
+ScenarioRun run_scenario(const Scenario& s, const std::string& program = BROOKRELAY_PROGRAM,
+                         std::function<bool()> interrupted = nullptr) {
+    ScenarioRun p;
     p.plan.scenario = s;
     p.plan.program = program;
-    p.plan.folder = folder_for(testing::UnitTest::GetInstance()->current_test_info()->name());
+    p.plan.folder = create_run_folder(testing::UnitTest::GetInstance()->current_test_info()->name());
     p.plan.interrupted = std::move(interrupted);
     p.result = play_day(p.plan);
     std::ifstream log(p.plan.folder + "/n0.log");
@@ -238,7 +238,7 @@
     return p;
 }
 
-Trouble trouble(TroubleKind kind, double at, double lasts, std::vector<std::string> who = {}) {
+Trouble make_fault(TroubleKind kind, double at, double lasts, std::vector<std::string> who = {}) {
     Trouble t;
     t.kind = kind;
     t.at = at;
@@ -247,14 +247,14 @@
     return t;
 }
 
-TEST(Schedule, IsTheSameForASeed) {
-    Scenario s = small_day(20);
-    s.troubles = {trouble(TroubleKind::scan, 2, 3)};
+TEST(Schedule, IsDeterministicForASeed) {
+    Scenario s = small_scenario(20);
+    s.troubles = {make_fault(TroubleKind::scan, 2, 3)};
     const auto a = draw_schedule(s, 5), b = draw_schedule(s, 5), c = draw_schedule(s, 6);
     EXPECT_EQ(digest(a, s.troubles), digest(b, s.troubles));
     EXPECT_NE(digest(a, s.troubles), digest(c, s.troubles));
     EXPECT_NEAR(static_cast<double>(a.size()), 250 * 23, 300);
-    // A trouble that adds arrivals leaves all others as they were.
+    // A fault that adds arrivals leaves all other arrivals unchanged.
     Scenario without = s;
     without.troubles.clear();
     const auto plain = draw_schedule(without, 5);
@@ -265,8 +265,8 @@
     EXPECT_EQ(found, plain.size());
 }
 
-TEST(Rehearsal, ACalmDayBreaksNothingAndServesAll) {
-    const Played p = play(small_day());
+TEST(Rehearsal, RunWithoutFaultsHasNoViolations) {
+    const ScenarioRun p = run_scenario(small_scenario());
     ASSERT_EQ(p.result.failed, "");
     EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     EXPECT_GT(p.result.verdict.requests, 500U);
@@ -280,152 +280,171 @@
     EXPECT_NE(report_html({}, p.plan, p.result).find("<svg"), std::string::npos);
 }
 
-// Each trouble is seen at the sockets: by what the servers counted or the daemon said of it.
-struct Effect {
+// One injected fault and its visible effect, in the servers' counts or the daemon's log.
+struct FaultCase {
     const char* name;
     Trouble trouble;
-    std::function<bool(const Played&)> seen;
+    std::function<bool(const ScenarioRun&)> has_effect;
 };
 
-class TroubleReaches : public testing::TestWithParam<Effect> {};
+class InjectedFault : public testing::TestWithParam<FaultCase> {};
 
-TEST_P(TroubleReaches, TheDaemonAndBreaksNoRule) {
-    Scenario s = small_day(3.5);
+TEST_P(InjectedFault, ReachesTheDaemonWithoutViolations) {
+    Scenario s = small_scenario(3.5);
     s.nodes = 2;
     s.troubles = {GetParam().trouble};
-    const Played p = play(s);
+    const ScenarioRun p = run_scenario(s);
     ASSERT_EQ(p.result.failed, "");
     EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     EXPECT_EQ(p.result.crashes, 0);
-    EXPECT_TRUE(GetParam().seen(p)) << summary_text(p.plan, p.result) << p.log;
+    EXPECT_TRUE(GetParam().has_effect(p)) << summary_text(p.plan, p.result) << p.log;
 }
 
-bool says(const Played& p, const char* text) { return p.log.find(text) != std::string::npos; }
-double forwards(const Played& p, std::size_t server, std::size_t second) {
+bool log_contains(const ScenarioRun& p, const char* text) { return p.log.find(text) != std::string::npos; }
+double forwards_in_second(const ScenarioRun& p, std::size_t server, std::size_t second) {
     return p.result.series.forwards[server][second];
 }
-bool marked(const Played& p, const char* text) {
+bool has_mark(const ScenarioRun& p, const char* text) {
     return std::any_of(p.result.marks.begin(), p.result.marks.end(),
                        [&](const auto& m) { return m.second.find(text) != std::string::npos; });
 }
 
-Trouble with(Trouble t, std::function<void(Trouble&)> change) {
+Trouble adjusted(Trouble t, std::function<void(Trouble&)> change) {
     change(t);
     return t;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, TroubleReaches,
+    All, InjectedFault,
     testing::Values(
-        Effect{"silent", trouble(TroubleKind::silent, 1, 1.5, {"box-1"}),
-               [](const Played& p) {
-                   return says(p, "box-1: forward timed out") || says(p, "box-1: forward refused");
-               }},
-        Effect{"crash", trouble(TroubleKind::crash, 1, 1, {"box-1"}),
-               [](const Played& p) { return says(p, "box-1: forward re"); }},
-        Effect{"slow", with(trouble(TroubleKind::slow, 1, 2, {"box-1"}), [](Trouble& x) { x.factor = 60; }),
-               [](const Played& p) { return p.result.latencies[0].quantile(0.999) > 0.03; }},
-        Effect{"cold_return", trouble(TroubleKind::cold_return, 1, 0, {"box-1"}),
-               [](const Played& p) { return says(p, "1 servers told") && p.result.misses > 0; }},
-        Effect{"void_copies", trouble(TroubleKind::void_copies, 1.5, 0),
-               [](const Played& p) { return forwards(p, 3, 2) > 1.8 * forwards(p, 3, 0); }},
-        Effect{"hot_key", with(trouble(TroubleKind::hot_key, 1, 2), [](Trouble& x) { x.part = 0.6; }),
-               [](const Played& p) {
-                   double most = 0;
-                   for (std::size_t i = 0; i < 3; ++i) most = std::max(most, forwards(p, i, 1));
-                   return most > 1.3 * (forwards(p, 0, 1) + forwards(p, 1, 1) + forwards(p, 2, 1)) / 3;
-               }},
-        Effect{"origin_slow",
-               with(trouble(TroubleKind::origin_slow, 1, 2), [](Trouble& x) { x.factor = 15; }),
-               [](const Played& p) { return p.result.latencies[1].quantile(0.9) > 0.1; }},
-        Effect{"origin_stop", trouble(TroubleKind::origin_stop, 1, 1.5),
-               [](const Played& p) {
-                   return p.result.origin_halts == 1 && says(p, "origin: forward timed out");
-               }},
-        Effect{"scan", with(trouble(TroubleKind::scan, 1, 1.5), [](Trouble& x) { x.part = 0.5; }),
-               [](const Played& p) { return forwards(p, 3, 1) > 2 * forwards(p, 3, 0); }},
-        Effect{"discovery_restart", trouble(TroubleKind::discovery_restart, 0.8, 2.4, {"box-2"}),
-               [](const Played& p) {
-                   return says(p, "connection lost") && says(p, "(whole list)") && forwards(p, 1, 2) == 0;
-               }},
-        Effect{"drain", trouble(TroubleKind::drain, 0.5, 0, {"box-3"}),
-               [](const Played& p) { return forwards(p, 2, 2) == 0 && forwards(p, 2, 0) > 0; }},
-        Effect{"remove", trouble(TroubleKind::remove, 0.3, 0.5, {"box-3"}),
-               [](const Played& p) { return forwards(p, 2, 2) == 0; }},
-        Effect{"node_kill", trouble(TroubleKind::node_kill, 1, 0.5),
-               [](const Played& p) { return marked(p, "node 0 serves again"); }},
-        Effect{"node_restart", trouble(TroubleKind::node_restart, 1, 0),
-               [](const Played& p) { return marked(p, "has ended, exit code 0") && says(p, "told to end"); }},
-        Effect{"reload", trouble(TroubleKind::reload, 1, 0),
-               [](const Played& p) { return says(p, "configuration read again"); }},
-        Effect{"reload_bad", trouble(TroubleKind::reload_bad, 1, 0),
-               [](const Played& p) { return says(p, "not taken, the old one stays"); }},
-        Effect{"spoilt", trouble(TroubleKind::spoilt, 1, 1.5, {"box-1"}),
-               [](const Played& p) { return says(p, "box-1: nonsense"); }},
-        Effect{"tricklers", with(trouble(TroubleKind::tricklers, 0.3, 3), [](Trouble& x) { x.count = 150; }),
-               [](const Played& p) { return p.result.daemon_descriptors > 150; }},
-        Effect{"non_readers",
-               with(trouble(TroubleKind::non_readers, 0.3, 3), [](Trouble& x) { x.count = 10; }),
-               [](const Played& p) { return p.result.verdict.attempts > p.result.verdict.requests + 300; }},
-        Effect{"over_share",
-               with(trouble(TroubleKind::over_share, 1, 1, {"partners"}), [](Trouble& x) { x.factor = 5; }),
-               [](const Played& p) {
-                   return p.result.verdict.seconds[1].offered > 1.5 * p.result.verdict.seconds[0].offered;
-               }}),
+        FaultCase{"silent", make_fault(TroubleKind::silent, 1, 1.5, {"box-1"}),
+                  [](const ScenarioRun& p) {
+                      return log_contains(p, "box-1: forward timed out") ||
+                             log_contains(p, "box-1: forward refused");
+                  }},
+        FaultCase{"crash", make_fault(TroubleKind::crash, 1, 1, {"box-1"}),
+                  [](const ScenarioRun& p) { return log_contains(p, "box-1: forward re"); }},
+        FaultCase{"slow",
+                  adjusted(make_fault(TroubleKind::slow, 1, 2, {"box-1"}), [](Trouble& x) { x.factor = 60; }),
+                  [](const ScenarioRun& p) { return p.result.latencies[0].quantile(0.999) > 0.03; }},
+        FaultCase{
+            "cold_return", make_fault(TroubleKind::cold_return, 1, 0, {"box-1"}),
+            [](const ScenarioRun& p) { return log_contains(p, "1 servers told") && p.result.misses > 0; }},
+        FaultCase{"void_copies", make_fault(TroubleKind::void_copies, 1.5, 0),
+                  [](const ScenarioRun& p) {
+                      return forwards_in_second(p, 3, 2) > 1.8 * forwards_in_second(p, 3, 0);
+                  }},
+        FaultCase{"hot_key",
+                  adjusted(make_fault(TroubleKind::hot_key, 1, 2), [](Trouble& x) { x.part = 0.6; }),
+                  [](const ScenarioRun& p) {
+                      double most = 0;
+                      for (std::size_t i = 0; i < 3; ++i) most = std::max(most, forwards_in_second(p, i, 1));
+                      return most > 1.3 *
+                                        (forwards_in_second(p, 0, 1) + forwards_in_second(p, 1, 1) +
+                                         forwards_in_second(p, 2, 1)) /
+                                        3;
+                  }},
+        FaultCase{"origin_slow",
+                  adjusted(make_fault(TroubleKind::origin_slow, 1, 2), [](Trouble& x) { x.factor = 15; }),
+                  [](const ScenarioRun& p) { return p.result.latencies[1].quantile(0.9) > 0.1; }},
+        FaultCase{"origin_stop", make_fault(TroubleKind::origin_stop, 1, 1.5),
+                  [](const ScenarioRun& p) {
+                      return p.result.origin_halts == 1 && log_contains(p, "origin: forward timed out");
+                  }},
+        FaultCase{"scan", adjusted(make_fault(TroubleKind::scan, 1, 1.5), [](Trouble& x) { x.part = 0.5; }),
+                  [](const ScenarioRun& p) {
+                      return forwards_in_second(p, 3, 1) > 2 * forwards_in_second(p, 3, 0);
+                  }},
+        FaultCase{"discovery_restart", make_fault(TroubleKind::discovery_restart, 0.8, 2.4, {"box-2"}),
+                  [](const ScenarioRun& p) {
+                      return log_contains(p, "connection lost") && log_contains(p, "(whole list)") &&
+                             forwards_in_second(p, 1, 2) == 0;
+                  }},
+        FaultCase{"drain", make_fault(TroubleKind::drain, 0.5, 0, {"box-3"}),
+                  [](const ScenarioRun& p) {
+                      return forwards_in_second(p, 2, 2) == 0 && forwards_in_second(p, 2, 0) > 0;
+                  }},
+        FaultCase{"remove", make_fault(TroubleKind::remove, 0.3, 0.5, {"box-3"}),
+                  [](const ScenarioRun& p) { return forwards_in_second(p, 2, 2) == 0; }},
+        FaultCase{"node_kill", make_fault(TroubleKind::node_kill, 1, 0.5),
+                  [](const ScenarioRun& p) { return has_mark(p, "node 0 serves again"); }},
+        FaultCase{"node_restart", make_fault(TroubleKind::node_restart, 1, 0),
+                  [](const ScenarioRun& p) {
+                      return has_mark(p, "has ended, exit code 0") && log_contains(p, "told to end");
+                  }},
+        FaultCase{"reload", make_fault(TroubleKind::reload, 1, 0),
+                  [](const ScenarioRun& p) { return log_contains(p, "configuration read again"); }},
+        FaultCase{"reload_bad", make_fault(TroubleKind::reload_bad, 1, 0),
+                  [](const ScenarioRun& p) { return log_contains(p, "not taken, the old one stays"); }},
+        FaultCase{"spoilt", make_fault(TroubleKind::spoilt, 1, 1.5, {"box-1"}),
+                  [](const ScenarioRun& p) { return log_contains(p, "box-1: nonsense"); }},
+        FaultCase{"tricklers",
+                  adjusted(make_fault(TroubleKind::tricklers, 0.3, 3), [](Trouble& x) { x.count = 150; }),
+                  [](const ScenarioRun& p) { return p.result.daemon_descriptors > 150; }},
+        FaultCase{
+            "non_readers",
+            adjusted(make_fault(TroubleKind::non_readers, 0.3, 3), [](Trouble& x) { x.count = 10; }),
+            [](const ScenarioRun& p) { return p.result.verdict.attempts > p.result.verdict.requests + 300; }},
+        FaultCase{"over_share",
+                  adjusted(make_fault(TroubleKind::over_share, 1, 1, {"partners"}),
+                           [](Trouble& x) { x.factor = 5; }),
+                  [](const ScenarioRun& p) {
+                      return p.result.verdict.seconds[1].offered > 1.5 * p.result.verdict.seconds[0].offered;
+                  }}),
     [](const auto& one) { return one.param.name; });
 
-class NewsWithheld : public testing::TestWithParam<TroubleKind> {};
+class WithheldUpdate : public testing::TestWithParam<TroubleKind> {};
 
-TEST_P(NewsWithheld, ReachesTheDaemonOnlyAfterwards) {
-    Scenario s = small_day(4);
-    s.troubles = {trouble(GetParam(), 0.2, 2.5), trouble(TroubleKind::drain, 0.4, 0, {"box-3"})};
-    const Played p = play(s);
+TEST_P(WithheldUpdate, ReachesTheDaemonOnlyAfterTheFault) {
+    Scenario s = small_scenario(4);
+    s.troubles = {make_fault(GetParam(), 0.2, 2.5), make_fault(TroubleKind::drain, 0.4, 0, {"box-3"})};
+    const ScenarioRun p = run_scenario(s);
     ASSERT_EQ(p.result.failed, "");
     EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
-    EXPECT_GT(forwards(p, 2, 1), 0);  // it drains, and nobody has been told
-    EXPECT_EQ(forwards(p, 2, 3), 0);
+    EXPECT_GT(forwards_in_second(p, 2, 1), 0);  // the server drains, but no node has the update
+    EXPECT_EQ(forwards_in_second(p, 2, 3), 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Discovery, NewsWithheld,
+INSTANTIATE_TEST_SUITE_P(Discovery, WithheldUpdate,
                          testing::Values(TroubleKind::discovery_stale, TroubleKind::discovery_down));
 
-TEST(Rehearsal, ManyTroublesAtOnceBreakNoRule) {
-    Scenario s = small_day(6);
+TEST(Rehearsal, ConcurrentFaultsCauseNoViolation) {
+    Scenario s = small_scenario(6);
     s.nodes = 2;
     s.kinds[0].count = 5;
-    s.troubles = {trouble(TroubleKind::silent, 1, 2, {"box-1"}),
-                  trouble(TroubleKind::cold_return, 1.5, 0, {"box-2"}),
-                  trouble(TroubleKind::void_copies, 2, 0),
-                  with(trouble(TroubleKind::origin_slow, 2, 2), [](Trouble& x) { x.factor = 5; }),
-                  with(trouble(TroubleKind::hot_key, 2.2, 1), [](Trouble& x) { x.part = 0.4; }),
-                  trouble(TroubleKind::discovery_down, 1.2, 2),
-                  trouble(TroubleKind::node_kill, 2.5, 0.5),
-                  trouble(TroubleKind::spoilt, 3, 1, {"box-3"}),
-                  with(trouble(TroubleKind::tricklers, 1, 4), [](Trouble& x) { x.node = 1; })};
-    const Played p = play(s);
+    s.troubles = {make_fault(TroubleKind::silent, 1, 2, {"box-1"}),
+                  make_fault(TroubleKind::cold_return, 1.5, 0, {"box-2"}),
+                  make_fault(TroubleKind::void_copies, 2, 0),
+                  adjusted(make_fault(TroubleKind::origin_slow, 2, 2), [](Trouble& x) { x.factor = 5; }),
+                  adjusted(make_fault(TroubleKind::hot_key, 2.2, 1), [](Trouble& x) { x.part = 0.4; }),
+                  make_fault(TroubleKind::discovery_down, 1.2, 2),
+                  make_fault(TroubleKind::node_kill, 2.5, 0.5),
+                  make_fault(TroubleKind::spoilt, 3, 1, {"box-3"}),
+                  adjusted(make_fault(TroubleKind::tricklers, 1, 4), [](Trouble& x) { x.node = 1; })};
+    const ScenarioRun p = run_scenario(s);
     ASSERT_EQ(p.result.failed, "");
     EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     EXPECT_EQ(p.result.crashes, 0);
-    EXPECT_TRUE(marked(p, "node 0 serves again"));
-    // By its last second the day has come back by itself.
+    EXPECT_TRUE(has_mark(p, "node 0 serves again"));
+    // By its last second the run has recovered without intervention.
     EXPECT_GT(p.result.verdict.seconds.back().ratio(), 0.9) << summary_text(p.plan, p.result);
 }
 
-// ---- bad daemons ----------------------------------------------------------------------------------------
+// ---- faulty daemons ------------------------------------------------------------------------------------
 
-struct Bad {
+struct BadDaemonCase {
     const char* mode;
-    int rule;  // 0: the control
-    const char* said;
+    int rule;  // the rule that the daemon breaks; 0: none, the control; -1: the daemon crashes
+    const char* violation_text;
 };
 
-class BadDaemon : public testing::TestWithParam<Bad> {};
+class BadDaemon : public testing::TestWithParam<BadDaemonCase> {};
 
-TEST_P(BadDaemon, IsCaughtWithTheInvocationNamed) {
-    Scenario s = small_day(3);
+TEST_P(BadDaemon, IsReportedWithItsRequest) {
+    Scenario s = small_scenario(3);
     s.clients.rate = 120;
     if (std::string(GetParam().mode) == "drained")
-        s.troubles = {trouble(TroubleKind::drain, 0.5, 0, {"box-1"})};
+        s.troubles = {make_fault(TroubleKind::drain, 0.5, 0, {"box-1"})};
     if (std::string(GetParam().mode) == "pusher") {
         s.length = 6;
         s.warm_within = 8;
@@ -434,10 +453,10 @@
         s.kinds[0].count = 8;
         s.clients.rate = 400;
         s.operations[0].work = 0.02;
-        s.troubles = {trouble(TroubleKind::cold_return, 1, 0, {"box-1"})};
+        s.troubles = {make_fault(TroubleKind::cold_return, 1, 0, {"box-1"})};
     }
     setenv("BAD_DAEMON", GetParam().mode, 1);
-    const Played p = play(s, BAD_DAEMON_PROGRAM);
+    const ScenarioRun p = run_scenario(s, BAD_DAEMON_PROGRAM);
     ASSERT_EQ(p.result.failed, "");
     const auto& v = p.result.verdict;
     if (GetParam().rule == 0) {
@@ -452,7 +471,7 @@
     ASSERT_GT(v.violations_by_rule[static_cast<std::size_t>(GetParam().rule)], 0)
         << summary_text(p.plan, p.result);
     const auto found = std::find_if(v.violations.begin(), v.violations.end(), [](const auto& f) {
-        return f.rule == GetParam().rule && f.what.find(GetParam().said) != std::string::npos;
+        return f.rule == GetParam().rule && f.what.find(GetParam().violation_text) != std::string::npos;
     });
     ASSERT_NE(found, v.violations.end()) << summary_text(p.plan, p.result);
     EXPECT_GE(found->request, 0);
@@ -461,20 +480,23 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All, BadDaemon,
-    testing::Values(Bad{"", 0, ""}, Bad{"twice", 1, "second final answer"}, Bad{"mute", 1, "no final answer"},
-                    Bad{"late", 1, "after the client timeout"}, Bad{"liar", 1, "no server made"},
-                    Bad{"hangup", 0, ""}, Bad{"after", 1, "after the final answer"},
-                    Bad{"repeat", 2, "non-idempotent"}, Bad{"throttle", 2, "throttled"},
-                    Bad{"drained", 3, "drains"}, Bad{"pusher", 4, "pushed over"}, Bad{"crash", -1, ""}),
+    testing::Values(BadDaemonCase{"", 0, ""}, BadDaemonCase{"twice", 1, "second final answer"},
+                    BadDaemonCase{"mute", 1, "no final answer"},
+                    BadDaemonCase{"late", 1, "after the client timeout"},
+                    BadDaemonCase{"liar", 1, "no server made"}, BadDaemonCase{"hangup", 0, ""},
+                    BadDaemonCase{"after", 1, "after the final answer"},
+                    BadDaemonCase{"repeat", 2, "non-idempotent"}, BadDaemonCase{"throttle", 2, "throttled"},
+                    BadDaemonCase{"drained", 3, "drains"}, BadDaemonCase{"pusher", 4, "pushed over"},
+                    BadDaemonCase{"crash", -1, ""}),
     [](const auto& one) { return std::string(*one.param.mode != '\0' ? one.param.mode : "control"); });
 
 // ---- ends -----------------------------------------------------------------------------------------------
 
-TEST(Rehearsal, InterruptedItLeavesNothingBehindAndAPartialReport) {
-    Scenario s = small_day(60);
-    const auto begun = std::chrono::steady_clock::now();
-    const Played p = play(s, BROOKRELAY_PROGRAM, [&] {
-        return std::chrono::steady_clock::now() - begun > std::chrono::milliseconds(1500);
+TEST(Rehearsal, InterruptedRunLeavesNoProcessAndAPartialReport) {
+    Scenario s = small_scenario(60);
+    const auto started = std::chrono::steady_clock::now();
+    const ScenarioRun p = run_scenario(s, BROOKRELAY_PROGRAM, [&] {
+        return std::chrono::steady_clock::now() - started > std::chrono::milliseconds(1500);
     });
     EXPECT_TRUE(p.result.was_interrupted);
     EXPECT_LT(p.result.length, 30);
@@ -484,33 +506,35 @@
     EXPECT_EQ(waitpid(-1, nullptr, WNOHANG), -1);  // no child is left
 }
 
-TEST(Rehearsal, SaysWhyADaemonDoesNotStart) {
-    EXPECT_NE(play(small_day(), "/bin/false").result.failed.find("exit code 1"), std::string::npos);
-    EXPECT_NE(play(small_day(), "/no/such/program").result.failed.find("exit code 127"), std::string::npos);
+TEST(Rehearsal, ReportsWhyADaemonDoesNotStart) {
+    EXPECT_NE(run_scenario(small_scenario(), "/bin/false").result.failed.find("exit code 1"),
+              std::string::npos);
+    EXPECT_NE(run_scenario(small_scenario(), "/no/such/program").result.failed.find("exit code 127"),
+              std::string::npos);
 }
 
-TEST(Rehearsal, APortThatIsTakenIsLeftToWhoHasIt) {
-    int taken = 0;
-    const int holder = bound_socket(taken);
+TEST(Rehearsal, SkipsAPortThatIsInUse) {
+    int taken_port = 0;
+    const int holder = bound_socket(taken_port);
     listen(holder, 1);
-    Played p;
-    p.plan.scenario = small_day(1);
+    ScenarioRun p;
+    p.plan.scenario = small_scenario(1);
     p.plan.program = BROOKRELAY_PROGRAM;
-    p.plan.folder = folder_for("taken");
-    p.plan.first_port = static_cast<unsigned short>(taken);
+    p.plan.folder = create_run_folder("taken");
+    p.plan.first_port = static_cast<unsigned short>(taken_port);
     p.result = play_day(p.plan);
     close(holder);
     EXPECT_EQ(p.result.failed, "");
     EXPECT_GT(p.result.verdict.succeeded, 100U);
 }
 
-TEST(Rehearsal, TwoSideBySideDoNotMeet) {
+TEST(Rehearsal, ConcurrentRunsDoNotInterfere) {
     const pid_t child = fork();
     if (child == 0) {
-        const Played p = play(small_day(2));
+        const ScenarioRun p = run_scenario(small_scenario(2));
         _exit(p.result.failed.empty() && p.result.verdict.violations.empty() ? 0 : 1);
     }
-    const Played p = play(small_day(2));
+    const ScenarioRun p = run_scenario(small_scenario(2));
     EXPECT_EQ(p.result.failed, "");
     EXPECT_TRUE(p.result.verdict.violations.empty()) << summary_text(p.plan, p.result);
     int status = 1;
