--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -1,4 +1,5 @@
-// Each case is a trouble met on the bench, played on the module alone.
+// Regression tests of the balancer. Each test reproduces a failure that was found in scenario runs, on the
+// balancer alone.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,28 +10,29 @@
 
 namespace {
 
-// Of 400 reads, how many are rejected at once; writes are not.
-int rejected(Fleet& fleet) {
+// Returns how many of 400 reads are rejected at once.
+int count_rejected_reads(Fleet& fleet) {
     const std::size_t before = fleet.host.throttled.size();
     for (int n = 0; n < 400; ++n) fleet.owner(static_cast<std::uint64_t>(n) * 7919);
     return static_cast<int>(fleet.host.throttled.size() - before);
 }
 
-// At full size the caches of a live list held 7 to 28 requests a core, and no node alone could hold that off.
+// Guards against overload at full fleet size: the caches of a list with live weights held 7 to 28 requests a
+// core, which no node could prevent by itself.
 TEST(LoadShedding, RejectsReadsWhileTheListShowsAllCachesOverloaded) {
     Fleet fleet(6);
     fleet.deployment.endpoint_weights = EndpointWeights::load_adjusted;
-    for (Endpoint& l : fleet.list) l.weight = 2;
+    for (Endpoint& endpoint : fleet.list) endpoint.weight = 2;
     fleet.start();
-    EXPECT_EQ(rejected(fleet), 0);
-    for (Endpoint& l : fleet.list) l.weight = 0.1;
+    EXPECT_EQ(count_rejected_reads(fleet), 0);
+    for (Endpoint& endpoint : fleet.list) endpoint.weight = 0.1;
     for (int n = 0; n < 4; ++n) fleet.tell(UpdateKind::delta);
-    EXPECT_GT(rejected(fleet), 150);
+    EXPECT_GT(count_rejected_reads(fleet), 150);
     const int write = fleet.arrive(5, 1, true);
     EXPECT_EQ(fleet.finals(write), 0);
-    for (Endpoint& l : fleet.list) l.weight = 2;
+    for (Endpoint& endpoint : fleet.list) endpoint.weight = 2;
     for (int n = 0; n < 12; ++n) fleet.tell(UpdateKind::delta);
-    EXPECT_EQ(rejected(fleet), 0);
+    EXPECT_EQ(count_rejected_reads(fleet), 0);
 }
 
 TEST(LoadShedding, RejectsReadsWhileAttemptsTakeTooLong) {
@@ -45,8 +47,9 @@
         for (int n = 0; n < 400; ++n) {
             fleet.now += 0.05;
             const std::size_t before = fleet.host.sent.size();
-            const int inv = fleet.arrive(static_cast<std::uint64_t>(n) * 7919);
-            if (fleet.host.sent.size() > before) fleet.end(inv, 0, AttemptOutcome::succeeded, c.took, true);
+            const int request = fleet.arrive(static_cast<std::uint64_t>(n) * 7919);
+            if (fleet.host.sent.size() > before)
+                fleet.end(request, 0, AttemptOutcome::succeeded, c.took, true);
         }
         const int n = static_cast<int>(fleet.host.throttled.size());
         EXPECT_GE(n, c.least);
@@ -54,11 +57,13 @@
     }
 }
 
-// What is open ends by the operation that it came with, and an ejected cache stays ejected.
+// A pending request keeps the operation that it arrived with when the configuration changes, and an ejected
+// cache stays ejected.
 TEST(Reconfiguration, LeavesOpenRequestsAndEjectedCachesAsTheyAre) {
     Fleet fleet(6);
     fleet.start();
-    const int inv = fleet.arrive(77);  // idempotent as it came: may be retried though it may have run
+    // Idempotent at its arrival: may be retried although it may have run.
+    const int request = fleet.arrive(77);
     const int owner = fleet.host.sent.back().cache;
     Deployment other = fleet.deployment;
     std::swap(other.operations[0], other.operations[2]);
@@ -68,16 +73,16 @@
         fleet.node->on_configuration(fleet.now, round == 0 ? other : fleet.deployment);
         fleet.tell(UpdateKind::full);
         if (round == 0) {
-            fleet.end(inv, 0, AttemptOutcome::timed_out, 0.4);
-            EXPECT_EQ(fleet.host.sent.back().inv, inv);
+            fleet.end(request, 0, AttemptOutcome::timed_out, 0.4);
+            EXPECT_EQ(fleet.host.sent.back().inv, request);
             EXPECT_NE(fleet.host.sent.back().cache, owner);
-            const int later = fleet.arrive(78);  // and this one is non-idempotent
+            const int later = fleet.arrive(78);  // non-idempotent under the new configuration
             fleet.end(later, 0, AttemptOutcome::timed_out, 0.4);
             EXPECT_EQ(fleet.host.errored, std::vector<int>{later});
         }
     }
-    fleet.end(inv, 1, AttemptOutcome::succeeded, 0.05, true);
-    EXPECT_EQ(fleet.finals(inv), 0);
+    fleet.end(request, 1, AttemptOutcome::succeeded, 0.05, true);
+    EXPECT_EQ(fleet.finals(request), 0);
     for (int n = 0; n < 3; ++n) {
         const int lost = fleet.arrive(77, 1);
         fleet.now += 0.4;
@@ -97,14 +102,14 @@
     const int owner = fleet.owner(77);
     int failures = 0;
     for (int round = 0; round < 100 && failures < 3; ++round) {
-        const int inv = fleet.arrive(77);
+        const int request = fleet.arrive(77);
         fleet.now += 0.4;
-        if (fleet.host.sent.back().inv != inv || fleet.host.sent.back().cache != owner) continue;
-        fleet.end(inv, 0, AttemptOutcome::timed_out, 0.4);
+        if (fleet.host.sent.back().inv != request || fleet.host.sent.back().cache != owner) continue;
+        fleet.end(request, 0, AttemptOutcome::timed_out, 0.4);
         ++failures;
     }
     EXPECT_EQ(failures, 3);
-    fleet.now += 0.3;  // its gate's pause is over, so only its ejection keeps it out
+    fleet.now += 0.3;  // the pause of its concurrency limit is over, so only the ejection keeps it out
     EXPECT_NE(fleet.owner(77), owner);
     bool back = false;
     for (int n = 0; n < 50; ++n) {
@@ -119,7 +124,7 @@
     fleet.start();
     const int owner = fleet.owner(77);
     const int held = fleet.arrive(77);
-    const int other = fleet.arrive(77, 2);  // non-idempotent: it may have run, so it stays
+    const int other = fleet.arrive(77, 2);  // non-idempotent: it may have run, so it is not cancelled
     fleet.now += 0.5;
     EXPECT_NE(fleet.owner(77), owner);
     EXPECT_EQ(fleet.host.cancelled, std::vector<int>{held});
@@ -136,12 +141,12 @@
     std::vector<int> used;
     for (int round = 0; round < 12; ++round) {
         SCOPED_TRACE(round);
-        // Each cache that takes the key answers full until its gate pauses.
+        // Each cache that gets the key responds busy until its concurrency limit pauses.
         fleet.now += 0.01;
         const std::size_t before = fleet.host.sent.size();
-        const int inv = fleet.arrive(5);
+        const int request = fleet.arrive(5);
         if (fleet.host.sent.size() == before) {
-            EXPECT_EQ(fleet.finals(inv), 1);
+            EXPECT_EQ(fleet.finals(request), 1);
             continue;
         }
         const int at = fleet.host.sent.back().cache;
@@ -151,7 +156,7 @@
             const int more = fleet.arrive(5);
             if (fleet.finals(more) == 0) fleet.end(more, 0, AttemptOutcome::busy);
         }
-        fleet.end(inv, 0, AttemptOutcome::busy);
+        fleet.end(request, 0, AttemptOutcome::busy);
     }
     EXPECT_FALSE(used.empty());
     EXPECT_LE(used.size(), 2U);
@@ -202,24 +207,25 @@
         int requests;
         bool rejected;
     };
-    // A hundred nodes, so a tenant's share here is one request in two seconds.
+    // With a hundred nodes, a tenant's share at this node is one request in two seconds.
     for (const Case& c : {Case{5, false}, Case{9, false}, Case{60, true}}) {
         SCOPED_TRACE(testing::Message() << c.requests << " requests");
         Fleet fleet(4);
         fleet.deployment.node_count = 100;
         fleet.deployment.tenants = {{50}, {50}};
         fleet.start();
-        for (int n = 0; n < 40; ++n) {  // slow answers everywhere: the pressure is at its highest
+        // Slow responses everywhere: the shedding pressure reaches its maximum.
+        for (int n = 0; n < 40; ++n) {
             fleet.now += 0.26;
-            const int inv = fleet.arrive(static_cast<std::uint64_t>(n));
-            if (fleet.finals(inv) == 0) fleet.end(inv, 0, AttemptOutcome::succeeded, 0.25, true);
+            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
+            if (fleet.finals(request) == 0) fleet.end(request, 0, AttemptOutcome::succeeded, 0.25, true);
         }
-        fleet.now += 9;  // no gate pauses any more; the pressure falls by one step a look
+        fleet.now += 9;  // no concurrency limit is paused any more; the pressure falls by one step per check
         bool rejected = false;
         for (int n = 0; n < c.requests; ++n) {
-            const int inv = fleet.arrive(1, 0, false, 1.2, false, 1);
-            rejected = rejected || fleet.finals(inv) > 0;
-            if (fleet.finals(inv) == 0) fleet.end(inv, 0, AttemptOutcome::succeeded, 0.05, true);
+            const int request = fleet.arrive(1, 0, false, 1.2, false, 1);
+            rejected = rejected || fleet.finals(request) > 0;
+            if (fleet.finals(request) == 0) fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
         }
         EXPECT_EQ(rejected, c.rejected);
     }
@@ -230,7 +236,7 @@
         int strained_of_ten;
         bool shed;
     };
-    // Two endings a second: a second alone shows all or nothing.
+    // At two completions a second, a single second shows all of them strained or none.
     for (const Case& c : {Case{0, false}, Case{1, false}, Case{2, true}, Case{5, true}}) {
         SCOPED_TRACE(testing::Message() << c.strained_of_ten << " of ten strained");
         Fleet fleet(4);
@@ -239,15 +245,15 @@
         fleet.start();
         for (int n = 0; n < 100; ++n) {
             fleet.now += 0.5;
-            const int inv = fleet.arrive(static_cast<std::uint64_t>(n));
+            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
             const bool strained = n * c.strained_of_ten % 10 < c.strained_of_ten;
-            if (fleet.finals(inv) == 0)
-                fleet.end(inv, 0, AttemptOutcome::succeeded, strained ? 0.25 : 0.05, true);
+            if (fleet.finals(request) == 0)
+                fleet.end(request, 0, AttemptOutcome::succeeded, strained ? 0.25 : 0.05, true);
         }
         std::size_t shed = fleet.host.throttled.size();
         for (int n = 0; n < 60; ++n) {
-            const int inv = fleet.arrive(1, 0, false, 1.2, false, 1);
-            if (fleet.finals(inv) == 0) fleet.end(inv, 0, AttemptOutcome::succeeded, 0.05, true);
+            const int request = fleet.arrive(1, 0, false, 1.2, false, 1);
+            if (fleet.finals(request) == 0) fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
         }
         shed = fleet.host.throttled.size() - shed;
         if (c.shed) {
@@ -278,7 +284,7 @@
     struct Case {
         int nodes, again;
     };
-    // Each of twelve requests finds one full cache; so many of them are retried.
+    // Each of twelve requests gets a busy response; `again` of them are retried.
     for (const Case& c : {Case{1, 12}, Case{5, 12}, Case{700, 3}}) {
         SCOPED_TRACE(testing::Message() << c.nodes << " nodes");
         Fleet fleet(200);
@@ -300,25 +306,25 @@
         fleet.start();
         for (int n = 0; n < 20; ++n) {
             fleet.now += 0.1;
-            const int inv = fleet.arrive(static_cast<std::uint64_t>(n));
+            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
             const bool full = n % 10 < c.full_of_ten;
-            fleet.end(inv, 0, full ? AttemptOutcome::busy : AttemptOutcome::succeeded, 0.05, true);
+            fleet.end(request, 0, full ? AttemptOutcome::busy : AttemptOutcome::succeeded, 0.05, true);
         }
         fleet.now += 0.1;
-        const int inv = fleet.arrive(1000);
-        fleet.end(inv, 0, AttemptOutcome::busy);
-        EXPECT_EQ(fleet.finals(inv) == 0, c.again);
+        const int request = fleet.arrive(1000);
+        fleet.end(request, 0, AttemptOutcome::busy);
+        EXPECT_EQ(fleet.finals(request) == 0, c.again);
     }
 }
 
-// Connections that fall silent one by one. Each would halve the gate, and at the origin close it for a while,
-// though the server answers all others: on the bench the origin idled while most misses and writes were
-// rejected.
+// Guards against an ejection for connections that become unresponsive one by one while the server answers on
+// all others. Each one halved the concurrency limit and, at the origin, paused it: in a scenario run the
+// origin was idle while most misses and writes were rejected.
 TEST(Ejection, IsNotCausedByLostConnectionsOfAServerThatAnswers) {
     struct Case {
         bool answers;  // the server answers others in the meantime
-        AttemptOutcome ending;
-        double out;  // how long the lost ones were out
+        AttemptOutcome outcome;
+        double out;  // s for which the lost attempts were pending
         bool trusted;
     };
     for (const Case& c :
@@ -327,7 +333,7 @@
           Case{false, AttemptOutcome::timed_out, 1, false}, Case{false, AttemptOutcome::reset, 0, false}}) {
         for (const bool write : {true, false}) {  // at the origin, and at the owner of a key
             SCOPED_TRACE(testing::Message() << (c.answers ? "answers others, " : "answers nobody, ")
-                                            << "outcome " << static_cast<int>(c.ending) << ", out " << c.out
+                                            << "outcome " << static_cast<int>(c.outcome) << ", out " << c.out
                                             << (write ? ", origin" : ", cache"));
             Fleet fleet(3);
             fleet.start();
@@ -342,7 +348,7 @@
             }
             if (c.out == 0) send();
             const int at = fleet.host.sent.back().cache;
-            for (int inv : lost) fleet.end(inv, 0, c.ending, c.out, true);
+            for (int request : lost) fleet.end(request, 0, c.outcome, c.out, true);
             const std::size_t before = fleet.host.sent.size();
             fleet.arrive(5, 0, write);
             const bool trusted = fleet.host.sent.size() > before && fleet.host.sent.back().cache == at;
@@ -352,10 +358,11 @@
 }
 
 TEST(ServerListRequests, AreSpreadOutAndRepeatedAfterAFailure) {
-    // What many that start together ask for is spread out, first calls and those after a failure.
+    // Nodes that start together spread out their first request and the one after a failure.
     struct Case {
         int nodes;
-        // s, of twenty nodes the latest; again within 4, since what discovery has counts as told 6 s later.
+        // Bounds in s of the latest request of twenty nodes. The one after a failure comes within 4 s,
+        // because an entry that discovery has counts as known to the node 6 s later.
         double first_least, first_most, again_least, again_most;
     };
     for (const Case& c : {Case{1, 0, 0.2, 0, 0.3}, Case{48, 2, 5, 3, 4}, Case{1000, 2, 5, 3, 4}}) {
@@ -385,8 +392,8 @@
     }
 }
 
-// A process that takes another's place knows a silent cache and a slow one at once; figures out of all bounds
-// are bounded.
+// A process that replaces another one restores its snapshot and avoids an unresponsive cache from the first
+// request. Values out of range are clamped.
 TEST(LearnedState, OfAnotherProcessHoldsFromTheFirstRequest) {
     Fleet old(4);
     old.start();
@@ -413,31 +420,32 @@
     next.node->restore(next.now, learned);
     EXPECT_GT(next.owner(key), 0);
     EXPECT_NE(next.owner(key), silent);
-    WarmStartSnapshot wild{7, -3, 0, 1e9, -1, {50, -50}, {{silent, -9, 1e9, false}}};
+    WarmStartSnapshot out_of_range{7, -3, 0, 1e9, -1, {50, -50}, {{silent, -9, 1e9, false}}};
     Fleet bounded(4);
     bounded.start();
-    bounded.node->restore(bounded.now, wild);
-    const WarmStartSnapshot kept = bounded.node->snapshot(bounded.now);
-    EXPECT_EQ(kept.spillover_ratio, 1);
-    EXPECT_EQ(kept.shedding_ratio, 0);
-    EXPECT_GT(kept.admission_ratio, 0);
-    EXPECT_LT(kept.origin_concurrency_limit, 100);
-    EXPECT_EQ(kept.origin_latency, 0);
-    for (const WarmStartSnapshot::ServerSnapshot& c : kept.servers) {
+    bounded.node->restore(bounded.now, out_of_range);
+    const WarmStartSnapshot restored = bounded.node->snapshot(bounded.now);
+    EXPECT_EQ(restored.spillover_ratio, 1);
+    EXPECT_EQ(restored.shedding_ratio, 0);
+    EXPECT_GT(restored.admission_ratio, 0);
+    EXPECT_LT(restored.origin_concurrency_limit, 100);
+    EXPECT_EQ(restored.origin_latency, 0);
+    for (const WarmStartSnapshot::ServerSnapshot& c : restored.servers) {
         EXPECT_GE(c.concurrency_limit, 1);
         EXPECT_LT(c.backoff_remaining, 10);
     }
 }
 
-// In a fleet of hundreds a node meets each cache of a lost zone once, and no cache was ejected by itself:
-// over half of the attempts failed, which passed for a jam, and the refusals for full tables.
+// Guards against a lost zone staying in use. In a fleet of hundreds a node meets each cache of a lost zone
+// once, so no cache was ejected by itself: over half of the attempts failed, which was taken for congestion,
+// and the refusals for full connection tables.
 TEST(ZoneEjection, OfALostZoneIsOfTheWholeZone) {
     struct Case {
-        int answered_before;  // in a row in both zones, and after that over and over:
+        int answered_before;  // in a row; then `refused` and `answered` repeat in turn
         int refused, answered;
         bool doubted;
     };
-    // A zone that refuses three in a row by chance, as with full tables, is not lost.
+    // A zone that refuses three in a row by chance, as with full connection tables, is not lost.
     for (const Case& c :
          {Case{20, 3, 0, true}, Case{20, 2, 0, false}, Case{0, 3, 1, false}, Case{0, 8, 5, false}}) {
         SCOPED_TRACE(testing::Message() << c.answered_before << " answered before, then " << c.refused
@@ -449,14 +457,16 @@
         fleet.deployment.connect_timeout = 0.25;
         fleet.start();
         std::uint64_t key = 0;
-        // Where the next request goes, which ends so there and is not retried; the own zone is 0.
-        const auto next = [&](AttemptOutcome ending) {
-            fleet.now += 0.002;  // all of a case within one look, or reach moves keys too
+        // Sends a request, ends it with the outcome and returns its zone, or -1 if it was not sent. The
+        // node's own zone is 0.
+        const auto next = [&](AttemptOutcome outcome) {
+            // The whole case stays within one check interval; else spillover moves keys too.
+            fleet.now += 0.002;
             const std::size_t before = fleet.host.sent.size();
-            const int inv = fleet.arrive(++key * 7919);
+            const int request = fleet.arrive(++key * 7919);
             if (fleet.host.sent.size() == before) return -1;
             const int zone = (fleet.host.sent.back().cache - 1) % 2;
-            fleet.end(inv, 0, ending, 0.001, true);
+            fleet.end(request, 0, outcome, 0.001, true);
             return zone;
         };
         for (int n = 0; n < c.answered_before; ++n) EXPECT_EQ(next(AttemptOutcome::succeeded), 0);
@@ -466,27 +476,27 @@
         }
         EXPECT_EQ(next(AttemptOutcome::succeeded), c.doubted ? 1 : 0);
         if (!c.doubted) continue;
-        // What its refusals say of tables is taken back: connections rest as long as before.
+        // Its refusals no longer count as full connection tables: connections stay idle as long as before.
         fleet.now += 5;
         EXPECT_EQ(next(AttemptOutcome::refused), 0);
         EXPECT_TRUE(fleet.host.released.empty());
-        // Trials go on elsewhere, whatever tokens are left and however strained the rest is; an answer ends
-        // it.
+        // A failed trial is retried in the other zone, whatever the retry budget and the strain of the other
+        // servers; a successful one ends the zone's ejection.
         int trials = 0, in_zone = 0;
         for (int n = 0; n < 200; ++n) {
             fleet.now += 0.02;
             const std::size_t before = fleet.host.sent.size();
-            const int inv = fleet.arrive(++key * 7919);
+            const int request = fleet.arrive(++key * 7919);
             if (fleet.host.sent.size() == before) continue;
             if ((fleet.host.sent.back().cache - 1) % 2 == 1) {
-                fleet.end(inv, 0, AttemptOutcome::succeeded, n % 3 == 0 ? 0.05 : 0.3, true);
+                fleet.end(request, 0, AttemptOutcome::succeeded, n % 3 == 0 ? 0.05 : 0.3, true);
                 continue;
             }
             ++trials;
-            fleet.end(inv, 0, AttemptOutcome::refused, 0.25);
-            EXPECT_EQ(fleet.host.sent.back().inv, inv);
+            fleet.end(request, 0, AttemptOutcome::refused, 0.25);
+            EXPECT_EQ(fleet.host.sent.back().inv, request);
             EXPECT_EQ((fleet.host.sent.back().cache - 1) % 2, 1);
-            fleet.end(inv, 1, AttemptOutcome::succeeded, 0.05, true);
+            fleet.end(request, 1, AttemptOutcome::succeeded, 0.05, true);
         }
         EXPECT_GE(trials, 2);
         EXPECT_LE(trials, 10);
@@ -496,18 +506,19 @@
     }
 }
 
-// A node that reaches nobody had no bound on its retries but the most attempts that a request may have.
+// Guards against a missing retry bound: a node that reaches no server was bound only by the maximum number of
+// attempts per request.
 TEST(RetryBudget, BoundsRetriesWhenEveryZoneIsLost) {
     Fleet fleet(96, 2);
     fleet.deployment.node_count = 300;
     fleet.deployment.max_attempts = 2;
     fleet.start();
     std::uint64_t key = 0;
-    const auto next = [&](AttemptOutcome ending) {
+    const auto next = [&](AttemptOutcome outcome) {
         fleet.now += 0.002;
-        const int inv = fleet.arrive(++key * 7919);
-        for (int n = 0; n < 2 && fleet.finals(inv) == 0; ++n)
-            fleet.end(inv, n, ending, 0.001, ending == AttemptOutcome::succeeded);
+        const int request = fleet.arrive(++key * 7919);
+        for (int n = 0; n < 2 && fleet.finals(request) == 0; ++n)
+            fleet.end(request, n, outcome, 0.001, outcome == AttemptOutcome::succeeded);
     };
     for (int n = 0; n < 20; ++n) next(AttemptOutcome::succeeded);
     for (int n = 0; n < 10; ++n) next(AttemptOutcome::refused);
@@ -515,11 +526,11 @@
     for (int n = 0; n < 40; ++n) next(AttemptOutcome::refused);
     const int further = static_cast<int>(fleet.host.sent.size() - before) - 40;
     EXPECT_GE(further, 0);
-    EXPECT_LE(further, 2 + 8);  // what is saved up, and a fifth of those that came
+    EXPECT_LE(further, 2 + 8);  // a fifth of the 40 requests, and the rest of the saved budget
 }
 
-// What other nodes find of a cache is a doubt here, tried seldom; own quick answers go before it, and a slow
-// one at a trial does not end it.
+// A finding of other nodes ejects a cache here, with few trials. Recent quick responses to this node take
+// precedence, and a slow response to a trial does not end the ejection.
 TEST(Ejection, ByOtherNodesFindingsYieldsToOwnAnswers) {
     struct Case {
         bool answered_here;  // quickly, a moment ago
@@ -536,7 +547,7 @@
                      << static_cast<int>(c.trial) << ", took " << c.took);
         Fleet fleet(4);
         fleet.start();
-        // Many keys of one cache, or each would be hot and have several points.
+        // Uses many keys of one cache, as a single key would become hot and get several points.
         const int bad = fleet.owner(5);
         std::vector<std::uint64_t> keys;
         for (std::uint64_t k = 6; keys.size() < 40; ++k) {
@@ -554,15 +565,15 @@
         for (int n = 0; n < 400 && !ended; ++n) {  // 40 s
             fleet.now += 0.1;
             if (!(trials > 0 && !c.stays)) tell();
-            const int inv = fleet.arrive(keys[static_cast<std::size_t>(n) % keys.size()]);
-            if (fleet.host.sent.back().inv != inv) continue;
+            const int request = fleet.arrive(keys[static_cast<std::size_t>(n) % keys.size()]);
+            if (fleet.host.sent.back().inv != request) continue;
             if (fleet.host.sent.back().cache != bad) {
-                fleet.end(inv, 0, AttemptOutcome::succeeded, 0.05, true);
+                fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
                 continue;
             }
             ++trials;
             ended = trials > 20;
-            fleet.end(inv, 0, c.trial, c.took, true);
+            fleet.end(request, 0, c.trial, c.took, true);
         }
         if (c.stays) {
             EXPECT_GE(trials, 2);
@@ -570,7 +581,7 @@
         } else {
             EXPECT_GT(trials, 20);
         }
-        // Once they no longer find it, it is in use again as a cache that may have restarted meanwhile.
+        // When the finding ends, the cache is used again as one that may have restarted in the meantime.
         fleet.node->on_outlier_verdict(fleet.now, bad, false, 0);
         fleet.now += fleet.deployment.slow_start_duration + 1;
         if (c.trial == AttemptOutcome::succeeded) {
@@ -579,28 +590,29 @@
     }
 }
 
-// What the fleet says of a zone: left, it is tried seldom and one answer does not end that; on the way back
-// the same part of the keys goes there at every node; and what was out there is called back at once.
+// Follows the fleet's weight of a zone. When the zone is left, pending attempts there are cancelled at once,
+// trials are rare, and one response does not end the ejection. On the way back every node sends the same part
+// of the keys there.
 TEST(ZoneEjection, FollowsTheFleetsDecisionsOutAndBack) {
     Fleet fleet(16, 2);
     fleet.deployment.may_cancel = true;
     fleet.start();
     std::vector<std::uint64_t> keys;
     for (std::uint64_t k = 1; k <= 400; ++k) keys.push_back(k * 7919);
-    const auto in_zone = [&](int inv) {
-        return (fleet.host.sent.back().inv == inv) && (fleet.host.sent.back().cache - 1) % 2 == 0;
+    const auto in_zone = [&](int request) {
+        return (fleet.host.sent.back().inv == request) && (fleet.host.sent.back().cache - 1) % 2 == 0;
     };
-    const auto part_there = [&](double apart_each) {
+    const auto ratio_in_zone = [&](double interval) {
         int there = 0;
         for (const std::uint64_t key : keys) {
-            fleet.now += apart_each;
-            const int inv = fleet.arrive(key);
-            there += in_zone(inv);
-            fleet.end(inv, 0, AttemptOutcome::succeeded, 0.01, true);
+            fleet.now += interval;
+            const int request = fleet.arrive(key);
+            there += in_zone(request);
+            fleet.end(request, 0, AttemptOutcome::succeeded, 0.01, true);
         }
         return there / static_cast<double>(keys.size());
     };
-    EXPECT_EQ(part_there(0.01), 1);
+    EXPECT_EQ(ratio_in_zone(0.01), 1);
     const int out = fleet.arrive(keys[0]);
     EXPECT_TRUE(in_zone(out));
     fleet.now += 0.05;
@@ -611,69 +623,70 @@
     EXPECT_EQ(fleet.host.sent.back().inv, out);
     EXPECT_FALSE(in_zone(out));
     fleet.end(out, 1, AttemptOutcome::succeeded, 0.01, true);
-    const double tried = part_there(0.02) * static_cast<double>(keys.size());
+    const double tried = ratio_in_zone(0.02) * static_cast<double>(keys.size());
     EXPECT_GE(tried, 5);
     EXPECT_LE(tried, 12);  // 8 s, one a second, each answered
     fleet.node->set_zone_weight(fleet.now, 0, 0, 1e6);
-    EXPECT_EQ(part_there(0.01), 0);
+    EXPECT_EQ(ratio_in_zone(0.01), 0);
     for (const double part : {0.0625, 0.25, 0.5}) {
         SCOPED_TRACE(part);
         fleet.node->set_zone_weight(fleet.now, 0, part, 0);
-        const double there = part_there(0.01);
+        const double there = ratio_in_zone(0.01);
         EXPECT_GT(there, part * 0.6);
         EXPECT_LT(there, part * 1.5);
     }
     fleet.node->set_zone_weight(fleet.now, 0, 1, 0);
-    EXPECT_EQ(part_there(0.01), 1);
+    EXPECT_EQ(ratio_in_zone(0.01), 1);
 }
 
-// Past its part of the fleet's limit the node sends nothing to the origin: who asked is answered at once, and
-// what is saved up for retries stays for those that failed.
+// A node that has used up its part of the fleet's origin quota sends nothing to the origin: the request is
+// rejected at once, and the retry budget is kept for attempts that failed.
 TEST(OriginQuota, ARequestNotSentBecauseOfItIsAnsweredAtOnce) {
-    for (const AttemptOutcome ending : {AttemptOutcome::not_sent, AttemptOutcome::failed}) {
-        SCOPED_TRACE(ending == AttemptOutcome::not_sent ? "not sent" : "failed");
+    for (const AttemptOutcome outcome : {AttemptOutcome::not_sent, AttemptOutcome::failed}) {
+        SCOPED_TRACE(outcome == AttemptOutcome::not_sent ? "not sent" : "failed");
         Fleet fleet(4);
         fleet.start();
-        for (int n = 0; n < 40; ++n) {  // they earn retries
+        for (int n = 0; n < 40; ++n) {  // these earn retry budget
             fleet.now += 0.01;
             fleet.end(fleet.arrive(static_cast<std::uint64_t>(n) * 7919), 0, AttemptOutcome::succeeded, 0.01,
                       true);
         }
         const int write = fleet.arrive(5, 1, true);
         const std::size_t sent = fleet.host.sent.size();
-        fleet.end(write, 0, ending, 0);
-        EXPECT_EQ(fleet.finals(write), ending == AttemptOutcome::not_sent ? 1 : 0);
-        EXPECT_EQ(fleet.host.sent.size(), sent + (ending == AttemptOutcome::not_sent ? 0 : 1));
+        fleet.end(write, 0, outcome, 0);
+        EXPECT_EQ(fleet.finals(write), outcome == AttemptOutcome::not_sent ? 1 : 0);
+        EXPECT_EQ(fleet.host.sent.size(), sent + (outcome == AttemptOutcome::not_sent ? 0 : 1));
     }
 }
 
-// A tenant within its share that comes to one node alone looks greedy there; what other nodes leave to this
-// one tells.
+// A tenant within its quota whose requests all arrive at one node seems to exceed it there. The quota share
+// that other nodes leave to this node shows that it does not.
 TEST(TenantQuota, OfOneNodeIsWhatOtherNodesLeaveToIt) {
-    for (const bool told : {false, true}) {
-        SCOPED_TRACE(told ? "told" : "not told");
+    for (const bool has_quota_share : {false, true}) {
+        SCOPED_TRACE(has_quota_share ? "told" : "not told");
         Fleet fleet(4);
         fleet.deployment.node_count = 12;
         fleet.deployment.tenants = {{60}, {60}, {60}};
         fleet.start();
-        int rejected = 0, came = 0;
-        for (int n = 0; n < 600; ++n) {  // 12 s: the first one 40 a second, the others 5 each
+        int rejected = 0, arrived = 0;
+        for (int n = 0; n < 600; ++n) {  // 12 s: tenant 0 sends 40 a second, the others 5 each
             fleet.now += 0.02;
             const int tenant = n % 5 == 4 ? 1 + n / 5 % 2 : 0;
-            if (told && n % 12 == 0) fleet.node->set_tenant_quota_share(fleet.now, 0, 0.8);
-            const int inv = fleet.arrive(static_cast<std::uint64_t>(n) * 7919, 0, false, 1.2, false, tenant);
-            came += tenant == 0 && n > 300;
-            if (fleet.finals(inv) > 0) {
+            if (has_quota_share && n % 12 == 0) fleet.node->set_tenant_quota_share(fleet.now, 0, 0.8);
+            const int request =
+                fleet.arrive(static_cast<std::uint64_t>(n) * 7919, 0, false, 1.2, false, tenant);
+            arrived += tenant == 0 && n > 300;
+            if (fleet.finals(request) > 0) {
                 rejected += tenant == 0 && n > 300;
                 continue;
             }
-            fleet.end(inv, 0, AttemptOutcome::succeeded, n % 4 == 0 ? 0.25 : 0.05,
+            fleet.end(request, 0, AttemptOutcome::succeeded, n % 4 == 0 ? 0.25 : 0.05,
                       true);  // the caches are strained
         }
-        if (told) {
+        if (has_quota_share) {
             EXPECT_EQ(rejected, 0);
         } else {
-            EXPECT_GT(rejected, came / 4);
+            EXPECT_GT(rejected, arrived / 4);
         }
     }
 }
