--- a/src/testkit/client_reply.cpp
+++ b/src/testkit/client_reply.cpp
@@ -4,26 +4,26 @@
 
 namespace brookrelay::testkit {
 
-ClientReply classify_reply(const Heard& heard, std::uint32_t day, int request, std::uint64_t key) {
+ClientReply classify_reply(const Heard& response, std::uint32_t day, int request, std::uint64_t key) {
     ClientReply reply;
     int parsed_request = -1;
     const bool is_for_request =
-        !heard.id.empty() && read_id(heard.id, day, parsed_request) && parsed_request == request;
+        !response.id.empty() && read_id(response.id, day, parsed_request) && parsed_request == request;
     Value value;
-    switch (heard.kind) {
+    switch (response.kind) {
         case Heard::Kind::value:
             reply.kind = audit::Reply::succeeded;
-            if (is_for_request && read_value(heard.body, value) && value.key == key)
+            if (is_for_request && read_value(response.body, value) && value.key == key)
                 reply.attempt = value.attempt;
             break;
         case Heard::Kind::receipt:
             reply.kind = audit::Reply::succeeded;
-            if (is_for_request && read_value(std::string(heard.body) + ";v0;k0;", value))
+            if (is_for_request && read_value(std::string(response.body) + ";v0;k0;", value))
                 reply.attempt = value.attempt;
             break;
         case Heard::Kind::busy:
             reply.kind = audit::Reply::rejected;
-            reply.advice = heard.advice;
+            reply.advice = response.advice;
             break;
         case Heard::Kind::other:
             break;
--- a/src/testkit/fake_cache_server.cpp
+++ b/src/testkit/fake_cache_server.cpp
@@ -26,7 +26,7 @@
       listener_(environment.io, environment.host, [this](Tcp::socket s) { accept(std::move(s)); }) {}
 
 double FakeCacheServer::capacity_ratio(double now) const {
-    if (!cold_) return 1;
+    if (!is_cold_) return 1;
     return ColdCurve{environment_.scenario.cold_from, kind_.warm_after}.capacity_ratio(now - started_);
 }
 
@@ -39,7 +39,7 @@
 }
 
 double FakeCacheServer::capacity() const {
-    if (!running_) return 0;
+    if (!is_running_) return 0;
     return kind_.slots * kind_.speed * capacity_ratio(environment_.now()) / slowdown_;
 }
 
@@ -59,7 +59,7 @@
     Peer& p = peers_[id];
     max_peers_ = std::max(max_peers_, open_connections());
     p.handshake = kind_.handshake;
-    p.conn = Connection::accepted(
+    p.connection = Connection::accepted(
         std::move(socket), environment_.clock,
         {nullptr, [this, id](Connection&) { input(id); }, [this, id](Connection&) { on_peer_closed(id); }});
 }
@@ -81,20 +81,20 @@
     while (true) {
         const auto found = peers_.find(peer);
         if (found == peers_.end()) return;
-        Connection& conn = *found->second.conn;
+        Connection& connection = *found->second.connection;
         Command command;
-        const double first_byte = conn.first_byte_at();
-        const std::size_t consumed = read_command(conn.input(), command);
+        const double first_byte = connection.first_byte_at();
+        const std::size_t consumed = read_command(connection.input(), command);
         if (consumed == 0) return;
         start_attempt(peer, found->second, command, first_byte);
-        if (!conn.is_closed()) conn.take(consumed);
+        if (!connection.is_closed()) connection.take(consumed);
     }
 }
 
 void FakeCacheServer::start_attempt(std::uint64_t peer, Peer& p, const Command& command, double first_byte) {
     const double now = environment_.now();
     if (command.kind == Command::Kind::hello) {
-        if (!silent_) p.conn->write("MN\r\n");
+        if (!is_silent_) p.connection->write("MN\r\n");
         return;
     }
     const int attempt = environment_.forwards++;
@@ -123,11 +123,11 @@
         environment_.auditor.on_told_deadline(attempt, command.properties.deadline);
     if (!is_valid) {
         environment_.auditor.on_attempt_finished(now, attempt, audit::Outcome::failed);
-        p.conn->write("CLIENT_ERROR what no client sent\r\n");
+        p.connection->write("CLIENT_ERROR what no client sent\r\n");
         return;
     }
     p.responses.emplace_back(attempt, "");
-    if (silent_) return;
+    if (is_silent_) return;
     jobs_.emplace(attempt, job);
     if (!work_queue_.enqueue(now, attempt, work)) {
         ++counts_.busy;
@@ -190,7 +190,7 @@
         if (pending_attempt == attempt) response = std::move(text);
     }
     while (!p.responses.empty() && !p.responses.front().second.empty()) {
-        p.conn->write(p.responses.front().second);
+        p.connection->write(p.responses.front().second);
         p.responses.pop_front();
     }
 }
@@ -202,8 +202,8 @@
     if (next >= timer_expiry_) return;
     timer_expiry_ = next;
     timer_.expires_at(environment_.clock.at(next));
-    timer_.async_wait([this](const Code& bad) {
-        if (bad) return;
+    timer_.async_wait([this](const Code& error) {
+        if (error) return;
         timer_expiry_ = kNever;
         while (const auto done = work_queue_.pop_finished(environment_.now())) finish_job(*done);
         arm_timer();
@@ -211,15 +211,15 @@
 }
 
 void FakeCacheServer::check_overload() {
-    if (!cold_ || !running_) return;
+    if (!is_cold_ || !is_running_) return;
     const double now = environment_.now();
     if (now - started_ >= kind_.warm_after) {
-        cold_ = false;
+        is_cold_ = false;
         environment_.auditor.on_server_warm(now, number_);
         return;
     }
     const Scenario& s = environment_.scenario;
-    if (!silent_ && overload_detector_.is_overloaded(now, capacity(), s.fall_multiple, s.fall_time)) {
+    if (!is_silent_ && overload_detector_.is_overloaded(now, capacity(), s.fall_multiple, s.fall_time)) {
         environment_.auditor.on_server_overloaded(now, number_);
         has_failed_from_overload_ = true;
         stop();
@@ -233,7 +233,7 @@
 void FakeCacheServer::reset_all() {
     std::map<std::uint64_t, Peer> closing;
     closing.swap(peers_);
-    for (auto& [id, p] : closing) p.conn->reset();
+    for (auto& [id, p] : closing) p.connection->reset();
     work_queue_.clear();
     jobs_.clear();
     timer_.cancel();
@@ -241,8 +241,8 @@
 }
 
 void FakeCacheServer::silence(bool on) {
-    if (silent_ == on || !running_) return;
-    silent_ = on;
+    if (is_silent_ == on || !is_running_) return;
+    is_silent_ = on;
     if (on) {
         // Pending work is discarded and no response is sent, as if the network to the machine were cut.
         work_queue_.clear();
@@ -258,26 +258,26 @@
 }
 
 bool FakeCacheServer::is_reading_promptly(double now) const {
-    return !silent_ && now - silence_ended_at_ > kRetransmissionPeriod;
+    return !is_silent_ && now - silence_ended_at_ > kRetransmissionPeriod;
 }
 
 void FakeCacheServer::stop() {
-    if (!running_) return;
-    running_ = false;
-    silent_ = false;
-    cold_ = false;
+    if (!is_running_) return;
+    is_running_ = false;
+    is_silent_ = false;
+    is_cold_ = false;
     listener_.close();
     reset_all();
 }
 
 void FakeCacheServer::start_cold() {
-    if (running_) stop();
+    if (is_running_) stop();
     if (has_failed_from_overload_) return;  // a server that failed from overload stays down
     store_.clear();
     deduplication_window_.clear();
     overload_detector_.clear();
-    running_ = true;
-    cold_ = true;
+    is_running_ = true;
+    is_cold_ = true;
     started_ = environment_.now();
     environment_.auditor.on_server_started(started_, number_, true);
     listener_.open();
--- a/src/testkit/fake_cache_server.h
+++ b/src/testkit/fake_cache_server.h
@@ -22,7 +22,7 @@
     int number() const { return number_; }
     double started() const { return started_; }  // time of the last cold start; -1: before the run
     bool fallen() const { return has_failed_from_overload_; }
-    bool running() const { return running_; }
+    bool running() const { return is_running_; }
 
     void store(std::uint64_t key, std::uint32_t version) { store_.put(key, version); }
     void drop(std::uint64_t key) { store_.drop(key); }
@@ -47,7 +47,7 @@
 
   private:
     struct Peer {
-        Connection::Ptr conn;
+        Connection::Ptr connection;
         std::deque<std::pair<int, std::string>>
             responses;         // attempt and its response, in command order; an empty response is pending
         double handshake = 0;  // work of the connection setup, charged to the first command
@@ -90,7 +90,7 @@
     std::unordered_map<int, Job> jobs_;
     double started_ = -1;
     double silence_ended_at_ = -1e9;  // when the last silence ended
-    bool running_ = true, silent_ = false, has_failed_from_overload_ = false, cold_ = false;
+    bool is_running_ = true, is_silent_ = false, has_failed_from_overload_ = false, is_cold_ = false;
     double slowdown_ = 1, corruption_ratio_ = 0;
     std::uint64_t corruption_random_ = 0;
     Counts counts_;
--- a/src/testkit/fake_origin_server.cpp
+++ b/src/testkit/fake_origin_server.cpp
@@ -27,7 +27,7 @@
 
 void FakeOriginServer::accept(Tcp::socket socket) {
     const std::uint64_t id = ++last_peer_;
-    peers_[id].conn = Connection::accepted(
+    peers_[id].connection = Connection::accepted(
         std::move(socket), environment_.clock,
         {nullptr, [this, id](Connection&) { input(id); }, [this, id](Connection&) { on_peer_closed(id); }});
 }
@@ -48,13 +48,13 @@
     while (true) {
         const auto found = peers_.find(peer);
         if (found == peers_.end()) return;
-        Connection& conn = *found->second.conn;
+        Connection& connection = *found->second.connection;
         Request request;
-        const double first_byte = conn.first_byte_at();
-        const std::size_t consumed = read_request(conn.input(), request);
+        const double first_byte = connection.first_byte_at();
+        const std::size_t consumed = read_request(connection.input(), request);
         if (consumed == 0) return;
         start_attempt(peer, found->second, request, first_byte);
-        if (!conn.is_closed()) conn.take(consumed);
+        if (!connection.is_closed()) connection.take(consumed);
     }
 }
 
@@ -136,13 +136,13 @@
     reset_random_ = key_of_rank(reset_random_ + static_cast<std::uint64_t>(attempt));
     if (static_cast<double>(reset_random_ >> 11) <
         environment_.scenario.origin.reset_ratio * 9007199254740992.0)
-        return p.conn->reset();
+        return p.connection->reset();
     for (auto& [pending_attempt, response] : p.responses) {
         // NOLINTNEXTLINE(bugprone-use-after-move): one response is pending under this number
         if (pending_attempt == attempt) response = std::move(text);
     }
     while (!p.responses.empty() && !p.responses.front().second.empty()) {
-        p.conn->write(p.responses.front().second);
+        p.connection->write(p.responses.front().second);
         p.responses.pop_front();
     }
 }
@@ -152,8 +152,8 @@
     if (next >= timer_expiry_) return;
     timer_expiry_ = next;
     timer_.expires_at(environment_.clock.at(next));
-    timer_.async_wait([this](const Code& bad) {
-        if (bad) return;
+    timer_.async_wait([this](const Code& error) {
+        if (error) return;
         timer_expiry_ = kNever;
         while (const auto done = work_queue_.pop_finished(environment_.now())) finish_job(*done);
         arm_timer();
--- a/src/testkit/fake_origin_server.h
+++ b/src/testkit/fake_origin_server.h
@@ -34,7 +34,7 @@
 
   private:
     struct Peer {
-        Connection::Ptr conn;
+        Connection::Ptr connection;
         std::deque<std::pair<int, std::string>> responses;
     };
     struct Job {
--- a/src/testkit/mannered_clients.cpp
+++ b/src/testkit/mannered_clients.cpp
@@ -97,9 +97,9 @@
 
 void ManneredClients::Client::connect() {
     close_connection();
-    const auto where = owner_.pick_();
-    if (!where) return after(0.1, [this] { step(); });
-    node_ = where->first;
+    const auto target = owner_.pick_();
+    if (!target) return after(0.1, [this] { step(); });
+    node_ = target->first;
     has_no_response_ = true;
     is_stopped_in_command_ = false;
     const auto if_current = [self = shared_from_this()](void (Client::*handle)()) {
@@ -108,15 +108,15 @@
         };
     };
     connection_ = Connection::to(
-        environment().io, where->second, environment().clock,
+        environment().io, target->second, environment().clock,
         {if_current(&Client::start_behaviour), if_current(&Client::on_input), if_current(&Client::on_ended)});
 }
 
 // Closes the connection without on_ended() being called.
 void ManneredClients::Client::close_connection() {
-    const Connection::Ptr closed = std::move(connection_);
+    const Connection::Ptr old_connection = std::move(connection_);
     connection_ = nullptr;
-    if (closed != nullptr) closed->close();
+    if (old_connection != nullptr) old_connection->close();
 }
 
 int ManneredClients::Client::operation(bool write) {
