--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -440,8 +440,7 @@
         const auto newest_bad = std::count_if(sum.newest.begin(), sum.newest.end(),
                                               [](const auto& entry) { return entry.second; });
         const bool is_still_bad = 2 * newest_bad > static_cast<std::ptrdiff_t>(sum.newest.size());
-        // If another owner has found the server bad already, this owner still receives reports from few nodes
-        // only: two are enough.
+        // After another owner's verdict, only a few nodes still report to this owner, so two are enough.
         const bool was_bad = (record.bad_zones & bit(zone)) != 0;
         const bool agrees_with_owner = !was_bad && sum.reporters >= kMinAgreeing &&
                                        sum.bad >= kFailureSuccessRatio * sum.good &&
