--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -13,10 +13,10 @@
 constexpr double kMinNotifiedWork = 2.0 / 3.0;
 // Rule 4: the least ratio of the origin's overload that comes from misses at cold servers.
 constexpr double kMinColdMissWork = 1.0 / 3.0;
-constexpr double kClientGoneGrace = 0.1;     // rule 1: s that an attempt may start after its client closed
-constexpr double kToldDeadlineSlack = 0.15;  // rule 1: s by which the told timeout may exceed the time left
-constexpr double kLimitBurst = 1.25;         // rule 5: the limit, with the saved tokens of a quarter second
-constexpr double kLimitWindow = 1.0;         // rule 5: seconds
+constexpr double kClientGoneGrace = 0.1;       // rule 1: s that an attempt may start after its client closed
+constexpr double kServerDeadlineSlack = 0.15;  // rule 1: s by which the told timeout may exceed the time left
+constexpr double kLimitBurst = 1.25;           // rule 5: the limit, with the saved tokens of a quarter second
+constexpr double kLimitWindow = 1.0;           // rule 5: seconds
 
 // The work of a server's recent attempts, by what caused them.
 struct RecentWork {
@@ -110,7 +110,7 @@
     if (record.request < 0 || index(record.request) >= history_.requests.size()) return;
     const RequestRecord& request = history_.requests[index(record.request)];
     const double left = request.received_at + request.info.timeout - record.first_byte;
-    if (seconds <= left + kToldDeadlineSlack + history_.terms.slack) return;
+    if (seconds <= left + kServerDeadlineSlack + history_.terms.slack) return;
     report(1, record.request, record.first_byte, request.received_at,
            attempt_text(attempt) + " told its server of a timeout of " + duration_text(seconds) +
                ", but its client had " + duration_text(left) + " left");
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -18,10 +18,10 @@
         std::printf("%s: node configuration: node %s, %zu operations, %zu servers known; valid\n",
                     path.c_str(), config.name.c_str(), config.deployment.operations.size(),
                     config.cached_endpoints.servers.size());
-        return kDone;
+        return kExitSuccess;
     } catch (const ConfigurationError& error) {
         std::fprintf(stderr, "%s: %s\n", path.c_str(), error.what());
-        return kWrongUse;
+        return kExitUsageError;
     }
 }
 
@@ -34,7 +34,7 @@
                      "%s: expected a .json file (node configuration) or a .toml file (operator configuration "
                      "or scenario)\n",
                      path.c_str());
-        return kWrongUse;
+        return kExitUsageError;
     }
     if (TomlFile(path).is_scenario()) {
         const Scenario scenario = read_scenario(path);
@@ -42,11 +42,11 @@
             "%s: scenario: '%s', %.0f s, %d nodes, %zu servers, %zu operations, %zu troubles; valid\n",
             path.c_str(), scenario.name.c_str(), scenario.length, scenario.nodes,
             scenario.server_names().size() - 1, scenario.operations.size(), scenario.troubles.size());
-        return kDone;
+        return kExitSuccess;
     }
     (void)read_operator_config(path);
     std::printf("%s: operator configuration; valid\n", path.c_str());
-    return kDone;
+    return kExitSuccess;
 }
 
 }  // namespace brookrelay
--- a/src/cli/check_model.cpp
+++ b/src/cli/check_model.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 // Prints the result of one model; returns whether all its invariants held.
-bool print_result(const std::string& name, const model::Explored& result) {
+bool print_result(const std::string& name, const model::ModelCheckResult& result) {
     std::printf("%-44s %9llu states, %9llu ends, %7.0f states/s; at rest after %.2f s at the most: %s\n",
                 name.c_str(), static_cast<unsigned long long>(result.states),
                 static_cast<unsigned long long>(result.ends),
-                static_cast<double>(result.states) / result.took, result.rest_most,
+                static_cast<double>(result.states) / result.took, result.max_recovery_seconds,
                 result.broken.empty() ? "all promises kept" : ("BROKEN: " + result.broken).c_str());
     std::fflush(stdout);
     return result.broken.empty();
@@ -33,14 +33,15 @@
             const std::string name = std::string("zones, ") + (lost ? "from a lost one" : "from one in use") +
                                      (liar ? ", one node lies" : ", all honest");
             all_kept =
-                print_result(name, model::explore(model::SmallZones(liar, lost), options.depth)) && all_kept;
+                print_result(name, model::check_model(model::ZoneFailoverModel(liar, lost), options.depth)) &&
+                all_kept;
         }
     }
     if (options.limits || both)
-        all_kept =
-            print_result("limits, one node needs all", model::explore(model::SmallLimits(), options.depth)) &&
-            all_kept;
-    return all_kept ? kDone : kBroken;
+        all_kept = print_result("limits, one node needs all",
+                                model::check_model(model::QuotaLeaseModel(), options.depth)) &&
+                   all_kept;
+    return all_kept ? kExitSuccess : kExitFailure;
 }
 
 }  // namespace brookrelay
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -54,7 +54,7 @@
     std::printf("hears others: %s   doubts itself: %s   may send %.0f bytes/s   stood still %.0f times\n",
                 flag(status, "hears") ? "yes" : "NO", flag(status, "doubts_itself") ? "YES" : "no",
                 field(status, "bytes_a_second"), field(status, "stalls"));
-    const rapidjson::Value& datagrams = need(status, "datagrams");
+    const rapidjson::Value& datagrams = get_required_member(status, "datagrams");
     std::printf(
         "datagrams: %.0f sent (%.0f bytes), %.0f heard; thrown away: %.0f unsound, %.0f from strangers, %.0f "
         "of dead lives; %.0f late\n",
@@ -62,23 +62,25 @@
         field(datagrams, "unsound"), field(datagrams, "strangers"), field(datagrams, "dead_lives"),
         field(datagrams, "late"));
     std::printf("words kept: %.0f, the oldest %.1f s\n\npeer   state   last known\n",
-                field(need(status, "words"), "kept"), field(need(status, "words"), "oldest_s"));
-    for (const rapidjson::Value& peer : need_list(status, "peers").GetArray()) {
+                field(get_required_member(status, "words"), "kept"),
+                field(get_required_member(status, "words"), "oldest_s"));
+    for (const rapidjson::Value& peer : get_required_array(status, "peers").GetArray()) {
         if (find(peer, "age_s") == nullptr) {
             std::printf("n%-5.0f %-7s never\n", field(peer, "node"),
-                        std::string(text(need(peer, "state"), "state")).c_str());
+                        std::string(text(get_required_member(peer, "state"), "state")).c_str());
         } else {
             std::printf("n%-5.0f %-7s %.1f s ago\n", field(peer, "node"),
-                        std::string(text(need(peer, "state"), "state")).c_str(), field(peer, "age_s"));
+                        std::string(text(get_required_member(peer, "state"), "state")).c_str(),
+                        field(peer, "age_s"));
         }
     }
-    std::printf("\n%s\n", need_list(status, "verdicts").Empty() ? "no findings" : "findings");
-    for (const rapidjson::Value& verdict : need_list(status, "verdicts").GetArray()) {
-        std::printf("%s: %s\n", std::string(text(need(verdict, "server"), "server")).c_str(),
+    std::printf("\n%s\n", get_required_array(status, "verdicts").Empty() ? "no findings" : "findings");
+    for (const rapidjson::Value& verdict : get_required_array(status, "verdicts").GetArray()) {
+        std::printf("%s: %s\n", std::string(text(get_required_member(verdict, "server"), "server")).c_str(),
                     flag(verdict, "counts_here") ? "found bad, counts here" : "does not count here");
-        for (const rapidjson::Value& report : need_list(verdict, "said_by").GetArray()) {
+        for (const rapidjson::Value& report : get_required_array(verdict, "said_by").GetArray()) {
             std::string zones;
-            for (const rapidjson::Value& zone : need_list(report, "zones").GetArray())
+            for (const rapidjson::Value& zone : get_required_array(report, "zones").GetArray())
                 zones += (zones.empty() ? "" : ", ") + std::string(text(zone, "zones"));
             std::printf("    keeper n%.0f: %s, %.0f voices, %.1f s old\n", field(report, "keeper"),
                         zones.empty() ? "well again" : ("bad for " + zones).c_str(), field(report, "voices"),
@@ -90,17 +92,17 @@
 void print_zones(const rapidjson::Value& status) {
     const auto field = [](const rapidjson::Value& object, const char* key) { return number(object, key, 0); };
     std::printf("%-20s %-10s %5s  %8s  why\n", "zone", "state", "part", "for");
-    for (const rapidjson::Value& zone : need_list(status, "zones").GetArray()) {
+    for (const rapidjson::Value& zone : get_required_array(status, "zones").GetArray()) {
         std::string reporters;
-        for (const rapidjson::Value& node : need_list(zone, "said_lost").GetArray()) {
+        for (const rapidjson::Value& node : get_required_array(zone, "said_lost").GetArray()) {
             reporters += (reporters.empty() ? ": n" : ", n") +
                          (node.IsInt() ? std::to_string(node.GetInt()) : std::string("?"));
         }
         std::printf(
             "%-20s %-10s %5.3g  %6.1f s  %s%.0f say lost of %.0f needed%s; %.0f are answered there, %.0f "
             "strained; %.0f heard; fell %.0f times lately\n",
-            std::string(text(need(zone, "zone"), "zone")).c_str(),
-            std::string(text(need(zone, "state"), "state")).c_str(), field(zone, "part"),
+            std::string(text(get_required_member(zone, "zone"), "zone")).c_str(),
+            std::string(text(get_required_member(zone, "state"), "state")).c_str(), field(zone, "part"),
             field(zone, "since_s"), flag(zone, "by_hand") ? "BY HAND; " : "", field(zone, "lost"),
             field(zone, "needed"), reporters.c_str(), field(zone, "answers"), field(zone, "strained"),
             field(zone, "heard"), field(zone, "falls"));
@@ -109,17 +111,17 @@
 
 void print_limits(const rapidjson::Value& status) {
     const auto field = [](const rapidjson::Value& object, const char* key) { return number(object, key, 0); };
-    if (need_list(status, "limits").Empty())
+    if (get_required_array(status, "limits").Empty())
         std::printf("no fleet limit is configured ([fleet.limits] in the operator configuration)\n");
-    for (const rapidjson::Value& limit : need_list(status, "limits").GetArray()) {
-        const std::string kind(text(need(limit, "kind"), "kind"));
+    for (const rapidjson::Value& limit : get_required_array(status, "limits").GetArray()) {
+        const std::string kind(text(get_required_member(limit, "kind"), "kind"));
         std::printf(
             "%-24s %s  %.4g %s in all; here %.4f of it: own %.4f, borrowed %.4f from %.0f nodes (lent %.4f "
             "to %.0f), needs %.4f",
-            std::string(text(need(limit, "limit"), "limit")).c_str(), kind.c_str(), field(limit, "whole"),
-            std::string(text(need(limit, "unit"), "unit")).c_str(), field(limit, "part"), field(limit, "own"),
-            field(limit, "borrowed"), field(limit, "lenders"), field(limit, "lent"), field(limit, "takers"),
-            field(limit, "need"));
+            std::string(text(get_required_member(limit, "limit"), "limit")).c_str(), kind.c_str(),
+            field(limit, "whole"), std::string(text(get_required_member(limit, "unit"), "unit")).c_str(),
+            field(limit, "part"), field(limit, "own"), field(limit, "borrowed"), field(limit, "lenders"),
+            field(limit, "lent"), field(limit, "takers"), field(limit, "need"));
         if (kind == "strict") std::printf("; declined %.0f forwards", field(limit, "declined"));
         std::printf("\n");
     }
@@ -132,9 +134,9 @@
     if (status != 200) {
         std::fprintf(stderr, "brookrelay: %s: %s\n", options.address.c_str(),
                      status == 0 ? why.c_str() : body.c_str());
-        return kBroken;
+        return kExitFailure;
     }
-    if (options.json) return std::printf("%s", body.c_str()), kDone;
+    if (options.json) return std::printf("%s", body.c_str()), kExitSuccess;
     rapidjson::Document document;
     document.Parse(body.c_str());
     try {
@@ -143,9 +145,9 @@
     } catch (const ConfigurationError& error) {
         std::fprintf(stderr, "brookrelay: %s: the response is not a fleet status: %s\n",
                      options.address.c_str(), error.what());
-        return kBroken;
+        return kExitFailure;
     }
-    return kDone;
+    return kExitSuccess;
 }
 
 bool is_valid(const FleetOptions& options) {
@@ -158,15 +160,15 @@
 }  // namespace
 
 int fleet_status(const FleetOptions& options) {
-    return is_valid(options) ? show_status(options, print_status) : kWrongUse;
+    return is_valid(options) ? show_status(options, print_status) : kExitUsageError;
 }
 
 int fleet_limits(const FleetOptions& options) {
-    return is_valid(options) ? show_status(options, print_limits) : kWrongUse;
+    return is_valid(options) ? show_status(options, print_limits) : kExitUsageError;
 }
 
 int fleet_zones(const FleetOptions& options) {
-    if (!is_valid(options)) return kWrongUse;
+    if (!is_valid(options)) return kExitUsageError;
     const bool leave = !options.leave.empty();
     if (!leave && options.take_back.empty()) return show_status(options, print_zones);
     const std::unique_ptr<char, decltype(&g_free)> name(
@@ -176,10 +178,10 @@
     const std::string body = call_admin_server(
         options.address, "POST",
         "/control/zones/" + std::string(name.get()) + (leave ? "/offline" : "/online"), status, why);
-    if (status == 200) return std::printf("%s", body.c_str()), kDone;
+    if (status == 200) return std::printf("%s", body.c_str()), kExitSuccess;
     std::fprintf(stderr, "brookrelay: %s: %s\n", options.address.c_str(),
                  status == 0 ? why.c_str() : body.c_str());
-    return kBroken;
+    return kExitFailure;
 }
 
 }  // namespace brookrelay
--- a/src/cli/registry_watch.cpp
+++ b/src/cli/registry_watch.cpp
@@ -18,12 +18,12 @@
         if (parse_address(address)) continue;
         std::fprintf(stderr, "brookrelay: --address: expected HOST:PORT with a numeric host, found '%s'\n",
                      address.c_str());
-        return kWrongUse;
+        return kExitUsageError;
     }
     if (options.path.size() < 2 || options.path.front() != '/' || options.path.back() == '/') {
         std::fprintf(stderr, "brookrelay: --path: expected a path such as /fleet, found '%s'\n",
                      options.path.c_str());
-        return kWrongUse;
+        return kExitUsageError;
     }
     Log log("registry");
     TimerQueue timers;
@@ -57,7 +57,7 @@
     g_unix_signal_add(SIGINT, end, &ended);
     registry.start();
     while (!ended) g_main_context_iteration(nullptr, TRUE);
-    return kDone;
+    return kExitSuccess;
 }
 
 }  // namespace brookrelay
--- a/src/cli/rehearse.cpp
+++ b/src/cli/rehearse.cpp
@@ -68,7 +68,7 @@
 
 namespace {
 
-testkit::ReportHead report_head(const RehearseOptions& options, const testkit::DayPlan& plan,
+testkit::ReportHead report_head(const RehearseOptions& options, const testkit::RunPlan& plan,
                                 const std::vector<std::string>& sets) {
     testkit::ReportHead head;
     head.version = std::string("brookrelay ") + BROOKRELAY_VERSION;
@@ -79,8 +79,8 @@
     return head;
 }
 
-testkit::DayPlan run_plan(const std::string& path, const std::vector<std::string>& sets) {
-    testkit::DayPlan plan;
+testkit::RunPlan run_plan(const std::string& path, const std::vector<std::string>& sets) {
+    testkit::RunPlan plan;
     plan.scenario = read_scenario(path, sets);
     plan.interrupted = [] { return interrupt_count.load() > 0; };
     return plan;
@@ -88,7 +88,7 @@
 
 int run_once(const RehearseOptions& options, const std::string& path, std::uint64_t seed,
              const std::string& program) {
-    testkit::DayPlan plan = run_plan(path, options.sets);
+    testkit::RunPlan plan = run_plan(path, options.sets);
     plan.seed = seed;
     plan.program = program;
     plan.folder = new_report_folder(options.out, path);
@@ -102,12 +102,12 @@
             }
         };
     }
-    const testkit::DayResult result = testkit::play_day(plan);
+    const testkit::RunResult result = testkit::execute_run(plan);
     if (is_terminal && !options.quiet) std::fprintf(stderr, "\r%-110s\r", "");
     testkit::write_reports(report_head(options, plan, options.sets), plan, result);
     std::printf("%s", testkit::summary_text(plan, result).c_str());
     std::printf("report           %s/report.html\n", plan.folder.c_str());
-    return testkit::verdict_word(result) == "kept" ? kDone : kBroken;
+    return testkit::verdict_word(result) == "kept" ? kExitSuccess : kExitFailure;
 }
 
 int run_experiment(const RehearseOptions& options, const std::string& path,
@@ -122,28 +122,31 @@
     plan.jobs = options.jobs;
     plan.interrupted = [] { return interrupt_count.load() > 0; };
     if (!options.quiet) {
-        plan.progress = [](std::size_t done, std::size_t all, const testkit::Cell& c) {
+        plan.progress = [](std::size_t done, std::size_t all, const testkit::ExperimentRun& c) {
             std::fprintf(stderr, "%zu of %zu: seed %llu, daemon %zu%s%s: %s, service %.4f\n", done, all,
                          static_cast<unsigned long long>(c.seed), c.daemon + 1, c.setting.empty() ? "" : ", ",
                          c.setting.c_str(), c.measures.verdict.c_str(), c.measures.whole);
         };
     }
     // Each setting is read once before the first run, so that an error in one costs no run.
-    for (const testkit::Cell& c : testkit::cells_of(plan)) (void)read_scenario(path, c.sets);
-    const testkit::ExperimentResult result = testkit::play_experiment(plan, [&](const testkit::Cell& cell) {
-        testkit::DayPlan day = run_plan(path, cell.sets);
-        day.seed = cell.seed;
-        day.program = daemons[cell.daemon];
-        day.folder = cell.folder;
-        testkit::write_reports(report_head(options, day, cell.sets), day, testkit::play_day(day));
-        return kDone;
-    });
+    for (const testkit::ExperimentRun& c : testkit::plan_experiment_runs(plan))
+        (void)read_scenario(path, c.sets);
+    const testkit::ExperimentResult result =
+        testkit::execute_experiment(plan, [&](const testkit::ExperimentRun& cell) {
+            testkit::RunPlan day = run_plan(path, cell.sets);
+            day.seed = cell.seed;
+            day.program = daemons[cell.daemon];
+            day.folder = cell.folder;
+            testkit::write_reports(report_head(options, day, cell.sets), day, testkit::execute_run(day));
+            return kExitSuccess;
+        });
     testkit::write_experiment(plan, result);
     std::printf("%s", testkit::experiment_text(plan, result).c_str());
     std::printf("report           %s/experiment.html\n", plan.folder.c_str());
-    const bool all_kept = std::all_of(result.cells.begin(), result.cells.end(),
-                                      [](const testkit::Cell& c) { return c.measures.verdict == "kept"; });
-    return all_kept ? kDone : kBroken;
+    const bool all_kept =
+        std::all_of(result.cells.begin(), result.cells.end(),
+                    [](const testkit::ExperimentRun& c) { return c.measures.verdict == "kept"; });
+    return all_kept ? kExitSuccess : kExitFailure;
 }
 
 }  // namespace
@@ -153,7 +156,7 @@
     if (path.empty()) {
         std::fprintf(stderr, "brookrelay: there is no scenario '%s' (a file, or a name below scenarios/)\n",
                      options.scenario.c_str());
-        return kWrongUse;
+        return kExitUsageError;
     }
     const std::vector<std::string> daemons =
         options.daemons.empty() ? std::vector{own_program()} : options.daemons;
@@ -162,14 +165,14 @@
     bool has_several_values = false;
     try {
         seeds = options.seeds.empty() ? std::vector{read_scenario(path).seed}
-                                      : testkit::read_seeds(options.seeds);
+                                      : testkit::parse_seeds(options.seeds);
         for (const std::string& set : options.sets) {
-            sweeps.push_back(testkit::read_sweep(set));
+            sweeps.push_back(testkit::parse_sweep(set));
             has_several_values = has_several_values || sweeps.back().values.size() > 1;
         }
     } catch (const std::invalid_argument& error) {
         std::fprintf(stderr, "brookrelay: %s\n", error.what());
-        return kWrongUse;
+        return kExitUsageError;
     }
     install_interrupt_handlers();
     try {
@@ -181,7 +184,7 @@
         throw;
     } catch (const std::exception& error) {
         std::fprintf(stderr, "brookrelay: %s\n", error.what());
-        return kBroken;
+        return kExitFailure;
     }
 }
 
@@ -189,7 +192,7 @@
     const std::vector<std::string> daemons =
         options.daemons.empty() ? std::vector{own_program()} : options.daemons;
     const std::string folder = new_report_folder("", "load");
-    int exit_code = kDone;
+    int exit_code = kExitSuccess;
     for (int round = 0; round < options.rounds; ++round) {
         for (const int clients : options.clients) {
             for (const std::string& daemon : daemons) {
@@ -202,9 +205,9 @@
                 plan.value_bytes = options.value_bytes;
                 const testkit::LoadResult result = testkit::play_load(plan);
                 std::printf("%s%s%s\n", daemons.size() > 1 ? daemon.c_str() : "",
-                            daemons.size() > 1 ? "  " : "", testkit::load_line(plan, result).c_str());
+                            daemons.size() > 1 ? "  " : "", testkit::load_summary(plan, result).c_str());
                 std::fflush(stdout);
-                if (!result.failed.empty()) exit_code = kBroken;
+                if (!result.failed.empty()) exit_code = kExitFailure;
             }
         }
     }
--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -64,7 +64,7 @@
 int run_in_child(std::uint64_t seed, const testkit::SoakOptions& options, bool shrink,
                  const std::string& report) {
     raise_descriptor_limit();
-    const testkit::SoakResult result = testkit::play_soak(seed, options);
+    const testkit::SoakResult result = testkit::execute_soak(seed, options);
     std::ofstream file(report);
     file << format_result(result, options);
     if (result.has_failed() && shrink) {
@@ -74,7 +74,7 @@
              << replay_command(seed, testkit::shrink_soak(seed, shrink_options, kMaxShrinkRuns)) << "\n";
     }
     file.flush();
-    return result.has_failed() ? kBroken : result.is_void ? kVoidExitCode : kDone;
+    return result.has_failed() ? kExitFailure : result.is_void ? kVoidExitCode : kExitSuccess;
 }
 
 struct Tally {
@@ -85,9 +85,9 @@
     std::ifstream file(report);
     std::printf("%s", std::string(std::istreambuf_iterator<char>(file), {}).c_str());
     std::fflush(stdout);
-    const int code = WIFEXITED(status) ? WEXITSTATUS(status) : kBroken;
+    const int code = WIFEXITED(status) ? WEXITSTATUS(status) : kExitFailure;
     if (!WIFEXITED(status)) std::printf("the process of one seed was ended by signal %d\n", WTERMSIG(status));
-    ++(code == kDone ? tally.kept : code == kVoidExitCode ? tally.void_runs : tally.failed);
+    ++(code == kExitSuccess ? tally.kept : code == kVoidExitCode ? tally.void_runs : tally.failed);
 }
 
 }  // namespace
@@ -102,7 +102,7 @@
     if (options.with_shim && !fs::exists(options.shim)) {
         std::fprintf(stderr, "brookrelay: %s is missing: build it, or give --without-shim\n",
                      options.shim.c_str());
-        return kWrongUse;
+        return kExitUsageError;
     }
     const std::string folder = new_report_folder(command.out, "soak");
     const double started = seconds_now();
@@ -116,7 +116,7 @@
         count_child(status, entry->second, tally);
         running.erase(entry);
     };
-    for (const std::uint64_t seed : testkit::read_seeds(command.seeds)) {
+    for (const std::uint64_t seed : testkit::parse_seeds(command.seeds)) {
         if (command.minutes > 0 && seconds_now() - started > command.minutes * 60) break;
         options.folder = folder + "/seed-" + std::to_string(seed);
         fs::remove_all(options.folder);  // the logs of an earlier run would be checked with those of this one
@@ -130,7 +130,7 @@
     while (!running.empty()) wait_for_one();
     std::printf("soak: %d kept, %d failed, %d void, %.0f s, logs in %s\n", tally.kept, tally.failed,
                 tally.void_runs, seconds_now() - started, folder.c_str());
-    return tally.failed == 0 && tally.kept > 0 ? kDone : kBroken;
+    return tally.failed == 0 && tally.kept > 0 ? kExitSuccess : kExitFailure;
 }
 
 }  // namespace brookrelay
--- a/src/config/deployment.cpp
+++ b/src/config/deployment.cpp
@@ -36,7 +36,8 @@
 std::vector<std::string> read_strings(const Value& settings, const char* name) {
     std::vector<std::string> names;
     if (find(settings, name) == nullptr) return names;
-    for (const Value& entry : need_list(settings, name).GetArray()) names.emplace_back(text(entry, name));
+    for (const Value& entry : get_required_array(settings, name).GetArray())
+        names.emplace_back(text(entry, name));
     require_unique(names, name);
     return names;
 }
@@ -44,21 +45,21 @@
 std::vector<std::string> read_entry_names(const Value& settings, const char* list) {
     std::vector<std::string> names;
     if (find(settings, list) == nullptr) return names;
-    for (const Value& entry : need_list(settings, list).GetArray())
-        names.emplace_back(text(need(entry, "name"), "name"));
+    for (const Value& entry : get_required_array(settings, list).GetArray())
+        names.emplace_back(text(get_required_member(entry, "name"), "name"));
     require_unique(names, list);
     return names;
 }
 
 void read_topology(const Value& settings, Deployment& deployment) {
-    deployment.zone = small(settings, "az", 0);
+    deployment.zone = read_int(settings, "az", 0);
     if (const Value* zones = find(settings, "localities"); zones != nullptr && zones->IsArray()) {
         deployment.zone_count = static_cast<int>(zones->Size());
     }
     if (deployment.zone < 0 || deployment.zone >= std::max(1, deployment.zone_count))
         throw ConfigurationError("field 'az' names no zone of 'localities'");
-    deployment.node_index = small(settings, "my_number", 0);
-    deployment.node_count = small(settings, "balancers", 1);
+    deployment.node_index = read_int(settings, "my_number", 0);
+    deployment.node_count = read_int(settings, "balancers", 1);
     deployment.tick_interval = duration(settings, "granularity_us");
 }
 
@@ -77,7 +78,7 @@
     deployment.may_cancel = flag(permissions, "cancel");
     deployment.may_health_check = flag(permissions, "may_probe");
     deployment.may_gossip = flag(permissions, "peers");
-    deployment.max_attempts = small(permissions, "most_forwards", 1);
+    deployment.max_attempts = read_int(permissions, "most_forwards", 1);
     if (deployment.max_attempts < 1)
         throw ConfigurationError("field 'most_forwards' is not a positive number");
     deployment.connect_timeout = duration(permissions, "connect_timeout_us");
@@ -89,13 +90,13 @@
 void read_specifics(const Value& specifics, Deployment& deployment) {
     const Value* mode = find(specifics, "mode");
     if (mode != nullptr && text(*mode, "mode") == "aside")
-        deployment.origin_kind = small(specifics, "origin_kind", -1);
+        deployment.origin_kind = read_int(specifics, "origin_kind", -1);
     deployment.origin_overload_multiple = number(specifics, "origin_fall_multiple", 0);
 }
 
 Operation read_operation(const Value& value) {
     Operation operation;
-    operation.idempotency = word(need(value, "repeat"), "repeat", kIdempotencyWords);
+    operation.idempotency = word(get_required_member(value, "repeat"), "repeat", kIdempotencyWords);
     if (const Value* scope = find(value, "group"))
         operation.deduplication_scope = word(*scope, "group", kScopeWords);
     operation.deduplication_window = duration(value, "key_ttl_us");
@@ -130,7 +131,7 @@
     if (const Value* permissions = find(settings, "permissions")) read_permissions(*permissions, deployment);
     if (const Value* specifics = find(settings, "specifics")) read_specifics(*specifics, deployment);
     deployment.over_quota_value_ratio = number(settings, "beyond_share_billed_value", 1);
-    for (const Value& operation : need_list(settings, "operations").GetArray())
+    for (const Value& operation : get_required_array(settings, "operations").GetArray())
         deployment.operations.push_back(read_operation(operation));
     if (const Value* tenants = find(settings, "parties"); tenants != nullptr && tenants->IsArray()) {
         for (const Value& tenant : tenants->GetArray())
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -11,14 +11,14 @@
     return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
 
-const Value& need(const Value& object, const char* name) {
+const Value& get_required_member(const Value& object, const char* name) {
     const Value* value = find(object, name);
     if (value == nullptr) throw ConfigurationError(std::string("missing field '") + name + "'");
     return *value;
 }
 
-const Value& need_list(const Value& object, const char* name) {
-    const Value& list = need(object, name);
+const Value& get_required_array(const Value& object, const char* name) {
+    const Value& list = get_required_member(object, name);
     if (!list.IsArray()) throw ConfigurationError(std::string("field '") + name + "' is not an array");
     return list;
 }
@@ -48,7 +48,7 @@
     return value.GetInt64();
 }
 
-int small(const Value& object, const char* name, int default_value) {
+int read_int(const Value& object, const char* name, int default_value) {
     const Value* value = find(object, name);
     if (value == nullptr) return default_value;
     if (!value->IsInt())
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -20,9 +20,9 @@
 
 // The member, or null if it is missing or JSON null.
 const rapidjson::Value* find(const rapidjson::Value& object, const char* name);
-// A required member; for need_list() it must be an array.
-const rapidjson::Value& need(const rapidjson::Value& object, const char* name);
-const rapidjson::Value& need_list(const rapidjson::Value& object, const char* name);
+// A required member; for get_required_array() it must be an array.
+const rapidjson::Value& get_required_member(const rapidjson::Value& object, const char* name);
+const rapidjson::Value& get_required_array(const rapidjson::Value& object, const char* name);
 // Readers that take a value convert it; readers that take an object convert its member `name`, or return
 // `default_value` if it is missing.
 double number(const rapidjson::Value& value, const char* name);
@@ -32,7 +32,7 @@
 double seconds(const rapidjson::Value& object, const char* name, double default_value = 0);
 double duration(const rapidjson::Value& object, const char* name);
 std::int64_t whole(const rapidjson::Value& value, const char* name);
-int small(const rapidjson::Value& object, const char* name, int default_value);
+int read_int(const rapidjson::Value& object, const char* name, int default_value);
 bool flag(const rapidjson::Value& object, const char* name, bool default_value = false);
 std::string_view text(const rapidjson::Value& value, const char* name);
 
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -21,7 +21,7 @@
 constexpr int kMinDescriptors = 32;  // for clients, servers and the origin
 
 int read_name_index(const std::vector<std::string>& names, const Value& server, const char* field) {
-    const std::string_view name = text(need(server, field), field);
+    const std::string_view name = text(get_required_member(server, field), field);
     const int index = index_of(names, name);
     if (index < 0) {
         throw ConfigurationError(std::string("field '") + field + "' names the unknown '" +
@@ -31,7 +31,7 @@
 }
 
 std::string read_address(const Value& object, const char* field) {
-    const std::string_view address = text(need(object, field), field);
+    const std::string_view address = text(get_required_member(object, field), field);
     if (!parse_address(address)) {
         throw ConfigurationError(std::string("field '") + field + "' is not an address and port: '" +
                                  std::string(address) + "'");
@@ -41,15 +41,15 @@
 
 EndpointRecord read_server(const Value& entry, const Names& names) {
     EndpointRecord server;
-    server.name = text(need(entry, "host"), "host");
-    server.state = parse_endpoint_state(need(entry, "health"), "health");
+    server.name = text(get_required_member(entry, "host"), "host");
+    server.state = parse_endpoint_state(get_required_member(entry, "health"), "health");
     // A draining or removed server needs only its name and state.
     const bool is_ready = server.state == EndpointState::ready;
     if (is_ready || find(entry, "dial") != nullptr) server.address = read_address(entry, "dial");
     if (is_ready || find(entry, "site") != nullptr) server.zone = read_name_index(names.zones, entry, "site");
     if (is_ready || find(entry, "class") != nullptr)
         server.kind = read_name_index(names.kinds, entry, "class");
-    server.cell = small(entry, "block", is_ready ? 0 : -1);
+    server.cell = read_int(entry, "block", is_ready ? 0 : -1);
     server.weight = number(entry, "share", 0);
     if (server.weight < 0) throw ConfigurationError("field 'share' is negative");
     server.started_at = number(entry, "born_ms", 0) / 1e3;
@@ -123,7 +123,7 @@
     if (find(root, "management") != nullptr) config.admin_listen = read_address(root, "management");
     if (find(root, "peer_listen") != nullptr) config.peer_listen = read_address(root, "peer_listen");
     if (find(root, "peers") == nullptr) return;
-    for (const Value& peer : need_list(root, "peers").GetArray()) {
+    for (const Value& peer : get_required_array(root, "peers").GetArray()) {
         config.peers.emplace_back(text(peer, "peers"));
         if (!parse_address(config.peers.back())) {
             throw ConfigurationError("field 'peers' has an entry that is not an address and port: '" +
@@ -137,11 +137,11 @@
     config.memory_mb = kDefaultMemoryMb;
     const Value* limits = find(root, "limits");
     if (limits == nullptr) return;
-    config.descriptors = small(*limits, "sockets", kDefaultDescriptors);
+    config.descriptors = read_int(*limits, "sockets", kDefaultDescriptors);
     if (config.descriptors < kMinDescriptors) {
         throw ConfigurationError("field 'limits.sockets' is less than " + std::to_string(kMinDescriptors));
     }
-    config.memory_mb = small(*limits, "memory_mb", kDefaultMemoryMb);
+    config.memory_mb = read_int(*limits, "memory_mb", kDefaultMemoryMb);
     if (config.memory_mb < kMinMemoryMb) {
         throw ConfigurationError("field 'limits.memory_mb' is less than " + std::to_string(kMinMemoryMb));
     }
@@ -151,7 +151,7 @@
     config.deployment = read_deployment(settings);
     config.names = read_names(settings);
     if (const Value* permissions = find(settings, "permissions"))
-        config.max_open_requests = small(*permissions, "max_open", 0);
+        config.max_open_requests = read_int(*permissions, "max_open", 0);
     if (const Value* prices = find(settings, "prices"))
         config.gossip_price = std::max(0.0, number(*prices, "peer", 0));
     if (config.deployment.operations.empty()) throw ConfigurationError("field 'operations' is empty");
@@ -161,9 +161,9 @@
 
 EndpointUpdate parse_endpoint_update(const Value& value, const Names& names) {
     EndpointUpdate list;
-    list.version = whole(need(value, "seq"), "seq");
+    list.version = whole(get_required_member(value, "seq"), "seq");
     list.is_full = flag(value, "whole");
-    for (const Value& entry : need_list(value, "hosts").GetArray()) {
+    for (const Value& entry : get_required_array(value, "hosts").GetArray()) {
         try {
             list.servers.push_back(read_server(entry, names));
         } catch (const ConfigurationError& error) {
@@ -205,18 +205,18 @@
     if (!root.IsObject()) throw ConfigurationError("the configuration is not an object");
     NodeConfig config;
     collect_keys(root, {}, config.given_keys);
-    config.name = text(need(root, "name"), "name");
+    config.name = text(get_required_member(root, "name"), "name");
     read_addresses(root, config);
-    config.seed = read_seed(need(root, "seed"));
+    config.seed = read_seed(get_required_member(root, "seed"));
     read_limits(root, config);
-    const Value& settings = need(root, "settings");
+    const Value& settings = get_required_member(root, "settings");
     try {
         read_settings(settings, config);
     } catch (const ConfigurationError& error) {
         throw ConfigurationError(std::string("in 'settings': ") + error.what());
     }
     try {
-        config.cached_endpoints = parse_endpoint_update(need(root, "known"), config.names);
+        config.cached_endpoints = parse_endpoint_update(get_required_member(root, "known"), config.names);
         if (!config.cached_endpoints.errors.empty())
             throw ConfigurationError(config.cached_endpoints.errors.front());
     } catch (const ConfigurationError& error) {
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -278,7 +278,7 @@
 
 void read_trouble(Table& table, Scenario& scenario) {
     Trouble trouble;
-    const std::size_t kind = table.word("what", 0, trouble_words());
+    const std::size_t kind = table.word("what", 0, trouble_names());
     if (!table.has("what")) table.add_error("what", "is missing; expected a kind of trouble");
     trouble.kind = static_cast<TroubleKind>(kind);
     const TroubleSpec& spec = kTroubles[kind];
@@ -370,7 +370,7 @@
 
 }  // namespace
 
-const std::vector<std::string>& trouble_words() {
+const std::vector<std::string>& trouble_names() {
     static const std::vector<std::string> words = [] {
         std::vector<std::string> all;
         for (const TroubleSpec& spec : kTroubles) all.emplace_back(spec.word);
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -83,7 +83,7 @@
     bool filled = true;  // caches start with the most popular keys
 };
 
-// The kinds of trouble, in the order of trouble_words().
+// The kinds of trouble, in the order of trouble_names().
 enum class TroubleKind {
     silent,             // servers send nothing and accept no connections
     crash,              // servers stop and restart cold; discovery removes them meanwhile
@@ -120,7 +120,7 @@
     count               // the number of kinds
 };
 // The names of the kinds in scenario files.
-const std::vector<std::string>& trouble_words();
+const std::vector<std::string>& trouble_names();
 
 // A fault, or a change of the demand or the configuration, at a given time.
 struct Trouble {
--- a/src/config/warm_start.cpp
+++ b/src/config/warm_start.cpp
@@ -25,7 +25,7 @@
 constexpr const char* kWrittenAtKey = "written_at";
 
 double required_number(const rapidjson::Value& object, const char* name) {
-    return number(need(object, name), name);
+    return number(get_required_member(object, name), name);
 }
 
 }  // namespace
@@ -78,12 +78,12 @@
     snapshot.origin_concurrency_limit = required_number(root, "origin_limit");
     snapshot.origin_latency = required_number(root, "origin_pace");
     snapshot.kind_traffic_shares.assign(kinds.size(), 1);
-    for (const rapidjson::Value& k : need_list(root, "kinds").GetArray()) {
-        const int at = index_of(kinds, text(need(k, "name"), "name"));
+    for (const rapidjson::Value& k : get_required_array(root, "kinds").GetArray()) {
+        const int at = index_of(kinds, text(get_required_member(k, "name"), "name"));
         if (at >= 0) snapshot.kind_traffic_shares[static_cast<std::size_t>(at)] = required_number(k, "share");
     }
-    for (const rapidjson::Value& c : need_list(root, "caches").GetArray()) {
-        const int server = index_of_server(std::string(text(need(c, "name"), "name")));
+    for (const rapidjson::Value& c : get_required_array(root, "caches").GetArray()) {
+        const int server = index_of_server(std::string(text(get_required_member(c, "name"), "name")));
         if (server >= 0)
             snapshot.servers.push_back(
                 {server, required_number(c, "limit"), required_number(c, "rest"), flag(c, "suspect")});
@@ -110,7 +110,8 @@
     rapidjson::Document root;
     root.Parse(content.data(), content.size());
     if (root.HasParseError() || !root.IsObject()) return std::nullopt;
-    return BootTime{std::string(text(need(root, kBootKey), kBootKey)), required_number(root, kWrittenAtKey)};
+    return BootTime{std::string(text(get_required_member(root, kBootKey), kBootKey)),
+                    required_number(root, kWrittenAtKey)};
 } catch (const ConfigurationError&) {
     return std::nullopt;
 }
--- a/src/coordination/coordination_session.cpp
+++ b/src/coordination/coordination_session.cpp
@@ -76,7 +76,7 @@
     const std::int32_t timeout = reader.number();
     const std::int64_t session_id = reader.long_number();
     const std::string password = reader.text();
-    if (!reader.sound()) return disconnect(now, "malformed connect response");
+    if (!reader.is_valid()) return disconnect(now, "malformed connect response");
     if (timeout <= 0 || session_id == 0) {
         // The session has expired. Nothing depends on it, so the next connection requests a new one.
         session_id_ = 0;
@@ -95,7 +95,7 @@
     const std::int32_t xid = reader.number();
     const std::int64_t order = reader.long_number();
     const std::int32_t error = reader.number();
-    if (!reader.sound()) return disconnect(now, "truncated reply header");
+    if (!reader.is_valid()) return disconnect(now, "truncated reply header");
     const std::string_view body = payload.substr(kReplyHeaderSize);
     if (xid == kWatchEventXid) return on_watch_event(now, body);
     last_order_ = std::max(last_order_, order);
@@ -140,7 +140,7 @@
     const std::int32_t event_type = reader.number();
     (void)reader.number();
     const std::string path = reader.text();
-    if (!reader.sound()) return disconnect(now, "malformed watch event");
+    if (!reader.is_valid()) return disconnect(now, "malformed watch event");
     if (path == path_) {
         if (event_type == kChildrenChanged || event_type == kNodeRemoved) list_children();
         return;
@@ -167,7 +167,7 @@
     if (error == 0) {
         JuteReader reader(payload);
         names = reader.texts();
-        if (!reader.sound() || names.size() > kMaxChildren)
+        if (!reader.is_valid() || names.size() > kMaxChildren)
             return disconnect(now, "malformed listing, or too many children");
     }
     const std::set<std::string> listed_names(names.begin(), names.end());
@@ -202,7 +202,7 @@
         JuteReader reader(payload);
         const std::string data = reader.text();
         const std::int64_t creation_id = reader.long_number();
-        if (!reader.sound()) return disconnect(now, "malformed data of a child");
+        if (!reader.is_valid()) return disconnect(now, "malformed data of a child");
         std::string reason;
         child.registration = decode_(name, data, reason);
         if (child.registration) {
--- a/src/coordination/jute.h
+++ b/src/coordination/jute.h
@@ -23,7 +23,7 @@
     bool flag();
     std::string text();  // a count of -1 means an empty string
     std::vector<std::string> texts();
-    bool sound() const { return sound_; }  // whether all values read so far were valid
+    bool is_valid() const { return sound_; }  // whether all values read so far were valid
     bool at_end() const { return rest_.empty(); }
 
   private:
--- a/src/gossip/outlier_exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -136,7 +136,7 @@
     std::uint32_t quota_share(QuotaId quota, double now) const { return quota_leases_.share(quota, now); }
     QuotaLeases::View quota_view(QuotaId quota, double now) const { return quota_leases_.view(quota, now); }
     // Returns the changes since the last call.
-    std::vector<ZoneFailover::Change> zone_orders() { return std::exchange(pending_zone_changes_, {}); }
+    std::vector<ZoneFailover::Change> take_zone_changes() { return std::exchange(pending_zone_changes_, {}); }
     std::vector<ZoneFailover::View> zone_views(double now) const;
     GossipState state(double now) const;
     std::uint32_t incarnation() const { return incarnation_; }
--- a/src/gossip_agent/gossip_agent.cpp
+++ b/src/gossip_agent/gossip_agent.cpp
@@ -204,7 +204,7 @@
         }
         if (apply_verdicts_) on_outlier_verdict_(now, name->second, verdict.bad, verdict.probe_interval);
     }
-    for (const gossip::ZoneFailover::Change& change : exchange_.zone_orders()) {
+    for (const gossip::ZoneFailover::Change& change : exchange_.take_zone_changes()) {
         const auto index = static_cast<std::size_t>(change.zone);
         const std::string name =
             index < zone_names_.size() ? zone_names_[index] : std::to_string(change.zone);
--- a/src/guard/send_guard.h
+++ b/src/guard/send_guard.h
@@ -41,7 +41,7 @@
 std::string_view name_of(SendRefusal refusal);
 
 /// Seconds by which the deadline sent to a server may exceed the time that its client waits.
-constexpr double kToldDeadlineSlack = 0.15;
+constexpr double kServerDeadlineSlack = 0.15;
 /// Seconds for which the process may be delayed between this check and the write.
 constexpr double kHoldUpAllowance = 0.15;
 
--- a/src/guard/violations.h
+++ b/src/guard/violations.h
@@ -12,12 +12,12 @@
 
 /// Kinds of violations that are detected at run time.
 enum class Violation {
-    sent_unasked,         ///< an attempt was written although the send guard would refuse it
-    deadline_too_long,    ///< the deadline sent to a server exceeds the client's by more than the slack
-    commands_lost,        ///< a connection was closed without the responses to commands read from it
-    closed_while_in_use,  ///< an optional close had unanswered commands or unread input
-    window_passed,        ///< a retry was sent after its idempotency key may have expired
-    count                 ///< the number of kinds
+    sent_despite_refusal,  ///< an attempt was written although the send guard would refuse it
+    deadline_too_long,     ///< the deadline sent to a server exceeds the client's by more than the slack
+    commands_lost,         ///< a connection was closed without the responses to commands read from it
+    closed_while_in_use,   ///< an optional close had unanswered commands or unread input
+    deduplication_window_passed,  ///< a retry was sent after its idempotency key may have expired
+    count                         ///< the number of kinds
 };
 
 /// Returns the name of a kind in the log and in metrics.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -30,7 +30,7 @@
             std::fprintf(stderr,
                          "brookrelay: GW_CONFIG is not set: it names the configuration file "
                          "(or give --config FILE; --help says more)\n");
-            return brookrelay::kWrongUse;
+            return brookrelay::kExitUsageError;
         }
         path = variable;
     }
@@ -229,13 +229,13 @@
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         // --help and --version are reported as exceptions too, with exit code 0.
-        return app.exit(error) == 0 ? brookrelay::kDone : brookrelay::kWrongUse;
+        return app.exit(error) == 0 ? brookrelay::kExitSuccess : brookrelay::kExitUsageError;
     }
     try {
         if (line.run) return line.run();
         return run_node(line.config, line.operator_path, line.log_format);
     } catch (const brookrelay::ConfigurationFileError& error) {
         std::fprintf(stderr, "%s\n", error.what());
-        return brookrelay::kWrongUse;
+        return brookrelay::kExitUsageError;
     }
 }
--- a/src/model/model_checker.h
+++ b/src/model/model_checker.h
@@ -16,9 +16,9 @@
 
 namespace brookrelay::model {
 
-struct Explored {
+struct ModelCheckResult {
     std::uint64_t states = 0, ends = 0;  // steps taken, and sequences run to the full depth
-    double rest_most = 0;                // the longest recovery after the last action, in seconds
+    double max_recovery_seconds = 0;     // the longest recovery after the last action, in seconds
     double took = 0;                     // seconds of the check itself
     std::string broken;  // the first violated invariant and the actions that led to it; empty: none
 };
@@ -34,7 +34,7 @@
 }
 
 template <typename World>
-void explore(const World& begin, int depth, std::vector<int>& actions, Explored& result) {
+void check_model(const World& begin, int depth, std::vector<int>& actions, ModelCheckResult& result) {
     if (!result.broken.empty()) return;
     if (depth == 0) {  // No more faults: the model must recover within a number of steps.
         ++result.ends;
@@ -44,7 +44,7 @@
             const std::string broken = recovering.step(0);
             if (!broken.empty()) result.broken = describe<World>(broken, actions);
         }
-        result.rest_most = std::max(result.rest_most, steps * World::kStepSeconds);
+        result.max_recovery_seconds = std::max(result.max_recovery_seconds, steps * World::kStepSeconds);
         if (!recovering.has_recovered()) result.broken = describe<World>("it does not recover", actions);
         return;
     }
@@ -54,7 +54,7 @@
         const std::string broken = copy.step(action);
         ++result.states;
         if (!broken.empty() && result.broken.empty()) result.broken = describe<World>(broken, actions);
-        explore(copy, depth - 1, actions, result);
+        check_model(copy, depth - 1, actions, result);
         actions.pop_back();
     }
 }
@@ -63,11 +63,11 @@
 
 // Runs every sequence of `depth` actions from `begin`. Action 0 must be the one without a fault.
 template <typename World>
-Explored explore(const World& begin, int depth) {
-    Explored result;
+ModelCheckResult check_model(const World& begin, int depth) {
+    ModelCheckResult result;
     std::vector<int> actions;
     const auto started_at = std::chrono::steady_clock::now();
-    detail::explore(begin, depth, actions, result);
+    detail::check_model(begin, depth, actions, result);
     result.took = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
     return result;
 }
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -20,9 +20,9 @@
     void send(double now, int from, int to, const std::string& bytes) {
         sent_bytes += static_cast<double>(bytes.size());
         if (cut(from, to)) return;
-        for (int copies = unit() < doubled ? 2 : 1; copies > 0; --copies) {
+        for (int copies = unit() < duplicate_probability ? 2 : 1; copies > 0; --copies) {
             if (unit() >= loss)
-                in_transit_.emplace(now + min_delay + (slowest - min_delay) * unit(),
+                in_transit_.emplace(now + min_delay + (max_delay - min_delay) * unit(),
                                     std::tuple{from, to, bytes});
         }
     }
@@ -36,7 +36,8 @@
     double unit() { return std::uniform_real_distribution<>(0, 1)(generator_); }
     std::uint64_t draw() { return generator_(); }
 
-    double loss = 0, doubled = 0, min_delay = 0.001, slowest = 0.03;  // probabilities, and delays in seconds
+    double loss = 0, duplicate_probability = 0, min_delay = 0.001,
+           max_delay = 0.03;  // probabilities, and delays in seconds
     std::function<bool(int from, int to)> cut = [](int, int) { return false; };
     double sent_bytes = 0;
 
--- a/src/model/outlier_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -17,15 +17,16 @@
 namespace brookrelay::model {
 
 // Nodes that send attempts to servers and exchange the outcomes. Node n is in zone n % zones.
-class FindingFleet {
+class OutlierFleet {
   private:
     int zones_;
     double now_ = 100;
 
   public:
     Network network;
-    static constexpr gossip::ServerKey kSick = 5;  // the server for which `part_to_sick` limits the traffic
-    FindingFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024)
+    static constexpr gossip::ServerKey kFailingServer =
+        5;  // the server for which `failing_server_traffic_ratio` limits the traffic
+    OutlierFleet(int nodes, int zones, std::uint64_t seed, double bytes = 1024)
         : zones_(zones), network(seed) {
         for (int n = 0; n < nodes; ++n) {
             settings_.push_back({n, nodes, n % zones, zones, bytes, 0, 0.004});
@@ -58,13 +59,13 @@
                     if (unit() > rate * gossip::OutlierExchange::kTickInterval / 2) continue;
                     exchange.on_request(now_);
                     const auto server = static_cast<gossip::ServerKey>(unit() * kCaches) + 1;
-                    if (server == kSick && unit() > part_to_sick) continue;
+                    if (server == kFailingServer && unit() > failing_server_traffic_ratio) continue;
                     // A node with a verdict sends the server few attempts, as the balancer does.
                     if (verdicts_[n].contains(server) && unit() > 2.0 / (rate / kCaches * count() / zones_))
                         continue;
-                    exchange.on_attempt_finished(
-                        now_, server,
-                        fate(n, server) ? gossip::AttemptHealth::good : gossip::AttemptHealth::bad);
+                    exchange.on_attempt_finished(now_, server,
+                                                 attempt_succeeds(n, server) ? gossip::AttemptHealth::good
+                                                                             : gossip::AttemptHealth::bad);
                 }
                 for (gossip::Outgoing& outgoing : exchange.tick(now_))
                     send(n, outgoing.to, std::move(outgoing.bytes));
@@ -79,7 +80,7 @@
     }
     void send(int from, int to, std::string bytes) { network.send(now_, from, to, std::move(bytes)); }
     // Of the running nodes for which `of` holds, the ratio that has a verdict on `server`.
-    double told(
+    double ratio_with_verdict(
         gossip::ServerKey server, const std::function<bool(int)>& of = [](int) { return true; }) const {
         int running = 0, matching = 0;
         for (int n = 0; n < count(); ++n) {
@@ -90,7 +91,7 @@
         return running == 0 ? 0 : static_cast<double>(matching) / running;
     }
     // Runs until `done` or for `most` seconds; returns the seconds that passed.
-    double until(double most, const std::function<bool()>& done) {
+    double run_until(double most, const std::function<bool()>& done) {
         const double from = now_;
         while (now_ - from < most && !done()) run(gossip::OutlierExchange::kTickInterval);
         return now_ - from;
@@ -102,10 +103,12 @@
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
 
     static constexpr int kCaches = 12;
-    double rate = 10;         // attempts per second and node
-    double part_to_sick = 1;  // ratio of the attempts to kSick that are sent
+    double rate = 10;                         // attempts per second and node
+    double failing_server_traffic_ratio = 1;  // ratio of the attempts to kFailingServer that are sent
     std::set<int> frozen;
-    std::function<bool(int node, gossip::ServerKey)> fate = [](int, gossip::ServerKey) { return true; };
+    std::function<bool(int node, gossip::ServerKey)> attempt_succeeds = [](int, gossip::ServerKey) {
+        return true;
+    };
 
   private:
     std::vector<gossip::GossipSettings> settings_;
--- a/src/model/quota_fleet.h
+++ b/src/model/quota_fleet.h
@@ -19,9 +19,9 @@
 
 // One quota, and at each node a demand that is a ratio of it. A node uses its demand up to its share, in
 // steps of an eighth of a second.
-class LimitFleet {
+class QuotaFleet {
   public:
-    LimitFleet(int nodes, std::uint64_t seed) : network(seed), demand(static_cast<std::size_t>(nodes)) {
+    QuotaFleet(int nodes, std::uint64_t seed) : network(seed), demand(static_cast<std::size_t>(nodes)) {
         for (int n = 0; n < nodes; ++n) {
             nodes_.emplace_back();
             start(n, nodes);
@@ -38,7 +38,7 @@
     void run(double seconds) {
         for (const double until = now_ + seconds; now_ < until - 1e-9;) step();
     }
-    double until(double max_seconds, const std::function<bool()>& done) {
+    double run_until(double max_seconds, const std::function<bool()>& done) {
         const double from = now_;
         do {
             step();
--- a/src/model/quota_lease_model.h
+++ b/src/model/quota_lease_model.h
@@ -12,7 +12,7 @@
 
 // Three nodes share one quota, and one of them, at first node 0, needs all of it. A step takes 0.75 s, so a
 // lease expires four steps after it was requested.
-class SmallLimits {
+class QuotaLeaseModel {
   public:
     enum Action {
         no_fault,
@@ -42,7 +42,7 @@
                                                     "node 2 cut off"};
         return names;
     }
-    SmallLimits() {
+    QuotaLeaseModel() {
         for (int n = 0; n < 3; ++n) nodes_.push_back(gossip::QuotaLeases({n, 3}, -10));
         for (int n = 0; n < 2; ++n) step(no_fault);
     }
--- a/src/model/zone_failover_model.h
+++ b/src/model/zone_failover_model.h
@@ -13,7 +13,7 @@
 // Three nodes of zone 0 that use zone 1, in steps of half a second. In each step one action happens; then
 // each node sends attempts as its zone weight allows and gossips its reports, and reports that are not lost
 // arrive.
-class SmallZones {
+class ZoneFailoverModel {
   public:
     enum Action {
         no_fault,
@@ -39,7 +39,7 @@
                                                   "node 0 is paused"};
         return all;
     }
-    SmallZones(bool has_faulty_node, bool lost) : has_faulty_(has_faulty_node) {
+    ZoneFailoverModel(bool has_faulty_node, bool lost) : has_faulty_(has_faulty_node) {
         for (int n = 0; n < 3; ++n) nodes_.push_back(gossip::ZoneFailover({n, 0, 2, 4, {}}, 0));
         if (lost) step(zone_toggles);
         for (int n = 0; lost && n < 4; ++n) step(no_fault);
--- a/src/model/zone_fleet.h
+++ b/src/model/zone_fleet.h
@@ -57,7 +57,7 @@
     void run(double seconds) {
         for (const double until = now_ + seconds; now_ < until - 1e-9;) step();
     }
-    double until(double most, const std::function<bool()>& done) {
+    double run_until(double most, const std::function<bool()>& done) {
         const double from = now_;
         while (now_ - from < most && !done()) step();
         return now_ - from;
@@ -108,7 +108,7 @@
             }
             for (gossip::Outgoing& outgoing : node.exchange->tick(now_))
                 network.send(now_, n, outgoing.to, std::move(outgoing.bytes));
-            for (const gossip::ZoneFailover::Change& change : node.exchange->zone_orders()) {
+            for (const gossip::ZoneFailover::Change& change : node.exchange->take_zone_changes()) {
                 node.zone_changes[at(change.zone)] = change;
                 node.next_probe_at[at(change.zone)] = now_ + change.probe_interval * unit();
             }
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -724,15 +724,15 @@
                servers_.at(server).name;
     };
     if (active.answered || now >= active.deadline || !servers_.accepts_attempts(server))
-        violations_.report(Violation::sent_unasked, describe_attempt());
-    if (time_left > active.deadline - now + kToldDeadlineSlack)
+        violations_.report(Violation::sent_despite_refusal, describe_attempt());
+    if (time_left > active.deadline - now + kServerDeadlineSlack)
         violations_.report(Violation::deadline_too_long, describe_attempt());
     const bool repeats = active.possible_runs > 0;
     if (repeats && active.operation.idempotency == Idempotency::none)
-        violations_.report(Violation::sent_unasked, describe_attempt());
+        violations_.report(Violation::sent_despite_refusal, describe_attempt());
     if (repeats && active.operation.idempotency == Idempotency::idempotency_key &&
         now >= active.may_have_run_since + active.operation.deduplication_window)
-        violations_.report(Violation::window_passed, describe_attempt());
+        violations_.report(Violation::deduplication_window_passed, describe_attempt());
     if (active.possible_runs++ == 0) active.may_have_run_since = now;
     metrics_.on_send(now - endpoints_confirmed_at_);
     trace(TraceEvent::attempt_written, request, attempt, server, {});
--- a/src/proxy/serve.cpp
+++ b/src/proxy/serve.cpp
@@ -69,7 +69,7 @@
         inherited = inherited_descriptor();
     } catch (const ConfigurationError& error) {
         std::fprintf(stderr, "brookrelay: %s: %s\n", path.c_str(), error.what());
-        return kWrongUse;
+        return kExitUsageError;
     }
     Log log(config.name, operator_config.json_log, operator_config.log_lines_per_second);
     Node node(config, operator_config, log);
@@ -93,10 +93,10 @@
         }
     } catch (const BindError& error) {
         std::fprintf(stderr, "brookrelay: %s\n", error.what());
-        return kBroken;
+        return kExitFailure;
     }
     log.line(Topic::node, "ends", "shutdown complete");
-    return kDone;
+    return kExitSuccess;
 }
 
 }  // namespace brookrelay
--- a/src/proxy/serve.h
+++ b/src/proxy/serve.h
@@ -9,9 +9,10 @@
 
 namespace brookrelay {
 
-/// Runs the node until its shutdown is complete and returns the program's exit code: kDone after SIGTERM or
-/// SIGINT, kWrongUse for an invalid configuration, kBroken if it cannot listen. `reload_operator_config` is
-/// called on SIGHUP; a std::runtime_error from it is logged and the current configuration is kept.
+/// Runs the node until its shutdown is complete and returns the program's exit code: kExitSuccess after
+/// SIGTERM or SIGINT, kExitUsageError for an invalid configuration, kExitFailure if it cannot listen.
+/// `reload_operator_config` is called on SIGHUP; a std::runtime_error from it is logged and the current
+/// configuration is kept.
 int serve(const std::string& config_path, const OperatorConfig& operator_config,
           const std::function<OperatorConfig()>& reload_operator_config);
 
--- a/src/sim_adapter/adapter.cpp
+++ b/src/sim_adapter/adapter.cpp
@@ -60,7 +60,7 @@
     bool is_running() const { return balancer_ != nullptr; }
 
     void update_endpoints(double now, const Value& event) {
-        const std::string_view mode = text(need(event, "mode"), "mode");
+        const std::string_view mode = text(get_required_member(event, "mode"), "mode");
         if (mode == "error") {
             balancer_->on_poll_failed(now);
             return;
@@ -78,13 +78,13 @@
             for (const Value& entry : array->GetArray()) {
                 if (!entry.IsObject()) throw ConfigurationError("an entry of 'entries' is not an object");
                 Endpoint endpoint;
-                endpoint.name = text(need(entry, "server"), "server");
+                endpoint.name = text(get_required_member(entry, "server"), "server");
                 endpoint.server = server_index(endpoint.name);
-                endpoint.zone = small(entry, "locality", 0);
-                endpoint.kind = small(entry, "machine", 0);
-                endpoint.cell = small(entry, "group", 0);
+                endpoint.zone = read_int(entry, "locality", 0);
+                endpoint.kind = read_int(entry, "machine", 0);
+                endpoint.cell = read_int(entry, "group", 0);
                 endpoint.weight = number(entry, "scale", 0);
-                endpoint.state = parse_endpoint_state(need(entry, "mode"), "mode");
+                endpoint.state = parse_endpoint_state(get_required_member(entry, "mode"), "mode");
                 endpoint.started_at = seconds(entry, "since_us");
                 entries.push_back(endpoint);
             }
@@ -94,15 +94,15 @@
 
     void receive_request(double now, const Value& event) {
         Request request;
-        const std::int64_t id = whole(need(event, "corr"), "corr");
-        request.operation = small(event, "cls", -1);
+        const std::int64_t id = whole(get_required_member(event, "corr"), "corr");
+        request.operation = read_int(event, "cls", -1);
         if (request.operation < 0) throw ConfigurationError("missing field 'cls'");
         if (request.operation >= operations_) throw ConfigurationError("field 'cls' names no operation");
-        request.time_remaining = number(need(event, "remaining_us"), "remaining_us") / 1e6;
-        const int options = small(event, "options", 0);
+        request.time_remaining = number(get_required_member(event, "remaining_us"), "remaining_us") / 1e6;
+        const int options = read_int(event, "options", 0);
         request.is_write = (options & 4) != 0;
         request.is_client_retry = (options & 2) != 0;
-        request.tenant = small(event, "org", 0);
+        request.tenant = read_int(event, "org", 0);
         if (const Value* key = find(event, "key")) {
             request.has_key = true;
             request.key = static_cast<std::uint64_t>(whole(*key, "key"));
@@ -123,9 +123,9 @@
 
     void finish_attempt(double now, const Value& event) {
         const int request = find_request(event);
-        const int attempt = small(require_member(event, "copy"), "copy", 0);
-        const AttemptOutcome outcome = word(need(event, "result"), "result", kAttemptOutcomes);
-        const double latency = number(need(event, "delay_seen_us"), "delay_seen_us") / 1e6;
+        const int attempt = read_int(require_member(event, "copy"), "copy", 0);
+        const AttemptOutcome outcome = word(get_required_member(event, "result"), "result", kAttemptOutcomes);
+        const double latency = number(get_required_member(event, "delay_seen_us"), "delay_seen_us") / 1e6;
         if (request < 0) return;
         Slot& slot = slots_[static_cast<std::size_t>(request)];
         --slot.open_attempts;
@@ -147,25 +147,26 @@
 
     void start_stream(double now, const Value& event) {
         const int request = find_request(event);
-        const int attempt = small(require_member(event, "copy"), "copy", 0);
+        const int attempt = read_int(require_member(event, "copy"), "copy", 0);
         if (request >= 0) balancer_->on_stream_started(now, request, attempt);
     }
 
     void finish_health_check(double now, const Value& event) {
-        const auto at = server_indices_.find(std::string(text(need(event, "server"), "server")));
-        const AttemptOutcome outcome = word(need(event, "result"), "result", kAttemptOutcomes);
+        const auto at =
+            server_indices_.find(std::string(text(get_required_member(event, "server"), "server")));
+        const AttemptOutcome outcome = word(get_required_member(event, "result"), "result", kAttemptOutcomes);
         if (at != server_indices_.end())
             balancer_->on_health_check(now, at->second, outcome, seconds(event, "delay_seen_us"));
     }
 
     // Checks the fields of a peer's message and ignores it: the balancer has no input for it.
     void check_peer_message(double, const Value& event) {
-        need(event, "author");
-        need(event, "content");
+        get_required_member(event, "author");
+        get_required_member(event, "content");
     }
 
     void fire_timer(double now, const Value& event) {
-        const std::string token(text(need(event, "handle"), "handle"));
+        const std::string token(text(get_required_member(event, "handle"), "handle"));
         std::uint64_t value = 0;
         for (char c : token) {
             if (c < '0' || c > '9') return;  // not a handle that set_timer() sent
@@ -249,7 +250,7 @@
 
     // Checks that the event has the member, and returns the event.
     static const Value& require_member(const Value& event, const char* name) {
-        need(event, name);
+        get_required_member(event, name);
         return event;
     }
     int server_index(std::string_view name) {
@@ -260,7 +261,7 @@
     }
     int find_request(const Value& event) const {
         // The protocol allows late events for a request that has ended; they have no effect.
-        const auto at = request_by_external_id_.find(whole(need(event, "corr"), "corr"));
+        const auto at = request_by_external_id_.find(whole(get_required_member(event, "corr"), "corr"));
         return at == request_by_external_id_.end() ? -1 : at->second;
     }
     void mark_ended(int request) {
@@ -322,8 +323,8 @@
                                      rapidjson::GetParseError_En(document.GetParseError()));
         }
         if (!document.IsObject()) throw ConfigurationError("a batch is not an object");
-        const double now = number(need(document, "t_us"), "t_us") / 1e6;
-        const Value& input = need(document, "input");
+        const double now = number(get_required_member(document, "t_us"), "t_us") / 1e6;
+        const Value& input = get_required_member(document, "input");
         if (!input.IsArray()) throw ConfigurationError("field 'input' is not an array");
         buffer_.Clear();
         writer_.Reset(buffer_);
@@ -340,18 +341,18 @@
   private:
     void handle_event(double now, const Value& event) {
         if (!event.IsObject()) throw ConfigurationError("an event is not an object");
-        const std::string_view event_name = text(need(event, "msg"), "msg");
+        const std::string_view event_name = text(get_required_member(event, "msg"), "msg");
         try {
-            const std::int64_t number = whole(need(event, "i"), "i");
+            const std::int64_t number = whole(get_required_member(event, "i"), "i");
             if (event_name == "provision") {
-                const Value& seed = need(event, "rng_seed");
+                const Value& seed = get_required_member(event, "rng_seed");
                 if (!seed.IsUint64() && !seed.IsInt64())
                     throw ConfigurationError("field 'rng_seed' is not a whole number");
                 const auto value =
                     seed.IsUint64() ? seed.GetUint64() : static_cast<std::uint64_t>(seed.GetInt64());
                 auto& instance = instances_[number];
                 instance = std::make_unique<Instance>(number, writer_);
-                instance->start(read_deployment(need(event, "boot_info")), value);
+                instance->start(read_deployment(get_required_member(event, "boot_info")), value);
                 return;
             }
             const auto handler = kHandlers.find(event_name);
--- a/src/testkit/daemon_process.cpp
+++ b/src/testkit/daemon_process.cpp
@@ -55,7 +55,7 @@
 
 // Sets up the child between fork and exec: descriptors, signals, process group and core. Allocates no memory,
 // because the parent may have threads.
-void prepare_child_for_exec(const DaemonProcess::Place& place, const std::string& log, pid_t parent,
+void prepare_child_for_exec(const DaemonProcess::LaunchOptions& place, const std::string& log, pid_t parent,
                             int exec_pipe) {
     const int temporary_exec_pipe = fcntl(exec_pipe, F_DUPFD_CLOEXEC, kMinTemporaryFd);
     // The daemon is killed when its parent ends, however that ends.
@@ -159,7 +159,7 @@
     pid_ = 0;
 }
 
-ProcessUsage DaemonProcess::figures() const {
+ProcessUsage DaemonProcess::resource_usage() const {
     ProcessUsage f;
     if (pid_ <= 0) return f;
     const std::string proc = "/proc/" + std::to_string(pid_);
@@ -171,7 +171,7 @@
     f.waited = waited / 1e9;
     const std::string status = read_file(proc + "/status");
     f.rss_mb = number_after(status, "VmRSS:") / 1024;
-    f.rss_most_mb = number_after(status, "VmHWM:") / 1024;
+    f.max_rss_mb = number_after(status, "VmHWM:") / 1024;
     if (DIR* folder = opendir((proc + "/fd").c_str())) {
         while (readdir(folder) != nullptr) ++f.descriptors;
         closedir(folder);
--- a/src/testkit/daemon_process.h
+++ b/src/testkit/daemon_process.h
@@ -18,14 +18,14 @@
     double cpu = 0;     // seconds
     double waited = 0;  // seconds runnable but not running
     double rss_mb = 0;
-    double rss_most_mb = 0;
+    double max_rss_mb = 0;
     int descriptors = 0;
 };
 
 class DaemonProcess {
   public:
     // How and where the daemon is started.
-    struct Place {
+    struct LaunchOptions {
         std::string program;
         std::string folder;  // of its configuration and its log
         std::string name;    // of the configuration and log files, without extension
@@ -35,7 +35,7 @@
         std::vector<std::string> arguments = {};    // of the program; none: it serves with GW_CONFIG
         std::vector<std::string> environment = {};  // NAME=VALUE, in addition to the inherited variables
     };
-    explicit DaemonProcess(Place place) : place_(std::move(place)) {}
+    explicit DaemonProcess(LaunchOptions place) : place_(std::move(place)) {}
     ~DaemonProcess();
     DaemonProcess(const DaemonProcess&) = delete;
     DaemonProcess& operator=(const DaemonProcess&) = delete;
@@ -47,14 +47,14 @@
     void kill();                                  // sends SIGKILL and waits for the end
     int exit_code() const { return exit_code_; }  // 128 + the signal number after an end by a signal
     bool is_expected_to_end = false;              // its end is no crash
-    ProcessUsage figures() const;                 // all zero if the process does not run
-    const Place& place() const { return place_; }
+    ProcessUsage resource_usage() const;          // all zero if the process does not run
+    const LaunchOptions& place() const { return place_; }
     std::string log_path() const { return place_.folder + "/" + place_.name + ".log"; }
     std::string config_path() const { return place_.folder + "/" + place_.name + ".json"; }
     pid_t pid() const { return pid_; }
 
   private:
-    Place place_;
+    LaunchOptions place_;
     pid_t pid_ = 0;
     int exit_code_ = 0;
 };
--- a/src/testkit/experiment.cpp
+++ b/src/testkit/experiment.cpp
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-Sweep read_sweep(const std::string& text) {
+Sweep parse_sweep(const std::string& text) {
     Sweep sweep;
     const std::size_t equals = text.find('=');
     if (equals == std::string::npos || equals == 0)
@@ -91,7 +91,7 @@
     return sweep;
 }
 
-std::vector<std::uint64_t> read_seeds(const std::string& text) {
+std::vector<std::uint64_t> parse_seeds(const std::string& text) {
     constexpr std::uint64_t kMaxSeedsInRange = 10000;
     std::vector<std::uint64_t> seeds;
     std::stringstream parts(text);
@@ -124,7 +124,7 @@
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
-std::vector<Cell> cells_of(const ExperimentPlan& plan) {
+std::vector<ExperimentRun> plan_experiment_runs(const ExperimentPlan& plan) {
     std::vector<std::vector<std::string>> settings{{}};
     for (const Sweep& sweep : plan.sweeps) {
         std::vector<std::vector<std::string>> longer;
@@ -136,13 +136,13 @@
         }
         settings = std::move(longer);
     }
-    std::vector<Cell> cells;
+    std::vector<ExperimentRun> cells;
     // Seed by seed, with the daemons of a setting in succession, so that a slowdown of the machine affects
     // all.
     for (const std::uint64_t seed : plan.seeds) {
         for (const auto& setting : settings) {
             for (std::size_t d = 0; d < plan.daemons.size(); ++d) {
-                Cell c;
+                ExperimentRun c;
                 c.daemon = d;
                 c.sets = setting;
                 c.seed = seed;
@@ -182,16 +182,16 @@
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
-ExperimentResult play_experiment(const ExperimentPlan& plan,
-                                 const std::function<int(const Cell&)>& run_cell) {
+ExperimentResult execute_experiment(const ExperimentPlan& plan,
+                                    const std::function<int(const ExperimentRun&)>& run_cell) {
     ExperimentResult result;
-    result.cells = cells_of(plan);
+    result.cells = plan_experiment_runs(plan);
     std::map<pid_t, std::size_t> running;
     std::size_t next = 0, done = 0;
     const auto stop = [&] { return plan.interrupted && plan.interrupted(); };
     while (next < result.cells.size() || !running.empty()) {
         while (next < result.cells.size() && static_cast<int>(running.size()) < plan.jobs && !stop()) {
-            const Cell& cell = result.cells[next];
+            const ExperimentRun& cell = result.cells[next];
             std::filesystem::create_directories(cell.folder);
             const pid_t parent = getpid();
             const pid_t child = fork();
@@ -222,38 +222,39 @@
         }
         const auto found = running.find(ended);
         if (found == running.end()) continue;
-        Cell& cell = result.cells[found->second];
+        ExperimentRun& cell = result.cells[found->second];
         running.erase(found);
         cell.measures = read_measures(cell.folder + "/report.json");
         ++done;
         if (plan.progress) plan.progress(done, result.cells.size(), cell);
     }
     result.was_interrupted = result.was_interrupted || next < result.cells.size();
-    result.pairs = paired(result.cells, plan.daemons.size());
+    result.pairs = paired_differences(result.cells, plan.daemons.size());
     return result;
 }
 
-bool Paired::told_apart() const { return first.size() >= 2 && std::abs(mean) > half_width; }
+bool PairedDifference::is_significant() const { return first.size() >= 2 && std::abs(mean) > half_width; }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
-std::vector<Paired> paired(const std::vector<Cell>& cells, std::size_t daemons) {
+std::vector<PairedDifference> paired_differences(const std::vector<ExperimentRun>& cells,
+                                                 std::size_t daemons) {
     std::vector<std::string> settings;
-    for (const Cell& c : cells) {
+    for (const ExperimentRun& c : cells) {
         if (std::find(settings.begin(), settings.end(), c.setting) == settings.end())
             settings.push_back(c.setting);
     }
-    std::vector<Paired> all;
+    std::vector<PairedDifference> all;
     for (const std::string& setting : settings) {
         for (std::size_t d = 1; d < daemons; ++d) {
             for (const Measure& m : all_measures()) {
-                Paired p;
+                PairedDifference p;
                 p.setting = setting;
                 p.daemon = d;
                 p.measure = m.name;
                 p.unit = m.unit;
-                for (const Cell& a : cells) {
+                for (const ExperimentRun& a : cells) {
                     if (a.daemon != 0 || a.setting != setting || !a.measures.played) continue;
-                    const auto b = std::find_if(cells.begin(), cells.end(), [&](const Cell& c) {
+                    const auto b = std::find_if(cells.begin(), cells.end(), [&](const ExperimentRun& c) {
                         return c.daemon == d && c.setting == setting && c.seed == a.seed && c.measures.played;
                     });
                     if (b == cells.end()) continue;
@@ -284,13 +285,14 @@
 std::string experiment_text(const ExperimentPlan& plan, const ExperimentResult& r) {
     std::string out;
     std::map<std::string, int> verdicts;
-    for (const Cell& c : r.cells) ++verdicts[c.measures.verdict.empty() ? "not played" : c.measures.verdict];
+    for (const ExperimentRun& c : r.cells)
+        ++verdicts[c.measures.verdict.empty() ? "not played" : c.measures.verdict];
     out += "days             " + std::to_string(r.cells.size()) + ":";
     for (const auto& [word, count] : verdicts) out += " " + std::to_string(count) + " " + word;
     out += r.was_interrupted ? " (interrupted)\n" : "\n";
     // For each setting and daemon: the mean and the range over the seeds.
     std::vector<std::pair<std::string, std::size_t>> groups;
-    for (const Cell& c : r.cells) {
+    for (const ExperimentRun& c : r.cells) {
         const std::pair<std::string, std::size_t> g{c.setting, c.daemon};
         if (std::find(groups.begin(), groups.end(), g) == groups.end()) groups.push_back(g);
     }
@@ -299,7 +301,7 @@
         for (const Measure& m : all_measures()) {
             double sum = 0, min = 0, max = 0;
             int n = 0;
-            for (const Cell& c : r.cells) {
+            for (const ExperimentRun& c : r.cells) {
                 if (c.setting != setting || c.daemon != daemon || !c.measures.played) continue;
                 const double v = c.measures.*(m.value);
                 min = n == 0 ? v : std::min(min, v);
@@ -314,13 +316,13 @@
             out += line;
         }
     }
-    for (const Paired& p : r.pairs) {
+    for (const PairedDifference& p : r.pairs) {
         char line[240];
         std::snprintf(
             line, sizeof line, "%-30s %-26s %+.4f +- %.4f %s over %zu pairs%s\n",
             (short_name(plan.daemons[p.daemon]) + (p.setting.empty() ? "" : " " + p.setting)).c_str(),
             p.measure.c_str(), p.mean, p.half_width, p.unit.c_str(), p.first.size(),
-            p.told_apart() ? "" : " (not told apart)");
+            p.is_significant() ? "" : " (not told apart)");
         out += line;
     }
     return out;
@@ -333,7 +335,7 @@
     for (const Measure& m : all_measures()) csv << "," << csv_quoted(m.name);
     csv << "\n";
     for (std::size_t i = 0; i < r.cells.size(); ++i) {
-        const Cell& c = r.cells[i];
+        const ExperimentRun& c = r.cells[i];
         csv << i + 1 << "," << csv_quoted(plan.daemons[c.daemon]) << "," << csv_quoted(c.setting) << ","
             << c.seed << "," << csv_quoted(c.measures.verdict);
         for (const Measure& m : all_measures()) csv << "," << format_number(c.measures.*(m.value), "%.6f");
@@ -350,7 +352,7 @@
         escape_html(std::filesystem::path(plan.scenario).stem().string()) + ": experiment</h1>";
     // One chart for each measure, with the settings on the x axis, or the seeds if nothing was swept.
     std::vector<std::string> settings;
-    for (const Cell& c : r.cells) {
+    for (const ExperimentRun& c : r.cells) {
         if (std::find(settings.begin(), settings.end(), c.setting) == settings.end())
             settings.push_back(c.setting);
     }
@@ -370,7 +372,7 @@
                 for (std::size_t s = 0; s < settings.size(); ++s) {
                     double sum = 0, min = 0, max = 0;
                     int n = 0;
-                    for (const Cell& c : r.cells) {
+                    for (const ExperimentRun& c : r.cells) {
                         if (c.daemon != d || c.setting != settings[s] || !c.measures.played) continue;
                         const double v = c.measures.*(m.value);
                         min = n == 0 ? v : std::min(min, v);
@@ -384,7 +386,7 @@
                 }
             } else {
                 double x = 1;
-                for (const Cell& c : r.cells) {
+                for (const ExperimentRun& c : r.cells) {
                     if (c.daemon == d && c.measures.played)
                         curve.points.emplace_back(x++, c.measures.*(m.value));
                 }
--- a/src/testkit/experiment.h
+++ b/src/testkit/experiment.h
@@ -17,9 +17,9 @@
 };
 // Parses "PATH=V1,V2"; commas inside brackets and quotes do not separate values. A single value sets the
 // setting without a sweep. Throws std::invalid_argument.
-Sweep read_sweep(const std::string& text);
+Sweep parse_sweep(const std::string& text);
 // Parses "3", "1..5" or "1,4,9". Throws std::invalid_argument.
-std::vector<std::uint64_t> read_seeds(const std::string& text);
+std::vector<std::uint64_t> parse_seeds(const std::string& text);
 
 // The results of one run that are compared.
 struct Measures {
@@ -38,7 +38,7 @@
 const std::vector<Measure>& all_measures();
 
 // One run of an experiment.
-struct Cell {
+struct ExperimentRun {
     std::size_t daemon = 0;
     std::vector<std::string> sets;  // PATH=VALUE, all settings of the run
     std::string setting;            // the swept settings as text
@@ -55,31 +55,33 @@
     std::string folder;
     int jobs = 1;
     std::function<bool()> interrupted;
-    std::function<void(std::size_t done, std::size_t all, const Cell&)> progress;
+    std::function<void(std::size_t done, std::size_t all, const ExperimentRun&)> progress;
 };
 
 // The differences of one measure in one setting between a daemon and the first one, paired by seed.
-struct Paired {
+struct PairedDifference {
     std::string setting;
     std::size_t daemon = 1;
     std::string measure, unit;
     std::vector<double> first, other;
     double mean = 0, deviation = 0,
-           half_width = 0;    // of the differences; half width of the 95% confidence interval
-    bool told_apart() const;  // whether 0 is outside the confidence interval
+           half_width = 0;        // of the differences; half width of the 95% confidence interval
+    bool is_significant() const;  // whether 0 is outside the confidence interval
 };
 
 struct ExperimentResult {
-    std::vector<Cell> cells;
-    std::vector<Paired> pairs;
+    std::vector<ExperimentRun> cells;
+    std::vector<PairedDifference> pairs;
     bool was_interrupted = false;
 };
 
-std::vector<Cell> cells_of(const ExperimentPlan& plan);  // in the order of execution
+std::vector<ExperimentRun> plan_experiment_runs(const ExperimentPlan& plan);  // in the order of execution
 // Executes each run by calling `run_cell` in a child process, whose exit code it returns; it must write
 // report.json into the folder of the run.
-ExperimentResult play_experiment(const ExperimentPlan& plan, const std::function<int(const Cell&)>& run_cell);
-std::vector<Paired> paired(const std::vector<Cell>& cells, std::size_t daemons);
+ExperimentResult execute_experiment(const ExperimentPlan& plan,
+                                    const std::function<int(const ExperimentRun&)>& run_cell);
+std::vector<PairedDifference> paired_differences(const std::vector<ExperimentRun>& cells,
+                                                 std::size_t daemons);
 Measures read_measures(const std::string& report_json_path);
 
 std::string experiment_text(const ExperimentPlan& plan, const ExperimentResult& result);
--- a/src/testkit/fake_cache_server.h
+++ b/src/testkit/fake_cache_server.h
@@ -21,7 +21,7 @@
     std::string address() const { return listener_.address(); }
     int number() const { return number_; }
     double started() const { return started_; }  // time of the last cold start; -1: before the run
-    bool fallen() const { return has_failed_from_overload_; }
+    bool has_failed_from_overload() const { return has_failed_from_overload_; }
     bool running() const { return is_running_; }
 
     void store(std::uint64_t key, std::uint32_t version) { store_.put(key, version); }
@@ -33,7 +33,7 @@
     void stop();            // as if the process had died: resets connections and refuses new ones
     void start_cold();      // restarts with an empty store
     void slow(double factor) { slowdown_ = factor; }
-    void spoil(double ratio) { corruption_ratio_ = ratio; }
+    void corrupt_responses(double ratio) { corruption_ratio_ = ratio; }
 
     // For reports.
     struct Counts {
--- a/src/testkit/fake_coordinator.cpp
+++ b/src/testkit/fake_coordinator.cpp
@@ -228,7 +228,7 @@
     const std::int64_t requested = in.long_number();
     const std::string password = in.text();
     // A client that has seen a later transaction than this server is refused: it would read older data here.
-    if (!in.sound() || protocol != 0 || timeout < 0 || last_seen > last_transaction_)
+    if (!in.is_valid() || protocol != 0 || timeout < 0 || last_seen > last_transaction_)
         return out_.hang_up(connection);
     std::int64_t session = requested;
     const auto existing = sessions_.find(requested);
@@ -279,11 +279,11 @@
         case CoordinatorCall::create: {
             const std::string path = in.text(), data = in.text();
             const std::int32_t acl_entries = in.number();
-            for (std::int32_t i = 0; i < acl_entries && in.sound(); ++i)
+            for (std::int32_t i = 0; i < acl_entries && in.is_valid(); ++i)
                 (void)in.number(), (void)in.text(), (void)in.text();
             const std::int32_t flags = in.number();
             std::string created_path;
-            if (in.sound())
+            if (in.is_valid())
                 error = create(now, session, path, data, (flags & 1) != 0, (flags & 2) != 0, &created_path);
             body.text(created_path);
             break;
@@ -291,13 +291,13 @@
         case CoordinatorCall::remove: {
             const std::string path = in.text();
             const std::int32_t version = in.number();
-            if (in.sound()) error = remove(path, version);
+            if (in.is_valid()) error = remove(path, version);
             break;
         }
         case CoordinatorCall::set_data: {
             const std::string path = in.text(), data = in.text();
             const std::int32_t version = in.number();
-            if (in.sound()) error = set(now, path, data, version);
+            if (in.is_valid()) error = set(now, path, data, version);
             if (nodes_.contains(path)) stat = stat_of(nodes_[path]);
             break;
         }
@@ -307,7 +307,7 @@
         case CoordinatorCall::get_children2: {
             const std::string path = in.text();
             const bool watch = in.flag();
-            if (!in.sound()) break;
+            if (!in.is_valid()) break;
             const auto found = nodes_.find(path);
             const bool is_children_call =
                 type == CoordinatorCall::get_children || type == CoordinatorCall::get_children2;
@@ -325,7 +325,7 @@
         case CoordinatorCall::set_watches: {
             const std::int64_t last_seen = in.long_number();
             const std::vector<std::string> data = in.texts(), exist = in.texts(), child = in.texts();
-            if (!in.sound()) break;
+            if (!in.is_valid()) break;
             // Changes after the last transaction that the client has seen are sent at once; for unchanged
             // paths the watch is set again.
             const auto send_event = [&](const std::string& path, CoordinatorEvent event) {
@@ -368,7 +368,7 @@
         default:
             error = CoordinatorError::unimplemented;
     }
-    if (!in.sound()) return out_.hang_up(connection);  // later bytes cannot be parsed either
+    if (!in.is_valid()) return out_.hang_up(connection);  // later bytes cannot be parsed either
     JuteWriter header;
     header.number(type == CoordinatorCall::ping ? kPingXid : type == CoordinatorCall::auth ? kAuthXid : xid);
     header.long_number(last_transaction_).number(static_cast<std::int32_t>(error));
--- a/src/testkit/fleet_views.cpp
+++ b/src/testkit/fleet_views.cpp
@@ -6,7 +6,8 @@
 
 namespace brookrelay::testkit {
 
-double when_all(const DayResult& run, double from, const Which& which, const Says& so) {
+double first_time_all(const RunResult& run, double from, const NodePredicate& which,
+                      const ViewPredicate& so) {
     std::map<int, bool> newest;
     for (const FleetView& v : run.views) {
         if (!which(v.node)) continue;
@@ -18,7 +19,8 @@
     return -1;
 }
 
-bool always(const DayResult& run, const Which& which, const Says& so, double from, double until) {
+bool holds_throughout(const RunResult& run, const NodePredicate& which, const ViewPredicate& so, double from,
+                      double until) {
     bool any = false;
     for (const FleetView& v : run.views) {
         if (!which(v.node) || v.time < from || v.time > until) continue;
@@ -28,7 +30,7 @@
     return any;
 }
 
-double forwards_to(const DayResult& run, int zone, int zones, int second) {
+double attempts_to_zone(const RunResult& run, int zone, int zones, int second) {
     double all = 0;
     const auto& servers =
         run.series.forwards;  // the servers are assigned to the zones in turn; the last one is the origin
@@ -38,7 +40,7 @@
     return all;
 }
 
-double origin_peak(const DayResult& run) {
+double max_origin_utilization(const RunResult& run) {
     double most = 0;
     for (std::size_t t = 0; t < run.series.origin_load.size(); ++t) {
         if (run.series.origin_capacity[t] > 0)
@@ -47,20 +49,21 @@
     return most;
 }
 
-std::string zone_failover_text(const Scenario& s, const DayResult& run) {
+std::string zone_failover_text(const Scenario& s, const RunResult& run) {
     std::string text;
     const int zones = static_cast<int>(s.zones.size());
     for (int z = 0; z < zones; ++z) {
-        const Which own = [z, zones](int node) { return node % zones == z; };
+        const NodePredicate own = [z, zones](int node) { return node % zones == z; };
         const auto part = [z](const FleetView& v) {
             return v.parts.size() > static_cast<std::size_t>(z) ? v.parts[static_cast<std::size_t>(z)] : 1;
         };
-        const double all_left_at = when_all(run, 0, own, [&](const FleetView& v) { return part(v) <= 0; });
+        const double all_left_at =
+            first_time_all(run, 0, own, [&](const FleetView& v) { return part(v) <= 0; });
         if (all_left_at < 0) continue;
         const auto first = std::find_if(run.views.begin(), run.views.end(),
                                         [&](const FleetView& v) { return own(v.node) && part(v) <= 0; });
         const double recovered_at =
-            when_all(run, all_left_at, own, [&](const FleetView& v) { return part(v) >= 1; });
+            first_time_all(run, all_left_at, own, [&](const FleetView& v) { return part(v) >= 1; });
         char line[160];
         std::snprintf(line, sizeof line,
                       "zone             %s left by its nodes from %.1f s on, by all at %.1f s, ",
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -242,7 +242,7 @@
         sleep_for(0.02);
     }
     if (result.failed.empty()) {
-        result.idle_rss_mb = daemon.figures().rss_mb;
+        result.idle_rss_mb = daemon.resource_usage().rss_mb;
         std::vector<std::unique_ptr<LoadGenerator>> generators;
         for (int i = 0; i < plan.threads; ++i) {
             const int client_count = plan.clients / plan.threads + (i < plan.clients % plan.threads ? 1 : 0);
@@ -252,12 +252,12 @@
                                                 plan.rate * client_count / std::max(1, plan.clients)));
         }
         sleep_for(plan.warm_up);
-        const double cpu_before = daemon.figures().cpu, from = clock.now();
+        const double cpu_before = daemon.resource_usage().cpu, from = clock.now();
         for (auto& a : generators) a->set_counting(true);
         sleep_for(plan.seconds);
         for (auto& a : generators) a->set_counting(false);
         result.seconds = clock.now() - from;
-        const ProcessUsage after = daemon.figures();
+        const ProcessUsage after = daemon.resource_usage();
         result.cpu = after.cpu - cpu_before;
         result.rss_mb = after.rss_mb;
         for (auto& a : generators) a->stop();
@@ -275,7 +275,7 @@
     return result;
 }
 
-std::string load_line(const LoadPlan& plan, const LoadResult& r) {
+std::string load_summary(const LoadPlan& plan, const LoadResult& r) {
     if (!r.failed.empty()) return "not played: " + r.failed;
     char line[240];
     std::snprintf(
--- a/src/testkit/load.h
+++ b/src/testkit/load.h
@@ -41,6 +41,6 @@
 // Starts the daemon and runs one measurement.
 LoadResult play_load(const LoadPlan& plan);
 // Returns the result as one line of text.
-std::string load_line(const LoadPlan& plan, const LoadResult& result);
+std::string load_summary(const LoadPlan& plan, const LoadResult& result);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/mannered_clients.cpp
+++ b/src/testkit/mannered_clients.cpp
@@ -36,9 +36,9 @@
 }  // namespace
 
 // One client: its connection, the requests pending on it in order, and its current behaviour.
-class ManneredClients::Client : public std::enable_shared_from_this<Client> {
+class UnusualClients::Client : public std::enable_shared_from_this<Client> {
   public:
-    explicit Client(ManneredClients& owner) : owner_(owner) {}
+    explicit Client(UnusualClients& owner) : owner_(owner) {}
     void step();
     void end();
 
@@ -66,7 +66,7 @@
     void finish_behaviour(double pause);
     int operation(bool write);
 
-    ManneredClients& owner_;
+    UnusualClients& owner_;
     Connection::Ptr connection_;
     int node_ = 0;
     std::deque<PendingRequest> pending_requests_;
@@ -77,14 +77,14 @@
     double stopped_at_ = 0;
 };
 
-void ManneredClients::Client::after(double seconds, std::function<void()> action) {
+void UnusualClients::Client::after(double seconds, std::function<void()> action) {
     environment().at(environment().now() + seconds,
                      [self = shared_from_this(), generation = timer_generation_, act = std::move(action)] {
                          if (self->timer_generation_ == generation && !self->owner_.stopped_) act();
                      });
 }
 
-void ManneredClients::Client::step() {
+void UnusualClients::Client::step() {
     if (owner_.stopped_ || environment().now() >= owner_.until_) return;
     ++timer_generation_;
     behaviour_ = static_cast<Behaviour>(owner_.draw_int(0, static_cast<int>(Behaviour::count) - 1));
@@ -95,7 +95,7 @@
     }
 }
 
-void ManneredClients::Client::connect() {
+void UnusualClients::Client::connect() {
     close_connection();
     const auto target = owner_.pick_();
     if (!target) return after(0.1, [this] { step(); });
@@ -113,13 +113,13 @@
 }
 
 // Closes the connection without on_ended() being called.
-void ManneredClients::Client::close_connection() {
+void UnusualClients::Client::close_connection() {
     const Connection::Ptr old_connection = std::move(connection_);
     connection_ = nullptr;
     if (old_connection != nullptr) old_connection->close();
 }
 
-int ManneredClients::Client::operation(bool write) {
+int UnusualClients::Client::operation(bool write) {
     const auto& operations = environment().scenario.operations;
     std::vector<int> fitting;
     for (std::size_t i = 0; i < operations.size(); ++i) {
@@ -129,7 +129,7 @@
 }
 
 // Registers a request and returns its command.
-std::string ManneredClients::Client::command(double timeout, bool write, std::size_t bytes, bool is_whole) {
+std::string UnusualClients::Client::command(double timeout, bool write, std::size_t bytes, bool is_whole) {
     const int number = operation(write);
     const OperationPlan& op = environment().scenario.operations[static_cast<std::size_t>(number)];
     audit::RequestInfo info;
@@ -150,14 +150,14 @@
     return "ms " + key_text(info.key) + " " + std::to_string(value.size()) + head + value + "\r\n";
 }
 
-void ManneredClients::Client::register_last() {
+void UnusualClients::Client::register_last() {
     if (pending_requests_.empty() || pending_requests_.back().is_whole) return;
     pending_requests_.back().is_whole = true;
     environment().auditor.on_request(environment().now(), pending_requests_.back().request,
                                      pending_requests_.back().info);
 }
 
-void ManneredClients::Client::write_in_pieces(const std::string& text, int pieces, double gap) {
+void UnusualClients::Client::write_in_pieces(const std::string& text, int pieces, double gap) {
     const std::size_t piece = text.size() / static_cast<std::size_t>(pieces) + 1;
     for (int i = 0; i < pieces; ++i) {
         const std::size_t from = static_cast<std::size_t>(i) * piece;
@@ -171,7 +171,7 @@
     }
 }
 
-void ManneredClients::Client::start_behaviour() {
+void UnusualClients::Client::start_behaviour() {
     switch (behaviour_) {
         case Behaviour::pipelines: {
             std::string all;
@@ -223,7 +223,7 @@
     after(kBehaviourLimit, [this] { end_behaviour_at_limit(); });
 }
 
-void ManneredClients::Client::stop_inside_command(bool inside_value) {
+void UnusualClients::Client::stop_inside_command(bool inside_value) {
     const std::string& write = environment().scenario.operations.back().name;
     std::string text = inside_value ? "ms 00000000000000aa 100000 Ohalf Pc=" + write + ",d=1000,k=aa\r\n" +
                                           std::string(2000, 'x')
@@ -234,7 +234,7 @@
     stopped_at_ = environment().now();
 }
 
-void ManneredClients::Client::end_behaviour_at_limit() {
+void UnusualClients::Client::end_behaviour_at_limit() {
     if (is_stopped_in_command_ && !connection_->is_closed() && !was_paused())
         owner_.violations_.push_back(
             {"node " + std::to_string(node_) + " keeps a client whose command stopped for more than 6 s",
@@ -244,7 +244,7 @@
     finish_behaviour(0.1);
 }
 
-void ManneredClients::Client::on_input() {
+void UnusualClients::Client::on_input() {
     while (connection_ != nullptr && !connection_->is_closed()) {
         Heard response;
         const std::size_t consumed = read_heard(connection_->input(), response);
@@ -281,7 +281,7 @@
     finish_behaviour(behaviour_ == Behaviour::idles ? 0.05 + 2.5 * owner_.draw() : 0.02);
 }
 
-void ManneredClients::Client::on_ended() {
+void UnusualClients::Client::on_ended() {
     const double now = environment().now();
     if (is_stopped_in_command_ && now - stopped_at_ > kStoppedCommandLimit + kStoppedCommandTolerance &&
         !was_paused())
@@ -309,31 +309,31 @@
     finish_behaviour(0.05);
 }
 
-void ManneredClients::Client::close_pending_requests() {
+void UnusualClients::Client::close_pending_requests() {
     for (const PendingRequest& a : pending_requests_) {
         if (a.is_whole) environment().auditor.on_client_closed(environment().now(), a.request);
     }
     pending_requests_.clear();
 }
 
-void ManneredClients::Client::finish_behaviour(double pause) {
+void UnusualClients::Client::finish_behaviour(double pause) {
     ++timer_generation_;
     is_stopped_in_command_ = false;
     after(pause, [this] { step(); });
 }
 
-void ManneredClients::Client::end() {
+void UnusualClients::Client::end() {
     ++timer_generation_;
     close_pending_requests();
     close_connection();
 }
 
-ManneredClients::ManneredClients(TestEnvironment& environment, Numbering numbering, std::uint64_t seed)
+UnusualClients::UnusualClients(TestEnvironment& environment, Numbering numbering, std::uint64_t seed)
     : environment_(environment), numbering_(std::move(numbering)), random_(seed * 104729 + 7) {}
 
-ManneredClients::~ManneredClients() { stop(); }
+UnusualClients::~UnusualClients() { stop(); }
 
-void ManneredClients::start(int count, PickNode pick, double until) {
+void UnusualClients::start(int count, PickNode pick, double until) {
     pick_ = std::move(pick);
     until_ = until;
     for (int i = 0; i < count; ++i) {
@@ -342,12 +342,12 @@
     }
 }
 
-void ManneredClients::stop() {
+void UnusualClients::stop() {
     if (std::exchange(stopped_, true)) return;
     for (const auto& client : clients_) client->end();
 }
 
-std::vector<std::string> ManneredClients::complaints() const {
+std::vector<std::string> UnusualClients::complaints() const {
     std::vector<std::string> texts;
     for (const Violation& violation : violations_) {
         const double watcher_delay =
--- a/src/testkit/mannered_clients.h
+++ b/src/testkit/mannered_clients.h
@@ -16,7 +16,7 @@
 
 namespace brookrelay::testkit {
 
-class ManneredClients {
+class UnusualClients {
   public:
     /// Draws request and user numbers from the sequence of the load clients, so that both sets are disjoint.
     struct Numbering {
@@ -24,10 +24,10 @@
         std::function<int()> next_user;
     };
 
-    ManneredClients(TestEnvironment& environment, Numbering numbering, std::uint64_t seed);
-    ~ManneredClients();
-    ManneredClients(const ManneredClients&) = delete;
-    ManneredClients& operator=(const ManneredClients&) = delete;
+    UnusualClients(TestEnvironment& environment, Numbering numbering, std::uint64_t seed);
+    ~UnusualClients();
+    UnusualClients(const UnusualClients&) = delete;
+    UnusualClients& operator=(const UnusualClients&) = delete;
 
     /// Starts `count` clients. `pick` returns the node and endpoint for a new connection, or nullopt if no
     /// node accepts any.
--- a/src/testkit/network_fault_proxy.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -83,7 +83,7 @@
     return (includes(from, a) && includes(to, b)) || (!one_way && includes(from, b) && includes(to, a));
 }
 
-void NetworkFaultProxy::strike(const Trouble& t, double until) {
+void NetworkFaultProxy::inject(const Trouble& t, double until) {
     Fault fault;
     fault.kind = t.kind;
     fault.one_way = t.one_way;
--- a/src/testkit/network_fault_proxy.h
+++ b/src/testkit/network_fault_proxy.h
@@ -30,7 +30,7 @@
     // `address`.
     std::string dial(int node, int server, const std::string& address);
     // Injects a network fault until the given time.
-    void strike(const Trouble& trouble, double until);
+    void inject(const Trouble& trouble, double until);
 
     struct Counts {
         std::uint64_t datagrams = 0, bytes = 0, lost = 0, doubled = 0, spoilt = 0, late = 0;
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-ScenarioRun::ScenarioRun(const DayPlan& plan)
+ScenarioRun::ScenarioRun(const RunPlan& plan)
     : plan_(plan),
       scenario_(plan.scenario),
       auditor_(auditor_terms(plan.scenario)),
@@ -93,13 +93,13 @@
 }
 
 void ScenarioRun::start_load() {
-    if (plan_.begun) {
+    if (plan_.on_started) {
         std::vector<std::string> peer_listens, managements;
         for (const Node& n : nodes_) {
             peer_listens.push_back(n.gossip.listen);
             managements.push_back(n.gossip.management);
         }
-        plan_.begun(peer_listens, managements);
+        plan_.on_started(peer_listens, managements);
     }
     clients_->start(started_at_);
     if (plan_.mannered_clients > 0) start_mannered_clients();
@@ -115,10 +115,10 @@
 }
 
 void ScenarioRun::start_mannered_clients() {
-    mannered_clients_ = std::make_unique<ManneredClients>(
+    mannered_clients_ = std::make_unique<UnusualClients>(
         environment_,
-        ManneredClients::Numbering{[this] { return clients_->take_request_id(); },
-                                   [this] { return clients_->take_user_id(); }},
+        UnusualClients::Numbering{[this] { return clients_->take_request_id(); },
+                                  [this] { return clients_->take_user_id(); }},
         plan_.seed);
     std::size_t turn = 0;
     const auto pick = [this, turn]() mutable -> std::optional<std::pair<int, Tcp::endpoint>> {
@@ -145,7 +145,7 @@
 }
 
 // NOLINTNEXTLINE(readability-function-size): see ROADMAP
-DayResult ScenarioRun::run() {
+RunResult ScenarioRun::run() {
     schedule_ = draw_schedule(scenario_, plan_.seed);
     result_.digest = digest(schedule_, scenario_.troubles);
     result_.planned = schedule_.size();
@@ -159,7 +159,7 @@
         };
     }
     for (int n = 0; n < scenario_.nodes; ++n) {
-        DaemonProcess::Place place{plan_.program, plan_.folder, "n" + std::to_string(n), -1};
+        DaemonProcess::LaunchOptions place{plan_.program, plan_.folder, "n" + std::to_string(n), -1};
         if (scenario_.talk) {
             write_operator_file(n, scenario_.talk_origin);
             place.arguments = {"serve", "--operator", operator_path(n)};
@@ -211,7 +211,7 @@
         result_.gossip_bytes = network_->counts().bytes;
         result_.gossip_datagrams = network_->counts().datagrams;
     }
-    result_.lists_turned_away = discovery_->counts().turned_away;
+    result_.rejected_list_requests = discovery_->counts().turned_away;
     result_.origin_reads = origin_->counts().reads;
     result_.origin_writes = origin_->counts().writes;
     result_.origin_busy = origin_->counts().busy;
@@ -219,7 +219,7 @@
     return std::move(result_);
 }
 
-DayResult play_day(const DayPlan& plan) {
+RunResult execute_run(const RunPlan& plan) {
     ScenarioRun run(plan);
     return run.run();
 }
--- a/src/testkit/rehearsal.h
+++ b/src/testkit/rehearsal.h
@@ -16,7 +16,7 @@
 
 namespace brookrelay::testkit {
 
-struct DayPlan {
+struct RunPlan {
     Scenario scenario;
     std::uint64_t seed = 1;
     std::string program;            // the daemon under test
@@ -33,7 +33,7 @@
     // in scenarios without gossip. May be empty.
     std::function<void(const std::vector<std::string>& peer_listens,
                        const std::vector<std::string>& managements)>
-        begun;
+        on_started;
 };
 
 // The observations of each second of a run, for charts.
@@ -65,7 +65,7 @@
     double oldest_report_age = 0, sent_bytes = 0, unsound = 0, strangers = 0;
 };
 
-struct DayResult {
+struct RunResult {
     audit::Verdict verdict;
     bool was_interrupted = false;
     std::string failed;        // why the run could not be completed; empty: it was
@@ -76,7 +76,7 @@
     std::vector<std::pair<double, std::string>> marks;  // faults and events of the daemons, with their times
     std::vector<LatencyHistogram> latencies;            // by operation
     std::uint64_t hits = 0, misses = 0, server_busy = 0, origin_reads = 0, origin_writes = 0, origin_busy = 0,
-                  origin_halts = 0, connections = 0, refused_connections = 0, lists_turned_away = 0;
+                  origin_halts = 0, connections = 0, refused_connections = 0, rejected_list_requests = 0;
     std::vector<FleetView> views;
     std::uint64_t gossip_bytes = 0, gossip_datagrams = 0;  // gossip between the nodes
     double daemon_cpu_seconds = 0, daemon_rss_mb = 0;
@@ -86,6 +86,6 @@
     std::vector<std::string> complaints;
 };
 
-DayResult play_day(const DayPlan& plan);
+RunResult execute_run(const RunPlan& plan);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/report.cpp
+++ b/src/testkit/report.cpp
@@ -108,7 +108,7 @@
 
 // ---- charts ---------------------------------------------------------------------------------------------
 
-Chart make_time_chart(const DayPlan& plan, const DayResult& r, const std::string& title,
+Chart make_time_chart(const RunPlan& plan, const RunResult& r, const std::string& title,
                       const std::string& y) {
     Chart c;
     c.title = title;
@@ -124,7 +124,7 @@
     return c;
 }
 
-std::string service_chart(const DayPlan& plan, const DayResult& r) {
+std::string service_chart(const RunPlan& plan, const RunResult& r) {
     Chart c = make_time_chart(plan, r, "Billed service", "part of the billed value");
     ChartCurve part{"service", "", {}};
     double most = 0;
@@ -141,7 +141,7 @@
     return chart_svg(c);
 }
 
-std::string load_chart(const DayPlan& plan, const DayResult& r) {
+std::string load_chart(const RunPlan& plan, const RunResult& r) {
     Chart c = make_time_chart(plan, r, "Load of each cache server against their mean", "times the mean");
     const std::size_t caches = r.series.servers.empty() ? 0 : r.series.servers.size() - 1;
     if (r.series.forwards.size() < caches + 1) return chart_svg(c);
@@ -173,7 +173,7 @@
     return chart_svg(c);
 }
 
-std::string origin_chart(const DayPlan& plan, const DayResult& r) {
+std::string origin_chart(const RunPlan& plan, const RunResult& r) {
     Chart c = make_time_chart(plan, r, "Work asked of the origin against its limit", "work a second");
     ChartCurve asked{"asked", "", {}}, capacity{"capacity", "#588157", {}},
         limit{"limit", "#b08900", {}, 1.2, true, true, {}},
@@ -194,7 +194,7 @@
     return chart_svg(c);
 }
 
-std::string latency_chart(const DayPlan& plan, const DayResult& r) {
+std::string latency_chart(const RunPlan& plan, const RunResult& r) {
     Chart c;
     c.title = "Time to a success, from a user's first try";
     c.x_label = "milliseconds (log)";
@@ -214,7 +214,7 @@
     return chart_svg(c);
 }
 
-std::string cost_chart(const DayPlan& plan, const DayResult& r) {
+std::string cost_chart(const RunPlan& plan, const RunResult& r) {
     Chart c = make_time_chart(plan, r, "Processor time of all daemons", "seconds a second");
     ChartCurve cpu{"processor time", "", {}};
     for (std::size_t i = 0; i < r.series.cpu.size(); ++i)
@@ -262,14 +262,14 @@
 
 }  // namespace
 
-std::string verdict_word(const DayResult& r) {
+std::string verdict_word(const RunResult& r) {
     if (!r.failed.empty()) return "not played";
     if (!r.verdict.violations.empty() || r.crashes > 0) return "broken";
     if (r.verdict.is_void || r.was_interrupted) return "void";
     return "kept";
 }
 
-std::string summary_text(const DayPlan& plan, const DayResult& r) {
+std::string summary_text(const RunPlan& plan, const RunResult& r) {
     const audit::Verdict& v = r.verdict;
     const Scenario& s = plan.scenario;
     std::string out;
@@ -325,7 +325,7 @@
 }
 
 // NOLINTNEXTLINE(readability-function-size): see ROADMAP
-std::string report_json(const ReportHead& head, const DayPlan& plan, const DayResult& r) {
+std::string report_json(const ReportHead& head, const RunPlan& plan, const RunResult& r) {
     const audit::Verdict& v = r.verdict;
     const Scenario& s = plan.scenario;
     rapidjson::StringBuffer buffer;
@@ -464,7 +464,7 @@
     return std::string(buffer.GetString(), buffer.GetSize()) + "\n";
 }
 
-std::string report_html(const ReportHead& head, const DayPlan& plan, const DayResult& r) {
+std::string report_html(const ReportHead& head, const RunPlan& plan, const RunResult& r) {
     const audit::Verdict& v = r.verdict;
     const Scenario& s = plan.scenario;
     const std::string word = verdict_word(r);
@@ -526,7 +526,7 @@
     return out + "</body></html>\n";
 }
 
-void write_reports(const ReportHead& head, const DayPlan& plan, const DayResult& r) {
+void write_reports(const ReportHead& head, const RunPlan& plan, const RunResult& r) {
     const std::pair<std::string, std::string> files[] = {
         {plan.folder + "/report.json", report_json(head, plan, r)},
         {plan.folder + "/report.html", report_html(head, plan, r)}};
--- a/src/testkit/report.h
+++ b/src/testkit/report.h
@@ -17,11 +17,11 @@
 };
 
 // Returns "kept", "broken", "void" or "not played".
-std::string verdict_word(const DayResult& result);
-std::string summary_text(const DayPlan& plan, const DayResult& result);
-std::string report_json(const ReportHead& head, const DayPlan& plan, const DayResult& result);
-std::string report_html(const ReportHead& head, const DayPlan& plan, const DayResult& result);
+std::string verdict_word(const RunResult& result);
+std::string summary_text(const RunPlan& plan, const RunResult& result);
+std::string report_json(const ReportHead& head, const RunPlan& plan, const RunResult& result);
+std::string report_html(const ReportHead& head, const RunPlan& plan, const RunResult& result);
 // Writes both files into the run's folder; throws std::runtime_error on failure.
-void write_reports(const ReportHead& head, const DayPlan& plan, const DayResult& result);
+void write_reports(const ReportHead& head, const RunPlan& plan, const RunResult& result);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/run_faults.cpp
+++ b/src/testkit/run_faults.cpp
@@ -36,8 +36,8 @@
             environment_.at(until, [&s] { s.slow(1); });
             break;
         case TroubleKind::spoilt:
-            s.spoil(t.part);
-            environment_.at(until, [&s] { s.spoil(0); });
+            s.corrupt_responses(t.part);
+            environment_.at(until, [&s] { s.corrupt_responses(0); });
             break;
         case TroubleKind::crash:
         case TroubleKind::cold_return: {
@@ -96,7 +96,7 @@
 void ScenarioRun::inject_fault(const Trouble& t) {
     if (has_ended_) return;
     const double until = environment_.now() + t.lasts;
-    std::string text = trouble_words()[static_cast<std::size_t>(t.kind)];
+    std::string text = trouble_names()[static_cast<std::size_t>(t.kind)];
     for (const std::string& name : t.who) text += " " + name;
     switch (t.kind) {
         case TroubleKind::silent:
@@ -174,7 +174,7 @@
         case TroubleKind::reordered:
         case TroubleKind::garbled:
             for (const std::string& name : t.from) text += " " + name;
-            if (network_ != nullptr) network_->strike(t, until);
+            if (network_ != nullptr) network_->inject(t, until);
             break;
         case TroubleKind::reload:
             text += " " + std::to_string(t.node);
--- a/src/testkit/run_monitor.cpp
+++ b/src/testkit/run_monitor.cpp
@@ -50,11 +50,11 @@
             });
             continue;
         }
-        const ProcessUsage f = n.daemon->figures();
+        const ProcessUsage f = n.daemon->resource_usage();
         if (f.waited > n.last_wait_time) auditor_.on_watcher_delay(now, f.waited - n.last_wait_time);
         n.last_wait_time = std::max(n.last_wait_time, f.waited);
         n.last_cpu_time = std::max(n.last_cpu_time, f.cpu);
-        result_.daemon_rss_mb = std::max(result_.daemon_rss_mb, f.rss_most_mb);
+        result_.daemon_rss_mb = std::max(result_.daemon_rss_mb, f.max_rss_mb);
         result_.daemon_descriptors = std::max(result_.daemon_descriptors, f.descriptors);
     }
     environment_.at(now + kDaemonCheckInterval, [this] { check_daemons(); });
@@ -80,7 +80,7 @@
     double cpu = 0, rss = 0;
     for (const Node& n : nodes_) {
         cpu += n.last_cpu_time + n.ended_cpu_time;
-        rss = std::max(rss, n.daemon->figures().rss_mb);
+        rss = std::max(rss, n.daemon->resource_usage().rss_mb);
     }
     const double before = result_.daemon_cpu_seconds;
     s.cpu.push_back(std::max(0.0, cpu - before));
--- a/src/testkit/scenario_run.h
+++ b/src/testkit/scenario_run.h
@@ -26,8 +26,8 @@
 // One run of a scenario. run() may be called once; the plan must outlive the object.
 class ScenarioRun {
   public:
-    explicit ScenarioRun(const DayPlan& plan);
-    DayResult run();
+    explicit ScenarioRun(const RunPlan& plan);
+    RunResult run();
 
   private:
     struct Node {
@@ -87,7 +87,7 @@
     void query_fleet_view(int node);
     void parse_fleet_view(int node, double requested_at, std::string_view response);
 
-    const DayPlan& plan_;
+    const RunPlan& plan_;
     const Scenario& scenario_;
     Io io_;
     Clock clock_;
@@ -99,13 +99,13 @@
     std::unique_ptr<FakeDiscoveryServer> discovery_;
     std::unique_ptr<NetworkFaultProxy> network_;  // null in runs without gossip and network cuts
     std::unique_ptr<LoadClients> clients_;
-    std::unique_ptr<ManneredClients> mannered_clients_;
+    std::unique_ptr<UnusualClients> mannered_clients_;
     std::vector<Node> nodes_;
     double started_at_ = 0;
     bool has_started_ = false, has_ended_ = false;
     std::vector<std::uint64_t> last_attempt_counts_;
     std::uint64_t last_list_call_count_ = 0;
-    DayResult result_;
+    RunResult result_;
 };
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -84,7 +84,7 @@
 
 bool Line::receive_more() {
     pollfd p{fd_, POLLIN, 0};
-    require(poll(&p, 1, kPatienceMs) == 1, "no data from the peer within 20 s (kPatienceMs)");
+    require(poll(&p, 1, kReceiveTimeoutMs) == 1, "no data from the peer within 20 s (kReceiveTimeoutMs)");
     char buffer[65536];
     const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
     if (n > 0) input_.append(buffer, static_cast<std::size_t>(n));
@@ -105,16 +105,16 @@
     close(listener_);
 }
 
-void ScriptedPeer::plays(Script script) {
+void ScriptedPeer::set_script(Script script) {
     const std::lock_guard lock(mutex_);
     script_ = std::move(script);
 }
 
-void ScriptedPeer::takes_at_most(int bytes) {
+void ScriptedPeer::set_receive_buffer(int bytes) {
     setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
 }
 
-void ScriptedPeer::reads_bodies_after(std::function<double()> seconds) { body_delay_ = std::move(seconds); }
+void ScriptedPeer::delay_bodies(std::function<double()> seconds) { body_delay_ = std::move(seconds); }
 
 void ScriptedPeer::stall() {
     is_stopping_ = true;
@@ -173,7 +173,7 @@
             received_.push_back(text);
             script = script_;
         }
-        const Act response = script(text);
+        const ScriptedResponse response = script(text);
         if (!response.text.empty()) line.send(response.text);
         if (response.wait) response.wait();
         if (!response.rest.empty()) line.send(response.rest);
--- a/src/testkit/scripted_peer.h
+++ b/src/testkit/scripted_peer.h
@@ -12,7 +12,7 @@
 
 namespace brookrelay::testkit {
 
-constexpr int kPatienceMs = 20000;  // receive timeout; only a failing test reaches it
+constexpr int kReceiveTimeoutMs = 20000;  // receive timeout; only a failing test reaches it
 
 // A blocking socket with a read buffer.
 class Line {
@@ -41,7 +41,7 @@
 
 // The response to one message: sends `text`, calls `wait`, sends `rest` and then each of `pieces`, and may
 // then close or reset the connection.
-struct Act {
+struct ScriptedResponse {
     std::string text;
     bool close = false;
     std::function<void()> wait = {};
@@ -53,15 +53,15 @@
 
 class ScriptedPeer {
   public:
-    using Script = std::function<Act(const std::string& message)>;
+    using Script = std::function<ScriptedResponse(const std::string& message)>;
     explicit ScriptedPeer(bool http);  // false: messages are memcache text commands
     ~ScriptedPeer();
     ScriptedPeer(const ScriptedPeer&) = delete;
     ScriptedPeer& operator=(const ScriptedPeer&) = delete;
 
-    void plays(Script script);
-    void takes_at_most(int bytes);                             // receive buffer of new connections
-    void reads_bodies_after(std::function<double()> seconds);  // delay before each body is read
+    void set_script(Script script);
+    void set_receive_buffer(int bytes);                  // receive buffer of new connections
+    void delay_bodies(std::function<double()> seconds);  // delay before each body is read
     void stall();   // stops accepting and shrinks the accept queue to one connection
     void resume();  // accepts again after stall()
     std::vector<std::string> heard();
@@ -81,7 +81,7 @@
     std::thread acceptor_;
     std::mutex mutex_;
     std::function<double()> body_delay_;
-    Script script_ = [](const std::string&) { return Act{}; };
+    Script script_ = [](const std::string&) { return ScriptedResponse{}; };
     std::vector<std::string> received_;
     std::list<Line> lines_;
     std::vector<std::thread> threads_;
--- a/src/testkit/soak.cpp
+++ b/src/testkit/soak.cpp
@@ -231,14 +231,14 @@
 
 std::string fault_text(std::size_t number, const Trouble& t) {
     std::string text = std::to_string(number) + ": " + decimal(t.at) + " s " +
-                       trouble_words()[static_cast<std::size_t>(t.kind)] + " for " + decimal(t.lasts) + " s";
+                       trouble_names()[static_cast<std::size_t>(t.kind)] + " for " + decimal(t.lasts) + " s";
     for (const std::string& who : t.who) text += " " + who;
     for (const int node : t.nodes) text += " n" + std::to_string(node);
     return text;
 }
 
 // Collects the violations that the guards of the daemons logged.
-void collect_guard_failures(const DayPlan& plan, std::vector<std::string>& failures) {
+void collect_guard_failures(const RunPlan& plan, std::vector<std::string>& failures) {
     for (int node = 0; node < plan.scenario.nodes; ++node) {
         std::ifstream log(plan.folder + "/n" + std::to_string(node) + ".log");
         for (std::string line; std::getline(log, line);) {
@@ -248,7 +248,7 @@
     }
 }
 
-void collect_failures(const DayPlan& plan, const DayResult& run, SoakResult& result) {
+void collect_failures(const RunPlan& plan, const RunResult& run, SoakResult& result) {
     if (!run.failed.empty()) result.failures.push_back("not played: " + run.failed);
     for (const audit::Violation& v : run.verdict.violations) {
         if (result.failures.size() < kMaxFailures)
@@ -292,7 +292,7 @@
     return soak_plan;
 }
 
-SoakResult play_soak(std::uint64_t seed, const SoakOptions& options) {
+SoakResult execute_soak(std::uint64_t seed, const SoakOptions& options) {
     SoakPlan soak_plan = draw_soak_plan(seed, options);
     SoakResult result;
     result.seed = seed;
@@ -304,7 +304,7 @@
             kept_faults.push_back(soak_plan.scenario.troubles[i]);
     }
     soak_plan.scenario.troubles = std::move(kept_faults);
-    DayPlan plan;
+    RunPlan plan;
     plan.scenario = soak_plan.scenario;
     plan.seed = seed;
     plan.program = options.program;
@@ -315,7 +315,7 @@
     plan.environment = [&soak_plan](int node) {
         return soak_plan.node_environment[static_cast<std::size_t>(node)];
     };
-    collect_failures(plan, play_day(plan), result);
+    collect_failures(plan, execute_run(plan), result);
     return result;
 }
 
@@ -325,7 +325,7 @@
     const auto still_fails = [&](const SoakOptions& candidate) {
         std::filesystem::remove_all(candidate.folder);
         std::filesystem::create_directories(candidate.folder);
-        return max_runs-- > 0 && play_soak(seed, candidate).has_failed();
+        return max_runs-- > 0 && execute_soak(seed, candidate).has_failed();
     };
     for (std::size_t i = 0; i < faults && max_runs > 0; ++i) {
         SoakOptions candidate = smallest;
--- a/src/testkit/soak.h
+++ b/src/testkit/soak.h
@@ -50,7 +50,7 @@
     bool has_failed() const { return !failures.empty(); }
 };
 
-SoakResult play_soak(std::uint64_t seed, const SoakOptions& options);
+SoakResult execute_soak(std::uint64_t seed, const SoakOptions& options);
 
 /// Runs a failing seed again with faults left out one by one, and leaves out those without which it still
 /// fails. Executes at most `max_runs` runs. Returns the options with the fewest faults that still failed.
--- a/src/util/exit_codes.h
+++ b/src/util/exit_codes.h
@@ -3,8 +3,8 @@
 
 namespace brookrelay {
 
-constexpr int kDone = 0;      // success
-constexpr int kBroken = 1;    // a rule was violated, a check failed, or serving could not continue
-constexpr int kWrongUse = 2;  // invalid usage or an invalid file
+constexpr int kExitSuccess = 0;     // success
+constexpr int kExitFailure = 1;     // a rule was violated, a check failed, or serving could not continue
+constexpr int kExitUsageError = 2;  // invalid usage or an invalid file
 
 }  // namespace brookrelay
--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -28,7 +28,7 @@
     options.descriptors = 64;
     Fleet fleet(1, options);
     std::atomic<bool> answer_others{false}, answer_first{false};
-    fleet.caches.front().plays([&](const std::string& command) {
+    fleet.caches.front().set_script([&](const std::string& command) {
         const std::string id = id_in(command);
         while (id.starts_with("other") && !answer_others) std::this_thread::sleep_for(kMillisecond);
         while (id == "held0" && !answer_first) std::this_thread::sleep_for(kMillisecond);
@@ -71,7 +71,7 @@
 // Writing the response to an earlier command must not restart the timeout of the incomplete one.
 TEST(IncompleteCommand, AfterARequestThatIsAnsweredLaterIsRejectedInTime) {
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& message) {
+    fleet.caches.front().set_script([](const std::string& message) {
         std::this_thread::sleep_for(1500 * kMillisecond);
         return hit(message);
     });
@@ -87,9 +87,9 @@
 TEST(IncompleteCommand, OfAClientThatReadsNothingIsClosedInTime) {
     constexpr std::size_t kLength = 4 * 1000 * 1000;
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& message) {
-        return Act{"VA " + std::to_string(kLength) + " O" + id_in(message) + " h1\r\n" +
-                   std::string(kLength, 'x') + "\r\n"};
+    fleet.caches.front().set_script([](const std::string& message) {
+        return ScriptedResponse{"VA " + std::to_string(kLength) + " O" + id_in(message) + " h1\r\n" +
+                                std::string(kLength, 'x') + "\r\n"};
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "r1", 60000));
@@ -108,14 +108,15 @@
 TEST(TruncatedValue, DoesNotLoseTheNextCommand) {
     constexpr std::size_t kLength = 300 * 1000;
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& message) {
+    fleet.caches.front().set_script([](const std::string& message) {
         if (id_in(message) != "long") return hit(message);
-        Act act{"VA " + std::to_string(kLength) + " Olong h1\r\n" + std::string(kLength / 2, 'x')};
+        ScriptedResponse act{"VA " + std::to_string(kLength) + " Olong h1\r\n" +
+                             std::string(kLength / 2, 'x')};
         act.close = true;
         act.wait = [] { std::this_thread::sleep_for(100 * kMillisecond); };
         return act;
     });
-    fleet.origin.plays([](const std::string&) { return Act{http("", "500 E")}; });
+    fleet.origin.set_script([](const std::string&) { return ScriptedResponse{http("", "500 E")}; });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "long", 3000) + read_of("7f3a", "behind", 3000));
     const std::string first = line.until("\r\n");
@@ -128,9 +129,10 @@
 TEST(TruncatedValue, ThatStallsDoesNotLoseTheNextCommand) {
     constexpr std::size_t kLength = 300 * 1000;
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& message) {
+    fleet.caches.front().set_script([](const std::string& message) {
         if (id_in(message) != "long") return hit(message);
-        Act act{"VA " + std::to_string(kLength) + " Olong h1\r\n" + std::string(kLength / 2, 'x')};
+        ScriptedResponse act{"VA " + std::to_string(kLength) + " Olong h1\r\n" +
+                             std::string(kLength / 2, 'x')};
         act.close = true;
         act.wait = [] { std::this_thread::sleep_for(3000 * kMillisecond); };
         return act;
--- a/tests/coordinator_test.cpp
+++ b/tests/coordinator_test.cpp
@@ -77,7 +77,7 @@
         JuteReader reader(rest);
         auto names = reader.texts();
         for (int i = 0; i < 17; ++i) (void)reader.number();  // the stat structure: 68 bytes
-        EXPECT_TRUE(reader.sound() && reader.at_end());
+        EXPECT_TRUE(reader.is_valid() && reader.at_end());
         return names;
     }
     int xid = 0;
@@ -202,9 +202,9 @@
     const std::string invalid = writer.payload();
     JuteReader texts(invalid), text(invalid);
     EXPECT_TRUE(texts.texts().empty());
-    EXPECT_FALSE(texts.sound());
+    EXPECT_FALSE(texts.is_valid());
     EXPECT_EQ(text.text(), "");
-    EXPECT_FALSE(text.sound());
+    EXPECT_FALSE(text.is_valid());
 }
 
 }  // namespace
--- a/tests/days.h
+++ b/tests/days.h
@@ -19,7 +19,7 @@
 namespace brookrelay::testkit {
 
 // Light traffic on servers with some work per request: a node uses each of them about once a second.
-inline Scenario fleet_day(int nodes, int zones, double length) {
+inline Scenario fleet_scenario(int nodes, int zones, double length) {
     Scenario scenario;
     scenario.name = "processes";
     scenario.length = length;
@@ -53,7 +53,7 @@
     return scenario;
 }
 
-inline Trouble trouble(TroubleKind kind, double at, double lasts) {
+inline Trouble make_trouble(TroubleKind kind, double at, double lasts) {
     Trouble fault;
     fault.kind = kind;
     fault.at = at;
@@ -61,35 +61,36 @@
     return fault;
 }
 // Makes a server 400 times slower, so that an answer takes longer than any client waits.
-inline Trouble slow(const std::string& server, double at, double lasts) {
-    Trouble fault = trouble(TroubleKind::slow, at, lasts);
+inline Trouble slow_server(const std::string& server, double at, double lasts) {
+    Trouble fault = make_trouble(TroubleKind::slow, at, lasts);
     fault.who = {server};
     fault.factor = 400;
     return fault;
 }
-inline Trouble links(TroubleKind kind, double at, double lasts, std::vector<std::string> from,
-                     std::vector<std::string> to = {}) {
-    Trouble fault = trouble(kind, at, lasts);
+inline Trouble link_fault(TroubleKind kind, double at, double lasts, std::vector<std::string> from,
+                          std::vector<std::string> to = {}) {
+    Trouble fault = make_trouble(kind, at, lasts);
     fault.from = std::move(from);
     fault.to = std::move(to);
     return fault;
 }
 
 // A finished run: its plan, its result and the summary as text.
-struct Played {
-    DayPlan plan;
-    DayResult result;
-    std::string told;
+struct ScenarioOutcome {
+    RunPlan plan;
+    RunResult result;
+    std::string summary;
 };
 
 // Runs a scenario, and expects no violation and no crash.
-inline Played play(const Scenario& scenario, std::uint64_t seed = 1, decltype(DayPlan::begun) begun = nullptr,
-                   decltype(DayPlan::progress) progress = nullptr,
-                   decltype(DayPlan::environment) environment = nullptr) {
-    Played run;
+inline ScenarioOutcome run_scenario(const Scenario& scenario, std::uint64_t seed = 1,
+                                    decltype(RunPlan::on_started) on_started = nullptr,
+                                    decltype(RunPlan::progress) progress = nullptr,
+                                    decltype(RunPlan::environment) environment = nullptr) {
+    ScenarioOutcome run;
     run.plan.scenario = scenario;
     run.plan.seed = seed;
-    run.plan.begun = std::move(begun);
+    run.plan.on_started = std::move(on_started);
     run.plan.progress = std::move(progress);
     run.plan.environment = std::move(environment);
     run.plan.program = BROOKRELAY_PROGRAM;
@@ -97,11 +98,11 @@
     std::replace(name.begin(), name.end(), '/', '-');  // in names of parameterized tests
     run.plan.folder = testing::TempDir() + "processes-" + std::to_string(getpid()) + "-" + name;
     std::filesystem::create_directories(run.plan.folder);
-    run.result = play_day(run.plan);
-    run.told = summary_text(run.plan, run.result);
+    run.result = execute_run(run.plan);
+    run.summary = summary_text(run.plan, run.result);
     EXPECT_EQ(run.result.failed, "");
-    EXPECT_TRUE(run.result.verdict.violations.empty()) << run.told;
-    EXPECT_EQ(run.result.crashes, 0) << run.told;
+    EXPECT_TRUE(run.result.verdict.violations.empty()) << run.summary;
+    EXPECT_EQ(run.result.crashes, 0) << run.summary;
     return run;
 }
 
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -23,8 +23,8 @@
     return value == nullptr ? 20 : std::strtoull(value, nullptr, 10);
 }
 
-using Simulation = model::FindingFleet;
-constexpr ServerKey kBadServer = Simulation::kSick;
+using Simulation = model::OutlierFleet;
+constexpr ServerKey kBadServer = Simulation::kFailingServer;
 
 bool only_bad_server_fails(int, ServerKey s) { return s != kBadServer; }
 
@@ -264,13 +264,15 @@
         std::vector<double> seconds_to_find, seconds_to_recover;
         for (std::uint64_t seed = 1; seed <= seed_count(); ++seed) {
             Simulation w(c.nodes, 1, seed);
-            w.network.loss = w.network.doubled = c.loss;
+            w.network.loss = w.network.duplicate_probability = c.loss;
             w.run(4);
-            w.fate = only_bad_server_fails;
-            seconds_to_find.push_back(w.until(30, [&] { return w.told(kBadServer) >= 0.99; }));
+            w.attempt_succeeds = only_bad_server_fails;
+            seconds_to_find.push_back(
+                w.run_until(30, [&] { return w.ratio_with_verdict(kBadServer) >= 0.99; }));
             w.run(3);
-            w.fate = [](int, ServerKey) { return true; };
-            seconds_to_recover.push_back(w.until(40, [&] { return w.told(kBadServer) == 0; }));
+            w.attempt_succeeds = [](int, ServerKey) { return true; };
+            seconds_to_recover.push_back(
+                w.run_until(40, [&] { return w.ratio_with_verdict(kBadServer) == 0; }));
         }
         std::sort(seconds_to_find.begin(), seconds_to_find.end());
         std::sort(seconds_to_recover.begin(), seconds_to_recover.end());
@@ -287,20 +289,20 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Simulation w(40, 1, seed);
         w.run(4);
-        w.fate = only_bad_server_fails;
-        w.part_to_sick = 0.15;
-        EXPECT_LE(w.until(30, [&] { return w.told(kBadServer) >= 0.95; }), 12) << seed;
+        w.attempt_succeeds = only_bad_server_fails;
+        w.failing_server_traffic_ratio = 0.15;
+        EXPECT_LE(w.run_until(30, [&] { return w.ratio_with_verdict(kBadServer) >= 0.95; }), 12) << seed;
     }
 }
 
 TEST(Fleet, FindsNoBadServerAmongRandomFailures) {
     Simulation w(24, 1, 11);
     std::mt19937_64 rng(5);
-    w.fate = [&](int, ServerKey) { return rng() % 20 != 0; };
+    w.attempt_succeeds = [&](int, ServerKey) { return rng() % 20 != 0; };
     int verdict_count = 0;
     for (int i = 0; i < 60; ++i) {
         w.run(1);
-        for (ServerKey s = 1; s <= Simulation::kCaches; ++s) verdict_count += w.told(s) > 0;
+        for (ServerKey s = 1; s <= Simulation::kCaches; ++s) verdict_count += w.ratio_with_verdict(s) > 0;
     }
     EXPECT_EQ(verdict_count, 0);
 }
@@ -308,21 +310,25 @@
 TEST(Fleet, AServerBadForOneZoneIsEjectedByThatZoneOnly) {
     Simulation w(24, 3, 5);
     w.run(4);
-    w.fate = [](int node, ServerKey s) { return s != kBadServer || node % 3 != 1; };
-    w.until(20, [&] { return w.told(kBadServer, [](int n) { return n % 3 == 1; }) >= 0.99; });
-    EXPECT_GE(w.told(kBadServer, [](int n) { return n % 3 == 1; }), 0.99);
+    w.attempt_succeeds = [](int node, ServerKey s) { return s != kBadServer || node % 3 != 1; };
+    w.run_until(20,
+                [&] { return w.ratio_with_verdict(kBadServer, [](int n) { return n % 3 == 1; }) >= 0.99; });
+    EXPECT_GE(w.ratio_with_verdict(kBadServer, [](int n) { return n % 3 == 1; }), 0.99);
     w.run(5);
-    EXPECT_EQ(w.told(kBadServer, [](int n) { return n % 3 != 1; }), 0);
+    EXPECT_EQ(w.ratio_with_verdict(kBadServer, [](int n) { return n % 3 != 1; }), 0);
 }
 
 TEST(Fleet, ASingleFalseReporterChangesNoVerdict) {
     for (const bool all_bad : {false, true}) {
         Simulation w(12, 1, 21);
-        w.fate = [all_bad](int node, ServerKey s) { return node != 4 || !(all_bad || s == kBadServer); };
+        w.attempt_succeeds = [all_bad](int node, ServerKey s) {
+            return node != 4 || !(all_bad || s == kBadServer);
+        };
         double most = 0;
         for (int i = 0; i < 40; ++i) {
             w.run(0.5);
-            for (ServerKey s = 1; s <= Simulation::kCaches; ++s) most = std::max(most, w.told(s));
+            for (ServerKey s = 1; s <= Simulation::kCaches; ++s)
+                most = std::max(most, w.ratio_with_verdict(s));
         }
         EXPECT_EQ(most, 0) << (all_bad ? "reports all servers" : "reports one server");
     }
@@ -365,7 +371,7 @@
             w.send(4, to, encode(d));
         }
         w.run(0.25);
-        for (ServerKey s = 1; s <= Simulation::kCaches; ++s) ASSERT_EQ(w.told(s), 0);
+        for (ServerKey s = 1; s <= Simulation::kCaches; ++s) ASSERT_EQ(w.ratio_with_verdict(s), 0);
     }
 }
 
@@ -375,7 +381,7 @@
     for (const bool has_bad_server : {false, true}) {
         Simulation w(12, 1, 8);
         w.run(4);
-        if (has_bad_server) w.fate = only_bad_server_fails;
+        if (has_bad_server) w.attempt_succeeds = only_bad_server_fails;
         double most = 0;
         for (int i = 0; i < 60; ++i) {
             for (int to = 0; to < 12; ++to) {
@@ -395,12 +401,13 @@
             w.run(0.25);
             const auto others = [](int n) { return n != 4; };
             for (ServerKey s = 1; s <= Simulation::kCaches; ++s) {
-                if (!has_bad_server || s != kBadServer) most = std::max(most, w.told(s, others));
+                if (!has_bad_server || s != kBadServer)
+                    most = std::max(most, w.ratio_with_verdict(s, others));
             }
         }
         EXPECT_EQ(most, 0);
         if (has_bad_server) {
-            EXPECT_GE(w.told(kBadServer, [](int n) { return n != 4; }), 0.5)
+            EXPECT_GE(w.ratio_with_verdict(kBadServer, [](int n) { return n != 4; }), 0.5)
                 << "the forged verdicts hide a bad server";
         }
     }
@@ -427,11 +434,11 @@
         for (std::uint64_t seed = 1; seed <= 5 * seed_count(); ++seed) {
             Simulation w(row.nodes, 1, seed);
             w.network.loss = row.loss;
-            seconds_after_start.push_back(w.until(40, [&] { return all_known(w); }));
+            seconds_after_start.push_back(w.run_until(40, [&] { return all_known(w); }));
             w.network.cut = [&](int a, int b) { return (a < row.nodes / 2) != (b < row.nodes / 2); };
             w.run(10);
             w.network.cut = [](int, int) { return false; };
-            seconds_after_cut.push_back(w.until(40, [&] { return all_known(w); }));
+            seconds_after_cut.push_back(w.run_until(40, [&] { return all_known(w); }));
         }
         std::sort(seconds_after_start.begin(), seconds_after_start.end());
         std::sort(seconds_after_cut.begin(), seconds_after_cut.end());
@@ -456,16 +463,17 @@
         w.network.cut = [](int a, int b) { return a % 2 != b % 2; };
         w.run(12);
         EXPECT_EQ(w.node(0).state(w.now()).members[1].second, MemberState::dead);
-        w.fate = [](int node, ServerKey s) {
+        w.attempt_succeeds = [](int node, ServerKey s) {
             return s != kBadServer || node % 2 != 0;
         };  // the server is unreachable from one half
-        w.until(20, [&] { return w.told(kBadServer, [](int n) { return n % 2 == 0; }) >= 0.99; });
-        EXPECT_GE(w.told(kBadServer, [](int n) { return n % 2 == 0; }), 0.99);
-        EXPECT_EQ(w.told(kBadServer, [](int n) { return n % 2 != 0; }), 0);
+        w.run_until(
+            20, [&] { return w.ratio_with_verdict(kBadServer, [](int n) { return n % 2 == 0; }) >= 0.99; });
+        EXPECT_GE(w.ratio_with_verdict(kBadServer, [](int n) { return n % 2 == 0; }), 0.99);
+        EXPECT_EQ(w.ratio_with_verdict(kBadServer, [](int n) { return n % 2 != 0; }), 0);
         w.network.cut = [](int, int) { return false; };
-        w.fate = [](int, ServerKey) { return true; };
-        seconds_to_converge.push_back(w.until(40, [&] {
-            if (w.told(kBadServer) > 0) return false;
+        w.attempt_succeeds = [](int, ServerKey) { return true; };
+        seconds_to_converge.push_back(w.run_until(40, [&] {
+            if (w.ratio_with_verdict(kBadServer) > 0) return false;
             for (int a = 0; a < 16; ++a) {
                 for (const auto& [n, presence] : w.node(a).state(w.now()).members) {
                     if (presence == MemberState::dead) return false;
@@ -484,31 +492,31 @@
     Simulation w(20, 1, 6);
     w.run(5);
     for (int n = 0; n < 14; ++n) w.stop(n);
-    w.fate = only_bad_server_fails;
-    const double seconds = w.until(30, [&] { return w.told(kBadServer) >= 0.99; });
+    w.attempt_succeeds = only_bad_server_fails;
+    const double seconds = w.run_until(30, [&] { return w.ratio_with_verdict(kBadServer) >= 0.99; });
     EXPECT_LE(seconds, 5 + 8) << "six nodes are left once the killed ones count as dead";
     for (int n = 0; n < 14; ++n) w.start(n);
-    EXPECT_LE(w.until(30, [&] { return w.told(kBadServer) >= 0.99; }), 8);
-    w.until(30, [&] { return w.node(19).state(w.now()).incarnations[3] == 1001U; });
+    EXPECT_LE(w.run_until(30, [&] { return w.ratio_with_verdict(kBadServer) >= 0.99; }), 8);
+    w.run_until(30, [&] { return w.node(19).state(w.now()).incarnations[3] == 1001U; });
     EXPECT_EQ(w.node(19).state(w.now()).incarnations[3], 1001U);
 }
 
 TEST(Fleet, AResumedNodeActsOnNoOutdatedVerdict) {
     Simulation w(12, 1, 2);
     w.run(4);
-    w.fate = only_bad_server_fails;
-    w.until(20, [&] { return w.told(kBadServer) >= 0.99; });
+    w.attempt_succeeds = only_bad_server_fails;
+    w.run_until(20, [&] { return w.ratio_with_verdict(kBadServer) >= 0.99; });
     w.frozen = {3};
-    w.fate = [](int, ServerKey) { return true; };
+    w.attempt_succeeds = [](int, ServerKey) { return true; };
     w.run(10);
-    EXPECT_EQ(w.told(kBadServer), 0);
+    EXPECT_EQ(w.ratio_with_verdict(kBadServer), 0);
     w.frozen = {};
     w.run(OutlierExchange::kTickInterval);
-    EXPECT_EQ(w.told(kBadServer), 0) << "the resumed node still has its old verdict";
+    EXPECT_EQ(w.ratio_with_verdict(kBadServer), 0) << "the resumed node still has its old verdict";
     EXPECT_TRUE(w.node(3).state(w.now()).doubts_own_connectivity);
     w.run(3);
     EXPECT_FALSE(w.node(3).state(w.now()).doubts_own_connectivity);
-    EXPECT_EQ(w.told(kBadServer), 0);
+    EXPECT_EQ(w.ratio_with_verdict(kBadServer), 0);
 }
 
 TEST(Fleet, OneWayLossIsBridgedByRelays) {
@@ -523,18 +531,18 @@
 TEST(Fleet, WithAllDatagramsLostNoVerdictStands) {
     Simulation w(12, 1, 9);
     w.run(4);
-    w.fate = only_bad_server_fails;
-    w.until(20, [&] { return w.told(kBadServer) >= 0.99; });
+    w.attempt_succeeds = only_bad_server_fails;
+    w.run_until(20, [&] { return w.ratio_with_verdict(kBadServer) >= 0.99; });
     w.network.cut = [](int, int) { return true; };
     w.run(kMaxEvidenceAge);
-    EXPECT_EQ(w.told(kBadServer), 0);
+    EXPECT_EQ(w.ratio_with_verdict(kBadServer), 0);
     for (int n = 0; n < 12; ++n) EXPECT_TRUE(w.node(n).verdicts(w.now()).empty());
 }
 
 TEST(Fleet, KeepsToTheByteBudget) {
     Simulation w(40, 1, 3, 300);
     std::mt19937_64 rng(5);
-    w.fate = [&](int, ServerKey s) { return s > 4 || rng() % 2 == 0; };
+    w.attempt_succeeds = [&](int, ServerKey s) { return s > 4 || rng() % 2 == 0; };
     w.run(5);
     w.network.sent_bytes = 0;
     w.run(20);
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -35,7 +35,7 @@
 // early, scripts would wait forever for steps that only the test triggers.
 template <typename Condition>
 void wait_for(Condition condition, std::source_location from = std::source_location::current()) {
-    for (int ms = 0; ms < kPatienceMs; ms += 5) {
+    for (int ms = 0; ms < kReceiveTimeoutMs; ms += 5) {
         if (condition()) return;
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
@@ -46,9 +46,11 @@
     const std::size_t at = command.find(" O") + 2;
     return command.substr(at, command.find_first_of(" \r", at) - at);
 }
-inline Act hit(const std::string& command) { return {"VA 5 O" + id_in(command) + " h1\r\nhello\r\n"}; }
-inline Act miss(const std::string& command) { return {"EN O" + id_in(command) + " h0\r\n"}; }
-inline Act silent(const std::string&) { return {}; }
+inline ScriptedResponse hit(const std::string& command) {
+    return {"VA 5 O" + id_in(command) + " h1\r\nhello\r\n"};
+}
+inline ScriptedResponse miss(const std::string& command) { return {"EN O" + id_in(command) + " h0\r\n"}; }
+inline ScriptedResponse silent(const std::string&) { return {}; }
 inline std::string http(const std::string& body, const std::string& status = "200 OK") {
     return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -98,9 +100,9 @@
 class Fleet {
   public:
     explicit Fleet(std::size_t count, NodeOptions options = {}) {
-        for (std::size_t i = 0; i < count; ++i) caches.emplace_back(false).plays(hit);
-        origin.plays([](const std::string&) { return Act{http("made")}; });
-        discovery.plays(std::move(options.watch));
+        for (std::size_t i = 0; i < count; ++i) caches.emplace_back(false).set_script(hit);
+        origin.set_script([](const std::string&) { return ScriptedResponse{http("made")}; });
+        discovery.set_script(std::move(options.watch));
         listener_ = bound_socket(port_);
         if (options.inherits_listener) {
             listen(listener_, 1024);
@@ -109,7 +111,7 @@
             listener_ = -1;
         }
         tmpdir_ = options.tmp;
-        daemon_ = std::make_unique<DaemonProcess>(DaemonProcess::Place{
+        daemon_ = std::make_unique<DaemonProcess>(DaemonProcess::LaunchOptions{
             BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_, {}, options.environment});
         if (options.has_management) management_ = free_address();
         std::string hosts = options.cache_aside ? entry("origin", origin, "SERVING") : "";
@@ -171,10 +173,11 @@
     }
     // Starts another process of this node, with the same files and listener.
     Process second() const {
-        Process process(std::make_unique<DaemonProcess>(DaemonProcess::Place{
+        Process process(std::make_unique<DaemonProcess>(DaemonProcess::LaunchOptions{
                             BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_}),
                         free_address());
-        process.daemon->configure(told_with(managed_at(management_), managed_at(process.management)));
+        process.daemon->configure(
+            configuration_with(managed_at(management_), managed_at(process.management)));
         process.daemon->start();
         return process;
     }
@@ -189,7 +192,7 @@
     void signal(int number) const { daemon_->signal(number); }
     void configure(const std::string& text) const { daemon_->configure(text); }
     // Returns the configuration with the text `from` replaced by `to`.
-    std::string told_with(const std::string& from, const std::string& to) const {
+    std::string configuration_with(const std::string& from, const std::string& to) const {
         std::string text = configuration_;
         const std::size_t at = text.find(from);
         EXPECT_NE(at, std::string::npos) << "not in the configuration: " << from;
@@ -255,7 +258,7 @@
     ScriptedPeer::Script script() {
         return [this](const std::string& request) {
             const std::size_t at = request.find("index=");
-            if (at == std::string::npos) return Act{};
+            if (at == std::string::npos) return ScriptedResponse{};
             const int held_version = std::stoi(request.substr(at + 6));
             watched_version_ = held_version;
             for (int ms = 0; ms < 100 && held_version >= version_; ++ms)
@@ -264,10 +267,10 @@
             const std::size_t next = static_cast<std::size_t>(held_version - kFirst);
             const std::string hosts = next < changes_.size() ? changes_[next] : "";
             const bool is_full = hosts.starts_with('!');
-            return Act{http(R"({"seq":)" +
-                            std::to_string(next < changes_.size() ? held_version + 1 : held_version) +
-                            R"(,"whole":)" + (is_full ? "true" : "false") + R"(,"hosts":[)" +
-                            hosts.substr(is_full) + "]}")};
+            return ScriptedResponse{
+                http(R"({"seq":)" + std::to_string(next < changes_.size() ? held_version + 1 : held_version) +
+                     R"(,"whole":)" + (is_full ? "true" : "false") + R"(,"hosts":[)" + hosts.substr(is_full) +
+                     "]}")};
         };
     }
     // Publishes a change and waits until the node has it, which its next watch shows. A leading '!' marks a
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -588,9 +588,9 @@
     const Scenario s = read_scenario(golden_path("scenario.toml"));
     for (int k = 0; k < static_cast<int>(TroubleKind::count); ++k) {
         EXPECT_TRUE(s.has(static_cast<TroubleKind>(k)))
-            << "the golden scenario lacks " << trouble_words()[static_cast<std::size_t>(k)];
+            << "the golden scenario lacks " << trouble_names()[static_cast<std::size_t>(k)];
     }
-    expect_golden("scenario-fields.txt", Fields{}.put("trouble_words", trouble_words()).text + fields_of(s));
+    expect_golden("scenario-fields.txt", Fields{}.put("trouble_words", trouble_names()).text + fields_of(s));
 }
 
 TEST(Golden, ScenarioWithOverridesIsReadAsTheSameFields) {
--- a/tests/host.h
+++ b/tests/host.h
@@ -10,9 +10,9 @@
 namespace brookrelay {
 
 // An attempt that the balancer started.
-struct Sent {
-    int inv;
-    int cache;
+struct StartedAttempt {
+    int request;
+    int server;
     double limit;
 };
 
@@ -30,13 +30,13 @@
     void set_timer(double after, std::uint64_t token) override { timers.push_back({after, token}); }
     void log(std::string_view) override {}
 
-    struct Wake {
+    struct Timer {
         double after;
         std::uint64_t token;
     };
-    std::vector<Sent> sent;
+    std::vector<StartedAttempt> sent;
     std::vector<int> cancelled, throttled, errored, probes, released;
-    std::vector<Wake> timers;
+    std::vector<Timer> timers;
     int watches = 0;
 };
 
@@ -92,8 +92,8 @@
         for (Endpoint& endpoint : list) endpoint.name = names[static_cast<std::size_t>(endpoint.server)];
         node->on_endpoints(now, kind, list);
     }
-    int arrive(std::uint64_t key, int operation = 0, bool write = false, double time_remaining = 1.2,
-               bool is_client_retry = false, int tenant = -1) {
+    int send_request(std::uint64_t key, int operation = 0, bool write = false, double time_remaining = 1.2,
+                     bool is_client_retry = false, int tenant = -1) {
         Request request;
         request.tenant = tenant;
         request.id = next++;
@@ -109,9 +109,9 @@
     // Returns the server that an idempotent request for this key goes to, and answers it; -1: none.
     int owner(std::uint64_t key) {
         const std::size_t before = host.sent.size();
-        const int request = arrive(key);
+        const int request = send_request(key);
         if (host.sent.size() == before) return -1;
-        const int server = host.sent.back().cache;
+        const int server = host.sent.back().server;
         end(request, 0, AttemptOutcome::succeeded, 0.05, true);
         return server;
     }
@@ -119,7 +119,7 @@
              bool answered = false) {
         node->on_attempt_finished(now, request, attempt, outcome, duration, answered);
     }
-    int finals(int request) const {
+    int count_final_errors(int request) const {
         int count = 0;
         for (int rejected : host.throttled) count += rejected == request;
         for (int failed : host.errored) count += failed == request;
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -131,13 +131,13 @@
 // ---- experiments ----------------------------------------------------------------------------------------
 
 TEST(Experiment, ReadsSweepsAndSeeds) {
-    EXPECT_EQ(read_sweep("a.b=1,2").values, (std::vector<std::string>{"1", "2"}));
-    EXPECT_EQ(read_sweep("c=[[\"0s\", 1],[\"1s\", 2]],[]").values.size(), 2U);
-    EXPECT_EQ(read_sweep("c=\"a,b\"").values.size(), 1U);
-    EXPECT_THROW((void)read_sweep("nothing"), std::invalid_argument);
-    EXPECT_EQ(read_seeds("1..3,9"), (std::vector<std::uint64_t>{1, 2, 3, 9}));
+    EXPECT_EQ(parse_sweep("a.b=1,2").values, (std::vector<std::string>{"1", "2"}));
+    EXPECT_EQ(parse_sweep("c=[[\"0s\", 1],[\"1s\", 2]],[]").values.size(), 2U);
+    EXPECT_EQ(parse_sweep("c=\"a,b\"").values.size(), 1U);
+    EXPECT_THROW((void)parse_sweep("nothing"), std::invalid_argument);
+    EXPECT_EQ(parse_seeds("1..3,9"), (std::vector<std::uint64_t>{1, 2, 3, 9}));
     for (const char* wrong : {"", "x", "3..1", "1..", "1-3", "1..99999999"}) {
-        EXPECT_THROW((void)read_seeds(wrong), std::invalid_argument) << wrong;
+        EXPECT_THROW((void)parse_seeds(wrong), std::invalid_argument) << wrong;
     }
 }
 
@@ -146,35 +146,35 @@
     plan.daemons = {"a", "b"};
     plan.seeds = {4, 5, 6};
     plan.sweeps = {{"x", {"1", "2"}}, {"fixed", {"7"}}};
-    std::vector<Cell> cells = cells_of(plan);
+    std::vector<ExperimentRun> cells = plan_experiment_runs(plan);
     ASSERT_EQ(cells.size(), 12U);
     EXPECT_EQ(cells[0].seed, cells[1].seed);
     EXPECT_NE(cells[0].daemon, cells[1].daemon);
     EXPECT_EQ(cells[0].setting, "x=1");
     EXPECT_EQ(cells[0].sets, (std::vector<std::string>{"x=1", "fixed=7"}));
-    for (Cell& c : cells) {
+    for (ExperimentRun& c : cells) {
         c.measures.played = true;
         // Seeds differ far more than the daemons, so only a paired comparison shows the difference.
         c.measures.whole = 0.1 * static_cast<double>(c.seed) + (c.daemon == 1 ? 0.01 : 0) +
                            (c.daemon == 1 && c.seed == 5 ? 0.001 : 0);
     }
-    const std::vector<Paired> pairs = paired(cells, 2);
+    const std::vector<PairedDifference> pairs = paired_differences(cells, 2);
     EXPECT_EQ(pairs.size(), 2 * all_measures().size());
     EXPECT_NEAR(pairs[0].mean, 0.01033, 1e-4);
     EXPECT_NEAR(pairs[0].half_width, 4.303 * 0.000577 / std::sqrt(3.0), 1e-5);
-    EXPECT_TRUE(pairs[0].told_apart());
-    EXPECT_FALSE(pairs[1].told_apart());
+    EXPECT_TRUE(pairs[0].is_significant());
+    EXPECT_FALSE(pairs[1].is_significant());
     // A pair is dropped if one of its runs was not played.
     cells[0].measures.played = false;
-    EXPECT_EQ(paired(cells, 2)[0].first.size(), 2U);
+    EXPECT_EQ(paired_differences(cells, 2)[0].first.size(), 2U);
 }
 
 // A run that ended before it began has no samples; its report must still be rendered.
 TEST(Report, RendersARunWithoutData) {
-    DayPlan plan;
+    RunPlan plan;
     plan.scenario.name = "nothing";
     plan.scenario.operations.resize(1);
-    DayResult result;
+    RunResult result;
     result.latencies.resize(1);
     EXPECT_NE(report_html({}, plan, result).find("</html>"), std::string::npos);
     result.failed = "no daemon";
@@ -220,8 +220,8 @@
 }
 
 struct ScenarioRun {
-    DayPlan plan;
-    DayResult result;
+    RunPlan plan;
+    RunResult result;
     std::string log;
 };
 
@@ -232,7 +232,7 @@
     p.plan.program = program;
     p.plan.folder = create_run_folder(testing::UnitTest::GetInstance()->current_test_info()->name());
     p.plan.interrupted = std::move(interrupted);
-    p.result = play_day(p.plan);
+    p.result = execute_run(p.plan);
     std::ifstream log(p.plan.folder + "/n0.log");
     p.log.assign(std::istreambuf_iterator<char>(log), {});
     return p;
@@ -522,7 +522,7 @@
     p.plan.program = BROOKRELAY_PROGRAM;
     p.plan.folder = create_run_folder("taken");
     p.plan.first_port = static_cast<unsigned short>(taken_port);
-    p.result = play_day(p.plan);
+    p.result = execute_run(p.plan);
     close(holder);
     EXPECT_EQ(p.result.failed, "");
     EXPECT_GT(p.result.verdict.succeeded, 100U);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -44,10 +44,10 @@
     std::string update;
     std::atomic<bool> ready{false};
     const auto watch = [&](const std::string& request) {
-        if (request.find("index=7&") == std::string::npos) return Act{};
+        if (request.find("index=7&") == std::string::npos) return ScriptedResponse{};
         wait_for([&] { return ready.load(); });
         std::this_thread::sleep_for(std::chrono::milliseconds(60));
-        return Act{http(update)};
+        return ScriptedResponse{http(update)};
     };
     Fleet fleet(2, {256, 250, watch, true, 192, true, true});
     fleet.daemon().kill();
@@ -87,18 +87,18 @@
     constexpr std::size_t kPieces = 30;
     std::atomic<int> list_requests{0};
     ScriptedPeer new_discovery(true);
-    new_discovery.plays([&](const std::string& request) {
-        if (request.find("index=") != std::string::npos) return Act{};
+    new_discovery.set_script([&](const std::string& request) {
+        if (request.find("index=") != std::string::npos) return ScriptedResponse{};
         ++list_requests;
         const std::string text = http(list);
-        Act act;
+        ScriptedResponse act;
         const std::size_t size = text.size() / kPieces + 1;
         for (std::size_t offset = 0; offset < text.size(); offset += size)
             act.pieces.push_back(text.substr(offset, size));
         act.piece_interval_ms = static_cast<int>(transfer_seconds * 1000 / kPieces);
         return act;
     });
-    fleet.configure(fleet.told_with(fleet.discovery.address(), new_discovery.address()));
+    fleet.configure(fleet.configuration_with(fleet.discovery.address(), new_discovery.address()));
     const double start = seconds();
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("version 9"); });
@@ -123,12 +123,13 @@
                          Fleet::entry(Fleet::name(fleet.caches.back()), fleet.caches.back(), "SERVING"));
     std::atomic<int> list_requests{0};
     ScriptedPeer new_discovery(true);
-    new_discovery.plays([&](const std::string& request) {
-        if (request.find("index=") != std::string::npos) return Act{};
+    new_discovery.set_script([&](const std::string& request) {
+        if (request.find("index=") != std::string::npos) return ScriptedResponse{};
         const std::string text = http(list);
-        return ++list_requests == 1 ? Act{text.substr(0, text.size() / 2)} : Act{text};
+        return ++list_requests == 1 ? ScriptedResponse{text.substr(0, text.size() / 2)}
+                                    : ScriptedResponse{text};
     });
-    fleet.configure(fleet.told_with(fleet.discovery.address(), new_discovery.address()));
+    fleet.configure(fleet.configuration_with(fleet.discovery.address(), new_discovery.address()));
     const double start = seconds();
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("version 9"); });
@@ -142,9 +143,9 @@
     std::string update;
     std::atomic<bool> is_update_ready{false};
     const auto watch = [&](const std::string& request) {
-        if (request.find("index=7&") == std::string::npos) return Act{};
+        if (request.find("index=7&") == std::string::npos) return ScriptedResponse{};
         wait_for([&] { return is_update_ready.load(); });
-        return Act{http(update)};
+        return ScriptedResponse{http(update)};
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
--- a/tests/limit_days_test.cpp
+++ b/tests/limit_days_test.cpp
@@ -17,7 +17,7 @@
 
 // Six daemons with mostly writes, which all go to the origin, at over twice the origin's limit.
 Scenario write_scenario(double length) {
-    Scenario s = fleet_day(6, 1, length);
+    Scenario s = fleet_scenario(6, 1, length);
     s.talk_origin = kOriginLimit;
     s.operations[0].share = 1;
     s.operations[1].share = 9;
@@ -29,7 +29,7 @@
                       std::vector<std::string> later_nodes = {}, double moves_at = 0) {
     scenario.tenants = {{"acme", 1, 0, std::move(nodes), std::move(later_nodes), moves_at}};
 }
-double origin_rate(const Played& run, int from, int until, bool maximum) {
+double origin_rate(const ScenarioOutcome& run, int from, int until, bool maximum) {
     double sum = 0, peak = 0;
     const std::vector<double>& forwards = run.result.series.forwards.back();
     for (int second = from; second < until; ++second) {
@@ -53,18 +53,18 @@
 };
 
 Trouble with_nodes(TroubleKind kind, double at, double lasts, std::vector<int> nodes) {
-    Trouble t = trouble(kind, at, lasts);
+    Trouble t = make_trouble(kind, at, lasts);
     t.nodes = std::move(nodes);
     return t;
 }
 
 std::vector<Case> cases() {
-    Trouble lossy = links(TroubleKind::lossy, 2, 11, {"room-a"}, {"room-a"}),
-            doubled = links(TroubleKind::doubled, 2, 11, {"room-a"}, {"room-a"}),
-            reordered = links(TroubleKind::reordered, 2, 11, {"room-a"}, {"room-a"});
+    Trouble lossy = link_fault(TroubleKind::lossy, 2, 11, {"room-a"}, {"room-a"}),
+            doubled = link_fault(TroubleKind::doubled, 2, 11, {"room-a"}, {"room-a"}),
+            reordered = link_fault(TroubleKind::reordered, 2, 11, {"room-a"}, {"room-a"});
     lossy.part = doubled.part = reordered.part = 0.3;
     reordered.delay = 0.5;
-    Trouble one_way_loss = links(TroubleKind::lossy, 3, 9, {"n0"}, {"n1", "n2"});
+    Trouble one_way_loss = link_fault(TroubleKind::lossy, 3, 9, {"n0"}, {"n1", "n2"});
     one_way_loss.one_way = true;
     const std::vector<std::string> half{"n0", "n1", "n2"}, rest{"n3", "n4", "n5"};
     std::vector<Case> all;
@@ -101,14 +101,14 @@
                    0.5,
                    20});
     all.push_back({"fleet partitioned in two halves for 30 s",
-                   {links(TroubleKind::cut, 4, 30, half, rest)},
+                   {link_fault(TroubleKind::cut, 4, 30, half, rest)},
                    {"n0"},
                    {},
                    0,
                    0.35,
                    34});
     all.push_back({"fleet partitioned in two halves for 10 s, then rejoined",
-                   {links(TroubleKind::cut, 4, 10, half, rest)},
+                   {link_fault(TroubleKind::cut, 4, 10, half, rest)},
                    {"n0"},
                    {},
                    0,
@@ -117,7 +117,7 @@
                    19});
     all.push_back({"one-way loss from one node", {one_way_loss}, {"n0"}, {}, 0, 0.6});
     all.push_back({"one node restarts while it is partitioned",
-                   {links(TroubleKind::cut, 2, 8, {"n5"}, {"n0", "n1", "n2", "n3", "n4"}),
+                   {link_fault(TroubleKind::cut, 2, 8, {"n5"}, {"n0", "n1", "n2", "n3", "n4"}),
                     with_nodes(TroubleKind::node_kill, 4, 1, {5})},
                    {"n0", "n5"},
                    {},
@@ -139,12 +139,12 @@
     Scenario scenario = write_scenario(c.length);
     if (!c.nodes.empty()) assign_tenant_to(scenario, c.nodes, c.later_nodes, c.moves_at);
     scenario.troubles = c.troubles;
-    const Played run = play(scenario);
+    const ScenarioOutcome run = run_scenario(scenario);
     const double max_rate = origin_rate(run, 0, c.length - 1, true),
                  used_share = origin_rate(run, c.used_from, c.length - 1, false) / kOriginLimit;
     std::printf("[ measured ] %-56s maximum per second %.0f of %.0f; share in use %.2f\n", c.name, max_rate,
                 kOriginLimit, used_share);
-    EXPECT_LE(max_rate, kOriginLimit + kBurstAllowance) << c.name << run.told;
+    EXPECT_LE(max_rate, kOriginLimit + kBurstAllowance) << c.name << run.summary;
     EXPECT_GE(used_share, c.min_used) << c.name;
 }
 INSTANTIATE_TEST_SUITE_P(LimitDays, StrictLimit, testing::Range<std::size_t>(0, 11));
@@ -158,7 +158,7 @@
     scenario.troubles = {with_nodes(TroubleKind::node_kill, 8, 0.4, {2})};
     const double jump_at =
         std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count() + 7;
-    const Played run = play(scenario, 1, nullptr, nullptr, [jump_at](int node) {
+    const ScenarioOutcome run = run_scenario(scenario, 1, nullptr, nullptr, [jump_at](int node) {
         const char* offset = node == 0 ? "3600" : node == 1 || node == 2 ? "-3600" : "0";
         return std::vector<std::string>{"LD_PRELOAD=" CLOCK_JUMP_LIBRARY,
                                         "CLOCK_JUMP_AT=" + std::to_string(jump_at),
@@ -189,7 +189,7 @@
     std::string address;
     bool is_started = false;
     GreedyPeer claimer(3);
-    const Played run = play(
+    const ScenarioOutcome run = run_scenario(
         scenario, 1,
         [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
             address = listens[3];
@@ -214,7 +214,7 @@
             second_half = with_nodes(TroubleKind::limits, 10, 0, {3, 4, 5});
     first_half.origin = second_half.origin = 30;
     scenario.troubles = {first_half, second_half};
-    const Played run = play(scenario);
+    const ScenarioOutcome run = run_scenario(scenario);
     const double mean_before = origin_rate(run, 5, 7, false), max_between = origin_rate(run, 8, 10, true),
                  max_after = origin_rate(run, 11, 15, true);
     std::printf(
@@ -232,7 +232,7 @@
 TEST(LimitDays, AColdServerStaysWithinTheFleetLimitWhereverTheDemandIs) {
     double max_rate[2] = {}, mean_rate[2] = {};
     for (const bool is_limited : {false, true}) {
-        Scenario scenario = fleet_day(6, 1, 15);
+        Scenario scenario = fleet_scenario(6, 1, 15);
         scenario.talk_cold = is_limited ? 8 : 0;
         scenario.kinds[0].count = 4;
         scenario.clients.rate = 240;
@@ -240,10 +240,10 @@
         scenario.operations[0].work = 2e-3;
         scenario.origin.slots = 32;
         assign_tenant_to(scenario, {"n0"});
-        Trouble cold_return = trouble(TroubleKind::cold_return, 3, 0);
+        Trouble cold_return = make_trouble(TroubleKind::cold_return, 3, 0);
         cold_return.who = {"box-2"};
         scenario.troubles = {cold_return};
-        const Played run = play(scenario);
+        const ScenarioOutcome run = run_scenario(scenario);
         for (int second = 4; second < 10; ++second) {
             const double rate = run.result.series.forwards[1][static_cast<std::size_t>(second)];
             max_rate[is_limited] = std::max(max_rate[is_limited], rate);
@@ -265,7 +265,7 @@
 TEST(LimitDays, ServersWithFewConnectionsAreNotOverfilled) {
     double refused[2] = {};
     for (const bool is_limited : {false, true}) {
-        Scenario scenario = fleet_day(6, 1, 14);
+        Scenario scenario = fleet_scenario(6, 1, 14);
         scenario.talk_connections = is_limited ? 24 : 0;
         scenario.kinds[0].count = 4;
         scenario.kinds[0].slots = 24;
@@ -275,7 +275,7 @@
         scenario.clients.rate = 900;
         scenario.clients.retries = 0;
         scenario.tenants = {{"acme", 6, 0, {"n0"}, {"n3"}, 7}, {"bolt", 4, 0, {}, {}, 0}};
-        const Played run = play(scenario);
+        const ScenarioOutcome run = run_scenario(scenario);
         int max_connections = 0;
         for (const std::vector<int>& server : run.result.series.connections)
             max_connections = std::max(max_connections, *std::max_element(server.begin(), server.end()));
@@ -295,15 +295,15 @@
 // later.
 TEST(LimitDays, ListRequestsOfNodesThatStartTogetherDoNotGrowWithTheFleet) {
     for (const int nodes : {6, 24}) {
-        Scenario scenario = fleet_day(nodes, 1, 14);
+        Scenario scenario = fleet_scenario(nodes, 1, 14);
         scenario.talk = false;
         scenario.discovery_asked = true;
         scenario.discovery_calls = 10;
         scenario.clients.rate = 40;
-        Trouble kill_all = trouble(TroubleKind::node_kill, 3, 0.4);
+        Trouble kill_all = make_trouble(TroubleKind::node_kill, 3, 0.4);
         for (int n = 0; n < nodes; ++n) kill_all.nodes.push_back(n);
         scenario.troubles = {kill_all};
-        const Played run = play(scenario);
+        const ScenarioOutcome run = run_scenario(scenario);
         double max_rate = 0, list_requests = 0;
         for (std::size_t second = 3; second < 8; ++second) {
             max_rate = std::max(max_rate, run.result.series.list_calls[second]);
@@ -312,7 +312,8 @@
         std::printf(
             "[ measured ] %d nodes start together: at most %.0f list requests in a second, %.0f in five "
             "seconds, %llu rejected\n",
-            nodes, max_rate, list_requests, static_cast<unsigned long long>(run.result.lists_turned_away));
+            nodes, max_rate, list_requests,
+            static_cast<unsigned long long>(run.result.rejected_list_requests));
         EXPECT_GE(list_requests, nodes) << "every node has requested the list";
         EXPECT_LE(max_rate, 17) << "mean 8.3, plus three standard deviations";
     }
@@ -324,7 +325,7 @@
 TEST(LimitDays, ATenantWithinItsQuotaIsNotThrottledWhereverItsRequestsArrive) {
     double lost_share[2] = {};
     for (const bool uses_leases : {false, true}) {
-        Scenario scenario = fleet_day(8, 1, 20);
+        Scenario scenario = fleet_scenario(8, 1, 20);
         scenario.talk_tenants = uses_leases;
         scenario.kinds[0].slots = 1;
         scenario.operations[0].work = 50e-3;
@@ -334,7 +335,7 @@
                             {"bolt", 6, 90, {}, {}, 0},
                             {"crane", 2, 120, {}, {}, 0},
                             {"dune", 2, 120, {}, {}, 0}};
-        const Played run = play(scenario);
+        const ScenarioOutcome run = run_scenario(scenario);
         lost_share[uses_leases] = 1 - run.result.verdict.tenants[0].ratio();
         std::printf(
             "[ measured ] quota shares %s: value lost of the tenant that uses one node %.4f, of all tenants "
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -21,8 +21,8 @@
 namespace brookrelay::gossip {
 namespace {
 
-using Simulation = model::LimitFleet;
-using SmallFleet = model::SmallLimits;
+using Simulation = model::QuotaFleet;
+using SmallFleet = model::QuotaLeaseModel;
 
 std::uint64_t env_or(const char* name, std::uint64_t fallback) {
     const char* value = std::getenv(name);
@@ -221,12 +221,12 @@
 
 TEST(LimitsExplorer, EveryOrderOfFaultsKeepsToTheTotalAndLosesNoUnits) {
     const int depth = static_cast<int>(env_or("LIMITS_DEPTH", 5));
-    const model::Explored e = model::explore(SmallFleet(), depth);
+    const model::ModelCheckResult e = model::check_model(SmallFleet(), depth);
     std::printf(
         "[ measured ] depth %d: %llu states, %llu ends, %.0f states/s; nine tenths of the demand are met at "
         "most %.2f s after the last fault\n",
         depth, static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.ends),
-        static_cast<double>(e.states) / e.took, e.rest_most);
+        static_cast<double>(e.states) / e.took, e.max_recovery_seconds);
     EXPECT_EQ(e.broken, "");
 }
 
@@ -250,7 +250,7 @@
         double max_in_force = 0, use = 0, samples = 0;
         for (std::uint64_t seed = 1; seed <= (c.nodes == 300 ? 2 : env_or("LIMITS_TRIALS", 10)); ++seed) {
             Simulation w(c.nodes, seed);
-            w.network.loss = w.network.doubled = c.loss;
+            w.network.loss = w.network.duplicate_probability = c.loss;
             const auto busy = [&](int from) {
                 for (int n = 0; n < c.nodes; ++n) {
                     const bool is_busy = n >= from && n < from + c.busy;
@@ -258,13 +258,13 @@
                 }
             };
             busy(0);
-            seconds_to_first.push_back(w.until(30, [&] { return w.use >= 0.95; }));
+            seconds_to_first.push_back(w.run_until(30, [&] { return w.use >= 0.95; }));
             for (int i = 0; i < 160; ++i) {
                 w.step();
                 use += w.use, ++samples;
             }
             busy(c.busy);
-            seconds_to_second.push_back(w.until(30, [&] { return w.use >= 0.95; }));
+            seconds_to_second.push_back(w.run_until(30, [&] { return w.use >= 0.95; }));
             max_in_force = std::max(max_in_force, w.most);
         }
         std::sort(seconds_to_first.begin(), seconds_to_first.end());
@@ -289,7 +289,7 @@
             w.demand[0] = d;
             w.run(0.25);
         }
-        EXPECT_LE(w.until(10, [&] { return w.use >= 0.95; }), 5) << seed;
+        EXPECT_LE(w.run_until(10, [&] { return w.use >= 0.95; }), 5) << seed;
         EXPECT_LE(w.most, 1.0);
     }
 }
@@ -303,8 +303,8 @@
             const int fault = static_cast<int>(w.unit() * 9), n = static_cast<int>(w.unit() * 8),
                       m = static_cast<int>(w.unit() * 8);
             w.network.loss = fault == 0 ? 0.3 : fault == 1 ? 1 : 0;
-            w.network.doubled = fault == 0 ? 0.5 : 0;
-            w.network.slowest = fault == 2 ? 3.5 : 0.03;
+            w.network.duplicate_probability = fault == 0 ? 0.5 : 0;
+            w.network.max_delay = fault == 2 ? 3.5 : 0.03;
             w.network.cut = [fault, n](int a, int b) {
                 return fault == 3   ? (a < 4) != (b < 4)
                        : fault == 4 ? a == n
@@ -374,7 +374,7 @@
     w.run(10);
     EXPECT_LE(w.use, 0.6) << "the units of the other half stay unused";
     w.network.cut = [](int, int) { return false; };
-    EXPECT_LE(w.until(20, [&] { return w.use >= 0.95; }), 12);
+    EXPECT_LE(w.run_until(20, [&] { return w.use >= 0.95; }), 12);
     EXPECT_LE(w.most, 1.0);
 }
 
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -32,7 +32,7 @@
 
 TEST(Proxy, AMissIsFetchedFromTheOrigin) {
     Fleet fleet(2);
-    for (ScriptedPeer& c : fleet.caches) c.plays(miss);
+    for (ScriptedPeer& c : fleet.caches) c.set_script(miss);
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "m1"));
     EXPECT_EQ(line.until("\r\n"), "VA 4 Om1\r\n");
@@ -57,7 +57,8 @@
 
 TEST(Proxy, InReadThroughModeWritesGoToTheCaches) {
     Fleet fleet(1, {256, 250, silent, false});
-    fleet.caches.front().plays([](const std::string& m) { return Act{"HD O" + id_in(m) + " c77\r\n"}; });
+    fleet.caches.front().set_script(
+        [](const std::string& m) { return ScriptedResponse{"HD O" + id_in(m) + " c77\r\n"}; });
     EXPECT_EQ(fleet.ask("ms 7f3a 5 Ow1 Pc=put,t=acme,d=99999,k=5c0f\r\nv\r\n!!\r\n"), "HD Ow1 c77\r\n");
     const auto heard = fleet.caches.front().heard();
     ASSERT_EQ(heard.size(), 1U);
@@ -76,7 +77,7 @@
          {Case{"500 E", "SERVER_ERROR busy\r\n"}, Case{"503 B\r\nX-Never-Ran: 1", "SERVER_ERROR busy\r\n"}}) {
         SCOPED_TRACE(c.status);
         Fleet fleet(1);
-        fleet.origin.plays([&c](const std::string&) { return Act{http("", c.status)}; });
+        fleet.origin.set_script([&c](const std::string&) { return ScriptedResponse{http("", c.status)}; });
         Line line(own_loopback(), fleet.port());
         line.send("ms k 1 Ow1 Pc=put,d=600\r\nx\r\n");
         EXPECT_EQ(line.until("\r\n"), c.answer);
@@ -91,20 +92,21 @@
         ScriptedPeer::Script script;
     };
     int row = 0;
-    for (const Case& c : {Case{[](const std::string&) {
-                              return Act{"", true};
-                          }},
-                          Case{[](const std::string&) { return Act{"what?\r\n"}; }},
-                          Case{[](const std::string&) { return Act{"VA 5 Oanother\r\nhello\r\n"}; }},
-                          Case{[](const std::string& m) {
-                              return Act{"VA 9 O" + id_in(m) + "\r\nhel", true};
-                          }},
-                          Case{[](const std::string& m) { return Act{"HD O" + id_in(m) + " c1\r\n"}; }}}) {
+    for (const Case& c :
+         {Case{[](const std::string&) {
+              return ScriptedResponse{"", true};
+          }},
+          Case{[](const std::string&) { return ScriptedResponse{"what?\r\n"}; }},
+          Case{[](const std::string&) { return ScriptedResponse{"VA 5 Oanother\r\nhello\r\n"}; }},
+          Case{[](const std::string& m) {
+              return ScriptedResponse{"VA 9 O" + id_in(m) + "\r\nhel", true};
+          }},
+          Case{[](const std::string& m) { return ScriptedResponse{"HD O" + id_in(m) + " c1\r\n"}; }}}) {
         SCOPED_TRACE(testing::Message() << "script " << row++);
         Fleet fleet(3);
         std::atomic<bool> first{true};
         for (ScriptedPeer& s : fleet.caches) {
-            s.plays([&](const std::string& m) { return first.exchange(false) ? c.script(m) : hit(m); });
+            s.set_script([&](const std::string& m) { return first.exchange(false) ? c.script(m) : hit(m); });
         }
         EXPECT_EQ(fleet.ask(read_of("7f3a", "b1")), "VA 5 Ob1\r\n");
         EXPECT_FALSE(first.load());
@@ -113,17 +115,17 @@
     }
     // A connection that the cache closed while it was idle fails no request.
     Fleet fleet(1);
-    fleet.caches.front().plays([](const std::string& m) { return Act{hit(m).text, true}; });
+    fleet.caches.front().set_script([](const std::string& m) { return ScriptedResponse{hit(m).text, true}; });
     for (const char* id : {"c1", "c2", "c3"}) {
         EXPECT_EQ(fleet.ask(read_of("7f3a", id)), std::string("VA 5 O") + id + "\r\n");
         wait_for([&] { return fleet.caches.front().ended == fleet.caches.front().connections; });
     }
     Fleet forged(1);
-    forged.origin.plays([](const std::string&) { return Act{http("1\r\nMN")}; });
+    forged.origin.set_script([](const std::string&) { return ScriptedResponse{http("1\r\nMN")}; });
     EXPECT_TRUE(forged.ask("ms k 1 Of1 Pc=put,d=600\r\nx\r\n").starts_with("SERVER_ERROR "));
     Fleet bad_origin(1);
-    bad_origin.caches.front().plays(miss);
-    bad_origin.origin.plays([](const std::string&) { return Act{"SSH-2.0\r\n"}; });
+    bad_origin.caches.front().set_script(miss);
+    bad_origin.origin.set_script([](const std::string&) { return ScriptedResponse{"SSH-2.0\r\n"}; });
     EXPECT_EQ(bad_origin.ask(read_of("7f3a", "o1", 600)), "SERVER_ERROR busy\r\n");
 }
 
@@ -135,7 +137,7 @@
     EXPECT_EQ(fleet.ask(read_of("7f3a", "s0")), "VA 5 Os0\r\n");
     ScriptedPeer& first = fleet.caches.front();
     ScriptedPeer& owner = first.heard().empty() ? fleet.caches.back() : first;
-    owner.plays([](const std::string&) { return Act{"what?\r\n"}; });
+    owner.set_script([](const std::string&) { return ScriptedResponse{"what?\r\n"}; });
     for (int n = 1; n <= 5; ++n) {
         const std::string id = "s" + std::to_string(n);
         EXPECT_EQ(fleet.ask(read_of("7f3a", id)), "VA 5 O" + id + "\r\n");
@@ -145,7 +147,7 @@
 
 TEST(Proxy, AnAttemptAtAnUnresponsiveCacheTimesOut) {
     Fleet fleet(1);
-    fleet.caches.front().plays(silent);
+    fleet.caches.front().set_script(silent);
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "s1", 300));
     EXPECT_EQ(line.until("\r\n"), "SERVER_ERROR busy\r\n");
@@ -155,14 +157,14 @@
 
 TEST(Proxy, AttemptsForADisconnectedClientAreCancelled) {
     Fleet fleet(1);
-    fleet.caches.front().plays(silent);
+    fleet.caches.front().set_script(silent);
     {
         Line line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "l1", 60000));
         wait_for([&] { return fleet.caches.front().heard().size() == 1; });
     }
     wait_for([&] { return fleet.caches.front().ended == 1; });
-    fleet.caches.front().plays(hit);
+    fleet.caches.front().set_script(hit);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "l2")), "VA 5 Ol2\r\n");
 }
 
@@ -173,10 +175,10 @@
     const auto watch = [&](const std::string& request) {
         if (request.find("index=8&") != std::string::npos) {
             update_received = true;
-            return Act{};
+            return ScriptedResponse{};
         }
         while (!send_update) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return Act{http(update)};
+        return ScriptedResponse{http(update)};
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
@@ -205,10 +207,10 @@
     std::atomic<bool> list_received{false};
     const auto watch = [&](const std::string& request) {
         list_received = request.find("index=3&") != std::string::npos;
-        if (list_received) return Act{};
+        if (list_received) return ScriptedResponse{};
         while (!send_list) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         const bool versioned = request.find("index=") != std::string::npos;
-        return Act{versioned ? http("", "404 Unknown") : http(full_list)};
+        return ScriptedResponse{versioned ? http("", "404 Unknown") : http(full_list)};
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& kept = fleet.caches.back();
@@ -235,7 +237,7 @@
         while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     };
-    old_server.plays(hold_script);
+    old_server.set_script(hold_script);
     const auto deleted = [](const std::string& host) {
         return R"({"host":")" + host + R"(","health":"DELETED"})";
     };
@@ -279,18 +281,18 @@
     std::atomic<bool> was_polled{false};
     const std::string full_list =
         R"({"seq":1,"whole":true,"hosts":[)" + Fleet::entry(Fleet::name(kept), kept, "SERVING") + "]}";
-    other.plays([&](const std::string& request) {
+    other.set_script([&](const std::string& request) {
         const bool versioned = request.find("index=") != std::string::npos;
         was_polled = was_polled || versioned;
-        return versioned ? Act{} : Act{http(full_list)};
+        return versioned ? ScriptedResponse{} : ScriptedResponse{http(full_list)};
     });
     wait_for([&] { return fleet.discovery.heard().size() == 1; });
-    fleet.configure(fleet.told_with("\"pushed\"", "\"never\""));
+    fleet.configure(fleet.configuration_with("\"pushed\"", "\"never\""));
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("the old one stays: in 'settings': field 'discovery'"); });
     EXPECT_EQ(fleet.ask(read_of("7f3a", "h1")), "VA 5 Oh1\r\n");
     EXPECT_TRUE(fleet.alive());
-    fleet.configure(fleet.told_with(fleet.discovery.address(), other.address()));
+    fleet.configure(fleet.configuration_with(fleet.discovery.address(), other.address()));
     fleet.signal(SIGHUP);
     wait_for([&] { return was_polled.load() && fleet.discovery.ended == 1; });
     ASSERT_FALSE(other.heard().empty());
@@ -309,24 +311,25 @@
     Fleet fleet(3);
     std::atomic<bool> hold{false};
     std::atomic<int> held{0};
-    const auto holding = [&](const std::string& message, Act act) {
+    const auto holding = [&](const std::string& message, ScriptedResponse act) {
         if (hold && message.find("hold") != std::string::npos) {
             ++held;
             while (hold) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         }
         return act;
     };
-    for (ScriptedPeer& c : fleet.caches) c.plays([&](const std::string& m) { return holding(m, hit(m)); });
-    fleet.origin.plays([&](const std::string& m) { return holding(m, Act{http("made")}); });
+    for (ScriptedPeer& c : fleet.caches)
+        c.set_script([&](const std::string& m) { return holding(m, hit(m)); });
+    fleet.origin.set_script([&](const std::string& m) { return holding(m, ScriptedResponse{http("made")}); });
     const auto replace_in = [](std::string& text, const std::string& from, const std::string& to) {
         const std::size_t at = text.find(from);
         ASSERT_NE(at, std::string::npos) << from;
         text.replace(at, from.size(), to);
     };
     // The original settings have all keys of the changed ones: a reload that lacks a key is rejected.
-    std::string original = fleet.told_with("\"discovery\":\"pushed\"",
-                                           "\"discovery\":\"pushed\",\"weights\":\"off\",\"parties\":[]");
-    std::string changed = fleet.told_with("[\"m\",\"origin\"]", "[\"origin\",\"new\",\"m\"]");
+    std::string original = fleet.configuration_with(
+        "\"discovery\":\"pushed\"", "\"discovery\":\"pushed\",\"weights\":\"off\",\"parties\":[]");
+    std::string changed = fleet.configuration_with("[\"m\",\"origin\"]", "[\"origin\",\"new\",\"m\"]");
     const auto replace = [&](const std::string& from, const std::string& to) {
         replace_in(changed, from, to);
     };
@@ -414,7 +417,7 @@
           Case{"\"balancers\":2", "\"balancers\":2,\"weights\":\"often\"",
                "field 'weights' has the unknown value"}}) {
         SCOPED_TRACE(c.line);
-        fleet.configure(fleet.told_with(c.from, c.to));
+        fleet.configure(fleet.configuration_with(c.from, c.to));
         fleet.signal(SIGHUP);
         wait_for([&] { return fleet.logged(c.line); });
         EXPECT_EQ(fleet.ask(read_of("7f3a", "after")), "VA 5 Oafter\r\n");
@@ -427,9 +430,9 @@
     std::string update;
     std::atomic<bool> send_update{false};
     const auto watch = [&](const std::string& request) {
-        if (request.find("index=8&") != std::string::npos) return Act{};
+        if (request.find("index=8&") != std::string::npos) return ScriptedResponse{};
         while (!send_update) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return Act{http(update)};
+        return ScriptedResponse{http(update)};
     };
     Fleet fleet(2, {256, 60000, watch});
     ScriptedPeer& drained = fleet.caches.front();
@@ -452,8 +455,9 @@
 TEST(Proxy, LargeValuesAreForwardedCompletely) {
     Fleet fleet(1);
     const std::string large(1000 * 1000, 'x');
-    fleet.caches.front().plays([&](const std::string& m) {
-        return Act{"VA " + std::to_string(large.size()) + " O" + id_in(m) + " h1\r\n" + large + "\r\n"};
+    fleet.caches.front().set_script([&](const std::string& m) {
+        return ScriptedResponse{"VA " + std::to_string(large.size()) + " O" + id_in(m) + " h1\r\n" + large +
+                                "\r\n"};
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("1", "l1"));
@@ -492,7 +496,7 @@
     Fleet fleet(2);
     std::atomic<bool> release{false};
     for (ScriptedPeer& c : fleet.caches) {
-        c.plays([&release](const std::string& m) {
+        c.set_script([&release](const std::string& m) {
             while (id_in(m) == "slow" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
             return hit(m);
         });
@@ -514,7 +518,8 @@
     line.send(commands);
     EXPECT_EQ(line.bytes(replies.size()), replies);
     const std::string large(64 * 1024, 'x');
-    fleet.origin.plays([](const std::string& m) { return Act{http(m.substr(m.find("\r\n\r\n") + 4))}; });
+    fleet.origin.set_script(
+        [](const std::string& m) { return ScriptedResponse{http(m.substr(m.find("\r\n\r\n") + 4))}; });
     line.send("ms 7f3a 65536 Ow2 Pc=put,d=5000\r\n" + large + "\r\n");
     EXPECT_TRUE(line.until("\r\n") == "HD Ow2 c" + large + "\r\n");
 }
@@ -549,7 +554,7 @@
 TEST(Proxy, AnIdStillInUseIsRejected) {
     Fleet fleet(1);
     std::atomic<bool> release{false};
-    fleet.caches.front().plays([&release](const std::string& m) {
+    fleet.caches.front().set_script([&release](const std::string& m) {
         while (!release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
@@ -621,7 +626,7 @@
 TEST(Proxy, AShutdownAnswersOpenRequestsAndThenExits) {
     Fleet fleet(1);
     std::atomic<bool> release{false};
-    fleet.caches.front().plays([&release](const std::string& m) {
+    fleet.caches.front().set_script([&release](const std::string& m) {
         while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
@@ -666,7 +671,7 @@
     const std::chrono::duration<double, std::milli> elapsed = std::chrono::steady_clock::now() - signalled_at;
     EXPECT_LT(elapsed.count(), 2400);  // it takes 2.9 s if the connections delay the exit
     Fleet stuck_fleet(1);
-    stuck_fleet.caches.front().plays(silent);
+    stuck_fleet.caches.front().set_script(silent);
     Line last(own_loopback(), stuck_fleet.port());
     last.send(read_of("7f3a", "last", 60000));
     wait_for([&] { return stuck_fleet.caches.front().heard().size() == 1; });
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -63,7 +63,7 @@
     NodeOptions options = with_admin_address();
     options.descriptors = 64;
     Fleet fleet(1, options);
-    fleet.caches.front().plays(silent);
+    fleet.caches.front().set_script(silent);
     std::list<Line> lines;
     for (int k = 0; k < 60; ++k) {
         lines.emplace_back(own_loopback(), fleet.port());
@@ -84,7 +84,7 @@
     options.inherits_listener = true;
     Fleet fleet(1, options);
     std::atomic<bool> release{false};
-    fleet.caches.front().plays([&release](const std::string& m) {
+    fleet.caches.front().set_script([&release](const std::string& m) {
         while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
@@ -130,10 +130,10 @@
     int fd[2];
     ASSERT_EQ(pipe(fd), 0);
     Process failing(std::make_unique<DaemonProcess>(
-                        DaemonProcess::Place{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
+                        DaemonProcess::LaunchOptions{BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, fd[0]}),
                     0);
     DaemonProcess& failing_daemon = *failing.daemon;
-    failing_daemon.configure(fleet.told_with("\"pushed\"", "\"pushed\""));
+    failing_daemon.configure(fleet.configuration_with("\"pushed\"", "\"pushed\""));
     failing_daemon.start();
     wait_for([&] { return !failing_daemon.running(); });
     EXPECT_EQ(failing_daemon.exit_code(), 1);
@@ -267,12 +267,12 @@
         lines.emplace_back(own_loopback(), fleet.port());
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
-    const int total = fleet.daemon().figures().descriptors + next.daemon->figures().descriptors;
+    const int total = fleet.daemon().resource_usage().descriptors + next.daemon->resource_usage().descriptors;
     std::printf("two processes: %d descriptors\n", total);
     EXPECT_GT(total, 50);
     EXPECT_LE(total, 128);
     next.daemon->kill();
-    wait_for([&] { return fleet.daemon().figures().descriptors > 65; });
+    wait_for([&] { return fleet.daemon().resource_usage().descriptors > 65; });
 }
 
 // When discovery rejects a request, the node keeps its version, continues to request updates of it, and
@@ -281,7 +281,7 @@
     std::atomic<int> calls{0};
     NodeOptions options;
     options.watch = [&](const std::string&) {
-        return ++calls <= 3 ? Act{http("", "503 Service Unavailable")} : Act{};
+        return ++calls <= 3 ? ScriptedResponse{http("", "503 Service Unavailable")} : ScriptedResponse{};
     };
     Fleet fleet(1, options);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "t1")), "VA 5 Ot1\r\n");
@@ -318,12 +318,13 @@
         const std::string first = long_value().substr(0, 100'000);
         const std::string rest = long_value().substr(100'000);
         for (ScriptedPeer& c : fleet.caches)
-            c.plays([&](const std::string& m) {
+            c.set_script([&](const std::string& m) {
                 return is_miss ? miss(m)
-                               : Act{long_value_header(m) + first, false, wait_for_release, rest + "\r\n"};
+                               : ScriptedResponse{long_value_header(m) + first, false, wait_for_release,
+                                                  rest + "\r\n"};
             });
-        fleet.origin.plays([&](const std::string&) {
-            return Act{
+        fleet.origin.set_script([&](const std::string&) {
+            return ScriptedResponse{
                 "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLongValueSize) + "\r\n\r\n" + first,
                 true, wait_for_release, rest};
         });
@@ -354,7 +355,9 @@
         SCOPED_TRACE(testing::Message() << c.sent.size() << " bytes after the head");
         Fleet fleet(2, with_admin_address());
         for (ScriptedPeer& cache : fleet.caches)
-            cache.plays([&](const std::string& m) { return Act{long_value_header(m) + c.sent, true}; });
+            cache.set_script([&](const std::string& m) {
+                return ScriptedResponse{long_value_header(m) + c.sent, true};
+            });
         Line line(own_loopback(), fleet.port());
         line.send("mn\r\n" + read_of("7f3a", "b1"));
         EXPECT_EQ(line.until("\r\n"), "MN\r\n");
@@ -378,8 +381,8 @@
     }
     // If the client disconnects, the connection to the server is closed.
     Fleet fleet(1, with_admin_address());
-    fleet.caches.front().plays(
-        [&](const std::string& m) { return Act{long_value_header(m) + half + half + "\r\n"}; });
+    fleet.caches.front().set_script(
+        [&](const std::string& m) { return ScriptedResponse{long_value_header(m) + half + half + "\r\n"}; });
     {
         Line line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "g1"));
@@ -389,9 +392,9 @@
     // While an earlier response of the client is pending, no part of the value is written, so the client gets
     // an error line.
     std::atomic<bool> release{false};
-    fleet.caches.front().plays([&](const std::string& m) {
+    fleet.caches.front().set_script([&](const std::string& m) {
         while (id_in(m) == "first" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-        return id_in(m) == "first" ? hit(m) : Act{long_value_header(m), true};
+        return id_in(m) == "first" ? hit(m) : ScriptedResponse{long_value_header(m), true};
     });
     Line line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "first") + read_of("7f3b", "second"));
@@ -409,9 +412,10 @@
     options.memory_mb = 48;
     Fleet fleet(2, options);
     for (ScriptedPeer& c : fleet.caches)
-        c.plays([&](const std::string& m) {
-            return m.find("short") == std::string::npos ? Act{long_value_header(m) + long_value() + "\r\n"}
-                                                        : hit(m);
+        c.set_script([&](const std::string& m) {
+            return m.find("short") == std::string::npos
+                       ? ScriptedResponse{long_value_header(m) + long_value() + "\r\n"}
+                       : hit(m);
         });
     std::list<Line> readers;
     for (int k = 0; k < 30; ++k) {
@@ -453,7 +457,7 @@
     for (const std::string& message : fleet.origin.heard())
         EXPECT_TRUE(message.substr(message.find("\r\n\r\n") + 4) == long_value());
     EXPECT_EQ(fleet.origin.heard().size(), 6U);
-    const double max_rss_mb = fleet.daemon().figures().rss_most_mb;
+    const double max_rss_mb = fleet.daemon().resource_usage().max_rss_mb;
     std::printf("long values: %.1f MB at most\n", max_rss_mb);
     EXPECT_LT(max_rss_mb, 40);
 }
@@ -472,7 +476,7 @@
         return {};
     };
     wait_for([&] { return !snapshot().empty(); });
-    fleet.configure(fleet.told_with(R"("name":"n1")", R"("name":"n2")"));
+    fleet.configure(fleet.configuration_with(R"("name":"n1")", R"("name":"n2")"));
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("configuration read again"); });
     std::filesystem::remove(snapshot());
@@ -490,7 +494,8 @@
 TEST(Operations, MetricsAndTraceRecordRequests) {
     Fleet fleet(1, with_admin_address());
     EXPECT_EQ(fleet.ask(read_of("7f3a", "m1")), "VA 5 Om1\r\n");
-    fleet.caches.front().plays([](const std::string&) { return Act{"SERVER_ERROR busy\r\n"}; });
+    fleet.caches.front().set_script(
+        [](const std::string&) { return ScriptedResponse{"SERVER_ERROR busy\r\n"}; });
     EXPECT_TRUE(fleet.ask(read_of("7f3a", "m2", 300)).starts_with("SERVER_ERROR "));
     const std::string metrics = get_page(fleet, "/metrics");
     for (const char* line :
