--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -21,8 +21,8 @@
 
 // Returns how many nodes of `which` have a verdict on `server` in their newest view within [from, until), and
 // how many of them have a view at all.
-std::pair<int, int> count_holding(const Played& p, const std::string& server, double from, double until,
-                                  const NodeFilter& which = all_nodes) {
+std::pair<int, int> count_holding(const ScenarioOutcome& p, const std::string& server, double from,
+                                  double until, const NodeFilter& which = all_nodes) {
     std::map<int, bool> last;
     for (const FleetView& v : p.result.views) {
         if (v.time < from || v.time >= until || !which(v.node)) continue;
@@ -32,14 +32,15 @@
     for (const auto& [node, is_held] : last) holding_nodes += is_held;
     return {holding_nodes, static_cast<int>(last.size())};
 }
-bool was_ever_found(const Played& p, const std::string& server, const NodeFilter& which = all_nodes) {
+bool was_ever_found(const ScenarioOutcome& p, const std::string& server,
+                    const NodeFilter& which = all_nodes) {
     return std::any_of(p.result.views.begin(), p.result.views.end(), [&](const FleetView& v) {
         return which(v.node) && std::count(v.found.begin(), v.found.end(), server) > 0;
     });
 }
 // Returns the first time from `from` on at which all nodes of `which` have the verdict, or none has; -1:
 // never.
-double first_time(const Played& p, const std::string& server, double from, bool all_must_hold,
+double first_time(const ScenarioOutcome& p, const std::string& server, double from, bool all_must_hold,
                   const NodeFilter& which = all_nodes) {
     std::set<double> times;
     for (const FleetView& v : p.result.views) times.insert(v.time);
@@ -50,7 +51,7 @@
     }
     return -1;
 }
-bool was_any_server_found(const Played& p) {
+bool was_any_server_found(const ScenarioOutcome& p) {
     return std::any_of(p.result.views.begin(), p.result.views.end(),
                        [](const FleetView& v) { return !v.found.empty(); });
 }
@@ -72,7 +73,7 @@
 
 TEST_P(ColdCaches, SurviveTheCombinedLoadOfAllProcesses) {
     const ColdCachesCase& c = GetParam();
-    Scenario s = fleet_day(c.nodes, 1, 18);
+    Scenario s = fleet_scenario(c.nodes, 1, 18);
     s.talk = false;
     s.clients.rate = 60;
     s.kinds[0].slots = 1;
@@ -88,18 +89,18 @@
         TenantPlan many{"many", 1};
         s.tenants = {few, many};
     }
-    Trouble cold = trouble(TroubleKind::cold_return, 6, 0);
+    Trouble cold = make_trouble(TroubleKind::cold_return, 6, 0);
     cold.who = {"box-2", "box-3", "box-5", "box-7", "box-8", "box-11"};
-    Trouble hot = trouble(TroubleKind::hot_key, 4, 12);
+    Trouble hot = make_trouble(TroubleKind::hot_key, 4, 12);
     hot.part = 0.35;
     s.troubles = {cold, hot};
     if (c.restarted) {
-        Trouble killed = trouble(TroubleKind::node_kill, 6.5, 0.5);
+        Trouble killed = make_trouble(TroubleKind::node_kill, 6.5, 0.5);
         for (int n = 0; n < c.nodes; ++n) killed.nodes.push_back(n);
         s.troubles.push_back(killed);
     }
-    const Played p = play(s);
-    EXPECT_GT(p.result.verdict.attempts, 300) << p.told;
+    const ScenarioOutcome p = run_scenario(s);
+    EXPECT_GT(p.result.verdict.attempts, 300) << p.summary;
 }
 
 INSTANTIATE_TEST_SUITE_P(Days, ColdCaches,
@@ -108,14 +109,14 @@
                          [](const auto& c) { return c.param.name; });
 
 TEST(Processes, FindASlowServerAndItsRecovery) {
-    Scenario s = fleet_day(8, 1, 22);
-    s.troubles = {slow("box-5", 3, 9)};
-    const Played p = play(s);
+    Scenario s = fleet_scenario(8, 1, 22);
+    s.troubles = {slow_server("box-5", 3, 9)};
+    const ScenarioOutcome p = run_scenario(s);
     const double found_at = first_time(p, "box-5", 3, true);
     const double recovered_at = first_time(p, "box-5", 12, false);
     std::printf("[ measured ] all of 8 found it after %.2f s, dropped it %.2f s after its recovery\n",
                 found_at - 3, recovered_at - 12);
-    ASSERT_GT(found_at, 3) << p.told;
+    ASSERT_GT(found_at, 3) << p.summary;
     EXPECT_LE(found_at, 3 + kMaxSecondsToFind);
     EXPECT_LE(recovered_at, 12 + kMaxSecondsToRecover);
     for (int other = 1; other <= 12; ++other) {
@@ -130,9 +131,9 @@
 }
 
 TEST(Processes, ANodeThatIsCutOffChangesNoVerdict) {
-    Scenario s = fleet_day(8, 1, 14);
-    s.troubles = {links(TroubleKind::cut, 3, 8, {"n2"})};
-    const Played p = play(s);
+    Scenario s = fleet_scenario(8, 1, 14);
+    s.troubles = {link_fault(TroubleKind::cut, 3, 8, {"n2"})};
+    const ScenarioOutcome p = run_scenario(s);
     EXPECT_FALSE(was_any_server_found(p)) << "a node without connectivity was believed";
     bool is_dead = false;
     for (const FleetView& v : p.result.views)
@@ -148,58 +149,58 @@
 // Both zones use the servers of the first, since those of the second drain; then one of them becomes
 // unreachable from the second zone.
 TEST(Processes, AServerBadForOneZoneIsEjectedByThatZoneOnly) {
-    Scenario s = fleet_day(8, 2, 16);
-    Trouble drain = trouble(TroubleKind::drain, 1, 0);
+    Scenario s = fleet_scenario(8, 2, 16);
+    Trouble drain = make_trouble(TroubleKind::drain, 1, 0);
     drain.who = {"box-2", "box-4", "box-6", "box-8", "box-10", "box-12"};
-    s.troubles = {drain, links(TroubleKind::cut, 4, 11, {"n1", "n3", "n5", "n7"}, {"box-5"})};
-    const Played p = play(s);
+    s.troubles = {drain, link_fault(TroubleKind::cut, 4, 11, {"n1", "n3", "n5", "n7"}, {"box-5"})};
+    const ScenarioOutcome p = run_scenario(s);
     const NodeFilter first = [](int n) { return n % 2 == 0; }, second = [](int n) { return n % 2 != 0; };
-    EXPECT_GT(first_time(p, "box-5", 4, true, second), 4) << p.told;
+    EXPECT_GT(first_time(p, "box-5", 4, true, second), 4) << p.summary;
     EXPECT_FALSE(was_ever_found(p, "box-5", first));
     EXPECT_GT(p.result.series.forwards[4][14], 1) << "the first zone still uses it";
 }
 
 // A peer of another version, or one whose datagrams are all corrupted, counts as silent to the others.
 TEST(Processes, AnUndecodablePeerIsIgnored) {
-    Scenario s = fleet_day(6, 1, 16);
-    Trouble other = links(TroubleKind::garbled, 0, 15, {"n3"});
+    Scenario s = fleet_scenario(6, 1, 16);
+    Trouble other = link_fault(TroubleKind::garbled, 0, 15, {"n3"});
     other.one_way = true;
-    s.troubles = {other, slow("box-5", 3, 12)};
-    const Played p = play(s);
+    s.troubles = {other, slow_server("box-5", 3, 12)};
+    const ScenarioOutcome p = run_scenario(s);
     const NodeFilter other_nodes = [](int n) { return n != 3; };
-    EXPECT_GT(first_time(p, "box-5", 3, true, other_nodes), 3) << p.told;
+    EXPECT_GT(first_time(p, "box-5", 3, true, other_nodes), 3) << p.summary;
     double unsound = 0;
     for (const FleetView& v : p.result.views) unsound = std::max(unsound, v.unsound);
     EXPECT_GT(unsound, 3);
 }
 
 TEST(Processes, AgreeDespiteLossDuplicationAndReordering) {
-    Scenario s = fleet_day(8, 1, 16);
+    Scenario s = fleet_scenario(8, 1, 16);
     for (const TroubleKind kind :
          {TroubleKind::lossy, TroubleKind::doubled, TroubleKind::reordered, TroubleKind::garbled}) {
-        Trouble t = links(kind, 1, 14, {"room-a"}, {"room-a"});
+        Trouble t = link_fault(kind, 1, 14, {"room-a"}, {"room-a"});
         t.part = kind == TroubleKind::garbled ? 0.05 : 0.3;
         t.delay = 0.4;
         s.troubles.push_back(t);
     }
-    s.troubles.push_back(slow("box-5", 3, 12));
-    const Played p = play(s);
+    s.troubles.push_back(slow_server("box-5", 3, 12));
+    const ScenarioOutcome p = run_scenario(s);
     const double found_at = first_time(p, "box-5", 3, true);
     std::printf("[ measured ] 3 in 10 lost, duplicated, reordered: all of 8 found it after %.2f s\n",
                 found_at - 3);
-    EXPECT_GT(found_at, 3) << p.told;
+    EXPECT_GT(found_at, 3) << p.summary;
     double unsound = 0;
     for (const FleetView& v : p.result.views) unsound = std::max(unsound, v.unsound);
     EXPECT_GT(unsound, 0) << "corrupted datagrams arrived and were discarded";
 }
 
 TEST(Processes, OneWayLossLeavesNoNodeDead) {
-    Scenario s = fleet_day(6, 1, 12);
+    Scenario s = fleet_scenario(6, 1, 12);
     Trouble deaf =
-        links(TroubleKind::lossy, 1, 10, {"n0"}, {"n1"});  // n1 does not receive from n0, but n0 from n1
+        link_fault(TroubleKind::lossy, 1, 10, {"n0"}, {"n1"});  // n1 does not receive from n0, but n0 from n1
     deaf.one_way = true;
     s.troubles = {deaf};
-    const Played p = play(s);
+    const ScenarioOutcome p = run_scenario(s);
     for (const FleetView& v : p.result.views) {
         if (v.time <= 4) continue;
         EXPECT_NE(v.states[0], "gone") << "at n" << v.node << ", " << v.time;
@@ -207,12 +208,12 @@
 }
 
 TEST(Processes, MostNodesKilledAndRestartedAreKnownAgain) {
-    Scenario s = fleet_day(8, 1, 18);
-    Trouble kill = trouble(TroubleKind::node_kill, 3, 2);
+    Scenario s = fleet_scenario(8, 1, 18);
+    Trouble kill = make_trouble(TroubleKind::node_kill, 3, 2);
     kill.nodes = {0, 1, 2, 3, 4};
-    s.troubles = {kill, slow("box-5", 6, 10)};
-    const Played p = play(s);
-    EXPECT_GT(first_time(p, "box-5", 6, true), 6) << p.told;
+    s.troubles = {kill, slow_server("box-5", 6, 10)};
+    const ScenarioOutcome p = run_scenario(s);
+    EXPECT_GT(first_time(p, "box-5", 6, true), 6) << p.summary;
     std::set<std::uint64_t> incarnations;
     for (const FleetView& v : p.result.views) {
         if (v.node == 7 && v.starts[0] != 0) incarnations.insert(v.starts[0]);
@@ -221,12 +222,12 @@
 }
 
 TEST(Processes, AResumedNodeDropsItsOldVerdicts) {
-    Scenario s = fleet_day(6, 1, 22);
-    Trouble frozen = trouble(TroubleKind::freeze, 8, 7);
+    Scenario s = fleet_scenario(6, 1, 22);
+    Trouble frozen = make_trouble(TroubleKind::freeze, 8, 7);
     frozen.nodes = {2};
-    s.troubles = {slow("box-5", 2, 7), frozen};
-    const Played p = play(s);
-    EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.told;
+    s.troubles = {slow_server("box-5", 2, 7), frozen};
+    const ScenarioOutcome p = run_scenario(s);
+    EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.summary;
     const NodeFilter is_resumed_node = [](int n) { return n == 2; };
     bool has_resumed = false;
     for (const FleetView& v : p.result.views) {
@@ -240,22 +241,22 @@
 }
 
 TEST(Processes, AStarvedNodeChangesNoVerdict) {
-    Scenario s = fleet_day(6, 1, 14);
-    Trouble starved = trouble(TroubleKind::starved, 2, 9);
+    Scenario s = fleet_scenario(6, 1, 14);
+    Trouble starved = make_trouble(TroubleKind::starved, 2, 9);
     starved.nodes = {1};
     starved.part = 0.8;
     s.troubles = {starved};
-    EXPECT_FALSE(was_any_server_found(play(s)));
+    EXPECT_FALSE(was_any_server_found(run_scenario(s)));
 }
 
 // A sender at an unknown address forges valid datagrams in which many owners find all servers bad.
 TEST(Processes, DatagramsFromUnknownAddressesAreIgnored) {
-    Scenario s = fleet_day(4, 1, 8);
+    Scenario s = fleet_scenario(4, 1, 8);
     Io io;
     using Udp = boost::asio::ip::udp;
     Udp::socket unknown_sender(io, Udp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    const Played p =
-        play(s, 1, [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
+    const ScenarioOutcome p =
+        run_scenario(s, 1, [&](const std::vector<std::string>& listens, const std::vector<std::string>&) {
             for (int i = 0; i < 50; ++i) {
                 for (const std::string& listen : listens) {
                     gossip::Datagram d;
@@ -281,10 +282,10 @@
 }
 
 TEST(Processes, WithAllDatagramsLostNoVerdictStands) {
-    Scenario s = fleet_day(6, 1, 24);
-    s.troubles = {slow("box-5", 2, 21), links(TroubleKind::lossy, 8, 15, {"room-a"}, {"room-a"})};
-    const Played p = play(s);
-    EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.told;
+    Scenario s = fleet_scenario(6, 1, 24);
+    s.troubles = {slow_server("box-5", 2, 21), link_fault(TroubleKind::lossy, 8, 15, {"room-a"}, {"room-a"})};
+    const ScenarioOutcome p = run_scenario(s);
+    EXPECT_GT(first_time(p, "box-5", 2, true), 2) << p.summary;
     // All verdicts expire within 14.5 s of the loss, less than kMaxEvidenceAge of src/gossip.
     for (const FleetView& v : p.result.views) {
         if (v.time <= 8 + 14 + 0.5) continue;
@@ -294,14 +295,14 @@
 
 // A change of the endpoint list reaches some nodes late; the auditor checks each node's own drains.
 TEST(Processes, ALateEndpointListBreaksNoDrain) {
-    Scenario s = fleet_day(4, 1, 8);
-    Trouble late = trouble(TroubleKind::list_late, 2, 3);
+    Scenario s = fleet_scenario(4, 1, 8);
+    Trouble late = make_trouble(TroubleKind::list_late, 2, 3);
     late.nodes = {0, 1};
-    Trouble drain = trouble(TroubleKind::drain, 2.5, 0);
+    Trouble drain = make_trouble(TroubleKind::drain, 2.5, 0);
     drain.who = {"box-5"};
     s.troubles = {late, drain};
-    const Played p = play(s);
-    EXPECT_EQ(p.result.series.forwards[4].back(), 0) << p.told;
+    const ScenarioOutcome p = run_scenario(s);
+    EXPECT_EQ(p.result.series.forwards[4].back(), 0) << p.summary;
     EXPECT_GT(p.result.series.forwards[4][3], 0) << "nodes with the old list still used it";
 }
 
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -35,12 +35,12 @@
 TEST_P(OriginWithoutLength, IsServedOnlyAfterACleanClose) {
     const UnknownLengthCase& c = GetParam();
     Fleet fleet(1);
-    fleet.caches.front().plays(miss);
+    fleet.caches.front().set_script(miss);
     const std::string body(c.length, 'v');
     std::atomic<int> requests{0};
-    fleet.origin.plays([&](const std::string&) {
+    fleet.origin.set_script([&](const std::string&) {
         ++requests;
-        Act act{c.head + "\r\n" + body};
+        ScriptedResponse act{c.head + "\r\n" + body};
         act.close = !c.reset;
         act.reset = c.reset;
         // The bytes are delivered before the close: a reset that arrived with them could discard them, and
@@ -76,8 +76,8 @@
 
 TEST(OriginWithoutLength, ThatNeverEndsFailsInTime) {
     Fleet fleet(1);
-    fleet.caches.front().plays(miss);
-    fleet.origin.plays([](const std::string&) { return Act{kOk + "\r\nhello"}; });
+    fleet.caches.front().set_script(miss);
+    fleet.origin.set_script([](const std::string&) { return ScriptedResponse{kOk + "\r\nhello"}; });
     const double asked_at = now_seconds();
     EXPECT_EQ(fleet.ask(read_of("7f3a", "u1", 600)), "SERVER_ERROR busy\r\n");
     EXPECT_LT(now_seconds() - asked_at, 0.65);
@@ -89,7 +89,8 @@
     NodeOptions options;
     options.write_idempotency = R"("at_most_once")";
     Fleet fleet(1, options);
-    fleet.origin.plays([](const std::string&) { return Act{"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n\r\n"}; });
+    fleet.origin.set_script(
+        [](const std::string&) { return ScriptedResponse{"HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\n\r\n"}; });
     EXPECT_EQ(fleet.ask("ms k 1 Ow1 Pc=put,d=1500\r\nx\r\n"), "SERVER_ERROR busy\r\n");
 }
 
@@ -100,9 +101,9 @@
         std::atomic<int> responses{0};
         const auto watch = [&](const std::string& request) {
             while (!may_publish) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-            if (request.find("index=8&") != std::string::npos) return Act{};
+            if (request.find("index=8&") != std::string::npos) return ScriptedResponse{};
             ++responses;
-            Act act{"HTTP/1.1 200 OK\r\n\r\n" + list};
+            ScriptedResponse act{"HTTP/1.1 200 OK\r\n\r\n" + list};
             act.close = !reset;
             act.reset = reset;
             act.wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
@@ -180,7 +181,7 @@
 TEST(ClientDisconnect, IsDetectedBehindUnreadCommands) {
     Fleet fleet(1);
     std::atomic<bool> may_answer{false};
-    fleet.caches.front().plays([&may_answer](const std::string& m) {
+    fleet.caches.front().set_script([&may_answer](const std::string& m) {
         while (!may_answer) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
@@ -222,17 +223,18 @@
             while (now_seconds() < until && version_ <= known_version && mode_ == Mode::answers)
                 std::this_thread::sleep_for(std::chrono::milliseconds(1));
             const Mode mode = mode_;
-            if (mode == Mode::silent) return Act{};  // never answers this call, even after the mode changes
-            if (mode == Mode::resets) return Act{"", false, {}, {}, true};
-            if (mode == Mode::rejects) return Act{http("", "503 Later")};
+            if (mode == Mode::silent)
+                return ScriptedResponse{};  // never answers this call, even after the mode changes
+            if (mode == Mode::resets) return ScriptedResponse{"", false, {}, {}, true};
+            if (mode == Mode::rejects) return ScriptedResponse{http("", "503 Later")};
             const std::lock_guard lock(mutex_);
             const bool is_full = known_version == 0;
-            return Act{http(R"({"seq":)" + std::to_string(version_) + R"(,"whole":)" +
-                            (is_full ? "true" : "false") + R"(,"hosts":[)" +
-                            (is_full                    ? full_list_
-                             : version_ > known_version ? update_
-                                                        : "") +
-                            "]}")};
+            return ScriptedResponse{http(R"({"seq":)" + std::to_string(version_) + R"(,"whole":)" +
+                                         (is_full ? "true" : "false") + R"(,"hosts":[)" +
+                                         (is_full                    ? full_list_
+                                          : version_ > known_version ? update_
+                                                                     : "") +
+                                         "]}")};
         };
     }
     void publish(const std::string& update, const std::string& full_list) {
@@ -309,10 +311,10 @@
     const auto watch = [&](const std::string& request) {
         while (step == 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         if (request.find("index=7&") != std::string::npos)
-            return Act{http(R"({"seq":8,"whole":false,"hosts":[)" + draining_entry + "]}")};
+            return ScriptedResponse{http(R"({"seq":8,"whole":false,"hosts":[)" + draining_entry + "]}")};
         if (request.find("index=8&") != std::string::npos && step++ == 1)
-            return Act{http(R"({"seq":5,"whole":true,"hosts":[)" + old_list + "]}")};
-        return Act{};  // leaves all other calls unanswered, including the call for the full list
+            return ScriptedResponse{http(R"({"seq":5,"whole":true,"hosts":[)" + old_list + "]}")};
+        return ScriptedResponse{};  // leaves all other calls unanswered, including the call for the full list
     };
     Fleet fleet(2, {256, 250, watch});
     ScriptedPeer& drained = fleet.caches.front();
@@ -336,10 +338,10 @@
 TEST(DuplicateResponse, SomeMillisecondsLateIsDiscarded) {
     for (const int late_ms : {0, 2, 10, 30}) {
         Fleet fleet(1);
-        fleet.caches.front().plays(miss);
-        fleet.origin.plays([late_ms](const std::string& request) {
+        fleet.caches.front().set_script(miss);
+        fleet.origin.set_script([late_ms](const std::string& request) {
             const std::string key = request.substr(5, request.find(' ', 5) - 5);
-            Act act{http("for " + key)};
+            ScriptedResponse act{http("for " + key)};
             act.wait = [late_ms] { std::this_thread::sleep_for(std::chrono::milliseconds(late_ms)); };
             act.rest = http("for " + key);
             return act;
@@ -366,14 +368,14 @@
     std::atomic<double> first_at{0}, last_at{0};
     // The first attempt is read completely and fails. The next one is read late: its connection is
     // established, but the origin does not read its bytes.
-    fleet.origin.plays([&](const std::string& m) {
-        if (m.size() < value.size()) return Act{};  // cancelled before its end
+    fleet.origin.set_script([&](const std::string& m) {
+        if (m.size() < value.size()) return ScriptedResponse{};  // cancelled before its end
         if (complete_requests++ == 0) first_at = now_seconds();
         last_at = now_seconds();
-        return Act{http("", "500 E")};
+        return ScriptedResponse{http("", "500 E")};
     });
-    fleet.origin.takes_at_most(16 * 1024);
-    fleet.origin.reads_bodies_after([&] { return complete_requests > 0 ? 1.5 : 0.0; });
+    fleet.origin.set_receive_buffer(16 * 1024);
+    fleet.origin.delay_bodies([&] { return complete_requests > 0 ? 1.5 : 0.0; });
     Line line(own_loopback(), fleet.port());
     line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=5000,k=w1\r\n" + value + "\r\n");
     EXPECT_TRUE(line.until("\r\n").starts_with("SERVER_ERROR "));
@@ -389,10 +391,10 @@
   public:
     static constexpr std::size_t kLength = 600 * 1000;
     explicit SlowClient(Fleet& fleet) : line_(own_loopback(), fleet.port()) {
-        fleet.caches.front().plays([](const std::string& m) {
+        fleet.caches.front().set_script([](const std::string& m) {
             if (id_in(m) != "slow") return hit(m);
-            return Act{"VA " + std::to_string(kLength) + " Oslow h1\r\n" + std::string(kLength, 'x') +
-                       "\r\n"};
+            return ScriptedResponse{"VA " + std::to_string(kLength) + " Oslow h1\r\n" +
+                                    std::string(kLength, 'x') + "\r\n"};
         });
         line_.send(read_of("7f3a", "slow"));
     }
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -130,9 +130,10 @@
         return R"({"address":")" + boxes[i].address() + R"(","zone":"a","kind":"m"})";
     };
     for (int i = 0; i < 2; ++i) {
-        boxes[i].plays([](const std::string& command) {
+        boxes[i].set_script([](const std::string& command) {
             const std::size_t at = command.find(" O") + 2;
-            return Act{"VA 5 O" + command.substr(at, command.find(' ', at) - at) + " h1\r\nhello\r\n", false};
+            return ScriptedResponse{
+                "VA 5 O" + command.substr(at, command.find(' ', at) - at) + " h1\r\nhello\r\n", false};
         });
         (void)server.service().create(0, owner, "/fleet/box-" + std::to_string(i), data(i), true, false);
     }
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -96,12 +96,12 @@
         for (std::size_t k = 1; k < owners_by_key.size(); ++k) {
             if (owners_by_key[k] == key_owner || in_flight[owners_by_key[k]] >= c.other_attempts) continue;
             ++in_flight[owners_by_key[k]];
-            fleet.arrive(k * 7919);
+            fleet.send_request(k * 7919);
         }
-        for (int n = 0; n < c.owner_attempts; ++n) fleet.arrive(0);
-        EXPECT_EQ(fleet.host.sent.back().cache, key_owner);
-        fleet.arrive(0);
-        EXPECT_EQ(fleet.host.sent.back().cache != key_owner, c.is_skipped);
+        for (int n = 0; n < c.owner_attempts; ++n) fleet.send_request(0);
+        EXPECT_EQ(fleet.host.sent.back().server, key_owner);
+        fleet.send_request(0);
+        EXPECT_EQ(fleet.host.sent.back().server != key_owner, c.is_skipped);
     }
 }
 
@@ -145,9 +145,9 @@
         }
         for (int n = 0; n < 400; ++n) {
             fleet.now += 0.5;
-            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
-            const bool is_slow_kind = fleet.host.sent.back().cache % 2 == 1;
-            if (fleet.finals(request) == 0)
+            const int request = fleet.send_request(static_cast<std::uint64_t>(n));
+            const bool is_slow_kind = fleet.host.sent.back().server % 2 == 1;
+            if (fleet.count_final_errors(request) == 0)
                 fleet.end(request, 0, AttemptOutcome::succeeded, is_slow_kind ? c.latency : 0.05, true);
         }
         int kept_keys = 0;
@@ -263,7 +263,7 @@
     const std::uint64_t before = fleet.node->work().servers;
     for (int i = 0; i < kRequests; ++i) {
         fleet.now += 0.02;
-        fleet.arrive(static_cast<std::uint64_t>(i) * 7919);
+        fleet.send_request(static_cast<std::uint64_t>(i) * 7919);
     }
     EXPECT_LT(fleet.node->work().servers - before, std::uint64_t{kRequests} * 4 * kLargeFleetServers);
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -37,17 +37,17 @@
                      << "operation " << c.operation << ", outcome " << static_cast<int>(c.outcome));
         Fleet fleet(4);
         fleet.start();
-        const int request = fleet.arrive(11, c.operation);
+        const int request = fleet.send_request(11, c.operation);
         ASSERT_EQ(fleet.host.sent.size(), 1U);
         fleet.now += 0.1;
         fleet.end(request, 0, c.outcome);
         ASSERT_EQ(fleet.host.sent.size() == 2, c.retried);
         if (c.retried) {
-            EXPECT_NE(fleet.host.sent[1].cache, fleet.host.sent[0].cache);
+            EXPECT_NE(fleet.host.sent[1].server, fleet.host.sent[0].server);
             fleet.now += 1.2;
             fleet.end(request, 1, c.outcome);
         }
-        EXPECT_EQ(fleet.finals(request), 1);
+        EXPECT_EQ(fleet.count_final_errors(request), 1);
         EXPECT_EQ(fleet.host.throttled.size() == 1, c.rejected);
     }
 }
@@ -67,14 +67,14 @@
         Fleet fleet(6, 2);
         fleet.deployment.operations[1].deduplication_scope = c.scope;
         fleet.start();
-        const int request = fleet.arrive(11, 1, false, 5.0);
+        const int request = fleet.send_request(11, 1, false, 5.0);
         fleet.now += c.after;
         fleet.end(request, 0, AttemptOutcome::timed_out);
         ASSERT_EQ(fleet.host.sent.size() == 2, c.retried);
         if (c.retried) {
-            EXPECT_EQ(fleet.host.sent[1].cache % 2, fleet.host.sent[0].cache % 2);
+            EXPECT_EQ(fleet.host.sent[1].server % 2, fleet.host.sent[0].server % 2);
         } else {
-            EXPECT_EQ(fleet.finals(request), 1);
+            EXPECT_EQ(fleet.count_final_errors(request), 1);
             EXPECT_EQ(fleet.host.throttled.size() == 1, c.rejected);
         }
     }
@@ -83,21 +83,21 @@
 TEST(FinalAnswer, IsGivenOnceWhateverEventsFollow) {
     Fleet fleet(4);
     fleet.start();
-    const int abandoned = fleet.arrive(5);
+    const int abandoned = fleet.send_request(5);
     fleet.node->on_client_closed(fleet.now, abandoned);
     fleet.end(abandoned, 0, AttemptOutcome::timed_out, 0.05, true);
-    EXPECT_EQ(fleet.finals(abandoned), 0);
+    EXPECT_EQ(fleet.count_final_errors(abandoned), 0);
     EXPECT_EQ(fleet.host.sent.size(), 1U);
-    const int expired = fleet.arrive(6);
+    const int expired = fleet.send_request(6);
     fleet.now += 1.2;
     fleet.end(expired, 0, AttemptOutcome::timed_out, 1.2);
-    EXPECT_EQ(fleet.finals(expired), 1);
+    EXPECT_EQ(fleet.count_final_errors(expired), 1);
     fleet.end(expired, 0, AttemptOutcome::timed_out, 1.2);
-    EXPECT_EQ(fleet.finals(expired), 1);
+    EXPECT_EQ(fleet.count_final_errors(expired), 1);
     Fleet without_servers(0);
     without_servers.list.clear();
     without_servers.start();
-    EXPECT_EQ(without_servers.finals(without_servers.arrive(5)), 1);
+    EXPECT_EQ(without_servers.count_final_errors(without_servers.send_request(5)), 1);
 }
 
 TEST(Draining, ADrainingOrRemovedServerGetsNoNewRequests) {
@@ -106,8 +106,8 @@
     fleet.list[1].state = EndpointState::draining;
     fleet.list[2].state = EndpointState::removed;
     fleet.tell(UpdateKind::delta);
-    for (std::uint64_t k = 0; k < 50; ++k) fleet.arrive(k);
-    for (const Sent& s : fleet.host.sent) EXPECT_EQ(s.cache, kOrigin);
+    for (std::uint64_t k = 0; k < 50; ++k) fleet.send_request(k);
+    for (const StartedAttempt& s : fleet.host.sent) EXPECT_EQ(s.server, kOrigin);
 }
 
 TEST(SlowStart, GivesAColdServerAGrowingShareWithinABudget) {
@@ -145,7 +145,7 @@
     for (std::uint64_t k = 0; k < 4000; ++k) fleet.owner(k);
     int cold_attempts = 0;
     for (; sent_index < fleet.host.sent.size(); ++sent_index)
-        cold_attempts += fleet.host.sent[sent_index].cache == 2;
+        cold_attempts += fleet.host.sent[sent_index].server == 2;
     EXPECT_GT(cold_attempts, 0);
     EXPECT_LT(cold_attempts, 300);
 }
@@ -154,12 +154,12 @@
     Fleet fleet(4);
     fleet.deployment.may_hedge = false;
     fleet.start();
-    const int request = fleet.arrive(3);
+    const int request = fleet.send_request(3);
     fleet.end(request, 0, AttemptOutcome::miss);
     ASSERT_EQ(fleet.host.sent.size(), 2U);
-    EXPECT_EQ(fleet.host.sent[1].cache, kOrigin);
+    EXPECT_EQ(fleet.host.sent[1].server, kOrigin);
     fleet.now += 0.3;
-    for (const auto& timer : std::vector<RecordingHost::Wake>(fleet.host.timers)) {
+    for (const auto& timer : std::vector<RecordingHost::Timer>(fleet.host.timers)) {
         fleet.node->on_timer(fleet.now, timer.token);
     }
     EXPECT_EQ(fleet.host.sent.size(), 2U);
@@ -315,18 +315,18 @@
 TEST(Retry, OpenRequestsKeepTheAttemptLimitTheyArrivedWith) {
     Fleet fleet(4);
     fleet.start();
-    const int early = fleet.arrive(1);
+    const int early = fleet.send_request(1);
     fleet.deployment.max_attempts = 1;
     fleet.node->on_configuration(fleet.now, fleet.deployment);
     fleet.tell(UpdateKind::full);
-    const int late = fleet.arrive(2);
+    const int late = fleet.send_request(2);
     fleet.end(early, 0, AttemptOutcome::refused);
     ASSERT_EQ(fleet.host.sent.size(), 3U);
-    EXPECT_EQ(fleet.host.sent.back().inv, early);
-    EXPECT_EQ(fleet.finals(early), 0);
+    EXPECT_EQ(fleet.host.sent.back().request, early);
+    EXPECT_EQ(fleet.count_final_errors(early), 0);
     fleet.end(late, 0, AttemptOutcome::refused);
     EXPECT_EQ(fleet.host.sent.size(), 3U);
-    EXPECT_EQ(fleet.finals(late), 1);
+    EXPECT_EQ(fleet.count_final_errors(late), 1);
 }
 
 }  // namespace
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -28,8 +28,8 @@
     for (Endpoint& endpoint : fleet.list) endpoint.weight = 0.1;
     for (int n = 0; n < 4; ++n) fleet.tell(UpdateKind::delta);
     EXPECT_GT(count_rejected_reads(fleet), 150);
-    const int write = fleet.arrive(5, 1, true);
-    EXPECT_EQ(fleet.finals(write), 0);
+    const int write = fleet.send_request(5, 1, true);
+    EXPECT_EQ(fleet.count_final_errors(write), 0);
     for (Endpoint& endpoint : fleet.list) endpoint.weight = 2;
     for (int n = 0; n < 12; ++n) fleet.tell(UpdateKind::delta);
     EXPECT_EQ(count_rejected_reads(fleet), 0);
@@ -47,7 +47,7 @@
         for (int n = 0; n < 400; ++n) {
             fleet.now += 0.05;
             const std::size_t before = fleet.host.sent.size();
-            const int request = fleet.arrive(static_cast<std::uint64_t>(n) * 7919);
+            const int request = fleet.send_request(static_cast<std::uint64_t>(n) * 7919);
             if (fleet.host.sent.size() > before)
                 fleet.end(request, 0, AttemptOutcome::succeeded, c.took, true);
         }
@@ -63,8 +63,8 @@
     Fleet fleet(6);
     fleet.start();
     // Idempotent at its arrival: may be retried although it may have run.
-    const int request = fleet.arrive(77);
-    const int owner = fleet.host.sent.back().cache;
+    const int request = fleet.send_request(77);
+    const int owner = fleet.host.sent.back().server;
     Deployment other = fleet.deployment;
     std::swap(other.operations[0], other.operations[2]);
     other.endpoint_weights = EndpointWeights::load_adjusted;
@@ -74,19 +74,19 @@
         fleet.tell(UpdateKind::full);
         if (round == 0) {
             fleet.end(request, 0, AttemptOutcome::timed_out, 0.4);
-            EXPECT_EQ(fleet.host.sent.back().inv, request);
-            EXPECT_NE(fleet.host.sent.back().cache, owner);
-            const int later = fleet.arrive(78);  // non-idempotent under the new configuration
+            EXPECT_EQ(fleet.host.sent.back().request, request);
+            EXPECT_NE(fleet.host.sent.back().server, owner);
+            const int later = fleet.send_request(78);  // non-idempotent under the new configuration
             fleet.end(later, 0, AttemptOutcome::timed_out, 0.4);
             EXPECT_EQ(fleet.host.errored, std::vector<int>{later});
         }
     }
     fleet.end(request, 1, AttemptOutcome::succeeded, 0.05, true);
-    EXPECT_EQ(fleet.finals(request), 0);
+    EXPECT_EQ(fleet.count_final_errors(request), 0);
     for (int n = 0; n < 3; ++n) {
-        const int lost = fleet.arrive(77, 1);
+        const int lost = fleet.send_request(77, 1);
         fleet.now += 0.4;
-        if (fleet.host.sent.back().cache == owner) fleet.end(lost, 0, AttemptOutcome::timed_out, 0.4);
+        if (fleet.host.sent.back().server == owner) fleet.end(lost, 0, AttemptOutcome::timed_out, 0.4);
     }
     fleet.now += 0.1;
     const int without = fleet.owner(77);
@@ -102,9 +102,9 @@
     const int owner = fleet.owner(77);
     int failures = 0;
     for (int round = 0; round < 100 && failures < 3; ++round) {
-        const int request = fleet.arrive(77);
+        const int request = fleet.send_request(77);
         fleet.now += 0.4;
-        if (fleet.host.sent.back().inv != request || fleet.host.sent.back().cache != owner) continue;
+        if (fleet.host.sent.back().request != request || fleet.host.sent.back().server != owner) continue;
         fleet.end(request, 0, AttemptOutcome::timed_out, 0.4);
         ++failures;
     }
@@ -123,15 +123,15 @@
     Fleet fleet(4);
     fleet.start();
     const int owner = fleet.owner(77);
-    const int held = fleet.arrive(77);
-    const int other = fleet.arrive(77, 2);  // non-idempotent: it may have run, so it is not cancelled
+    const int held = fleet.send_request(77);
+    const int other = fleet.send_request(77, 2);  // non-idempotent: it may have run, so it is not cancelled
     fleet.now += 0.5;
     EXPECT_NE(fleet.owner(77), owner);
     EXPECT_EQ(fleet.host.cancelled, std::vector<int>{held});
     fleet.end(held, 0, AttemptOutcome::cancelled);
-    EXPECT_EQ(fleet.host.sent.back().inv, held);
-    EXPECT_NE(fleet.host.sent.back().cache, owner);
-    EXPECT_EQ(fleet.finals(other), 0);
+    EXPECT_EQ(fleet.host.sent.back().request, held);
+    EXPECT_NE(fleet.host.sent.back().server, owner);
+    EXPECT_EQ(fleet.count_final_errors(other), 0);
 }
 
 TEST(LoadShedding, MovesAKeyByOneCacheAndThenRejects) {
@@ -144,17 +144,17 @@
         // Each cache that gets the key responds busy until its concurrency limit pauses.
         fleet.now += 0.01;
         const std::size_t before = fleet.host.sent.size();
-        const int request = fleet.arrive(5);
+        const int request = fleet.send_request(5);
         if (fleet.host.sent.size() == before) {
-            EXPECT_EQ(fleet.finals(request), 1);
+            EXPECT_EQ(fleet.count_final_errors(request), 1);
             continue;
         }
-        const int at = fleet.host.sent.back().cache;
+        const int at = fleet.host.sent.back().server;
         if (std::find(used.begin(), used.end(), at) == used.end()) used.push_back(at);
         for (int n = 0; n < 6; ++n) {
             fleet.now += 0.11;
-            const int more = fleet.arrive(5);
-            if (fleet.finals(more) == 0) fleet.end(more, 0, AttemptOutcome::busy);
+            const int more = fleet.send_request(5);
+            if (fleet.count_final_errors(more) == 0) fleet.end(more, 0, AttemptOutcome::busy);
         }
         fleet.end(request, 0, AttemptOutcome::busy);
     }
@@ -165,16 +165,16 @@
 TEST(OriginFetches, AreSharedByMissesOfOneKey) {
     Fleet fleet(4);
     fleet.start();
-    const int first = fleet.arrive(9);
-    const int second = fleet.arrive(9);
+    const int first = fleet.send_request(9);
+    const int second = fleet.send_request(9);
     fleet.end(first, 0, AttemptOutcome::miss);
     fleet.end(second, 0, AttemptOutcome::miss);
     int fetches = 0;
-    for (const Sent& s : fleet.host.sent) fetches += s.cache == kOrigin;
+    for (const StartedAttempt& s : fleet.host.sent) fetches += s.server == kOrigin;
     EXPECT_EQ(fetches, 1);
     fleet.end(first, 1, AttemptOutcome::succeeded, 0.1, true);
-    EXPECT_EQ(fleet.host.sent.back().inv, second);
-    EXPECT_NE(fleet.host.sent.back().cache, kOrigin);
+    EXPECT_EQ(fleet.host.sent.back().request, second);
+    EXPECT_NE(fleet.host.sent.back().server, kOrigin);
 }
 
 TEST(IdleConnections, AreClosedSoonerAfterFullConnectionTables) {
@@ -194,7 +194,7 @@
         std::uint64_t other = 1;
         while (fleet.owner(other) == owner) ++other;
         for (int n = 0; n < c.refusals; ++n)
-            fleet.end(fleet.arrive(other), 0, AttemptOutcome::refused, c.took);
+            fleet.end(fleet.send_request(other), 0, AttemptOutcome::refused, c.took);
         fleet.now += c.idle;
         fleet.owner(other);
         const auto& closed = fleet.host.released;
@@ -217,15 +217,17 @@
         // Slow responses everywhere: the shedding pressure reaches its maximum.
         for (int n = 0; n < 40; ++n) {
             fleet.now += 0.26;
-            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
-            if (fleet.finals(request) == 0) fleet.end(request, 0, AttemptOutcome::succeeded, 0.25, true);
+            const int request = fleet.send_request(static_cast<std::uint64_t>(n));
+            if (fleet.count_final_errors(request) == 0)
+                fleet.end(request, 0, AttemptOutcome::succeeded, 0.25, true);
         }
         fleet.now += 9;  // no concurrency limit is paused any more; the pressure falls by one step per check
         bool rejected = false;
         for (int n = 0; n < c.requests; ++n) {
-            const int request = fleet.arrive(1, 0, false, 1.2, false, 1);
-            rejected = rejected || fleet.finals(request) > 0;
-            if (fleet.finals(request) == 0) fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
+            const int request = fleet.send_request(1, 0, false, 1.2, false, 1);
+            rejected = rejected || fleet.count_final_errors(request) > 0;
+            if (fleet.count_final_errors(request) == 0)
+                fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
         }
         EXPECT_EQ(rejected, c.rejected);
     }
@@ -245,15 +247,16 @@
         fleet.start();
         for (int n = 0; n < 100; ++n) {
             fleet.now += 0.5;
-            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
+            const int request = fleet.send_request(static_cast<std::uint64_t>(n));
             const bool strained = n * c.strained_of_ten % 10 < c.strained_of_ten;
-            if (fleet.finals(request) == 0)
+            if (fleet.count_final_errors(request) == 0)
                 fleet.end(request, 0, AttemptOutcome::succeeded, strained ? 0.25 : 0.05, true);
         }
         std::size_t shed = fleet.host.throttled.size();
         for (int n = 0; n < 60; ++n) {
-            const int request = fleet.arrive(1, 0, false, 1.2, false, 1);
-            if (fleet.finals(request) == 0) fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
+            const int request = fleet.send_request(1, 0, false, 1.2, false, 1);
+            if (fleet.count_final_errors(request) == 0)
+                fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
         }
         shed = fleet.host.throttled.size() - shed;
         if (c.shed) {
@@ -273,9 +276,11 @@
         Fleet fleet(4);
         fleet.deployment.node_count = c.nodes;
         fleet.start();
-        for (std::uint64_t key = 0; key < 6; ++key) fleet.end(fleet.arrive(key), 0, AttemptOutcome::miss);
+        for (std::uint64_t key = 0; key < 6; ++key)
+            fleet.end(fleet.send_request(key), 0, AttemptOutcome::miss);
         const auto& sent = fleet.host.sent;
-        EXPECT_EQ(std::count_if(sent.begin(), sent.end(), [](const Sent& s) { return s.cache == kOrigin; }),
+        EXPECT_EQ(std::count_if(sent.begin(), sent.end(),
+                                [](const StartedAttempt& s) { return s.server == kOrigin; }),
                   c.fetches);
     }
 }
@@ -290,7 +295,8 @@
         Fleet fleet(200);
         fleet.deployment.node_count = c.nodes;
         fleet.start();
-        for (std::uint64_t key = 0; key < 12; ++key) fleet.end(fleet.arrive(key), 0, AttemptOutcome::busy);
+        for (std::uint64_t key = 0; key < 12; ++key)
+            fleet.end(fleet.send_request(key), 0, AttemptOutcome::busy);
         EXPECT_EQ(static_cast<int>(fleet.host.sent.size()), 12 + c.again);
     }
 }
@@ -306,14 +312,14 @@
         fleet.start();
         for (int n = 0; n < 20; ++n) {
             fleet.now += 0.1;
-            const int request = fleet.arrive(static_cast<std::uint64_t>(n));
+            const int request = fleet.send_request(static_cast<std::uint64_t>(n));
             const bool full = n % 10 < c.full_of_ten;
             fleet.end(request, 0, full ? AttemptOutcome::busy : AttemptOutcome::succeeded, 0.05, true);
         }
         fleet.now += 0.1;
-        const int request = fleet.arrive(1000);
+        const int request = fleet.send_request(1000);
         fleet.end(request, 0, AttemptOutcome::busy);
-        EXPECT_EQ(fleet.finals(request) == 0, c.again);
+        EXPECT_EQ(fleet.count_final_errors(request) == 0, c.again);
     }
 }
 
@@ -339,19 +345,20 @@
             fleet.start();
             std::vector<int> lost;
             const auto send = [&] {
-                for (int n = 0; n < 3; ++n) lost.push_back(fleet.arrive(5, 0, write));
+                for (int n = 0; n < 3; ++n) lost.push_back(fleet.send_request(5, 0, write));
             };
             if (c.out > 0) send();
             for (int n = 0; n < 20; ++n) {
                 fleet.now += 0.05;
-                if (c.answers) fleet.end(fleet.arrive(5, 0, write), 0, AttemptOutcome::succeeded, 0.01, true);
+                if (c.answers)
+                    fleet.end(fleet.send_request(5, 0, write), 0, AttemptOutcome::succeeded, 0.01, true);
             }
             if (c.out == 0) send();
-            const int at = fleet.host.sent.back().cache;
+            const int at = fleet.host.sent.back().server;
             for (int request : lost) fleet.end(request, 0, c.outcome, c.out, true);
             const std::size_t before = fleet.host.sent.size();
-            fleet.arrive(5, 0, write);
-            const bool trusted = fleet.host.sent.size() > before && fleet.host.sent.back().cache == at;
+            fleet.send_request(5, 0, write);
+            const bool trusted = fleet.host.sent.size() > before && fleet.host.sent.back().server == at;
             EXPECT_EQ(trusted, c.trusted);
         }
     }
@@ -400,8 +407,8 @@
     const std::uint64_t key = 5;
     const int silent = old.owner(key);
     old.now += 1;
-    const int first = old.arrive(key);
-    for (int k = 1; k < 3; ++k) old.arrive(key);
+    const int first = old.send_request(key);
+    for (int k = 1; k < 3; ++k) old.send_request(key);
     old.now += 1.2;
     for (int k = 0; k < 3; ++k) old.end(first + k, 0, AttemptOutcome::timed_out, 1.2, true);
     const WarmStartSnapshot learned = old.node->snapshot(old.now);
@@ -463,9 +470,9 @@
             // The whole case stays within one check interval; else spillover moves keys too.
             fleet.now += 0.002;
             const std::size_t before = fleet.host.sent.size();
-            const int request = fleet.arrive(++key * 7919);
+            const int request = fleet.send_request(++key * 7919);
             if (fleet.host.sent.size() == before) return -1;
-            const int zone = (fleet.host.sent.back().cache - 1) % 2;
+            const int zone = (fleet.host.sent.back().server - 1) % 2;
             fleet.end(request, 0, outcome, 0.001, true);
             return zone;
         };
@@ -486,16 +493,16 @@
         for (int n = 0; n < 200; ++n) {
             fleet.now += 0.02;
             const std::size_t before = fleet.host.sent.size();
-            const int request = fleet.arrive(++key * 7919);
+            const int request = fleet.send_request(++key * 7919);
             if (fleet.host.sent.size() == before) continue;
-            if ((fleet.host.sent.back().cache - 1) % 2 == 1) {
+            if ((fleet.host.sent.back().server - 1) % 2 == 1) {
                 fleet.end(request, 0, AttemptOutcome::succeeded, n % 3 == 0 ? 0.05 : 0.3, true);
                 continue;
             }
             ++trials;
             fleet.end(request, 0, AttemptOutcome::refused, 0.25);
-            EXPECT_EQ(fleet.host.sent.back().inv, request);
-            EXPECT_EQ((fleet.host.sent.back().cache - 1) % 2, 1);
+            EXPECT_EQ(fleet.host.sent.back().request, request);
+            EXPECT_EQ((fleet.host.sent.back().server - 1) % 2, 1);
             fleet.end(request, 1, AttemptOutcome::succeeded, 0.05, true);
         }
         EXPECT_GE(trials, 2);
@@ -516,8 +523,8 @@
     std::uint64_t key = 0;
     const auto next = [&](AttemptOutcome outcome) {
         fleet.now += 0.002;
-        const int request = fleet.arrive(++key * 7919);
-        for (int n = 0; n < 2 && fleet.finals(request) == 0; ++n)
+        const int request = fleet.send_request(++key * 7919);
+        for (int n = 0; n < 2 && fleet.count_final_errors(request) == 0; ++n)
             fleet.end(request, n, outcome, 0.001, outcome == AttemptOutcome::succeeded);
     };
     for (int n = 0; n < 20; ++n) next(AttemptOutcome::succeeded);
@@ -565,9 +572,9 @@
         for (int n = 0; n < 400 && !ended; ++n) {  // 40 s
             fleet.now += 0.1;
             if (!(trials > 0 && !c.stays)) tell();
-            const int request = fleet.arrive(keys[static_cast<std::size_t>(n) % keys.size()]);
-            if (fleet.host.sent.back().inv != request) continue;
-            if (fleet.host.sent.back().cache != bad) {
+            const int request = fleet.send_request(keys[static_cast<std::size_t>(n) % keys.size()]);
+            if (fleet.host.sent.back().request != request) continue;
+            if (fleet.host.sent.back().server != bad) {
                 fleet.end(request, 0, AttemptOutcome::succeeded, 0.05, true);
                 continue;
             }
@@ -600,27 +607,27 @@
     std::vector<std::uint64_t> keys;
     for (std::uint64_t k = 1; k <= 400; ++k) keys.push_back(k * 7919);
     const auto in_zone = [&](int request) {
-        return (fleet.host.sent.back().inv == request) && (fleet.host.sent.back().cache - 1) % 2 == 0;
+        return (fleet.host.sent.back().request == request) && (fleet.host.sent.back().server - 1) % 2 == 0;
     };
     const auto ratio_in_zone = [&](double interval) {
         int there = 0;
         for (const std::uint64_t key : keys) {
             fleet.now += interval;
-            const int request = fleet.arrive(key);
+            const int request = fleet.send_request(key);
             there += in_zone(request);
             fleet.end(request, 0, AttemptOutcome::succeeded, 0.01, true);
         }
         return there / static_cast<double>(keys.size());
     };
     EXPECT_EQ(ratio_in_zone(0.01), 1);
-    const int out = fleet.arrive(keys[0]);
+    const int out = fleet.send_request(keys[0]);
     EXPECT_TRUE(in_zone(out));
     fleet.now += 0.05;
     const std::size_t cancelled = fleet.host.cancelled.size();
     fleet.node->set_zone_weight(fleet.now, 0, 0, 1.0);
     EXPECT_EQ(fleet.host.cancelled.size(), cancelled + 1);
     fleet.end(out, 0, AttemptOutcome::cancelled, 0.05);
-    EXPECT_EQ(fleet.host.sent.back().inv, out);
+    EXPECT_EQ(fleet.host.sent.back().request, out);
     EXPECT_FALSE(in_zone(out));
     fleet.end(out, 1, AttemptOutcome::succeeded, 0.01, true);
     const double tried = ratio_in_zone(0.02) * static_cast<double>(keys.size());
@@ -648,13 +655,13 @@
         fleet.start();
         for (int n = 0; n < 40; ++n) {  // these earn retry budget
             fleet.now += 0.01;
-            fleet.end(fleet.arrive(static_cast<std::uint64_t>(n) * 7919), 0, AttemptOutcome::succeeded, 0.01,
-                      true);
+            fleet.end(fleet.send_request(static_cast<std::uint64_t>(n) * 7919), 0, AttemptOutcome::succeeded,
+                      0.01, true);
         }
-        const int write = fleet.arrive(5, 1, true);
+        const int write = fleet.send_request(5, 1, true);
         const std::size_t sent = fleet.host.sent.size();
         fleet.end(write, 0, outcome, 0);
-        EXPECT_EQ(fleet.finals(write), outcome == AttemptOutcome::not_sent ? 1 : 0);
+        EXPECT_EQ(fleet.count_final_errors(write), outcome == AttemptOutcome::not_sent ? 1 : 0);
         EXPECT_EQ(fleet.host.sent.size(), sent + (outcome == AttemptOutcome::not_sent ? 0 : 1));
     }
 }
@@ -674,9 +681,9 @@
             const int tenant = n % 5 == 4 ? 1 + n / 5 % 2 : 0;
             if (has_quota_share && n % 12 == 0) fleet.node->set_tenant_quota_share(fleet.now, 0, 0.8);
             const int request =
-                fleet.arrive(static_cast<std::uint64_t>(n) * 7919, 0, false, 1.2, false, tenant);
+                fleet.send_request(static_cast<std::uint64_t>(n) * 7919, 0, false, 1.2, false, tenant);
             arrived += tenant == 0 && n > 300;
-            if (fleet.finals(request) > 0) {
+            if (fleet.count_final_errors(request) > 0) {
                 rejected += tenant == 0 && n > 300;
                 continue;
             }
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -125,12 +125,12 @@
     Fleet fleet(1);
     const std::string value(3 * 1000 * 1000, 'v');
     std::atomic<int> complete_requests{0};
-    fleet.origin.plays([&](const std::string& message) {
+    fleet.origin.set_script([&](const std::string& message) {
         complete_requests += message.size() >= value.size() ? 1 : 0;
-        return Act{http("made")};
+        return ScriptedResponse{http("made")};
     });
-    fleet.origin.takes_at_most(16 * 1024);
-    fleet.origin.reads_bodies_after([] { return 1.0; });
+    fleet.origin.set_receive_buffer(16 * 1024);
+    fleet.origin.delay_bodies([] { return 1.0; });
     {
         Line line(own_loopback(), fleet.port());
         line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=60000,k=w1\r\n" + value + "\r\n");
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using Simulation = model::ZoneFleet;
-using SmallFleet = model::SmallZones;
+using SmallFleet = model::ZoneFailoverModel;
 constexpr double kTickInterval = Simulation::kStep;
 
 std::uint64_t env_or(const char* name, std::uint64_t fallback) {
@@ -59,16 +59,16 @@
              seed <= (c.nodes == 300 ? std::max<std::uint64_t>(2, seeds / 10) : seeds); ++seed) {
             Simulation w(c.nodes, zones, seed);
             if (c.nodes == 300) w.rate = 9;
-            w.network.loss = w.network.doubled = c.loss;
+            w.network.loss = w.network.duplicate_probability = c.loss;
             w.answers = [](int, int zone, int) { return zone != 1; };
-            to_leave.all.push_back(w.until(10, [&] { return w.all(1, is_drained, 1); }));
+            to_leave.all.push_back(w.run_until(10, [&] { return w.all(1, is_drained, 1); }));
             w.run(1);
             const double before = w.asked[1];
             w.run(5);
             probes += w.asked[1] - before;
             seconds += 5;
             w.answers = [](int, int, int) { return true; };
-            to_return.all.push_back(w.until(40, [&] {
+            to_return.all.push_back(w.run_until(40, [&] {
                 // No node is far ahead of the others during the restore.
                 double least = 1, most = 0;
                 for (int n = 1; n < c.nodes; n += zones)
@@ -161,7 +161,7 @@
             w.run(3);
             turn += (w.asked[1] - before) / 10;
         }
-        EXPECT_LE(w.until(60, [&] { return w.all(1, is_in_full_use, 1); }), 60)
+        EXPECT_LE(w.run_until(60, [&] { return w.all(1, is_in_full_use, 1); }), 60)
             << "the zone is in full use in the end";
     }
     std::printf("[ measured ] attempts in each 3 s of uptime: %.0f %.0f %.0f %.0f %.0f %.0f of 240\n",
@@ -176,16 +176,16 @@
         w.answers = [](int, int zone, int) { return zone != 1; };
         w.run(5);
         w.answers = [](int, int, int) { return true; };
-        w.until(20, [&] { return w.part(7, 1) > 0; });
+        w.run_until(20, [&] { return w.part(7, 1) > 0; });
         w.run(0.5);
         w.frozen = {};
         if (!frozen) w.start(1), w.start(4);
         const double from = w.now();
-        const double took = w.until(10, [&] { return w.part(1, 1) < 1 && w.part(4, 1) < 1; });
+        const double took = w.run_until(10, [&] { return w.part(1, 1) < 1 && w.part(4, 1) < 1; });
         std::printf("[ measured ] %s during a restore: %.2f s until it adopts the others' step\n",
                     frozen ? "resumed" : "started", took);
         EXPECT_LE(w.now() - from, 2.5);
-        EXPECT_LE(w.until(30, [&] { return w.all(1, is_in_full_use, 1); }), 20);
+        EXPECT_LE(w.run_until(30, [&] { return w.all(1, is_in_full_use, 1); }), 20);
     }
 }
 
@@ -387,14 +387,14 @@
     const int depth = static_cast<int>(env_or("ZONE_DEPTH", 4));
     for (const bool liar : {false, true}) {
         for (const bool begins_lost : {false, true}) {
-            const model::Explored e = model::explore(SmallFleet(liar, begins_lost), depth);
+            const model::ModelCheckResult e = model::check_model(SmallFleet(liar, begins_lost), depth);
             std::printf(
                 "[ measured ] %s, %s: %llu states, %llu ends, %.0f states/s, settled after at most "
                 "%.1f s\n",
                 liar ? "one node lies" : "all nodes honest",
                 begins_lost ? "from a lost zone" : "from a zone in use",
                 static_cast<unsigned long long>(e.states), static_cast<unsigned long long>(e.ends),
-                static_cast<double>(e.states) / e.took, e.rest_most);
+                static_cast<double>(e.states) / e.took, e.max_recovery_seconds);
             EXPECT_EQ(e.broken, "");
         }
     }
