--- a/src/testkit/client_reply.h
+++ b/src/testkit/client_reply.h
@@ -17,6 +17,6 @@
 };
 
 // Classifies a response to the command with this `request` number and `key`.
-ClientReply classify_reply(const Heard& response, std::uint32_t day, int request, std::uint64_t key);
+ClientReply classify_reply(const Response& response, std::uint32_t day, int request, std::uint64_t key);
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -146,13 +146,13 @@
         c.conn->write("mg " + key_text(key) + " v O" + c.id + " Pc=read,t=shop,d=2000\r\n");
     }
     void on_input(Client& c) {
-        Heard reply;
-        const std::size_t taken = read_heard(c.conn->input(), reply);
+        Response reply;
+        const std::size_t taken = read_response(c.conn->input(), reply);
         if (taken == 0) return;
-        const bool good = reply.kind == Heard::Kind::value && reply.id == c.id;
+        const bool good = reply.kind == Response::Kind::value && reply.id == c.id;
         if (is_counting_) {
             if (good) latency.add(clock_.now() - c.due_at);
-            ++(good ? succeeded : reply.kind == Heard::Kind::busy ? throttled : other);
+            ++(good ? succeeded : reply.kind == Response::Kind::busy ? throttled : other);
         }
         c.conn->take(taken);
         on_connection_free(c);
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -206,8 +206,8 @@
 void LoadClients::on_input(const std::shared_ptr<ClientConnection>& client) {
     Connection& conn = *client->conn;
     while (!conn.is_closed()) {
-        Heard response;
-        const std::size_t taken = read_heard(conn.input(), response);
+        Response response;
+        const std::size_t taken = read_response(conn.input(), response);
         if (taken == 0 && client->is_busy && has_begun_long_value(conn.input()))
             environment_.auditor.on_response_begun(environment_.now(), client->request_id);
         if (taken == 0) return;
--- a/src/testkit/mannered_clients.cpp
+++ b/src/testkit/mannered_clients.cpp
@@ -246,8 +246,8 @@
 
 void UnusualClients::Client::on_input() {
     while (connection_ != nullptr && !connection_->is_closed()) {
-        Heard response;
-        const std::size_t consumed = read_heard(connection_->input(), response);
+        Response response;
+        const std::size_t consumed = read_response(connection_->input(), response);
         if (consumed == 0 && !pending_requests_.empty() && pending_requests_.front().is_whole &&
             has_begun_long_value(connection_->input()))
             environment().auditor.on_response_begun(environment().now(), pending_requests_.front().request);
@@ -347,7 +347,7 @@
     for (const auto& client : clients_) client->end();
 }
 
-std::vector<std::string> UnusualClients::complaints() const {
+std::vector<std::string> UnusualClients::violations() const {
     std::vector<std::string> texts;
     for (const Violation& violation : violations_) {
         const double watcher_delay =
--- a/src/testkit/mannered_clients.h
+++ b/src/testkit/mannered_clients.h
@@ -36,7 +36,7 @@
     void stop();
     /// Returns the violations that no rule of the auditor covers: half commands that a node did not end in
     /// time. The delay of the watcher itself is subtracted first. Call it at the end of the run.
-    std::vector<std::string> complaints() const;
+    std::vector<std::string> violations() const;
 
   private:
     class Client;
--- a/src/testkit/rehearsal.cpp
+++ b/src/testkit/rehearsal.cpp
@@ -189,7 +189,7 @@
     has_ended_ = true;
     if (mannered_clients_ != nullptr) {
         mannered_clients_->stop();
-        result_.complaints = mannered_clients_->complaints();
+        result_.complaints = mannered_clients_->violations();
     }
     clients_->stop();
     const double now = environment_.now();
--- a/src/testkit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -44,16 +44,19 @@
     return fd;
 }
 
-Line::Line(const std::string& host, int port) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+TestSocket::TestSocket(const std::string& host, int port)
+    : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const sockaddr_in address = address_of(host, port);
     is_up_ = connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
 }
 
-Line::~Line() { close(fd_); }
+TestSocket::~TestSocket() { close(fd_); }
 
-void Line::send(const std::string& text) const { (void)::send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
+void TestSocket::send(const std::string& text) const {
+    (void)::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
+}
 
-std::string Line::until(const std::string& end) {
+std::string TestSocket::until(const std::string& end) {
     std::size_t at = 0;
     while ((at = input_.find(end)) == std::string::npos) {
         if (!receive_more()) return std::exchange(input_, {});
@@ -61,20 +64,20 @@
     return bytes(at + end.size());
 }
 
-std::string Line::bytes(std::size_t n) {
+std::string TestSocket::bytes(std::size_t n) {
     while (input_.size() < n && receive_more()) continue;
     std::string out = input_.substr(0, n);
     input_.erase(0, n);
     return out;
 }
 
-void Line::shut_down() const { shutdown(fd_, SHUT_RDWR); }
+void TestSocket::shut_down() const { shutdown(fd_, SHUT_RDWR); }
 
-void Line::end_sending() const { shutdown(fd_, SHUT_WR); }
+void TestSocket::end_sending() const { shutdown(fd_, SHUT_WR); }
 
 // Closes the connection with a TCP reset. The descriptor is replaced by an unconnected socket and stays open
 // until the line is destroyed, so that its number is not reused meanwhile.
-void Line::reset() {
+void TestSocket::reset() {
     const linger at_once{1, 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     const int replacement = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -82,7 +85,7 @@
     close(replacement);
 }
 
-bool Line::receive_more() {
+bool TestSocket::receive_more() {
     pollfd p{fd_, POLLIN, 0};
     require(poll(&p, 1, kReceiveTimeoutMs) == 1, "no data from the peer within 20 s (kReceiveTimeoutMs)");
     char buffer[65536];
@@ -100,7 +103,7 @@
     is_stopping_ = true;
     shutdown(listener_, SHUT_RDWR);
     if (acceptor_.joinable()) acceptor_.join();
-    for (Line& l : lines_) l.shut_down();
+    for (TestSocket& l : lines_) l.shut_down();
     for (std::thread& t : threads_) t.join();
     close(listener_);
 }
@@ -118,7 +121,7 @@
 
 void ScriptedPeer::stall() {
     is_stopping_ = true;
-    (void)Line(own_loopback(), port).up();
+    (void)TestSocket(own_loopback(), port).up();
     acceptor_.join();
     require(listen(listener_, 0) == 0, "cannot listen on the port of a scripted peer");
 }
@@ -129,7 +132,7 @@
     acceptor_ = std::thread([this] { accept_all(); });
 }
 
-std::vector<std::string> ScriptedPeer::heard() {
+std::vector<std::string> ScriptedPeer::received_messages() {
     const std::lock_guard lock(mutex_);
     return received_;
 }
@@ -144,12 +147,12 @@
             return;
         }
         ++connections;
-        Line& line = lines_.emplace_back(fd);
+        TestSocket& line = lines_.emplace_back(fd);
         threads_.emplace_back([this, &line] { serve(line); });
     }
 }
 
-std::string ScriptedPeer::message(Line& line) const {
+std::string ScriptedPeer::message(TestSocket& line) const {
     std::string text = line.until(is_http_ ? "\r\n\r\n" : "\r\n");
     std::size_t body = 0;
     if (is_http_) {
@@ -163,7 +166,7 @@
     return body > 0 ? text + line.bytes(body) : text;
 }
 
-void ScriptedPeer::serve(Line& line) {
+void ScriptedPeer::serve(TestSocket& line) {
     while (true) {
         const std::string text = message(line);
         if (text.empty()) break;
--- a/src/testkit/scripted_peer.h
+++ b/src/testkit/scripted_peer.h
@@ -15,13 +15,13 @@
 constexpr int kReceiveTimeoutMs = 20000;  // receive timeout; only a failing test reaches it
 
 // A blocking socket with a read buffer.
-class Line {
+class TestSocket {
   public:
-    explicit Line(int fd) : fd_(fd) {}
-    Line(const std::string& host, int port);
-    ~Line();
-    Line(const Line&) = delete;
-    Line& operator=(const Line&) = delete;
+    explicit TestSocket(int fd) : fd_(fd) {}
+    TestSocket(const std::string& host, int port);
+    ~TestSocket();
+    TestSocket(const TestSocket&) = delete;
+    TestSocket& operator=(const TestSocket&) = delete;
 
     bool up() const { return is_up_; }
     void send(const std::string& text) const;
@@ -64,7 +64,7 @@
     void delay_bodies(std::function<double()> seconds);  // delay before each body is read
     void stall();   // stops accepting and shrinks the accept queue to one connection
     void resume();  // accepts again after stall()
-    std::vector<std::string> heard();
+    std::vector<std::string> received_messages();
     std::string address() const;
 
     int port = 0;
@@ -73,8 +73,8 @@
 
   private:
     void accept_all();
-    std::string message(Line& line) const;
-    void serve(Line& line);
+    std::string message(TestSocket& line) const;
+    void serve(TestSocket& line);
 
     const bool is_http_;
     int listener_;
@@ -83,7 +83,7 @@
     std::function<double()> body_delay_;
     Script script_ = [](const std::string&) { return ScriptedResponse{}; };
     std::vector<std::string> received_;
-    std::list<Line> lines_;
+    std::list<TestSocket> lines_;
     std::vector<std::thread> threads_;
     std::atomic<bool> is_stopping_{false};
 };
--- a/src/testkit/wire.cpp
+++ b/src/testkit/wire.cpp
@@ -123,7 +123,7 @@
     return end + 4 + length;
 }
 
-std::size_t read_heard(std::string_view in, Heard& out) {
+std::size_t read_response(std::string_view in, Response& out) {
     const std::size_t end = in.find("\r\n");
     if (end == std::string_view::npos) return 0;
     out = {};
@@ -135,21 +135,21 @@
         if (!parse_number(next_word(rest), length) || length > kMaxValueBytes) return end + 2;
         if (in.size() < end + 2 + length + 2) return 0;
         out.body = in.substr(end + 2, length);
-        out.kind = Heard::Kind::value;
+        out.kind = Response::Kind::value;
         for (auto word = next_word(rest); !word.empty(); word = next_word(rest)) {
             if (word.front() == 'O') out.id = word.substr(1);
         }
         return end + 2 + length + 2;
     }
     if (verb == "HD") {
-        out.kind = Heard::Kind::receipt;
+        out.kind = Response::Kind::receipt;
         for (auto word = next_word(rest); !word.empty(); word = next_word(rest)) {
             if (word.front() == 'O') out.id = word.substr(1);
             if (word.front() == 'c') out.body = word.substr(1);
         }
     }
     if (verb == "SERVER_ERROR" && next_word(rest) == "busy") {
-        out.kind = Heard::Kind::busy;
+        out.kind = Response::Kind::busy;
         std::uint64_t ms = 0;
         if (parse_number(next_word(rest), ms)) out.advice = static_cast<double>(ms) / 1e3;
     }
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -35,13 +35,13 @@
 std::size_t read_request(std::string_view in, Request& out);
 
 // A response to a client: the first line, and the value if one follows.
-struct Heard {
+struct Response {
     enum class Kind { value, receipt, busy, other };
     Kind kind = Kind::other;
     std::string_view id, body, line;
     double advice = 0;
 };
-std::size_t read_heard(std::string_view in, Heard& out);
+std::size_t read_response(std::string_view in, Response& out);
 // Returns whether the input begins with the first line of a value over 64 KiB. For such values the start of
 // the response is recorded.
 bool has_begun_long_value(std::string_view in);
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_NE(content(out + "/report.html").find("Interrupted after"), std::string::npos);
     const std::size_t at = log.find("serves on ") + 10, colon = log.find(':', at);
     EXPECT_FALSE(
-        brookrelay::testkit::Line(log.substr(at, colon - at), std::stoi(log.substr(colon + 1))).up());
+        brookrelay::testkit::TestSocket(log.substr(at, colon - at), std::stoi(log.substr(colon + 1))).up());
 }
 
 TEST(CommandLine, LogsOneObjectALine) {
--- a/tests/client_connections_test.cpp
+++ b/tests/client_connections_test.cpp
@@ -34,19 +34,19 @@
         while (id == "held0" && !answer_first) std::this_thread::sleep_for(kMillisecond);
         return hit(command);
     });
-    std::list<Line> others;
+    std::list<TestSocket> others;
     for (int n = 0; n < kOtherClients; ++n) {
         others.emplace_back(own_loopback(), fleet.port());
         others.back().send(read_of("k" + std::to_string(n), "other" + std::to_string(n), 60000));
     }
-    wait_for([&] { return fleet.caches.front().heard().size() >= 8; });
-    Line paused_client(own_loopback(), fleet.port());
+    wait_for([&] { return fleet.caches.front().received_messages().size() >= 8; });
+    TestSocket paused_client(own_loopback(), fleet.port());
     std::string commands;
     for (int n = 0; n < kPipelined; ++n) commands += read_of("7f3a", "held" + std::to_string(n), 60000);
     paused_client.send(commands);
     std::this_thread::sleep_for(200 * kMillisecond);
     answer_others = true;
-    for (Line& other : others) EXPECT_TRUE(other.until("hello\r\n").ends_with("hello\r\n"));
+    for (TestSocket& other : others) EXPECT_TRUE(other.until("hello\r\n").ends_with("hello\r\n"));
     std::this_thread::sleep_for(3200 * kMillisecond);  // longer than the timeout of a silent client
     answer_first = true;
     for (int n = 0; n < kPipelined; ++n)
@@ -61,7 +61,7 @@
 
 TEST(IncompleteCommand, InsideALongValueIsRejectedInTime) {
     Fleet fleet(1);
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send("ms k 300000 Ow1 Pc=put,d=60000,k=w1\r\n" + std::string(100000, 'v'));
     const double stopped_at = now_seconds();
     (void)line.until("\r\n");
@@ -75,7 +75,7 @@
         std::this_thread::sleep_for(1500 * kMillisecond);
         return hit(message);
     });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "r1", 60000) + "mg 7f3a v Oha");
     const double stopped_at = now_seconds();
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Or1\r\nhello\r\n");
@@ -91,7 +91,7 @@
         return ScriptedResponse{"VA " + std::to_string(kLength) + " O" + id_in(message) + " h1\r\n" +
                                 std::string(kLength, 'x') + "\r\n"};
     });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "r1", 60000));
     std::this_thread::sleep_for(500 * kMillisecond);
     line.send("mg 7f3a v Oha");
@@ -117,7 +117,7 @@
         return act;
     });
     fleet.origin.set_script([](const std::string&) { return ScriptedResponse{http("", "500 E")}; });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "long", 3000) + read_of("7f3a", "behind", 3000));
     const std::string first = line.until("\r\n");
     EXPECT_TRUE(first.starts_with("SERVER_ERROR ")) << first.substr(0, 40);
@@ -137,7 +137,7 @@
         act.wait = [] { std::this_thread::sleep_for(3000 * kMillisecond); };
         return act;
     });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     const double asked_at = now_seconds();
     line.send(read_of("7f3a", "long", 2000) + read_of("7f3a", "behind", 5000));
     EXPECT_EQ(line.until("\r\n"), "SERVER_ERROR failed\r\n");
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -140,8 +140,8 @@
         configuration_ = configuration.str();
         configure(configuration_);
         daemon_->start();
-        wait_for([this] { return Line(own_loopback(), port_).up(); });
-        Line line(own_loopback(), port_);
+        wait_for([this] { return TestSocket(own_loopback(), port_).up(); });
+        TestSocket line(own_loopback(), port_);
         line.send("mn\r\n");
         EXPECT_EQ(line.until("\r\n"), "MN\r\n") << "the daemon does not answer";
     }
@@ -172,7 +172,7 @@
         return port == 0 ? "" : R"(,"management":")" + own_loopback() + ":" + std::to_string(port) + '"';
     }
     // Starts another process of this node, with the same files and listener.
-    Process second() const {
+    Process start_second_process() const {
         Process process(std::make_unique<DaemonProcess>(DaemonProcess::LaunchOptions{
                             BROOKRELAY_PROGRAM, "/tmp", next_name(), -1, listener_, tmpdir_}),
                         free_address());
@@ -183,7 +183,7 @@
     }
     // Sends a request to the management address and returns the HTTP status, or 0 without a valid response.
     static int call(int port, const std::string& method, const std::string& target) {
-        Line line(own_loopback(), port);
+        TestSocket line(own_loopback(), port);
         if (!line.up()) return 0;
         line.send(method + " " + target + " HTTP/1.1\r\nHost: node\r\n\r\n");
         const std::string head = line.until("\r\n");
@@ -216,7 +216,7 @@
         return daemon_->exit_code();
     }
     std::string ask(const std::string& command) const {
-        Line line(own_loopback(), port_);
+        TestSocket line(own_loopback(), port_);
         line.send(command);
         return line.until("\r\n");
     }
@@ -239,7 +239,7 @@
 struct StalledServer {
     explicit StalledServer(ScriptedPeer& at) : peer(at) {
         peer.stall();
-        filler = std::make_unique<Line>(own_loopback(), peer.port);
+        filler = std::make_unique<TestSocket>(own_loopback(), peer.port);
         before = peer.connections;
     }
     void resume() {
@@ -247,7 +247,7 @@
         wait_for([this] { return peer.connections >= before + 2; });
     }
     ScriptedPeer& peer;
-    std::unique_ptr<Line> filler;
+    std::unique_ptr<TestSocket> filler;
     int before = 0;
 };
 
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -55,15 +55,15 @@
     update = delta(8, Fleet::entry(Fleet::name(drained), drained, "DRAINING"));
     ready = true;
     // The commands wait in the listener's queue until the new process accepts connections.
-    std::list<Line> clients;
+    std::list<TestSocket> clients;
     for (int k = 0; k < 12; ++k) {  // fewer than one server's limit of attempts in flight
         clients.emplace_back(own_loopback(), fleet.port());
         clients.back().send(read_of("k" + std::to_string(k), "s" + std::to_string(k)));
     }
-    const std::size_t before = drained.heard().size();
-    const Process new_process = fleet.second();
-    for (Line& client : clients) EXPECT_TRUE(client.until("hello\r\n").ends_with("hello\r\n"));
-    EXPECT_EQ(drained.heard().size(), before);
+    const std::size_t before = drained.received_messages().size();
+    const Process new_process = fleet.start_second_process();
+    for (TestSocket& client : clients) EXPECT_TRUE(client.until("hello\r\n").ends_with("hello\r\n"));
+    EXPECT_EQ(drained.received_messages().size(), before);
 }
 
 // An agent that does not respond must not keep a started process from serving.
@@ -105,9 +105,9 @@
     std::printf("a list sent over %.1f s was applied after %.2f s\n", transfer_seconds, seconds() - start);
     EXPECT_LT(seconds() - start, transfer_seconds + 1.0);
     EXPECT_EQ(list_requests, 1);
-    const std::size_t before = drained.heard().size();
+    const std::size_t before = drained.received_messages().size();
     expect_all_served(fleet, "l", 20);
-    EXPECT_EQ(drained.heard().size(), before);
+    EXPECT_EQ(drained.received_messages().size(), before);
 }
 
 TEST(SlowList, IsAwaitedWhileDataArrives) {
@@ -151,24 +151,24 @@
     ScriptedPeer& drained = fleet.caches.front();
     update = delta(8, draining_entries(600) + Fleet::entry(Fleet::name(drained), drained, "DRAINING"));
     expect_all_served(fleet, "f", 20);  // leaves an idle connection to each server
-    std::list<Line> clients;
+    std::list<TestSocket> clients;
     for (int k = 0; k < 20; ++k) clients.emplace_back(own_loopback(), fleet.port());
-    for (Line& client : clients) {
+    for (TestSocket& client : clients) {
         client.send("mn\r\n");
         EXPECT_EQ(client.until("\r\n"), "MN\r\n");
     }
     fleet.signal(SIGSTOP);
-    const std::size_t before = drained.heard().size();
+    const std::size_t before = drained.received_messages().size();
     is_update_ready = true;
     std::this_thread::sleep_for(std::chrono::milliseconds(100));  // until the list is in the socket buffers
     int k = 0;
-    for (Line& client : clients) {
+    for (TestSocket& client : clients) {
         client.send(read_of("k" + std::to_string(k), "w" + std::to_string(k)));
         ++k;
     }
     fleet.signal(SIGCONT);
-    for (Line& client : clients) EXPECT_FALSE(client.until("\r\n").empty());
-    EXPECT_EQ(drained.heard().size(), before);
+    for (TestSocket& client : clients) EXPECT_FALSE(client.until("\r\n").empty());
+    EXPECT_EQ(drained.received_messages().size(), before);
 }
 
 }  // namespace
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(Proxy, AHitIsServedByOneCacheOverOneConnection) {
     Fleet fleet(3);
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     for (int n = 0; n < 3; ++n) {
         line.send(read_of("7f3a", "id" + std::to_string(n)));
         EXPECT_EQ(line.until("\r\n"), "VA 5 Oid" + std::to_string(n) + "\r\n");
@@ -18,7 +18,7 @@
     }
     int attempts = 0, connections = 0;
     for (ScriptedPeer& cache : fleet.caches) {
-        for (const std::string& command : cache.heard()) {
+        for (const std::string& command : cache.received_messages()) {
             ++attempts;
             EXPECT_TRUE(command.starts_with("mg 7f3a v Oid"));
             EXPECT_NE(command.find("Pc=read,t=acme,d="), std::string::npos);
@@ -27,17 +27,17 @@
     }
     EXPECT_EQ(attempts, 3);
     EXPECT_EQ(connections, 1);
-    EXPECT_TRUE(fleet.origin.heard().empty());
+    EXPECT_TRUE(fleet.origin.received_messages().empty());
 }
 
 TEST(Proxy, AMissIsFetchedFromTheOrigin) {
     Fleet fleet(2);
     for (ScriptedPeer& c : fleet.caches) c.set_script(miss);
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "m1"));
     EXPECT_EQ(line.until("\r\n"), "VA 4 Om1\r\n");
     EXPECT_EQ(line.bytes(6), "made\r\n");
-    const auto heard = fleet.origin.heard();
+    const auto heard = fleet.origin.received_messages();
     ASSERT_EQ(heard.size(), 1U);
     EXPECT_TRUE(heard[0].starts_with("GET /7f3a HTTP/1.1\r\n"));
     EXPECT_NE(heard[0].find("X-Trace-Id: m1\r\n"), std::string::npos);
@@ -48,7 +48,7 @@
     Fleet fleet(2);
     const std::string answer = fleet.ask("ms 7f3a 5 Ow1 Pc=put,t=acme,d=2000,k=5c0f\r\nv\r\n!!\r\n");
     EXPECT_EQ(answer, "HD Ow1 cmade\r\n");
-    const auto heard = fleet.origin.heard();
+    const auto heard = fleet.origin.received_messages();
     ASSERT_EQ(heard.size(), 1U);
     EXPECT_TRUE(heard[0].starts_with("PUT /7f3a HTTP/1.1\r\n"));
     EXPECT_NE(heard[0].find(",k=5c0f\r\n"), std::string::npos);
@@ -60,12 +60,12 @@
     fleet.caches.front().set_script(
         [](const std::string& m) { return ScriptedResponse{"HD O" + id_in(m) + " c77\r\n"}; });
     EXPECT_EQ(fleet.ask("ms 7f3a 5 Ow1 Pc=put,t=acme,d=99999,k=5c0f\r\nv\r\n!!\r\n"), "HD Ow1 c77\r\n");
-    const auto heard = fleet.caches.front().heard();
+    const auto heard = fleet.caches.front().received_messages();
     ASSERT_EQ(heard.size(), 1U);
     EXPECT_TRUE(heard[0].starts_with("ms 7f3a 5 Ow1 Pc=put,t=acme,d="));
     EXPECT_EQ(heard[0].find("d=99999"), std::string::npos);
     EXPECT_TRUE(heard[0].ends_with(",k=5c0f\r\nv\r\n!!\r\n"));
-    EXPECT_TRUE(fleet.origin.heard().empty());
+    EXPECT_TRUE(fleet.origin.received_messages().empty());
 }
 
 TEST(Proxy, AFailedRequestEndsInOneErrorLine) {
@@ -78,12 +78,12 @@
         SCOPED_TRACE(c.status);
         Fleet fleet(1);
         fleet.origin.set_script([&c](const std::string&) { return ScriptedResponse{http("", c.status)}; });
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send("ms k 1 Ow1 Pc=put,d=600\r\nx\r\n");
         EXPECT_EQ(line.until("\r\n"), c.answer);
         line.send("mn\r\n");
         EXPECT_EQ(line.until("\r\n"), "MN\r\n");  // and nothing in between
-        EXPECT_FALSE(fleet.origin.heard().empty());
+        EXPECT_FALSE(fleet.origin.received_messages().empty());
     }
 }
 
@@ -136,19 +136,19 @@
     Fleet fleet(2);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "s0")), "VA 5 Os0\r\n");
     ScriptedPeer& first = fleet.caches.front();
-    ScriptedPeer& owner = first.heard().empty() ? fleet.caches.back() : first;
+    ScriptedPeer& owner = first.received_messages().empty() ? fleet.caches.back() : first;
     owner.set_script([](const std::string&) { return ScriptedResponse{"what?\r\n"}; });
     for (int n = 1; n <= 5; ++n) {
         const std::string id = "s" + std::to_string(n);
         EXPECT_EQ(fleet.ask(read_of("7f3a", id)), "VA 5 O" + id + "\r\n");
     }
-    EXPECT_EQ(owner.heard().size(), 6U);  // the first attempt goes to it each time
+    EXPECT_EQ(owner.received_messages().size(), 6U);  // the first attempt goes to it each time
 }
 
 TEST(Proxy, AnAttemptAtAnUnresponsiveCacheTimesOut) {
     Fleet fleet(1);
     fleet.caches.front().set_script(silent);
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "s1", 300));
     EXPECT_EQ(line.until("\r\n"), "SERVER_ERROR busy\r\n");
     // The proxy cancels the attempt by closing its connection.
@@ -159,9 +159,9 @@
     Fleet fleet(1);
     fleet.caches.front().set_script(silent);
     {
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "l1", 60000));
-        wait_for([&] { return fleet.caches.front().heard().size() == 1; });
+        wait_for([&] { return fleet.caches.front().received_messages().size() == 1; });
     }
     wait_for([&] { return fleet.caches.front().ended == 1; });
     fleet.caches.front().set_script(hit);
@@ -185,20 +185,20 @@
     update = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
              "]}";
     const auto read_all_keys = [&fleet](const char* prefix) {
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         for (int k = 0; k < 40; ++k) {
             line.send(read_of("k" + std::to_string(k), prefix + std::to_string(k)));
             EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
         }
     };
     read_all_keys("d");
-    EXPECT_FALSE(drained.heard().empty());
-    EXPECT_FALSE(fleet.caches.back().heard().empty());
+    EXPECT_FALSE(drained.received_messages().empty());
+    EXPECT_FALSE(fleet.caches.back().received_messages().empty());
     send_update = true;
     wait_for([&] { return update_received.load(); });
-    const std::size_t before = drained.heard().size();
+    const std::size_t before = drained.received_messages().size();
     read_all_keys("e");
-    EXPECT_EQ(drained.heard().size(), before);
+    EXPECT_EQ(drained.received_messages().size(), before);
 }
 
 TEST(Proxy, AFullListIsRequestedIfDiscoveryLostItsVersions) {
@@ -222,7 +222,7 @@
         const std::string id = "v" + std::to_string(k);
         EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
-    EXPECT_TRUE(fleet.caches.front().heard().empty());
+    EXPECT_TRUE(fleet.caches.front().received_messages().empty());
 }
 
 // The number of an evicted server is reused for another one. Results of attempts at the old server must not
@@ -242,19 +242,19 @@
         return R"({"host":")" + host + R"(","health":"DELETED"})";
     };
     updates.publish(deleted(Fleet::name(new_server)));
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("1", "held"));
-    wait_for([&] { return old_server.heard().size() == 1; });
+    wait_for([&] { return old_server.received_messages().size() == 1; });
     updates.publish(deleted(Fleet::name(old_server)));
     updates.publish(Fleet::entry("next", new_server, "SERVING"));
     EXPECT_EQ(fleet.ask(read_of("1", "n1")), "VA 5 On1\r\n");
-    EXPECT_EQ(new_server.heard().size(), 1U);
+    EXPECT_EQ(new_server.received_messages().size(), 1U);
     release = true;
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Oheld\r\nhello\r\n");
     for (const char* id : {"n2", "n3"})
         EXPECT_EQ(fleet.ask(read_of("1", id)), std::string("VA 5 O") + id + "\r\n");
-    EXPECT_EQ(new_server.heard().size(), 3U);
-    EXPECT_EQ(old_server.heard().size(), 1U);
+    EXPECT_EQ(new_server.received_messages().size(), 3U);
+    EXPECT_EQ(old_server.received_messages().size(), 1U);
     // A new server at the address of a removed one gets its own connections.
     const int before = new_server.connections;
     updates.publish(deleted("next") + "," + Fleet::entry("after", new_server, "SERVING"));
@@ -286,7 +286,7 @@
         was_polled = was_polled || versioned;
         return versioned ? ScriptedResponse{} : ScriptedResponse{http(full_list)};
     });
-    wait_for([&] { return fleet.discovery.heard().size() == 1; });
+    wait_for([&] { return fleet.discovery.received_messages().size() == 1; });
     fleet.configure(fleet.configuration_with("\"pushed\"", "\"never\""));
     fleet.signal(SIGHUP);
     wait_for([&] { return fleet.logged("the old one stays: in 'settings': field 'discovery'"); });
@@ -295,13 +295,13 @@
     fleet.configure(fleet.configuration_with(fleet.discovery.address(), other.address()));
     fleet.signal(SIGHUP);
     wait_for([&] { return was_polled.load() && fleet.discovery.ended == 1; });
-    ASSERT_FALSE(other.heard().empty());
-    EXPECT_TRUE(other.heard().front().starts_with("GET /discovery/hosts HTTP/1.1\r\n"));
+    ASSERT_FALSE(other.received_messages().empty());
+    EXPECT_TRUE(other.received_messages().front().starts_with("GET /discovery/hosts HTTP/1.1\r\n"));
     for (int k = 0; k < 10; ++k) {
         const std::string id = "n" + std::to_string(k);
         EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
-    EXPECT_LE(fleet.caches.front().heard().size(), 1U);  // only the read before the reload
+    EXPECT_LE(fleet.caches.front().received_messages().size(), 1U);  // only the read before the reload
 }
 
 // Reloads to changed settings and back under load: the indexes of operations, tenants and kinds change,
@@ -348,7 +348,7 @@
     std::vector<std::thread> clients;
     for (int t = 0; t < 4; ++t) {
         clients.emplace_back([&, t] {
-            Line line(own_loopback(), fleet.port());
+            TestSocket line(own_loopback(), fleet.port());
             for (int n = 0; !stop; ++n) {
                 const std::string id = "t" + std::to_string(t) + "n" + std::to_string(n);
                 const std::string key = "k" + std::to_string(n % 50);
@@ -370,7 +370,7 @@
         SCOPED_TRACE(testing::Message() << "switch " << reloads + 1);
         hold = true;
         const int before = held;
-        Line read(own_loopback(), fleet.port()), write(own_loopback(), fleet.port());
+        TestSocket read(own_loopback(), fleet.port()), write(own_loopback(), fleet.port());
         const std::string id = "hold" + std::to_string(++reloads);
         read.send(read_of("held", id + "r"));
         write.send("ms other 1 O" + id + "w Pc=put,t=acme,d=10000,k=" + id + "\r\nx\r\n");
@@ -394,11 +394,11 @@
     stop = true;
     for (std::thread& c : clients) c.join();
     int sent_reads = 0;
-    for (ScriptedPeer& c : fleet.caches) sent_reads += static_cast<int>(c.heard().size());
+    for (ScriptedPeer& c : fleet.caches) sent_reads += static_cast<int>(c.received_messages().size());
     EXPECT_EQ(unexpected_responses, 0);
     EXPECT_GT(writes, 0);
     EXPECT_EQ(sent_reads, reads + reloads);
-    EXPECT_EQ(static_cast<int>(fleet.origin.heard().size()), writes + reloads + reloads / 2);
+    EXPECT_EQ(static_cast<int>(fleet.origin.received_messages().size()), writes + reloads + reloads / 2);
 }
 
 TEST(Proxy, AReloadOfFixedSettingsIsRejected) {
@@ -437,17 +437,18 @@
     Fleet fleet(2, {256, 60000, watch});
     ScriptedPeer& drained = fleet.caches.front();
     drained.stall();
-    const Line filler(own_loopback(), drained.port);  // fills the listen queue, so that no connect completes
+    const TestSocket filler(own_loopback(),
+                            drained.port);  // fills the listen queue, so that no connect completes
     update = R"({"seq":8,"whole":false,"hosts":[)" + Fleet::entry(Fleet::name(drained), drained, "DRAINING") +
              "]}";
-    std::list<Line> lines;
+    std::list<TestSocket> lines;
     for (int k = 0; k < 8; ++k) {  // few enough for one cache to get them all at once
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send(read_of("k" + std::to_string(k), "w" + std::to_string(k), 60000));
     }
     send_update = true;
-    for (Line& line : lines) EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
-    EXPECT_TRUE(drained.heard().empty());
+    for (TestSocket& line : lines) EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
+    EXPECT_TRUE(drained.received_messages().empty());
 }
 
 // Caches hold larger values than clients may write. When such values were rejected as malformed, a tenth of
@@ -459,7 +460,7 @@
         return ScriptedResponse{"VA " + std::to_string(large.size()) + " O" + id_in(m) + " h1\r\n" + large +
                                 "\r\n"};
     });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("1", "l1"));
     EXPECT_EQ(line.until("\r\n"), "VA 1000000 Ol1\r\n");
     EXPECT_TRUE(line.bytes(large.size() + 2) == large + "\r\n");
@@ -479,7 +480,7 @@
 // Each buffer is bounded, but all buffers together could exceed the node's memory limit.
 TEST(Proxy, TheBuffersOfAllClientsAreBoundedTogether) {
     Fleet fleet(1, {256, 250, silent, true, 16});  // 4 MB for the clients' buffers
-    std::list<Line> lines;
+    std::list<TestSocket> lines;
     for (int n = 0; n < 100; ++n) {
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send("ms 7f3a 65000 Oh" + std::to_string(n) + " Pc=put,d=5000\r\n" +
@@ -487,7 +488,7 @@
     }
     EXPECT_EQ(fleet.ask(read_of("7f3a", "b1")), "VA 5 Ob1\r\n");
     int rejected = 0;
-    for (Line& line : lines) rejected += line.until("\r\n") == "SERVER_ERROR out of memory\r\n";
+    for (TestSocket& line : lines) rejected += line.until("\r\n") == "SERVER_ERROR out of memory\r\n";
     EXPECT_GT(rejected, 0);
     EXPECT_LT(rejected, 100);
 }
@@ -501,13 +502,17 @@
             return hit(m);
         });
     }
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     for (char c : "ms 7f3a 3 Ow1 Pc=put,d=5000\r\na\r\n\r\n" + read_of("7f3a", "r1"))
         line.send(std::string(1, c));
     EXPECT_EQ(line.until("\r\n"), "HD Ow1 cmade\r\n");
     EXPECT_EQ(line.until("hello\r\n"), "VA 5 Or1\r\nhello\r\n");
     line.send(read_of("1", "slow") + read_of("2", "quick") + "mn\r\n");
-    wait_for([&] { return fleet.caches.front().heard().size() + fleet.caches.back().heard().size() == 3; });
+    wait_for([&] {
+        return fleet.caches.front().received_messages().size() +
+                   fleet.caches.back().received_messages().size() ==
+               3;
+    });
     release = true;
     EXPECT_EQ(line.until("MN\r\n"), "VA 5 Oslow\r\nhello\r\nVA 5 Oquick\r\nhello\r\nMN\r\n");
     std::string commands, replies;
@@ -536,7 +541,7 @@
           Case{"ms k x O1 Pc=put,d=9\r\n", "CLIENT_ERROR bad length\r\n", true},
           Case{std::string(5000, 'x'), "CLIENT_ERROR line too long\r\n", true}}) {
         SCOPED_TRACE(c.command.substr(0, 80));
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send(c.command);
         EXPECT_EQ(line.until("\r\n"), c.answer);
         if (c.closes) {
@@ -558,9 +563,9 @@
         while (!release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
-    Line first(own_loopback(), fleet.port());
+    TestSocket first(own_loopback(), fleet.port());
     first.send(read_of("1", "same"));
-    wait_for([&] { return fleet.caches.front().heard().size() == 1; });
+    wait_for([&] { return fleet.caches.front().received_messages().size() == 1; });
     EXPECT_EQ(fleet.ask(read_of("2", "same")), "CLIENT_ERROR id in use\r\n");
     release = true;
     EXPECT_EQ(first.until("hello\r\n"), "VA 5 Osame\r\nhello\r\n");
@@ -571,13 +576,13 @@
 // that makes progress is served.
 TEST(Proxy, StalledClientsAreClosedAndSlowOnesServed) {
     Fleet fleet(1);
-    Line incomplete(own_loopback(), fleet.port());
+    TestSocket incomplete(own_loopback(), fleet.port());
     incomplete.send("ms 7f3a 5 Oh1 Pc=put,d=5000\r\nv");
-    Line silent_client(own_loopback(), fleet.port());
-    Line idle(own_loopback(), fleet.port());
+    TestSocket silent_client(own_loopback(), fleet.port());
+    TestSocket idle(own_loopback(), fleet.port());
     idle.send("mn\r\n");
     EXPECT_EQ(idle.until("\r\n"), "MN\r\n");
-    Line slow_client(own_loopback(), fleet.port());
+    TestSocket slow_client(own_loopback(), fleet.port());
     std::thread writer([&] {
         for (const char* part : {"mg 7f3a ", "v Os1", " Pc=rea", "d,d=5000\r\n"}) {
             slow_client.send(part);
@@ -597,12 +602,12 @@
 // counted as idle and was closed with its command unread.
 TEST(Proxy, AtTheConnectionLimitAnsweredClientsAreClosed) {
     Fleet fleet(1, {64, 250, silent});  // room for 28 clients
-    std::list<Line> lines;
+    std::list<TestSocket> lines;
     for (int n = 0; n < 100; ++n) {
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send("mn\r\n");
     }
-    for (Line& line : lines) EXPECT_EQ(line.until("\r\n"), "MN\r\n");
+    for (TestSocket& line : lines) EXPECT_EQ(line.until("\r\n"), "MN\r\n");
     EXPECT_EQ(fleet.ask(read_of("7f3a", "f1")), "VA 5 Of1\r\n");
     EXPECT_TRUE(fleet.alive());
 }
@@ -611,7 +616,7 @@
 // occupied all client connections.
 TEST(Proxy, OnlySomeIdleClientsAreKept) {
     Fleet fleet(1);  // room for 144 clients
-    std::list<Line> lines;
+    std::list<TestSocket> lines;
     for (int n = 0; n < 60; ++n) {
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send(read_of("7f3a", "s" + std::to_string(n)));
@@ -630,22 +635,22 @@
         while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
-    Line idle(own_loopback(), fleet.port());
+    TestSocket idle(own_loopback(), fleet.port());
     idle.send("mn\r\n");
     EXPECT_EQ(idle.until("\r\n"), "MN\r\n");
-    Line used(own_loopback(), fleet.port());
+    TestSocket used(own_loopback(), fleet.port());
     used.send("mn\r\n");
     EXPECT_EQ(used.until("\r\n"), "MN\r\n");
-    Line held(own_loopback(), fleet.port());
+    TestSocket held(own_loopback(), fleet.port());
     held.send(read_of("7f3a", "held"));
-    wait_for([&] { return fleet.caches.front().heard().size() == 1; });
+    wait_for([&] { return fleet.caches.front().received_messages().size() == 1; });
     fleet.signal(SIGTERM);
     wait_for([&] { return fleet.logged("told to end"); });
     used.send(read_of("7f3a", "used"));
     // A connection that is open is still served.
     EXPECT_EQ(used.until("hello\r\n"), "VA 5 Oused\r\nhello\r\n");
     EXPECT_TRUE(idle.closed_by_peer());
-    Line late(own_loopback(), fleet.port());
+    TestSocket late(own_loopback(), fleet.port());
     late.send(read_of("7f3a", "late"));
     EXPECT_EQ(late.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
     EXPECT_TRUE(late.closed_by_peer());
@@ -657,7 +662,7 @@
     Fleet busy_fleet(1);
     std::atomic<bool> ended{false};
     std::thread connector([&] {
-        std::list<Line> lines;
+        std::list<TestSocket> lines;
         while (!ended) {
             lines.emplace_back(own_loopback(), busy_fleet.port());
             std::this_thread::sleep_for(std::chrono::milliseconds(50));
@@ -672,9 +677,9 @@
     EXPECT_LT(elapsed.count(), 2400);  // it takes 2.9 s if the connections delay the exit
     Fleet stuck_fleet(1);
     stuck_fleet.caches.front().set_script(silent);
-    Line last(own_loopback(), stuck_fleet.port());
+    TestSocket last(own_loopback(), stuck_fleet.port());
     last.send(read_of("7f3a", "last", 60000));
-    wait_for([&] { return stuck_fleet.caches.front().heard().size() == 1; });
+    wait_for([&] { return stuck_fleet.caches.front().received_messages().size() == 1; });
     stuck_fleet.signal(SIGTERM);
     EXPECT_TRUE(last.until("\r\n").starts_with("SERVER_ERROR "));
     EXPECT_EQ(stuck_fleet.exit_code(), 0);
--- a/tests/ops_test.cpp
+++ b/tests/ops_test.cpp
@@ -19,7 +19,7 @@
 // rejected at once without an attempt. A command whose client still waits is served.
 TEST(Operations, RequestsReceivedWhileStoppedKeepTheirAge) {
     Fleet fleet(2);
-    Line expired(own_loopback(), fleet.port()), waiting(own_loopback(), fleet.port());
+    TestSocket expired(own_loopback(), fleet.port()), waiting(own_loopback(), fleet.port());
     EXPECT_TRUE(fleet.ask(read_of("a", "1")).starts_with("VA 5 O1"));
     fleet.signal(SIGSTOP);
     expired.send(read_of("b", "2", 500));
@@ -51,7 +51,7 @@
           std::string(5000, 'x'), std::string("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n"),
           "GET /control/ready HTTP/1.1\r\nA: " + std::string(5000, 'x')}) {
         SCOPED_TRACE(text.substr(0, 80));
-        Line line(own_loopback(), fleet.management());
+        TestSocket line(own_loopback(), fleet.management());
         line.send(text);
         EXPECT_EQ(line.until("\r\n"), "HTTP/1.1 400 Bad Request\r\n");
     }
@@ -64,12 +64,12 @@
     options.descriptors = 64;
     Fleet fleet(1, options);
     fleet.caches.front().set_script(silent);
-    std::list<Line> lines;
+    std::list<TestSocket> lines;
     for (int k = 0; k < 60; ++k) {
         lines.emplace_back(own_loopback(), fleet.port());
         lines.back().send(read_of("7f3a", "w" + std::to_string(k)));
     }
-    std::list<Line> incomplete;
+    std::list<TestSocket> incomplete;
     for (int k = 0; k < 12; ++k) {
         incomplete.emplace_back(own_loopback(), fleet.management());
         if (k % 2 == 0) incomplete.back().send("POST /control/cache-ser");
@@ -88,15 +88,15 @@
         while (id_in(m) == "held" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return hit(m);
     });
-    Line idle(own_loopback(), fleet.port());
+    TestSocket idle(own_loopback(), fleet.port());
     idle.send("mn\r\n");
     EXPECT_EQ(idle.until("\r\n"), "MN\r\n");
-    Line held(own_loopback(), fleet.port());
+    TestSocket held(own_loopback(), fleet.port());
     held.send(read_of("7f3a", "held") + read_of("7f3a", "behind"));
-    Line incomplete(own_loopback(), fleet.port());
+    TestSocket incomplete(own_loopback(), fleet.port());
     incomplete.send("mg 7f3a v Ohalf Pc=re");
-    wait_for([&] { return !fleet.caches.front().heard().empty(); });
-    Process next = fleet.second();
+    wait_for([&] { return !fleet.caches.front().received_messages().empty(); });
+    Process next = fleet.start_second_process();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     EXPECT_EQ(Fleet::call(fleet.management(), "GET", "/control/ready"), 200);
     fleet.signal(SIGTERM);
@@ -123,7 +123,7 @@
     NodeOptions options = with_admin_address();
     options.inherits_listener = true;
     Fleet fleet(1, options);
-    Process next = fleet.second();
+    Process next = fleet.start_second_process();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     next.daemon->kill();
     for (int k = 0; k < 5; ++k) EXPECT_EQ(fleet.ask("mn\r\n"), "MN\r\n");
@@ -160,13 +160,13 @@
 
 // Sends 40 reads of different keys and returns how many of them one cache received.
 std::size_t send_reads_and_count(const Fleet& fleet, ScriptedPeer& cache, const std::string& prefix) {
-    const std::size_t before = cache.heard().size();
-    Line line(own_loopback(), fleet.port());
+    const std::size_t before = cache.received_messages().size();
+    TestSocket line(own_loopback(), fleet.port());
     for (int k = 0; k < 40; ++k) {
         line.send(read_of("k" + std::to_string(k), prefix + std::to_string(k)));
         EXPECT_TRUE(line.until("hello\r\n").ends_with("hello\r\n"));
     }
-    return cache.heard().size() - before;
+    return cache.received_messages().size() - before;
 }
 
 // After the response to a drain the server gets no attempts, whatever the endpoint list contains, until one
@@ -235,7 +235,7 @@
     ScriptedPeer& first = fleet.caches.front();
     ScriptedPeer& last = fleet.caches.back();
     EXPECT_EQ(Fleet::call(fleet.management(), "POST", server_call(Fleet::name(first), "offline")), 200);
-    Process next = fleet.second();
+    Process next = fleet.start_second_process();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(first), "online")), 200);
     EXPECT_EQ(Fleet::call(next.management, "POST", server_call(Fleet::name(last), "offline")), 200);
@@ -260,9 +260,9 @@
     options.tmp = scratch.path();
     options.descriptors = 128;  // 62 for clients
     Fleet fleet(1, options);
-    Process next = fleet.second();
+    Process next = fleet.start_second_process();
     wait_for([&] { return Fleet::call(next.management, "GET", "/control/ready") == 200; });
-    std::list<Line> lines;  // new connections, which are not closed in favour of others
+    std::list<TestSocket> lines;  // new connections, which are not closed in favour of others
     for (int k = 0; k < 130; ++k) {
         lines.emplace_back(own_loopback(), fleet.port());
         std::this_thread::sleep_for(std::chrono::milliseconds(2));
@@ -285,8 +285,8 @@
     };
     Fleet fleet(1, options);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "t1")), "VA 5 Ot1\r\n");
-    wait_for([&] { return fleet.discovery.heard().size() >= 4; });
-    for (const std::string& asked : fleet.discovery.heard())
+    wait_for([&] { return fleet.discovery.received_messages().size() >= 4; });
+    for (const std::string& asked : fleet.discovery.received_messages())
         EXPECT_NE(asked.find("index=7&"), std::string::npos);
 }
 
@@ -328,7 +328,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kLongValueSize) + "\r\n\r\n" + first,
                 true, wait_for_release, rest};
         });
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "l1"));
         EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Ol1\r\n");
         EXPECT_TRUE(line.bytes(first.size()) == first);
@@ -358,7 +358,7 @@
             cache.set_script([&](const std::string& m) {
                 return ScriptedResponse{long_value_header(m) + c.sent, true};
             });
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send("mn\r\n" + read_of("7f3a", "b1"));
         EXPECT_EQ(line.until("\r\n"), "MN\r\n");
         EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Ob1\r\n");
@@ -366,10 +366,10 @@
         EXPECT_LT(received.size(), kLongValueSize);
         EXPECT_TRUE(received == long_value().substr(0, received.size()));
         EXPECT_TRUE(line.closed_by_peer());
-        EXPECT_TRUE(fleet.origin.heard().empty());
+        EXPECT_TRUE(fleet.origin.received_messages().empty());
         // If another command of the client is already read, closing would lose it, so each command gets its
         // own error line.
-        Line both(own_loopback(), fleet.port());
+        TestSocket both(own_loopback(), fleet.port());
         both.send(read_of("7f3a", "b2") + read_of("7f3a", "b3"));
         EXPECT_EQ(both.until("\r\n"), "SERVER_ERROR failed\r\n");
         const std::string last = both.until("\r\n");
@@ -384,7 +384,7 @@
     fleet.caches.front().set_script(
         [&](const std::string& m) { return ScriptedResponse{long_value_header(m) + half + half + "\r\n"}; });
     {
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send(read_of("7f3a", "g1"));
         EXPECT_EQ(line.until("\r\n"), "VA " + std::to_string(kLongValueSize) + " Og1\r\n");
     }
@@ -396,7 +396,7 @@
         while (id_in(m) == "first" && !release) std::this_thread::sleep_for(std::chrono::milliseconds(1));
         return id_in(m) == "first" ? hit(m) : ScriptedResponse{long_value_header(m), true};
     });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "first") + read_of("7f3b", "second"));
     wait_for([&] { return fleet.caches.front().ended == 2; });
     release = true;
@@ -417,12 +417,12 @@
                        ? ScriptedResponse{long_value_header(m) + long_value() + "\r\n"}
                        : hit(m);
         });
-    std::list<Line> readers;
+    std::list<TestSocket> readers;
     for (int k = 0; k < 30; ++k) {
         readers.emplace_back(own_loopback(), fleet.port());
         readers.back().send(read_of("k" + std::to_string(k), "r" + std::to_string(k)));
     }
-    std::list<Line> writers;
+    std::list<TestSocket> writers;
     for (int k = 0; k < 6; ++k) {
         const std::string id = "w" + std::to_string(k);
         writers.emplace_back(own_loopback(), fleet.port());
@@ -430,7 +430,7 @@
                             " Pc=put,d=9000,k=" + id + "\r\n");
     }
     std::vector<std::thread> writing;
-    for (Line& writer : writers) {
+    for (TestSocket& writer : writers) {
         writing.emplace_back([&writer] {
             for (const std::size_t part : {0U, 1U}) {
                 writer.send(long_value().substr(part * kLongValueSize / 2, kLongValueSize / 2) +
@@ -445,18 +445,18 @@
     }
     for (std::thread& t : writing) t.join();
     int k = 0;
-    for (Line& writer : writers)
+    for (TestSocket& writer : writers)
         EXPECT_EQ(writer.until("\r\n"), "HD Ow" + std::to_string(k++) + " cmade\r\n");
     k = 0;
-    for (Line& reader : readers) {
+    for (TestSocket& reader : readers) {
         EXPECT_EQ(reader.until("\r\n"),
                   "VA " + std::to_string(kLongValueSize) + " Or" + std::to_string(k++) + "\r\n");
         EXPECT_TRUE(reader.bytes(kLongValueSize) == long_value());
         EXPECT_EQ(reader.bytes(2), "\r\n");
     }
-    for (const std::string& message : fleet.origin.heard())
+    for (const std::string& message : fleet.origin.received_messages())
         EXPECT_TRUE(message.substr(message.find("\r\n\r\n") + 4) == long_value());
-    EXPECT_EQ(fleet.origin.heard().size(), 6U);
+    EXPECT_EQ(fleet.origin.received_messages().size(), 6U);
     const double max_rss_mb = fleet.daemon().resource_usage().max_rss_mb;
     std::printf("long values: %.1f MB at most\n", max_rss_mb);
     EXPECT_LT(max_rss_mb, 40);
@@ -485,7 +485,7 @@
 
 // The body of the response to a GET request of the admin interface.
 std::string get_page(const Fleet& fleet, const std::string& target) {
-    Line line(own_loopback(), fleet.management());
+    TestSocket line(own_loopback(), fleet.management());
     line.send("GET " + target + " HTTP/1.1\r\nHost: node\r\n\r\n");
     return line.until("\r\n\r\n") + line.until("no such text");
 }
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -15,7 +15,7 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-std::string read_value(Line& line, const std::string& head, std::size_t length) {
+std::string read_value(TestSocket& line, const std::string& head, std::size_t length) {
     const std::string first = line.until("\r\n");
     return first == head ? line.bytes(length + 2) : first;
 }
@@ -48,7 +48,7 @@
         act.wait = [] { std::this_thread::sleep_for(std::chrono::milliseconds(30)); };
         return act;
     });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send(read_of("7f3a", "u1", 1500));
     const std::string answer = read_value(line, "VA " + std::to_string(c.length) + " Ou1\r\n", c.length);
     if (c.is_served) {
@@ -150,7 +150,7 @@
         return c.is_write ? "ms k 1 O" + id + " Pc=put,d=60000,k=" + id + "\r\nx\r\n"
                           : read_of("7f3a", id, 60000);
     };
-    auto line = std::make_unique<Line>(own_loopback(), fleet.port());
+    auto line = std::make_unique<TestSocket>(own_loopback(), fleet.port());
     line->send("mn\r\n");
     ASSERT_EQ(line->until("\r\n"), "MN\r\n");
     line->send(command("left"));
@@ -161,10 +161,10 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     if (c.stops_process) fleet.signal(SIGCONT);
     // The connection that was established late is idle and carries the next request.
-    Line next(own_loopback(), fleet.port());
+    TestSocket next(own_loopback(), fleet.port());
     next.send(command("next"));
     EXPECT_EQ(next.until("\r\n"), c.is_write ? "HD Onext cmade\r\n" : "VA 5 Onext\r\n");
-    const auto heard = server.heard();
+    const auto heard = server.received_messages();
     ASSERT_EQ(heard.size(), 1U);
     EXPECT_NE(heard[0].find("next"), std::string::npos);
 }
@@ -186,19 +186,19 @@
         return hit(m);
     });
     {
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         std::string commands;
         for (int n = 0; n < 8000; ++n)
             commands += read_of("k" + std::to_string(n), "p" + std::to_string(n), 60000);
         line.send(commands);
-        wait_for([&] { return fleet.caches.front().heard().size() >= 8; });
+        wait_for([&] { return fleet.caches.front().received_messages().size() >= 8; });
         std::this_thread::sleep_for(std::chrono::milliseconds(200));
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(150));
-    const std::size_t before = fleet.caches.front().heard().size();
+    const std::size_t before = fleet.caches.front().received_messages().size();
     may_answer = true;
     wait_for([&] { return fleet.ask(read_of("1", "after")) == "VA 5 Oafter\r\n"; });
-    const auto heard = fleet.caches.front().heard();
+    const auto heard = fleet.caches.front().received_messages();
     EXPECT_EQ(
         std::count_if(heard.begin(), heard.end(), [](const std::string& m) { return id_in(m) != "after"; }),
         static_cast<std::ptrdiff_t>(before));
@@ -327,8 +327,9 @@
         const std::string id = "o" + std::to_string(k);
         EXPECT_EQ(fleet.ask(read_of("k" + std::to_string(k), id)), "VA 5 O" + id + "\r\n");
     }
-    EXPECT_TRUE(drained.heard().empty());
-    wait_for([&] { return fleet.discovery.heard().back().starts_with("GET /discovery/hosts HTTP"); });
+    EXPECT_TRUE(drained.received_messages().empty());
+    wait_for(
+        [&] { return fleet.discovery.received_messages().back().starts_with("GET /discovery/hosts HTTP"); });
 }
 
 // ---- duplicate responses and late repeats ---------------------------------------------------------------
@@ -346,7 +347,7 @@
             act.rest = http("for " + key);
             return act;
         });
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         for (int n = 0; n < 20; ++n) {
             const std::string key = "k" + std::to_string(10 + n), id = "s" + std::to_string(n);
             line.send(read_of(key, id));
@@ -376,7 +377,7 @@
     });
     fleet.origin.set_receive_buffer(16 * 1024);
     fleet.origin.delay_bodies([&] { return complete_requests > 0 ? 1.5 : 0.0; });
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=5000,k=w1\r\n" + value + "\r\n");
     EXPECT_TRUE(line.until("\r\n").starts_with("SERVER_ERROR "));
     std::this_thread::sleep_for(std::chrono::milliseconds(1800));  // the origin may still read bytes
@@ -406,7 +407,7 @@
     }
 
   private:
-    Line line_;
+    TestSocket line_;
 };
 
 // If the node closed the connection without lingering, the command that is in transit would reset it and the
@@ -420,7 +421,7 @@
     slow_client.send_next();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
     slow_client.expect_complete_response();
-    const auto heard = fleet.caches.front().heard();
+    const auto heard = fleet.caches.front().received_messages();
     EXPECT_TRUE(std::none_of(heard.begin(), heard.end(),
                              [](const std::string& m) { return id_in(m) == "crossing"; }));
     EXPECT_EQ(fleet.exit_code(), 0);
@@ -433,7 +434,7 @@
     Fleet fleet(1, options);
     SlowClient slow_client(fleet);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
-    std::list<Line> others;
+    std::list<TestSocket> others;
     for (int n = 0; n < 6; ++n) {
         others.emplace_back(own_loopback(), fleet.port());
         others.back().send(read_of("7f3a", "o" + std::to_string(n)));
@@ -450,8 +451,8 @@
 TEST(Closing, WaitsForAnIncompleteCommand) {
     for (const int second_signal : {0, SIGTERM, SIGHUP}) {
         Fleet fleet(1);
-        Line incomplete_client(own_loopback(), fleet.port());
-        Line idle_client(own_loopback(), fleet.port());
+        TestSocket incomplete_client(own_loopback(), fleet.port());
+        TestSocket idle_client(own_loopback(), fleet.port());
         idle_client.send("mn\r\n");
         ASSERT_EQ(idle_client.until("\r\n"), "MN\r\n");
         incomplete_client.send("mg 7f3a v Oha");
@@ -478,7 +479,7 @@
     std::vector<std::thread> clients;
     for (int t = 0; t < 8; ++t) {
         clients.emplace_back([&, t] {
-            Line line(own_loopback(), fleet.port());
+            TestSocket line(own_loopback(), fleet.port());
             for (int n = 0;; ++n) {
                 const std::string id = "t" + std::to_string(t) + "n" + std::to_string(n);
                 line.send(read_of("k" + std::to_string(n % 9), id));
@@ -498,7 +499,7 @@
     EXPECT_EQ(fleet.exit_code(), 0);
     for (std::thread& thread : clients) thread.join();
     EXPECT_EQ(truncated, 0);
-    EXPECT_EQ(static_cast<int>(fleet.caches.front().heard().size()), answered);
+    EXPECT_EQ(static_cast<int>(fleet.caches.front().received_messages().size()), answered);
 }
 
 // ---- start and file descriptors --------------------------------------------------------------------------
@@ -520,7 +521,7 @@
     std::vector<std::thread> client_threads;
     for (int t = 0; t < 4; ++t) {
         client_threads.emplace_back([&, t] {
-            std::list<Line> idle;
+            std::list<TestSocket> idle;
             for (int n = 0; !stop; ++n) {
                 idle.emplace_back(own_loopback(), fleet.port());
                 if ((n + t) % 2 == 0) idle.back().send("mn\r\n");
@@ -554,11 +555,11 @@
     options.inherits_listener = true;  // the test holds the listener, and its backlog with it
     Fleet fleet(1, options);
     fleet.daemon().kill();
-    std::list<Line> idle;
+    std::list<TestSocket> idle;
     for (int n = 0; n < 900; ++n) idle.emplace_back(own_loopback(), fleet.port());
     const double started_at = now_seconds();
-    const Process next = fleet.second();
-    Line line(own_loopback(), fleet.port());
+    const Process next = fleet.start_second_process();
+    TestSocket line(own_loopback(), fleet.port());
     line.send("mn\r\n");
     EXPECT_EQ(line.until("\r\n"), "MN\r\n");
     std::printf("ready after %.2f s behind 900 idle clients\n", now_seconds() - started_at);
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -167,7 +167,7 @@
     };
     int asked = 0;
     const auto ask = [&](int count) {
-        Line line(own_loopback(), port);
+        TestSocket line(own_loopback(), port);
         int served = 0;
         for (int i = 0; i < count && line.up(); ++i) {
             const std::string id = std::to_string(++asked);
@@ -178,26 +178,27 @@
         return served;
     };
     // Wait until both servers are known.
-    for (int i = 0; i < 500 && (boxes[0].heard().empty() || boxes[1].heard().empty()); ++i) {
+    for (int i = 0; i < 500 && (boxes[0].received_messages().empty() || boxes[1].received_messages().empty());
+         ++i) {
         if (ask(4) == 0) std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
-    EXPECT_FALSE(boxes[0].heard().empty());
-    EXPECT_FALSE(boxes[1].heard().empty());
+    EXPECT_FALSE(boxes[0].received_messages().empty());
+    EXPECT_FALSE(boxes[1].received_messages().empty());
     on_loop([&] { (void)server.service().remove("/fleet/box-0"); });
     const auto gone = std::chrono::steady_clock::now();
-    std::size_t before = boxes[0].heard().size();
+    std::size_t before = boxes[0].received_messages().size();
     double last = 0;
     for (int i = 0; i < 40; ++i) {
         EXPECT_EQ(ask(10), 10);
-        if (boxes[0].heard().size() > before) {
-            before = boxes[0].heard().size();
+        if (boxes[0].received_messages().size() > before) {
+            before = boxes[0].received_messages().size();
             last = std::chrono::duration<double>(std::chrono::steady_clock::now() - gone).count();
         }
     }
     EXPECT_LE(last, 0.3);
     on_loop([&] { (void)server.service().create(0, owner, "/fleet/box-0", data(0), true, false); });
-    for (int i = 0; i < 500 && boxes[0].heard().size() == before; ++i) (void)ask(10);
-    EXPECT_GT(boxes[0].heard().size(), before);
+    for (int i = 0; i < 500 && boxes[0].received_messages().size() == before; ++i) (void)ask(10);
+    EXPECT_GT(boxes[0].received_messages().size(), before);
     kill(child, SIGTERM);
     int status = 0;
     waitpid(child, &status, 0);
--- a/tests/upstream_pool_test.cpp
+++ b/tests/upstream_pool_test.cpp
@@ -35,14 +35,14 @@
         Fleet fleet(1, options);
         ScriptedPeer& server = is_write ? fleet.origin : fleet.caches.front();
         StalledServer delayed_server(server);
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         const double asked_at = now_seconds();
         line.send(is_write ? "ms k 1 Ow1 Pc=put,t=acme,d=4000,k=w1\r\nx\r\n" : read_of("7f3a", "r1", 4000));
         std::this_thread::sleep_for(500 * kMillisecond);
         delayed_server.resume();
-        wait_for([&] { return !server.heard().empty(); });
+        wait_for([&] { return !server.received_messages().empty(); });
         const double left = kClientTimeout - (now_seconds() - asked_at);
-        EXPECT_LE(sent_deadline(server.heard().front()), left + kDeadlineSlackSeconds);
+        EXPECT_LE(sent_deadline(server.received_messages().front()), left + kDeadlineSlackSeconds);
     }
 }
 
@@ -50,13 +50,13 @@
 // time of the next request.
 TEST(SentDeadline, ExcludesTheReuseDelayOfAConnection) {
     Fleet fleet(1);
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     for (int n = 0; n < 20; ++n) {
         const std::string id = "w" + std::to_string(n);
         const double asked_at = now_seconds();
         line.send("ms k 1 O" + id + " Pc=put,t=acme,d=1000,k=" + id + "\r\nx\r\n");
         EXPECT_EQ(line.until("\r\n"), "HD O" + id + " cmade\r\n");
-        EXPECT_LE(sent_deadline(fleet.origin.heard().back()),
+        EXPECT_LE(sent_deadline(fleet.origin.received_messages().back()),
                   1.0 - (now_seconds() - asked_at) + kDeadlineSlackSeconds);
     }
 }
@@ -64,7 +64,7 @@
 // The process is stopped_at for less time than it detects as a pause, while a command waits in its socket.
 TEST(SentDeadline, ExcludesAShortStopOfTheProcess) {
     Fleet fleet(1);
-    Line line(own_loopback(), fleet.port());
+    TestSocket line(own_loopback(), fleet.port());
     line.send("mn\r\n");
     ASSERT_EQ(line.until("\r\n"), "MN\r\n");
     for (int n = 0; n < 5; ++n) {
@@ -76,7 +76,7 @@
         std::this_thread::sleep_for(190 * kMillisecond);
         fleet.signal(SIGCONT);
         EXPECT_EQ(line.until("hello\r\n"), "VA 5 O" + id + "\r\nhello\r\n");
-        EXPECT_LE(sent_deadline(fleet.caches.front().heard().back()),
+        EXPECT_LE(sent_deadline(fleet.caches.front().received_messages().back()),
                   2.0 - (now_seconds() - asked_at) + kDeadlineSlackSeconds);
     }
 }
@@ -87,20 +87,20 @@
     NodeOptions options;
     options.descriptors = 64;
     Fleet fleet(1, options);
-    std::list<Line> others;
+    std::list<TestSocket> others;
     for (int n = 0; n < kOtherClients; ++n) {
         others.emplace_back(own_loopback(), fleet.port());
         others.back().send("mg 7f3a v Oha");  // an incomplete command prevents eviction of the connection
     }
     wait_for([&] { return fleet.logged("all client connections are in use"); });
-    Line late_client(own_loopback(), fleet.port());
+    TestSocket late_client(own_loopback(), fleet.port());
     const double asked_at = now_seconds();
     late_client.send(read_of("7f3a", "late", 3000));
     std::this_thread::sleep_for(1000 * kMillisecond);
     others.clear();
     EXPECT_EQ(late_client.until("hello\r\n"), "VA 5 Olate\r\nhello\r\n");
     const double left = 3.0 - (now_seconds() - asked_at);
-    const double deadline = sent_deadline(fleet.caches.front().heard().back());
+    const double deadline = sent_deadline(fleet.caches.front().received_messages().back());
     EXPECT_LE(deadline, left + kDeadlineSlackSeconds);
 }
 
@@ -132,7 +132,7 @@
     fleet.origin.set_receive_buffer(16 * 1024);
     fleet.origin.delay_bodies([] { return 1.0; });
     {
-        Line line(own_loopback(), fleet.port());
+        TestSocket line(own_loopback(), fleet.port());
         line.send("ms k " + std::to_string(value.size()) + " Ow1 Pc=put,d=60000,k=w1\r\n" + value + "\r\n");
         std::this_thread::sleep_for(400 * kMillisecond);  // the origin has received a part of the request
     }
