--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -55,7 +55,7 @@
 // times its mean latency if that is longer. A server whose mean latency is below it responds fast.
 constexpr double kSilenceTimeout = 0.3;
 // Minimum number of consecutive lost connections in one zone that eject the whole zone. A zone's loss rate is
-// used from as many outcomes.
+// used only if it covers at least this many outcomes.
 constexpr int kZoneFailures = 3;
 // A zone is ejected only if the probability that chance causes its run of lost connections is at most this.
 constexpr double kZoneFalsePositiveRate = 0.01;
@@ -160,8 +160,8 @@
 constexpr double kKindSlowMargin = 0.05;
 // Decrease of a slower kind's traffic share at each adjustment.
 constexpr double kKindShareDecrease = 0.02;
-// Increase of a kind's traffic share at each adjustment. It is smaller than the decrease, as with spillover.
-// Half of both steps gained less.
+// Increase of a kind's traffic share at each adjustment. It is smaller than the decrease, so a slower kind
+// loses traffic faster than it regains it. Steps of half this size, up and down, were less effective.
 constexpr double kKindShareIncrease = 0.005;
 // Lower bound of a kind's traffic share. A larger difference between machines is a fault, not a kind.
 constexpr double kMinKindShare = 0.4;
@@ -181,8 +181,9 @@
 constexpr double kOverloadShareIncrease = 0.1;
 // Lower bound of an overloaded server's traffic share.
 constexpr double kMinOverloadShare = 0.05;
-// Mean requests per core above which fewer reads are admitted. More are admitted again below three quarters
-// of it; in between the admission ratio stays.
+// Load, in requests per core, above which fewer reads are admitted. The load is the mean of reported_load()
+// over the servers, weighted by their points: of the local zone, and for the spillover fraction of all zones.
+// More reads are admitted again below three quarters of it; in between the admission ratio stays.
 constexpr double kAdmissionLoadPerCore = 5.0;
 // Factor applied to the admission ratio at each update above kAdmissionLoadPerCore.
 constexpr double kAdmissionDecrease = 0.8;
--- a/src/downstream/client_connections.cpp
+++ b/src/downstream/client_connections.cpp
@@ -151,7 +151,7 @@
     while (!client.is_reading_stopped) {
         if (client.connection->input().empty()) return;
         const PauseReason reason = find_pause_reason(client);
-        if (reason != PauseReason::none) return pause_reading(id, client, reason);
+        if (reason != PauseReason::none) return record_pause_reason(id, client, reason);
         Command command;
         const std::size_t parsed_bytes = parse_command(client.connection->input(), command);
         if (parsed_bytes == 0) {
@@ -222,7 +222,7 @@
 
 // Marks the client as paused only if its next command is complete or only waits for memory. A client that has
 // stopped inside a command counts as silent even if another reason to pause applies.
-void ClientConnections::pause_reading(std::uint64_t id, Client& client, PauseReason reason) {
+void ClientConnections::record_pause_reason(std::uint64_t id, Client& client, PauseReason reason) {
     const std::string_view input = client.connection->input();
     Command command;
     const bool is_command_available =
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -149,7 +149,7 @@
 
     PauseReason find_pause_reason(const Client& client) const;
     bool is_total_command_limit_reached() const;
-    void pause_reading(std::uint64_t id, Client& client, PauseReason reason);
+    void record_pause_reason(std::uint64_t id, Client& client, PauseReason reason);
     void schedule_resume();
     void resume_paused_clients();
     static bool is_between_commands(const Client& client);
--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -33,16 +33,18 @@
 // Failed attempts, as a fraction of the attempts that an average server of the zone gets in the same time,
 // from which a suspected server is found bad at once.
 constexpr double kImmediateFailureRatio = 0.25;
-// Seconds for which a server with fewer failures is watched first: meanwhile all nodes report everything they
-// see there.
+// Seconds for which a server with fewer failures than kImmediateFailureRatio is watched before it is found
+// bad. Meanwhile all nodes report everything that they observe there.
 constexpr double kWatchDuration = 1.0;
 constexpr double kSuspicionLifetime = 3.0;    // s after the last suspicion at which a watch ends
 constexpr double kFailureSuccessRatio = 2.0;  // failures per success from which a server is suspected
 constexpr double kReportInterval = 1.0;       // s between reports or statements of one node on one server
 constexpr double kGossipInterval = 1.0 / 3;   // s between gossip datagrams, if the byte budget allows
 constexpr std::size_t kMaxHeartbeatsPerDatagram = 12;
-constexpr int kMaxStatementsPerSender = 3;           // kept of one sender on one verdict
-constexpr std::size_t kMaxStatementsPerVerdict = 8;  // kept of all senders together
+// Upper bound on the statements of one sender that are kept on one verdict.
+constexpr int kMaxStatementsPerSender = 3;
+// Upper bound on the statements of all senders together that are kept on one verdict.
+constexpr std::size_t kMaxStatementsPerVerdict = 8;
 // Times that a node relays an unchanged verdict with priority: about log2(700) plus a few lost datagrams.
 constexpr int kRelayedSendLimit = 6;
 constexpr int kOwnSendLimit = 12;           // times that an owner sends its own verdict without waiting
@@ -55,25 +57,33 @@
 // node's own connectivity or an overload of all servers.
 constexpr std::size_t kMinServersForSelfCheck = 4;
 constexpr double kSelfCheckBadRatio = 0.5;
-constexpr double kProbesPerSecond = 0.7;   // of one zone's nodes together, to a server that is found bad
-constexpr std::size_t kNewestReports = 3;  // that decide whether a server found bad is still bad
-constexpr double kMinProbeInterval = 0.5;  // s
+// Probes per second that all nodes of one zone together send to a server found bad.
+constexpr double kProbesPerSecond = 0.7;
+// Number of the newest reports of a zone that decide whether a server found bad is still bad.
+constexpr std::size_t kNewestReports = 3;
+// Lower bound, in seconds, of the interval between one node's probes of a server found bad.
+constexpr double kMinProbeInterval = 0.5;
 // Lower bound on the byte budget: a node with hardly any traffic must still be known to be alive.
 constexpr double kMinBytesPerSecond = 64;
 constexpr double kBudgetBurstSeconds = 2.0;  // s of unused byte budget that a node can accumulate
 // Fraction of gossip that goes to any node, present or not; otherwise a partition would persist after the
-// network has healed. It is larger where few nodes are known, as those would only talk to each other.
+// network has healed. It is larger where few nodes are known, as those would only exchange datagrams with
+// each other.
 constexpr double kAnyNodeGossipRatio = 0.1;
-constexpr std::size_t kMaxServers = 1024;  // that are tracked
+// Upper bound on the servers that this node keeps observations and records of, and on those whose verdicts it
+// tracks, with up to kOwnerCandidates verdicts each.
+constexpr std::size_t kMaxServers = 1024;
 // Attempts of one node, good and bad each, that count in a zone's sum: no single node may dominate it.
 constexpr int kMaxCountedAttempts = 8;
 constexpr double kMaxIncarnationSeconds = 0x7fffffff * kTickSeconds;  // s, about 97 days
 constexpr double kDelayedThreshold = 1.0;  // s from which a datagram counts as delayed
 constexpr std::size_t kMaxLeaseEntriesPerDatagram = 12;
-// Present nodes of the own zone from which only those vote on zones; below, all nodes vote.
+// If at least this many nodes of the own zone are present, only they vote on zones; otherwise all present
+// nodes do.
 constexpr std::size_t kMinZoneVoters = 3;
-constexpr int kUrgentZoneReportsPerTick = 2;  // datagrams per tick while reports are urgent
-// The same while more than kManyUrgentZoneReports are pending.
+// Datagrams with zone reports per tick while urgent reports are pending.
+constexpr int kUrgentZoneReportsPerTick = 2;
+// Datagrams with zone reports per tick while more than kManyUrgentZoneReports are pending.
 constexpr int kMaxUrgentZoneReportsPerTick = 6;
 constexpr int kManyUrgentZoneReports = 16;
 constexpr double kZoneReportInterval = 0.5;  // s between zone reports that are not urgent
--- a/src/gossip/zone_failover.h
+++ b/src/gossip/zone_failover.h
@@ -30,7 +30,7 @@
         double slow_start_duration = 0;         // s that a cold cache needs; restoring a zone takes as long
         std::vector<int> failure_domains = {};  // by zone; empty: every zone is one of its own
     };
-    // A change that the balancer is told of.
+    // A change of which the balancer is notified.
     struct Change {
         int zone = 0;
         double weight = 1;          // fraction of the zone's keys that may go there; 0: drained
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -29,8 +29,8 @@
     /// Writes one line unless the topic's limit is reached. `event` is one word, listed in docs/oncall.md,
     /// that identifies the kind of line. `text` is truncated and its control characters are replaced.
     void line(Topic topic, std::string_view event, std::string_view text);
-    /// Returns whether a line of the topic would be written now, so that the caller need not format the text
-    /// of a line that would not be. If false, the line is counted as suppressed.
+    /// Returns whether a line of the topic would be written now, so that the caller can skip formatting a
+    /// suppressed line. If false, the line is counted as suppressed.
     bool admits(Topic topic);
 
   private:
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -21,8 +21,8 @@
 constexpr double kClientsShare = 0.6;
 
 // Seconds without an iteration from which the process counts as paused; some timer is due four times as
-// often. Commands that arrive in a shorter pause count as received after it, which is within the 0.15 s that
-// a server may be told more than the client has left.
+// often. Commands that arrive in a shorter pause count as received after it, which is within the 0.15 s by
+// which the timeout sent to a server may exceed the time that the client has left.
 constexpr double kPauseThreshold = 0.1;
 // Upper bound in seconds of the time after a pause in which the backlog is read; it is also at most as long
 // as the pause.
@@ -399,7 +399,7 @@
         catch_up_until_ = now + std::min(kMaxCatchUp, now - paused_since_);
         char text[96];
         std::snprintf(text, sizeof text,
-                      "stood still for %.2f s: waiting commands count as received before it",
+                      "stood still for %.2f s: commands read afterwards count as received before the pause",
                       now - iteration_started_at_);
         log_.line(Topic::node, "stood_still", text);
         metrics_.on_pause();
@@ -414,7 +414,7 @@
     // could be sent to the other client.
     const bool is_duplicate_id = requests_.is_id_open(command.id);
     if (operation < 0 || is_duplicate_id || is_full) {
-        // The request is rejected here and the balancer is not told of it.
+        // The request is rejected here and is not passed to the balancer.
         const std::string text = operation < 0     ? "CLIENT_ERROR unknown operation\r\n"
                                  : is_duplicate_id ? "CLIENT_ERROR id in use\r\n"
                                                    : format_busy(0);
@@ -849,8 +849,8 @@
                          clients_, violations_, iteration_monitor_);
 }
 
-// The response is queued as an action, so it is sent after the balancer has been told of the change and has
-// acted on it.
+// The response is queued as an action, so it is sent after the balancer has been notified of the change and
+// has acted on it.
 void Node::change_server_state(std::uint64_t caller, const std::string& name, bool drain) {
     event_queue_.emplace_back([this, caller, name, drain](double now) {
         const auto reply = [this, caller](int status, const char* text) {
@@ -973,7 +973,7 @@
     if (shutdown_.has_begun()) return;
     log_.line(Topic::node, "told_to_end",
               has_shared_listener_ ? "told to end: the other processes on the listener accept new clients"
-                                   : "told to end: serves until the front proxy has stopped sending");
+                                   : "told to end: serves requests until the front proxy sends no more");
     // The signal may have arrived at any time since the previous poll.
     shutdown_.begin(poll_clock_.previous_poll(), longest_client_timeout(), has_shared_listener_);
     accepts_clients_ = false;
@@ -1014,7 +1014,8 @@
 
 void Node::fail_open_requests() {
     log_.line(Topic::node, "errored_before_kill",
-              std::to_string(requests_.open_count()) + " open requests failed before the kill");
+              std::to_string(requests_.open_count()) +
+                  " open requests answered as failed before the platform kills this process");
     for (const int request : requests_.open_requests()) {
         event_queue_.emplace_back([this, request](double then) {
             fail(request);
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -141,7 +141,7 @@
     }
     void send_request(Client& c, double due_at) {
         c.due_at = due_at;
-        c.id = id_text(kRunId, next_id_++);
+        c.id = format_request_id(kRunId, next_id_++);
         const std::uint64_t key = key_of_rank(random_() % static_cast<std::uint64_t>(plan_.keys));
         c.conn->write("mg " + key_text(key) + " v O" + c.id + " Pc=read,t=shop,d=2000\r\n");
     }
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -192,7 +192,7 @@
     if (op.promised.idempotency == Idempotency::idempotency_key)
         list += ",k=" + key_text(client->user.idempotency_key);
     if (client->user.retry_count > 0 && environment_.scenario.clients.mark_repeats) list += ",r=1";
-    const std::string id = id_text(environment_.day, client->request_id);
+    const std::string id = format_request_id(environment_.day, client->request_id);
     const std::string key = key_text(plan.key);
     if (op.write) {
         const std::string value = value_text(0, plan.key, 0, static_cast<std::size_t>(op.value_bytes));
@@ -370,7 +370,7 @@
         asked.is_counted = false;
         environment.auditor.on_request(now, request_id, asked);
         environment.auditor.on_client_closed(now, request_id);
-        conn->write("mg " + key_text(asked.key) + " v O" + id_text(environment.day, request_id) +
+        conn->write("mg " + key_text(asked.key) + " v O" + format_request_id(environment.day, request_id) +
                     " Pc=" + op.name + ",d=" + std::to_string(std::llround(asked.timeout * 1e3)) + "\r\n");
         environment.at(now + kUnreadRequestInterval, [self = shared_from_this()] { self->step(); });
     }
--- a/src/testkit/mannered_clients.cpp
+++ b/src/testkit/mannered_clients.cpp
@@ -144,7 +144,7 @@
     std::string properties = "Pc=" + op.name + ",d=" + std::to_string(std::llround(info.timeout * 1e3));
     if (op.promised.idempotency == Idempotency::idempotency_key)
         properties += ",k=" + key_text(key_of_rank(static_cast<std::uint64_t>(request) | 1ULL << 50) | 1);
-    const std::string head = " O" + id_text(environment().day, request) + " " + properties + "\r\n";
+    const std::string head = " O" + format_request_id(environment().day, request) + " " + properties + "\r\n";
     if (!write) return "mg " + key_text(info.key) + " v" + head;
     const std::string value = value_text(0, info.key, 0, bytes);
     return "ms " + key_text(info.key) + " " + std::to_string(value.size()) + head + value + "\r\n";
--- a/src/testkit/run_faults.cpp
+++ b/src/testkit/run_faults.cpp
@@ -15,7 +15,7 @@
 constexpr double kDefaultServerDowntime = 2.0;  // seconds until a crashed server starts again
 constexpr double kBrokenFileDuration = 1.0;     // seconds for which a broken configuration file is in place
 constexpr double kReloadInterval = 0.06;        // seconds between reloads in quick succession
-constexpr double kDefaultStarvedRatio = 0.8;    // ratio of the time for which a starved node is stopped
+constexpr double kDefaultStarvedRatio = 0.8;    // fraction of each starvation period that a node is stopped
 
 std::vector<int> affected_nodes(const Trouble& t) {
     return t.nodes.empty() ? std::vector<int>{t.node} : t.nodes;
--- a/src/testkit/run_nodes.cpp
+++ b/src/testkit/run_nodes.cpp
@@ -196,7 +196,7 @@
     }
     n.is_restarting = true;
     n.daemon->is_expected_to_end = true;
-    // The auditor is told before the kill, so that it attributes the failures that follow to the kill.
+    // The auditor is notified before the kill, so that it attributes the failures that follow to the kill.
     auditor_.on_node_killed(environment_.now(), node);
     n.daemon->kill();
     n.count_ended_process();
--- a/src/testkit/wire.cpp
+++ b/src/testkit/wire.cpp
@@ -165,15 +165,15 @@
     return next_word(line) == "VA" && parse_number(next_word(line), length) && length > kLongValue;
 }
 
-std::string id_text(std::uint32_t day, int request_number) {
+std::string format_request_id(std::uint32_t run_tag, int request_number) {
     char buffer[24];
-    std::snprintf(buffer, sizeof buffer, "%08x%08x", day, static_cast<unsigned>(request_number));
+    std::snprintf(buffer, sizeof buffer, "%08x%08x", run_tag, static_cast<unsigned>(request_number));
     return buffer;
 }
 
-bool read_id(std::string_view text, std::uint32_t day, int& request_number) {
+bool read_id(std::string_view text, std::uint32_t run_tag, int& request_number) {
     std::uint64_t whole = 0;
-    if (text.size() != 16 || !parse_number(text, whole, 16) || whole >> 32 != day) return false;
+    if (text.size() != 16 || !parse_number(text, whole, 16) || whole >> 32 != run_tag) return false;
     request_number = static_cast<int>(whole & 0xffffffffU);
     return true;
 }
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -46,8 +46,10 @@
 // the response is recorded.
 bool has_begun_long_value(std::string_view in);
 
-std::string id_text(std::uint32_t day, int request_number);                   // unique over concurrent runs
-bool read_id(std::string_view text, std::uint32_t day, int& request_number);  // false: not an id of this run
+// Formats a request id. `run_tag` keeps the ids of concurrent runs apart.
+std::string format_request_id(std::uint32_t run_tag, int request_number);
+// Returns false if `text` is not the id of a request of the run with this tag.
+bool read_id(std::string_view text, std::uint32_t run_tag, int& request_number);
 std::string key_text(std::uint64_t key);
 // Returns a value that names the attempt, key and version that produced it, padded to at least `bytes` bytes.
 std::string value_text(int attempt, std::uint64_t key, std::uint32_t version, std::size_t bytes);
--- a/tests/days.h
+++ b/tests/days.h
@@ -1,4 +1,4 @@
-// Scenarios with several daemons for the tests between processes: light traffic, faults, and a run on
+// Scenarios with several daemons for the tests with several processes: light traffic, faults, and a run on
 // loopback in real time, after which the auditor must have found no violation. No check here depends on the
 // speed of the machine.
 #pragma once
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -293,7 +293,7 @@
     expect_golden("datagrams.txt", bytes);
 }
 
-TEST(Golden, GossipDatagramsAreReadAsTheSameFields) {
+TEST(Golden, GossipDatagramFieldsMatchTheGoldenFile) {
     std::istringstream lines(golden("datagrams.txt"));
     std::string fields;
     std::size_t count = 0;
@@ -456,7 +456,7 @@
 
 // ---- configuration files --------------------------------------------------------------------------------
 
-TEST(Golden, OperatorConfigIsReadAsTheSameFields) {
+TEST(Golden, OperatorConfigFieldsMatchTheGoldenFile) {
     const OperatorConfig o = read_operator_config(golden_path("operator.toml"));
     Fields f;
     f.put("json_log", o.json_log).put("log_lines_a_second", o.log_lines_per_second);
@@ -584,7 +584,7 @@
     return f.text;
 }
 
-TEST(Golden, ScenarioIsReadAsTheSameFields) {
+TEST(Golden, ScenarioFieldsMatchTheGoldenFile) {
     const Scenario s = read_scenario(golden_path("scenario.toml"));
     for (int k = 0; k < static_cast<int>(TroubleKind::count); ++k) {
         EXPECT_TRUE(s.has(static_cast<TroubleKind>(k)))
@@ -593,7 +593,7 @@
     expect_golden("scenario-fields.txt", Fields{}.put("trouble_words", trouble_names()).text + fields_of(s));
 }
 
-TEST(Golden, ScenarioWithOverridesIsReadAsTheSameFields) {
+TEST(Golden, ScenarioWithOverridesFieldsMatchTheGoldenFile) {
     const std::vector<std::string> overrides{"day.length=2m", "clients.rate=12.5", "server.1.speed=0.5",
                                              "name=other words", "trouble.0.at=\"7s\""};
     expect_golden("scenario-overrides-fields.txt",
@@ -613,7 +613,7 @@
     }
 }
 
-TEST(Golden, NodeConfigIsReadAsTheSameFields) {
+TEST(Golden, NodeConfigFieldsMatchTheGoldenFile) {
     const NodeConfig s = read_node_config(golden_path("station.json"));
     Fields f;
     f.put("name", s.name)
@@ -667,7 +667,7 @@
     expect_golden("station-fields.txt", f.text);
 }
 
-TEST(Golden, ServerListIsReadAsTheSameFieldsAndErrors) {
+TEST(Golden, ServerListFieldsAndErrorsMatchTheGoldenFile) {
     rapidjson::Document root;
     root.Parse(golden("server-list.json").c_str());
     ASSERT_FALSE(root.HasParseError());
--- a/tests/kit_test.cpp
+++ b/tests/kit_test.cpp
@@ -33,9 +33,9 @@
 
 TEST(WorkQueue, ServesInOrderOnItsSlots) {
     WorkQueue queue(2, 2, [](double) { return 2.0; });
-    EXPECT_TRUE(queue.enqueue(0, 1, 4));  // until 2
-    EXPECT_TRUE(queue.enqueue(0, 2, 2));  // until 1
-    EXPECT_TRUE(queue.enqueue(0, 3, 2));  // from 1 until 2
+    EXPECT_TRUE(queue.enqueue(0, 1, 4));  // runs until 2 s
+    EXPECT_TRUE(queue.enqueue(0, 2, 2));  // runs until 1 s
+    EXPECT_TRUE(queue.enqueue(0, 3, 2));  // runs from 1 s until 2 s
     EXPECT_TRUE(queue.enqueue(0, 4, 2));
     EXPECT_FALSE(queue.enqueue(0, 5, 2));  // the queue is full
     queue.drop_queued(3);
@@ -123,9 +123,9 @@
     EXPECT_EQ(v.attempt, 12);
     EXPECT_EQ(v.key, 0xabcU);
     int request_number = 0;
-    EXPECT_TRUE(read_id(id_text(7, 41), 7, request_number));
+    EXPECT_TRUE(read_id(format_request_id(7, 41), 7, request_number));
     EXPECT_EQ(request_number, 41);
-    EXPECT_FALSE(read_id(id_text(8, 41), 7, request_number));
+    EXPECT_FALSE(read_id(format_request_id(8, 41), 7, request_number));
 }
 
 // ---- experiments ----------------------------------------------------------------------------------------
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -130,8 +130,7 @@
 }
 
 // A server that sends malformed responses is neither unresponsive nor overloaded. When such responses counted
-// as connection resets, a healthy origin was ejected, and on the test bench a third of the writes was
-// rejected.
+// as connection resets, a healthy origin was ejected, and in a test run a third of the writes was rejected.
 TEST(Proxy, MalformedRepliesDoNotEjectACache) {
     Fleet fleet(2);
     EXPECT_EQ(fleet.ask(read_of("7f3a", "s0")), "VA 5 Os0\r\n");
@@ -227,7 +226,7 @@
 
 // The number of an evicted server is reused for another one. Results of attempts at the old server must not
 // be attributed to the new one.
-TEST(Proxy, RemovedServersAreEvicted) {
+TEST(Proxy, AReusedServerNumberGetsNoResultsOfTheEvictedServer) {
     UpdateFeed updates;
     Fleet fleet(2, {256, 250, updates.script()});
     ScriptedPeer& old_server = fleet.caches.front();
@@ -549,7 +548,7 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// Seen on the test bench: a client was served with the value of another client's
+// Guards against a failure seen in a test run: a client was served with the value of another client's
 // request that had the same id.
 TEST(Proxy, AnIdStillInUseIsRejected) {
     Fleet fleet(1);
@@ -593,7 +592,7 @@
     EXPECT_EQ(idle.until("\r\n"), "VA 5 Ok1\r\n");
 }
 
-// Seen on the test bench with 80 descriptors: a client that had just connected
+// Guards against a failure seen in a test run with 80 descriptors: a client that had just connected
 // counted as idle and was closed with its command unread.
 TEST(Proxy, AtTheConnectionLimitAnsweredClientsAreClosed) {
     Fleet fleet(1, {64, 250, silent});  // room for 28 clients
@@ -607,7 +606,7 @@
     EXPECT_TRUE(fleet.alive());
 }
 
-// Seen on the test bench: clients that sent one request and stayed connected
+// Guards against a failure seen in a test run: clients that sent one request and stayed connected
 // occupied all client connections.
 TEST(Proxy, OnlySomeIdleClientsAreKept) {
     Fleet fleet(1);  // room for 144 clients
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -56,14 +56,14 @@
                        [](const FleetView& v) { return !v.found.empty(); });
 }
 
-// Seconds until all nodes have the verdict, and until all have dropped it: docs/fleet.md has the
-// distribution.
+// Upper bounds, in seconds, of the time until all nodes have the verdict, and until all have dropped it:
+// docs/fleet.md has the distribution.
 constexpr double kMaxSecondsToFind = 8;
 constexpr double kMaxSecondsToRecover = 10;
 
-// Nodes without gossip, and servers with cold caches: the share of no single node amounts to a whole attempt,
-// and all nodes ask for the same popular keys. The stand-in servers collapse at exactly the overload that the
-// settings allow.
+// Nodes without gossip, and servers with cold caches: each node's share of the slow-start budget is less
+// than one attempt, and all nodes request the same popular keys. The stand-in servers collapse at exactly the
+// overload that the settings allow.
 struct ColdCachesCase {
     const char* name;
     int nodes;
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -130,7 +130,7 @@
 
 TEST(Ring, AMachineKindTakesFewerKeysOnlyWhileItIsSlow) {
     struct Case {
-        double latency;
+        double latency;          // s, of responses of the slow kind
         int min_keys, max_keys;  // bounds on how many of the kind's 400 keys stay there
     };
     for (const Case& c : {Case{0.05, 400, 400}, Case{0.25, 100, 200}}) {
