--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -112,7 +112,7 @@
     const double left = request.received_at + request.info.timeout - record.first_byte;
     if (seconds <= left + kServerDeadlineSlack + history_.terms.slack) return;
     report(1, record.request, record.first_byte, request.received_at,
-           attempt_text(attempt) + " told its server of a timeout of " + duration_text(seconds) +
+           attempt_text(attempt) + " sent its server a timeout of " + duration_text(seconds) +
                ", but its client had " + duration_text(left) + " left");
 }
 
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -17,7 +17,7 @@
 constexpr double kMaxRate = 200000;   // requests per second
 constexpr double kMaxArrivals = 5e6;  // per run; all are kept in memory until the evaluation
 
-enum class TroubleTarget { nobody, servers, tenants, node, nodes, links };
+enum class TroubleTarget { none, servers, tenants, node, nodes, links };
 struct TroubleSpec {
     const char* word;
     TroubleTarget target;
@@ -27,14 +27,14 @@
                                      {"crash", TroubleTarget::servers, false},
                                      {"slow", TroubleTarget::servers, true},
                                      {"cold-return", TroubleTarget::servers, false},
-                                     {"void", TroubleTarget::nobody, false},
-                                     {"hot-key", TroubleTarget::nobody, true},
-                                     {"origin-slow", TroubleTarget::nobody, true},
-                                     {"origin-stop", TroubleTarget::nobody, true},
-                                     {"scan", TroubleTarget::nobody, true},
-                                     {"discovery-down", TroubleTarget::nobody, true},
-                                     {"discovery-stale", TroubleTarget::nobody, true},
-                                     {"discovery-restart", TroubleTarget::nobody, false},
+                                     {"void", TroubleTarget::none, false},
+                                     {"hot-key", TroubleTarget::none, true},
+                                     {"origin-slow", TroubleTarget::none, true},
+                                     {"origin-stop", TroubleTarget::none, true},
+                                     {"scan", TroubleTarget::none, true},
+                                     {"discovery-down", TroubleTarget::none, true},
+                                     {"discovery-stale", TroubleTarget::none, true},
+                                     {"discovery-restart", TroubleTarget::none, false},
                                      {"drain", TroubleTarget::servers, false},
                                      {"remove", TroubleTarget::servers, false},
                                      {"node-kill", TroubleTarget::nodes, false},
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -102,7 +102,7 @@
     node_kill,          // nodes are killed and started again
     node_restart,       // nodes are terminated and started again
     reload,             // a node reloads its configuration
-    reload_bad,         // a node is told to reload a truncated configuration
+    reload_bad,         // a node is signalled to reload a truncated configuration
     spoilt,             // `part` of the values that servers return are malformed
     tricklers,          // `count` clients that write slowly
     non_readers,        // `count` clients that do not read
--- a/tests/follower_test.cpp
+++ b/tests/follower_test.cpp
@@ -145,7 +145,8 @@
     pair.deliver();
     EXPECT_EQ(pair.session.session_id(), session_id);
     EXPECT_EQ(pair.take_changes_text(), "+b -a");
-    // The session expires: the first connection is told so, and the next one opens a new session.
+    // The session expires: the service reports it on the first connection, and the next one opens a new
+    // session.
     pair.service.expire(session_id);
     pair.session.on_disconnected(pair.now);
     pair.connect();
--- a/tests/races_test.cpp
+++ b/tests/races_test.cpp
@@ -83,8 +83,8 @@
     EXPECT_LT(now_seconds() - asked_at, 0.65);
 }
 
-// The head states that the write was not executed. The client must be told to retry, not that the write may
-// have been executed, although the response has no end.
+// The head states that the write was not executed. The response to the client must ask for a retry, not state
+// that the write may have been executed, although the response has no end.
 TEST(OriginWithoutLength, RejectionTakesEffectWithItsHead) {
     NodeOptions options;
     options.write_idempotency = R"("at_most_once")";
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -338,7 +338,7 @@
           Case{true, AttemptOutcome::reset, 0, true}, Case{true, AttemptOutcome::refused, 1, false},
           Case{false, AttemptOutcome::timed_out, 1, false}, Case{false, AttemptOutcome::reset, 0, false}}) {
         for (const bool write : {true, false}) {  // at the origin, and at the owner of a key
-            SCOPED_TRACE(testing::Message() << (c.answers ? "answers others, " : "answers nobody, ")
+            SCOPED_TRACE(testing::Message() << (c.answers ? "answers others, " : "answers none, ")
                                             << "outcome " << static_cast<int>(c.outcome) << ", out " << c.out
                                             << (write ? ", origin" : ", cache"));
             Fleet fleet(3);
@@ -670,7 +670,7 @@
 // that other nodes leave to this node shows that it does not.
 TEST(TenantQuota, OfOneNodeIsWhatOtherNodesLeaveToIt) {
     for (const bool has_quota_share : {false, true}) {
-        SCOPED_TRACE(has_quota_share ? "told" : "not told");
+        SCOPED_TRACE(has_quota_share ? "with a quota share" : "without a quota share");
         Fleet fleet(4);
         fleet.deployment.node_count = 12;
         fleet.deployment.tenants = {{60}, {60}, {60}};
