--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -300,8 +300,8 @@
         violation.trace = trace_request(history_, violation.request);
         destination.push_back(std::move(violation));
     }
-    // Unrecorded violations were not checked against the delays; they count only if one of their rule was
-    // kept.
+    // Violations beyond kMaxPendingViolations were not checked against the delays; they count only if another
+    // violation of the same rule was not set aside.
     for (std::size_t rule = 0; rule < verdict.violations_by_rule.size(); ++rule) {
         if (verdict.violations_by_rule[rule] > 0)
             verdict.violations_by_rule[rule] += unrecorded_violations_[rule];
--- a/src/audit/auditor.h
+++ b/src/audit/auditor.h
@@ -2,13 +2,14 @@
 // discovery observed, in order of time, and reports which rules were broken, by which request and how. It
 // has no I/O and no clock, so it can check runs on sockets and in simulated time. It uses nothing that a
 // daemon states about itself. The watcher is the process that observes the run. If it is delayed, its
-// observations are dated late, so it reports its own delays with on_watcher_delay(): violations near a delay
-// are set aside, and make the run void instead of broken. Times are seconds of any one clock; violations are
-// dated from start_run().
+// observations are dated late, so it reports its own delays, and those of daemons that wait for a core, with
+// on_watcher_delay(): violations near a delay are set aside, and make the run void instead of broken. Times
+// are seconds of any one clock; violations are dated from start_run().
 //
 // The rules:
 //   1  Each request that a running node has accepted gets one final response in time, and nothing is sent
-//      for it after that. A response must come from a server that handled this request.
+//      for it after that. A response that reports success must be made by a
+//      server for this request.
 //   2  No effect happens twice. A non-idempotent request is retried, or rejected, only if every earlier
 //      attempt is known not to have run; a deduplicated one that may have run is retried only at servers
 //      that drop its duplicates, and only within the deduplication window.
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -13,7 +13,8 @@
 constexpr double kMinNotifiedWork = 2.0 / 3.0;
 // Rule 4: the least ratio of the origin's overload that comes from misses at cold servers.
 constexpr double kMinColdMissWork = 1.0 / 3.0;
-constexpr double kClientGoneGrace = 0.1;       // rule 1: s that an attempt may start after its client closed
+// Rule 1: s after its client closed until which the last byte of an attempt may arrive.
+constexpr double kClientGoneGrace = 0.1;
 constexpr double kServerDeadlineSlack = 0.15;  // rule 1: s by which the sent timeout may exceed the time left
 constexpr double kLimitBurst = 1.25;           // rule 5: the limit, with the saved tokens of a quarter second
 constexpr double kLimitWindow = 1.0;           // rule 5: seconds
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -126,17 +126,19 @@
 constexpr double kSheddingStep = 0.1;
 // Rate of slow responses above which the shedding ratio rises.
 constexpr double kSheddingThreshold = 0.15;
-// Rate of slow responses above which all servers count as full: no full server is skipped, and no failed
-// attempt is retried at another cache server.
+// Rate of slow responses above which all servers count as full: no full server is skipped, and a failed
+// attempt is retried at another cache server only if it was refused in an ejected zone.
 constexpr double kOverloadSlowRate = 0.55;
 // Fraction of the latency objective above which a response counts as slow.
 constexpr double kSlowResponseRatio = 0.35;
 // Minimum bucket size of a tenant's quota at one node, in requests. A smaller bucket is emptied by chance.
 constexpr double kQuotaBurst = 10;
-// Minimum number of responses in one second from which their rate of slow ones is used; with fewer, the rate
-// over kLongWindow is used. For a machine kind, half as many over kLongWindow are sufficient.
+// Minimum number of responses in one second that distinguish slowness from chance. With fewer, shedding uses
+// the rate of slow ones over kLongWindow, and the rate of late ones counts as not exceeded. For a machine
+// kind, half as many over kLongWindow are sufficient.
 constexpr int kMinSamples = 16;
-// Length, in seconds, of the window for rates of rare events.
+// Length, in seconds, of the window for rates that would have too few samples in one second: slow responses
+// (of all servers and of a machine kind) and lost connections of a zone.
 constexpr double kLongWindow = 8.0;
 // Length, in seconds, of the window for request rates and mean latencies.
 constexpr double kRateWindow = 4.0;
@@ -240,7 +242,8 @@
 // response reinstates it.
 struct OutlierEjection {
     bool ejected = false;
-    double silent_since = 0;  // time of the ejection or of the last response, whichever is later
+    // Time of this node's ejection; for a server, or of its last success or miss, if later.
+    double silent_since = 0;
     double next_probe = 0;
     double probe_interval = kProbeInterval;
     // Seconds between this node's probes under a verdict of the fleet; 0: no such verdict.
@@ -660,8 +663,8 @@
         add_ring_in_flight(server, -server.in_flight);
         server.ring = -1;
     }
-    // Moves the points of servers to the rings of their zones. Only servers that joined, left or changed
-    // weight are touched, because requests wait during the update.
+    // Moves the points of servers to the rings of their zones. Only servers that joined, left, changed zone
+    // or have a different number of points are touched, because requests wait during the update.
     void update_rings(const std::vector<int>& changed) {
         std::vector<HashRing::Points> added(rings_.size() - 1);
         bool origin_changed = false;
@@ -1127,7 +1130,7 @@
                     reinstate(server, now);
                     server.latencies.clear();
                 }
-                server.ejection.silent_since = now;  // silence is counted from its last response
+                server.ejection.silent_since = now;  // silence is counted from its last success or miss
                 break;
             case Outcome::busy:
                 server.consecutive_failures = 0;
@@ -1185,9 +1188,9 @@
         start_attempt(request, server_id, request.useful_until - now, now);
     }
     // Retries after a failed attempt if rule 2, the remaining time and the retry budget allow it. Under
-    // overload no other cache server is tried, since all are full and each try costs a handshake. The origin
-    // is not tried again after this node itself declined to send because its share of the fleet's limit is
-    // used up.
+    // overload no other cache server is tried, except after a refusal in an ejected zone, since all are full
+    // and each try costs a handshake. The origin is not tried again after this node itself declined to send
+    // because its share of the fleet's limit is used up.
     void retry(PendingRequest& request, double now, const Server& failed_server, Outcome outcome) {
         // An attempt refused in an ejected zone caused no work, so its retry needs no token while another
         // zone is healthy.
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -67,8 +67,9 @@
     double max_retry_after = 0;          // s, upper bound of retry_after in a rejection; 0: clients ignore it
     double connect_timeout = 0;          // s
     double connection_idle_timeout = 0;  // s until an unused server connection closes by itself; 0: never
-    double response_grace = 0;       // s after a client's timeout in which a response still counts as in time
-    double drain_grace = 0;          // s after a drain notification in which new requests may still be sent
+    double response_grace = 0;  // s after a client's timeout in which a response still counts as in time
+    // s after a notification that a server drains or is removed in which new requests may still be sent there
+    double drain_grace = 0;
     double cold_capacity_ratio = 1;  // fraction of its capacity that a newly started server has at least
     double slow_start_duration = 0;  // s until a started server has its full capacity
     // A cold server fails when it receives more than this multiple of its current capacity over one
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -6,7 +6,8 @@
 
 const Value* find(const Value& object, const char* name) {
     if (!object.IsObject())
-        throw ConfigurationError(std::string("expected an object with field '") + name + "'");
+        throw ConfigurationError(std::string("the value that should contain field '") + name +
+                                 "' is not an object");
     const auto member = object.FindMember(name);
     return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -85,39 +85,40 @@
 
 // The kinds of trouble, in the order of trouble_names().
 enum class TroubleKind {
-    silent,             // servers send nothing and accept no connections
-    crash,              // servers stop and restart cold; discovery removes them meanwhile
-    slow,               // servers are slower by `factor`
-    cold_return,        // servers restart cold at once
-    void_copies,        // each cache server loses `part` of its keys
-    hot_key,            // `part` of the requests are for one key
-    origin_slow,        // the origin is slower by `factor`
-    origin_stop,        // the origin stops
-    scan,               // additional requests, `part` of the rate, each for a new key
-    discovery_down,     // discovery does not respond
-    discovery_stale,    // discovery holds its updates back
-    discovery_restart,  // versions start again; the soak also leaves out the servers in `who`
-    drain,              // discovery announces servers as draining
-    remove,             // servers are announced as draining, then removed, and stop
-    node_kill,          // nodes are killed and started again
-    node_restart,       // nodes are terminated and started again
-    reload,             // a node reloads its configuration
-    reload_bad,         // a node is signalled to reload a truncated configuration
-    spoilt,             // `part` of the values that servers return are malformed
-    tricklers,          // `count` clients that write slowly
-    non_readers,        // `count` clients that do not read
-    over_share,         // tenants send `factor` times their share
-    cut,                // links transfer nothing
-    lossy,              // links lose `part` of the datagrams
-    late,               // links delay `part` of the datagrams by `delay`
-    doubled,            // links duplicate `part` of the datagrams
-    reordered,          // links delay `part` of the datagrams by up to `delay`
-    garbled,            // links corrupt `part` of the datagrams
-    freeze,             // nodes are stopped by SIGSTOP
-    starved,            // nodes are stopped for `part` of each second
-    list_late,          // discovery holds its updates for nodes back
-    limits,             // the fleet's limit for the origin changes to `origin`
-    count               // the number of kinds
+    silent,           // servers send nothing and accept no connections
+    crash,            // servers stop and restart cold; discovery removes them meanwhile
+    slow,             // servers are slower by `factor`
+    cold_return,      // servers restart cold at once
+    void_copies,      // each cache server loses `part` of its keys
+    hot_key,          // `part` of the requests are for one key
+    origin_slow,      // the origin is slower by `factor`
+    origin_stop,      // the origin stops
+    scan,             // additional requests, `part` of the rate, each for a new key
+    discovery_down,   // discovery does not respond
+    discovery_stale,  // discovery holds its updates back
+    // versions start again; servers in `who` (set only by tests) are left out, for `lasts` if given
+    discovery_restart,
+    drain,         // discovery announces servers as draining
+    remove,        // servers are announced as draining, then removed, and stop
+    node_kill,     // nodes are killed and started again
+    node_restart,  // nodes are terminated and started again
+    reload,        // a node reloads its configuration
+    reload_bad,    // a node is signalled to reload a truncated configuration
+    spoilt,        // `part` of the values that servers return are malformed
+    tricklers,     // `count` clients that write slowly
+    non_readers,   // `count` clients that do not read
+    over_share,    // tenants send `factor` times their share
+    cut,           // links transfer nothing
+    lossy,         // links lose `part` of the datagrams
+    late,          // links delay `part` of the datagrams by `delay`
+    doubled,       // links duplicate `part` of the datagrams
+    reordered,     // links delay `part` of the datagrams by up to `delay`
+    garbled,       // links corrupt `part` of the datagrams
+    freeze,        // nodes are stopped by SIGSTOP
+    starved,       // nodes are stopped for `part` of each second; 1, the default of `part`, means 0.8
+    list_late,     // discovery holds its updates for nodes back
+    limits,        // the fleet's limit for the origin changes to `origin`
+    count          // the number of kinds
 };
 // The names of the kinds in scenario files.
 const std::vector<std::string>& trouble_names();
--- a/src/coordination/coordination_session.h
+++ b/src/coordination/coordination_session.h
@@ -61,9 +61,10 @@
     enum class State { down, connecting, established };
     enum class RequestType { children, data };
     struct Child {
-        bool read_pending = false;                 // a read of its data is in flight
-        bool reread_needed = false;                // the result of that read will be outdated
-        std::optional<Registration> registration;  // as last read; none before, or if its data is invalid
+        bool read_pending = false;   // a read of its data is in flight
+        bool reread_needed = false;  // the result of that read will be outdated
+        // As last read; none before the first read, after a removal event, or if the data is invalid.
+        std::optional<Registration> registration;
     };
     struct PendingRequest {
         RequestType type = RequestType::children;
@@ -83,8 +84,8 @@
     void publish_view(double now, std::int64_t order);
     void disconnect(double now, const char* reason);
 
-    static constexpr std::size_t kPasswordSize =
-        16;  // bytes of the empty password that requests a new session
+    // Bytes of the all-zero password that requests a new session.
+    static constexpr std::size_t kPasswordSize = 16;
 
     const std::string path_;
     const double requested_timeout_;
--- a/src/coordination/jute.h
+++ b/src/coordination/jute.h
@@ -2,7 +2,7 @@
 // and lists with a count, in frames with a length prefix. No I/O.
 //
 // A reader never reads past its bytes and never allocates for a count that exceeds them; after the first
-// error it returns zeros and empty values, and sound() stays false.
+// error it returns zeros and empty values, and is_valid() stays false.
 #pragma once
 
 #include <cstdint>
--- a/src/discovery/coordination_client.h
+++ b/src/discovery/coordination_client.h
@@ -28,7 +28,7 @@
     using OnChanges = std::function<void(std::vector<RegistrationChange>&&)>;
 
     // `session_timeout` is the timeout in seconds that the session requests from the service; `seed`
-    // determines the order of addresses and the jitter; `read` decodes the data of one registration.
+    // determines the order of addresses and the jitter; `decode` decodes the data of one registration.
     // `addresses` must not be empty.
     CoordinationClient(TimerQueue& timers, Log& log, std::vector<std::string> addresses, std::string path,
                        double session_timeout, std::uint64_t seed, CoordinationSession::Decode decode,
--- a/src/discovery/endpoint_watch.h
+++ b/src/discovery/endpoint_watch.h
@@ -60,7 +60,9 @@
     bool request_pending_ = false;
     bool last_request_timed_out_ = false;  // a request has timed out since the last valid response
     bool is_watching_ = false;
-    bool is_confirmed_;  // discovery has responded, so the list held is no longer only that of the file
+    // Discovery has sent a valid list or confirmed the one of the file; true from the start if the balancer
+    // decides when to poll.
+    bool is_confirmed_;
     // When the first and the last byte of the current response arrived, monotonic; 0 if none has.
     double first_byte_at_ = 0;
     double last_byte_at_ = 0;
--- a/src/downstream/client_connections.h
+++ b/src/downstream/client_connections.h
@@ -127,8 +127,9 @@
         none,
         unread_responses,      // the client has unread responses; resumed by Event::drained
         client_command_limit,  // the client's pipeline is full or has a stream; resumed by a response
-        total_command_limit,   // the pipelines of all clients are full; resumed by resume_paused_clients()
-        value_memory_limit,    // no memory is left for its long value; resumed by check_clients()
+        // all clients together have too many unanswered commands; resumed by resume_paused_clients()
+        total_command_limit,
+        value_memory_limit,  // no memory is left for its long value; resumed by check_clients()
     };
     struct Client {
         std::unique_ptr<TcpConnection> connection;
--- a/src/gossip/fleet_quotas.h
+++ b/src/gossip/fleet_quotas.h
@@ -57,7 +57,7 @@
         std::uint64_t declined = 0;
         int tenant = -1;
     };
-    std::vector<Quota> quotas(double now);  // that are configured
+    std::vector<Quota> quotas(double now);  // those in force: configured and not rejected
     static QuotaId id(const std::string& name) { return server_key(name); }
     static QuotaId origin_id() { return id("origin"); }
     static QuotaId slow_start_id() { return id("cold"); }
--- a/src/gossip/messages.h
+++ b/src/gossip/messages.h
@@ -26,8 +26,11 @@
 
 // When a message was made, by its sender's clock: the newest counts, and no other clock is involved.
 struct Stamp {
-    std::uint32_t incarnation = 0;  // a later process of the node has a greater one
-    std::uint32_t sequence = 0;     // ticks since that process started; unique
+    // Grows with each start of the node, and sometimes within one process.
+    std::uint32_t incarnation = 0;
+    // Ticks of kTickSeconds, from 1 at the node's start and again after kMaxIncarnationSeconds; each datagram
+    // of an incarnation has a greater one than the last.
+    std::uint32_t sequence = 0;
     auto operator<=>(const Stamp&) const = default;
 };
 
--- a/src/gossip/outlier_exchange.cpp
+++ b/src/gossip/outlier_exchange.cpp
@@ -45,14 +45,16 @@
 constexpr int kMaxStatementsPerSender = 3;
 // Upper bound on the statements of all senders together that are kept on one verdict.
 constexpr std::size_t kMaxStatementsPerVerdict = 8;
-// Times that a node relays an unchanged verdict with priority: about log2(700) plus a few lost datagrams.
+// Times that a node relays an unchanged verdict with priority; after that it is still relayed, newest first.
 constexpr int kRelayedSendLimit = 6;
 constexpr int kOwnSendLimit = 12;           // times that an owner sends its own verdict without waiting
 constexpr int kUrgentRelayedSendLimit = 3;  // times that a relayed verdict does not wait for kGossipInterval
 // Seconds between two ticks from which the process counts as paused: what it observed in between was caused
 // by the node itself.
 constexpr double kProcessPauseThreshold = 0.6;
-constexpr double kDoubtDuration = 2.0;  // s after a pause during which the node reports nothing
+// Seconds after the end of a pause in which the node neither records nor reports attempts on servers, and
+// acts on no verdict.
+constexpr double kDoubtDuration = 2.0;
 // With attempts on at least this many servers, of which more than kSelfCheckBadRatio fail, the cause is the
 // node's own connectivity or an overload of all servers.
 constexpr std::size_t kMinServersForSelfCheck = 4;
@@ -386,7 +388,8 @@
 }
 
 int OutlierExchange::required_reporters(int zone) const {
-    // Zones are known only for nodes that were heard directly; the others are assumed to be spread evenly.
+    // The zones of nodes that neither spoke to this node nor were relayed with one are unknown; those nodes
+    // are assumed to be spread evenly.
     const int nodes = std::max(nodes_per_zone_[static_cast<std::size_t>(std::clamp(zone, 0, kMaxZones - 1))],
                                static_cast<int>(present_nodes_.size()) / std::max(1, settings_.zone_count));
     const int by_ratio = static_cast<int>(std::ceil(kMinReporterRatio * nodes));
@@ -516,12 +519,12 @@
         last = key.first;
         if (now < doubts_until_ || !is_corroborated(key.first, now)) continue;
         ActiveVerdict& active = active_verdicts_[key.first];
-        if (active.last_confirmed < 0) active.since = now;
-        active.last_confirmed = now;
+        if (active.last_corroborated < 0) active.since = now;
+        active.last_corroborated = now;
         all.push_back({key.first, true, std::max(kMinProbeInterval, nodes / kProbesPerSecond)});
     }
     for (auto it = active_verdicts_.begin(); it != active_verdicts_.end();) {
-        if (it->second.last_confirmed == now) {
+        if (it->second.last_corroborated == now) {
             ++it;
             continue;
         }
--- a/src/gossip/outlier_exchange.h
+++ b/src/gossip/outlier_exchange.h
@@ -189,7 +189,7 @@
     // A verdict that is corroborated at this node.
     struct ActiveVerdict {
         double since = 0;
-        double last_confirmed = -1e9;
+        double last_corroborated = -1e9;  // time of the last tick in which it was corroborated
     };
 
     bool detect_process_pause(double now);
--- a/src/gossip/zone_failover.cpp
+++ b/src/gossip/zone_failover.cpp
@@ -10,7 +10,9 @@
 namespace {
 
 constexpr double kReportLifetime = 3.0;  // s for which a peer's report counts
-constexpr double kAnswerLifetime = 1.0;  // s after an answer in which this node does not drain the zone
+// Seconds for which an answer counts; the node does not drain the zone meanwhile, unless it observes the zone
+// unreachable itself.
+constexpr double kAnswerLifetime = 1.0;
 // Seconds for which an answer counts in a drained zone, where probes are seconds apart and few servers may
 // answer.
 constexpr double kProbeAnswerLifetime = 6.0;
--- a/src/gossip/zone_failover.h
+++ b/src/gossip/zone_failover.h
@@ -27,7 +27,8 @@
         int node_index = 0;
         int zone = 0;
         int zone_count = 1;
-        double slow_start_duration = 0;         // s that a cold cache needs; restoring a zone takes as long
+        // s that a cold cache needs; a step of a restore takes an eighth of it, at least kMinStepDuration
+        double slow_start_duration = 0;
         std::vector<int> failure_domains = {};  // by zone; empty: every zone is one of its own
     };
     // A change of which the balancer is notified.
--- a/src/guard/send_guard.h
+++ b/src/guard/send_guard.h
@@ -34,7 +34,9 @@
     double may_have_run_since = 0;    ///< time when the first attempt that may have run was written; 0: none
 };
 
-/// Returns a reason that forbids sending the attempt, or SendRefusal::none. The caller checks for over_quota.
+/// Returns the first reason that holds, in the order answered, client_closed, deadline_passed,
+/// server_not_ready, then would_repeat or window_over; or SendRefusal::none. The caller checks for
+/// over_quota.
 SendRefusal check_send(const SendFacts& facts);
 
 /// Returns the name of a reason in the log and in metrics.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-// Runs the node with the configuration file `given`, or if that is empty with the file named by GW_CONFIG.
+// Runs the node with the configuration file `config_path`, or if that is empty with the file named by
+// GW_CONFIG.
 int run_node(const std::string& config_path, const std::string& operator_path,
              const std::string& log_format) {
     std::string path = config_path;
@@ -149,7 +150,7 @@
         app.add_subcommand("registry", "inspect endpoint lists kept as ephemeral registrations");
     registry->require_subcommand(1);
     CLI::App* watch = registry->add_subcommand(
-        "watch", "print the endpoint changes that a daemon would apply, until SIGTERM");
+        "watch", "print the endpoint changes that a daemon would apply, until SIGINT or SIGTERM");
     watch
         ->add_option("--address", options.addresses,
                      "HOST:PORT of the coordination service; several for an ensemble")
--- a/src/model/model_checker.h
+++ b/src/model/model_checker.h
@@ -2,10 +2,10 @@
 // model. States are not merged, so a violation that it does not find does not exist at that depth. It does
 // not depend on what the models are about.
 //
-// A World is a copyable model with these members: `acts`, the number of actions; `names()`, their names;
-// `kLong`, the seconds of a step; `step(act)`, which applies an action and returns the violated invariant or
-// an empty string; and `at_rest()`, whether it is in the state that it must reach within `kRest` steps
-// without faults.
+// A World is a copyable model with these members: `action_count`, the number of actions; `action_names()`,
+// their names; `kStepSeconds`, the seconds of a step; `step(action)`, which applies an action and returns the
+// violated invariant or an empty string; and `has_recovered()`, whether it is in the state that it must reach
+// within `kMaxRecoverySteps` steps without faults.
 #pragma once
 
 #include <algorithm>
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -16,7 +16,7 @@
   public:
     explicit Network(std::uint64_t seed) : generator_(seed) {}
 
-    // Counts the bytes and queues the datagram, unless it is lost or the link is cut.
+    // Counts the bytes, also of a datagram that is then lost or cut off; queues every copy that is not.
     void send(double now, int from, int to, const std::string& bytes) {
         sent_bytes += static_cast<double>(bytes.size());
         if (cut(from, to)) return;
--- a/src/model/outlier_fleet.h
+++ b/src/model/outlier_fleet.h
@@ -42,7 +42,8 @@
         verdicts_[n].clear();
     }
     void stop(int n) { nodes_[at(n)].reset(); }
-    // Runs the fleet for `seconds`. Each node finishes `rate` attempts per second, each at a random server.
+    // Runs the fleet for `seconds`. Each node gets `rate` requests per second on average, each for a random
+    // server; those withheld from a failing server or one with a verdict make no attempt.
     // NOLINTNEXTLINE(readability-function-cognitive-complexity): see ROADMAP
     void run(double seconds) {
         const double until = now_ + seconds;
@@ -103,7 +104,7 @@
     static std::size_t at(int n) { return static_cast<std::size_t>(n); }
 
     static constexpr int kCaches = 12;
-    double rate = 10;                         // attempts per second and node
+    double rate = 10;                         // requests per second and node
     double failing_server_traffic_ratio = 1;  // ratio of the attempts to kFailingServer that are sent
     std::set<int> frozen;
     std::function<bool(int node, gossip::ServerKey)> attempt_succeeds = [](int, gossip::ServerKey) {
--- a/src/model/zone_failover_model.h
+++ b/src/model/zone_failover_model.h
@@ -99,7 +99,8 @@
                 return "failed over from a zone that responds, at node " + std::to_string(n);
             if (changes_[at(n)].weight > 1) return "a zone weight above 1";
         }
-        // From 4 s after the last change on, returning nodes are within two ramp steps (a factor of 4).
+        // While the zone is up, from 4 s after the last fault and the last toggle of the zone on, the weights
+        // of any two correct nodes differ at most by a factor of 4, unless one is 0.
         double least = 1, most = 0;
         for (int n = 0; n < (has_faulty_ ? 2 : 3); ++n)
             least = std::min(least, changes_[at(n)].weight), most = std::max(most, changes_[at(n)].weight);
--- a/src/proxy/graceful_shutdown.cpp
+++ b/src/proxy/graceful_shutdown.cpp
@@ -9,13 +9,15 @@
 // comes no sooner than min(longest client timeout, kMaxKillDelay) + 0.7 s after the signal; requests that are
 // still open shortly before it fail with an error.
 
-// Seconds after the signal in which the node serves as before: the open client connections may be the only
-// way to reach the service while another node starts.
+// Upper bound, in seconds, of the time after the signal in which the node, without a shared listener, serves
+// as before: the open client connections may be the only way to reach the service while another node starts.
 constexpr double kServingTime = 1.0;
 // Seconds after closes_at() until the front proxy counts as moved away; by then it has sent nothing new to
 // this node for some time.
 constexpr double kFrontProxyDelay = 0.5;
-constexpr double kQuietTime = 0.5;     // s without a command after which the clients count as gone
+// Seconds without a command after which the clients count as gone; also the time after fail_requests_at_ at
+// which the process ends if it has not ended before.
+constexpr double kQuietTime = 0.5;
 constexpr double kMaxKillDelay = 3.0;  // s; longer client timeouts do not delay the kill further
 // Seconds after min(longest client timeout, kMaxKillDelay) at which open requests fail; 0.3 s before the
 // kill.
--- a/src/proxy/node.cpp
+++ b/src/proxy/node.cpp
@@ -41,8 +41,9 @@
 constexpr double kFirstListTimeout = 0.3;
 
 constexpr double kEvictionInterval = 1.0;  // s between checks, until all removed servers are evicted
-constexpr double kStreamGiveUpMargin =
-    0.05;                                    // s before its deadline at which a streamed response is given up
+// Seconds before the request's deadline at which a streamed response that is still buffered is replaced by an
+// error line.
+constexpr double kStreamGiveUpMargin = 0.05;
 constexpr double kHealthCheckTimeout = 0.5;  // s; a health check has no request with a deadline
 
 constexpr double kAdminStateInterval = 0.025;  // s between reloads of the state that sibling processes change
@@ -541,7 +542,7 @@
     for (const int server : changed) {
         entries.push_back(servers_.endpoint(server));
         servers_.update_removal_time(server, now);
-        if (!servers_.accepts_attempts(server)) pool_.stop_sending_to(server);
+        if (!servers_.accepts_attempts(server)) pool_.refuse_unsent_attempts(server);
     }
     if (!entries.empty() || update.is_full) {
         log_.line(Topic::discovery, "list",
@@ -587,7 +588,8 @@
     gossip_->on_endpoints(names, in_own_zone);
 }
 
-// A verdict on a server that this node's own endpoint list does not contain is ignored.
+// Ignores a verdict on a server that is not in the server table: only this node's own endpoint list adds
+// servers, other nodes' verdicts do not.
 void Node::on_outlier_verdict(double now, const std::string& name, bool is_bad, double probe_interval) {
     const int server = servers_.find(name);
     if (server != ServerTable::kUnknown) balancer_->on_outlier_verdict(now, server, is_bad, probe_interval);
@@ -905,7 +907,7 @@
             Topic::node, s.admin_state.drained ? "taken_out" : "called_back",
             name + (s.admin_state.drained ? " is drained by an operator" : " is restored by an operator"));
         entries.push_back(servers_.endpoint(server));
-        if (!servers_.accepts_attempts(server)) pool_.stop_sending_to(server);
+        if (!servers_.accepts_attempts(server)) pool_.refuse_unsent_attempts(server);
     }
     if (!entries.empty()) balancer_->on_endpoints(now, UpdateKind::delta, entries);
 }
--- a/src/testkit/fault_schedule.h
+++ b/src/testkit/fault_schedule.h
@@ -16,7 +16,7 @@
     int operation = 0;
     int tenant = -1;
     std::uint64_t key = 0;    // as it is sent to nodes and servers
-    float timeout_ratio = 1;  // part of the client timeout after which the client gives up an attempt
+    float timeout_ratio = 1;  // part of the client timeout after which the client gives up a request
     float close_ratio = -1;   // part of that timeout after which the client closes the connection; -1: never
     float node_selector = 0;  // 0 to 1: selects the node that the load balancer chooses
     std::uint32_t random_bits = 0;  // the source of the request's idempotency key
--- a/src/testkit/load.cpp
+++ b/src/testkit/load.cpp
@@ -236,7 +236,7 @@
     daemon.start();
     while (!is_ready(io, node)) {
         if (!daemon.running() || clock.now() > kReadyTimeout) {
-            result.failed = "the daemon does not respond; see " + daemon.log_path();
+            result.failed = "the daemon ended at its start or does not respond; see " + daemon.log_path();
             break;
         }
         sleep_for(0.02);
--- a/src/testkit/load_clients.cpp
+++ b/src/testkit/load_clients.cpp
@@ -12,7 +12,7 @@
 // Seconds for which a client waits beyond what the auditor allows, so that the auditor sees a late response
 // as late.
 constexpr double kTimeoutMargin = 0.03;
-constexpr double kMinTimeout = 0.05;  // s; an attempt with less time left is not made
+constexpr double kMinTimeout = 0.05;  // s; a request with less time left is not sent
 // Seconds of a deduplication window that a client reserves for the transit of a retry.
 constexpr double kDeduplicationMargin = 0.15;
 constexpr std::size_t kMaxIdlePerNode = 64;
--- a/src/testkit/network_fault_proxy.cpp
+++ b/src/testkit/network_fault_proxy.cpp
@@ -218,8 +218,9 @@
     if (server_path.from_server_is_cut) pair->server_side->pause();
 }
 
-// Applies the current cuts to the paths between nodes and servers. A cut path forwards nothing and
-// establishes no connections; when the cut ends, its connections are reset.
+// Applies the current cuts to the paths between nodes and servers. Open connections forward nothing in a cut
+// direction. While either direction is cut, no connection is established; when neither is cut any more, the
+// connections are reset.
 void NetworkFaultProxy::apply_cuts() {
     const int nodes = environment_.scenario.nodes;
     for (auto& [key, path] : server_paths_) {
--- a/src/testkit/run_faults.cpp
+++ b/src/testkit/run_faults.cpp
@@ -64,8 +64,8 @@
             environment_.at(
                 environment_.now() + (t.lasts > 0 ? t.lasts : kDefaultRemovalDelay), [this, &s, number] {
                     discovery_->list(number, s.address(), EndpointState::removed, s.started());
-                    // The server finishes the attempts that are open before it stops, as in an orderly
-                    // removal.
+                    // The server stops discovery_lag + 1 s after the removal, so that open attempts can end
+                    // first, as in an orderly removal.
                     environment_.at(environment_.now() + scenario_.discovery_lag + 1, [&s] { s.stop(); });
                 });
             break;
--- a/src/testkit/scripted_peer.cpp
+++ b/src/testkit/scripted_peer.cpp
@@ -76,7 +76,7 @@
 void TestSocket::end_sending() const { shutdown(fd_, SHUT_WR); }
 
 // Closes the connection with a TCP reset. The descriptor is replaced by an unconnected socket and stays open
-// until the line is destroyed, so that its number is not reused meanwhile.
+// until the TestSocket is destroyed, so that its number is not reused meanwhile.
 void TestSocket::reset() {
     const linger at_once{1, 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
--- a/src/testkit/server_model.h
+++ b/src/testkit/server_model.h
@@ -103,9 +103,9 @@
     std::size_t size() const { return expiry_by_key_.size(); }
 
   private:
-    std::unordered_map<std::uint64_t, double> expiry_by_key_;  // end of the window by mark
+    std::unordered_map<std::uint64_t, double> expiry_by_key_;  // end of the window by idempotency key
     std::list<std::pair<double, std::uint64_t>>
-        expiry_queue_;  // end of the window and mark, in order of arrival
+        expiry_queue_;  // end of the window and idempotency key, in order of arrival
 };
 
 }  // namespace brookrelay::testkit
--- a/src/testkit/soak.h
+++ b/src/testkit/soak.h
@@ -41,7 +41,8 @@
 
 struct SoakResult {
     std::uint64_t seed = 0;
-    bool is_void = false;  // the event loop of the test kit was late, so that the run proves nothing
+    // The event loop was late or daemons waited for a core, so that the run proves nothing.
+    bool is_void = false;
     std::string void_reason;
     std::vector<std::string> failures;  // one line each; empty: all invariants held
     std::uint64_t requests = 0, attempts = 0;
--- a/src/testkit/wire.h
+++ b/src/testkit/wire.h
@@ -14,7 +14,7 @@
 struct Properties {
     std::string_view operation, tenant;
     std::uint64_t idempotency_key = 0;  // `k`, the idempotency key; 0: none
-    double deadline = 0;                // `d`, the client's deadline, in seconds
+    double deadline = 0;                // `d`: seconds that the client still waits, not a point in time
 };
 Properties read_properties(std::string_view text);
 
--- a/src/upstream/upstream_pool.cpp
+++ b/src/upstream/upstream_pool.cpp
@@ -96,7 +96,9 @@
     const Server& server = server_at(server_id);
     if (!has_capacity(server_id)) {
         log_.line(topic(server_id), "no_place_left",
-                  server.name + ": attempt not sent: this node's share of the connection limit is in use");
+                  server.name +
+                      ": attempt not sent: this node's share of the fleet's connections to this "
+                      "server is in use");
         on_finished_({request, attempt, server_id, AttemptOutcome::not_sent, 0, {}, 0, 0, false});
         return;
     }
@@ -149,7 +151,7 @@
     }
     if (!connection.socket->is_connected()) return false;
     // A duplicate of the last response may arrive some milliseconds late. Waiting is better than opening a
-    // new connection, because the number of connections per server is limited.
+    // new connection, because the origin itself holds only a few.
     const double reusable_at = server_at(connection.server).is_origin && connection.last_used > 0
                                    ? connection.last_used + kHttpReuseDelaySeconds
                                    : 0;
@@ -553,8 +555,9 @@
     close(connection);
 }
 
-// Called when a server starts draining. Attempts that are not sent by then must no longer be sent to it.
-void UpstreamPool::stop_sending_to(int server_id) {
+// Called when a server no longer accepts attempts (draining, drained or removed). Attempts that are not sent
+// by then must no longer be sent to it. Affects only the present attempts; the owner must not start new ones.
+void UpstreamPool::refuse_unsent_attempts(int server_id) {
     close_idle(server_id);
     if (server_at(server_id).open_connections == 0) return;
     searched_connections_ += connections_.size();
--- a/src/upstream/upstream_pool.h
+++ b/src/upstream/upstream_pool.h
@@ -107,8 +107,10 @@
     void abandon_stream(std::uint64_t stream);
     /// Closes the idle connections to the server.
     void close_idle(int server_id);
-    /// Closes the server's idle connections and refuses its attempts that are not yet sent.
-    void stop_sending_to(int server_id);
+    /// Closes the server's idle connections and refuses its attempts that are not yet sent. Called when a
+    /// server no longer accepts attempts (draining, drained or removed). Affects only the present attempts;
+    /// the owner must not start new ones.
+    void refuse_unsent_attempts(int server_id);
     int open_count() const { return static_cast<int>(open_count_); }
     /// Returns the total number of connections visited by linear searches since the start.
     std::uint64_t searched_connections() const { return searched_connections_; }
--- a/src/util/parse_number.h
+++ b/src/util/parse_number.h
@@ -6,7 +6,8 @@
 
 namespace brookrelay {
 
-// Parses `digits` into `out`. Returns false if they are empty, contain anything else or do not fit the type.
+// Parses `digits` into `out`; a signed type also accepts a leading '-'. Returns false if the text is empty,
+// contains anything else or does not fit the type.
 template <typename Number>
 bool parse_number(std::string_view digits, Number& out, int base = 10) {
     const char* end = digits.data() + digits.size();
