--- a/src/gossip/zone_failover.h
+++ b/src/gossip/zone_failover.h
@@ -27,7 +27,8 @@
         int node_index = 0;
         int zone = 0;
         int zone_count = 1;
-        // s that a cold cache needs; a step of a restore takes an eighth of it, at least kMinStepDuration
+        // s that a cold cache needs; a step of a restore takes an eighth of it, at least kMinStepDuration,
+        // before step_duration() adjusts it to a short drain and to relapses
         double slow_start_duration = 0;
         std::vector<int> failure_domains = {};  // by zone; empty: every zone is one of its own
     };
--- a/src/guard/close_guard.h
+++ b/src/guard/close_guard.h
@@ -17,8 +17,8 @@
     too_many_idle,       ///< the longest idle one, while idle connections take too large a share
     evicted,             ///< the longest idle one, while another client needs its descriptor
     shutdown,            ///< this process is shutting down
-    /// its input is malformed, or is a long incomplete command while the byte budget is exceeded; it has its
-    /// error
+    /// its input is malformed, or is an incomplete command that has stalled, or that is long while the byte
+    /// budget is exceeded; it has its error
     rejected,
     unread_responses,  ///< the client does not read its responses
     broken_value,      ///< the rest of a value that is partly sent is not available
