--- a/src/model/zone_failover_model.h
+++ b/src/model/zone_failover_model.h
@@ -99,8 +99,7 @@
                 return "failed over from a zone that responds, at node " + std::to_string(n);
             if (changes_[at(n)].weight > 1) return "a zone weight above 1";
         }
-        // While up, from 4 s after the last fault and toggle on, correct nodes' weights above 0 are within
-        // 4:1.
+        // While up, 4 s after the last fault and toggle, correct nodes' weights above 0 are within 4:1.
         double least = 1, most = 0;
         for (int n = 0; n < (has_faulty_ ? 2 : 3); ++n)
             least = std::min(least, changes_[at(n)].weight), most = std::max(most, changes_[at(n)].weight);
